--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -12,7 +12,7 @@
 import {isSettled, type KeyRange, lifeText} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 import {type AnnouncementAnswer, type AnnouncementOutcome, type AnnouncementReport} from '@dogwooddeck/mesh/calls';
-import {derived} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/derived';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {ok, type Result} from 'true-myth/result';
@@ -31,7 +31,7 @@
 const keptMilliseconds: Milliseconds = 350;
 
 /** The lives that have to hear something of their keys: that they got some, or have to give some up. */
-const livesWithNews = derived((ranges: readonly KeyRange[]): ReadonlySet<string> =>
+const livesWithNews = memoize((ranges: readonly KeyRange[]): ReadonlySet<string> =>
 	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [lifeText(range.holder)] : [])));
 
 /** Makes the desk. */
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -7,7 +7,7 @@
 import {flappingCount, joinedAt} from '@dogwooddeck/membership/watch';
 import {type Assignment, AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
 import {type ServiceContract} from '@dogwooddeck/model/contract';
-import {derived} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/derived';
 import {
 	type Milliseconds, type MonotonicTime, sameUpstream, type ServiceName, type Slot, type UpstreamIdentity, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
@@ -42,7 +42,7 @@
 }
 
 /** Ticks ask for them 20 times a second; most services have none. */
-const revocationsOf = derived(({assignments}: ServiceAssignments): readonly Revoking[] => assignments.filter(assignment => isRevoking(assignment)));
+const revocationsOf = memoize(({assignments}: ServiceAssignments): readonly Revoking[] => assignments.filter(assignment => isRevoking(assignment)));
 
 function unreachableZones(state: LeaderState, control: ControlState, now: MonotonicTime): readonly ZoneName[] {
 	return Object.values(control.ownership.rosters)
--- a/packages/daemon/src/slot-grants.ts
+++ b/packages/daemon/src/slot-grants.ts
@@ -5,7 +5,7 @@
  */
 import {type ControlState} from '@dogwooddeck/control/state';
 import {AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
-import {derived} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/derived';
 import {
 	type FenceNumber, lifeKey, type Slot, type UpstreamIdentity,
 } from '@dogwooddeck/model/identifiers';
@@ -13,7 +13,7 @@
 /** The right to serve one slot: an upstream that checks fences refuses requests with a smaller number. */
 export type SlotGrant = {readonly slot: Slot; readonly fence: FenceNumber};
 
-const grantsByOwner = derived(({assignments}: ServiceAssignments): ReadonlyMap<string, readonly SlotGrant[]> => {
+const grantsByOwner = memoize(({assignments}: ServiceAssignments): ReadonlyMap<string, readonly SlotGrant[]> => {
 	const grants = new Map<string, SlotGrant[]>();
 	for (const assignment of assignments) {
 		if (assignment.phase === AssignmentPhase.granted) {
--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -1,7 +1,7 @@
 /**
  * The upstreams that have announced themselves, one record for each life.
  */
-import {derived} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/derived';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
@@ -90,7 +90,7 @@
 	return dispatch(handlers, command, upstreams);
 }
 
-const newestByAddress = derived((upstreams: Upstreams) => {
+const newestByAddress = memoize((upstreams: Upstreams) => {
 	const newest = new Map<string, UpstreamRecord>();
 	for (const upstream of Object.values(upstreams)) {
 		if (upstream.born > (newest.get(upstream.address)?.born ?? -Infinity)) {
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -1,7 +1,7 @@
 /**
  * The key space of one service as ranges, each with its holder and its fence.
  */
-import {derived} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/derived';
 import {type FenceNumber, type LogIndex} from '@dogwooddeck/model/identifiers';
 
 /** The number of keys that a service has. */
@@ -51,7 +51,7 @@
 	return `${id}#${born}`;
 }
 
-const byHolder = derived((ranges: readonly KeyRange[]) => {
+const byHolder = memoize((ranges: readonly KeyRange[]) => {
 	const held = new Map<string, KeyRange[]>();
 	for (const range of ranges) {
 		if (range.holder !== undefined) {
--- a/packages/model/src/derived.ts
+++ b/packages/model/src/derived.ts
@@ -4,7 +4,7 @@
  */
 
 /** The function with its last answer for each object kept for as long as the object lives. */
-export function derived<State extends object, Answer>(derive: (state: State) => Answer): (state: State) => Answer {
+export function memoize<State extends object, Answer>(derive: (state: State) => Answer): (state: State) => Answer {
 	const answers = new WeakMap<State, {readonly answer: Answer}>();
 	return state => {
 		const kept = answers.get(state) ?? {answer: derive(state)};
