--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -6,7 +6,7 @@
 	type Assignment, AssignmentPhase, assignmentsInUse, type ServiceAssignments,
 } from '@dogwooddeck/model/assignment';
 import {
-	lifeKey, type Milliseconds, type MonotonicTime, type Slot, type UpstreamIdentity,
+	incarnationKey, type Milliseconds, type MonotonicTime, type Slot, type UpstreamIdentity,
 } from '@dogwooddeck/model/identifiers';
 import {imbalance} from './load.js';
 import {type OwnershipFigures} from './report.js';
@@ -40,7 +40,7 @@
 }
 
 function ownerOf(assignment: Assignment): string | undefined {
-	return assignment.phase === AssignmentPhase.granted ? lifeKey(assignment.owner) : undefined;
+	return assignment.phase === AssignmentPhase.granted ? incarnationKey(assignment.owner) : undefined;
 }
 
 /** A lost owner served nothing from its last sign of life on, not only from the revocation on. */
--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -4,7 +4,7 @@
  */
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {
-	type InstanceIdentity, lifeKey, type Milliseconds, sameInstance,
+	type InstanceIdentity, incarnationKey, type Milliseconds, sameInstance,
 } from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type ClaimsView} from '@dogwooddeck/routing/claim-rosters';
@@ -35,7 +35,7 @@
 
 	/** Takes the addresses of the seated instances in; of the others, those of the instances that are awaited are kept. */
 	follow(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
-		const wanted = new Set([...seated, ...awaited].map(seat => lifeKey(seat)));
+		const wanted = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
 		for (const known of this.#addresses.keys()) {
 			if (!wanted.has(known)) {
 				this.#addresses.delete(known);
@@ -43,7 +43,7 @@
 		}
 
 		for (const member of seated) {
-			this.#addresses.set(lifeKey(member), member.peerAddress);
+			this.#addresses.set(incarnationKey(member), member.peerAddress);
 		}
 	}
 
@@ -66,7 +66,7 @@
 	}
 
 	async #call(seat: InstanceIdentity, call: 'claim' | 'collect', body: string): Promise<Result<string, Failure>> {
-		const address = this.#addresses.get(lifeKey(seat));
+		const address = this.#addresses.get(incarnationKey(seat));
 		return address === undefined
 			? err(failure(FailureKind.unreachable, `${seat.name} is not seated any more`))
 			: this.#clients.call(address, call, body, askMilliseconds);
--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -7,7 +7,7 @@
 import {type Failure} from '@dogwooddeck/model/failure';
 import {keptSeatings, type Seating} from '@dogwooddeck/control/state';
 import {
-	includesInstance, type InstanceIdentity, lifeKey, type LogIndex, type Milliseconds, type MonotonicTime, sameInstance,
+	includesInstance, type InstanceIdentity, incarnationKey, type LogIndex, type Milliseconds, type MonotonicTime, sameInstance,
 } from '@dogwooddeck/model/identifiers';
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type ClaimEnded} from '@dogwooddeck/routing/claim';
@@ -162,8 +162,8 @@
 	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
 		const isSeldom = isBrief(newest, now);
 		const awaited = desk.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
-		const all = new Map([...seatsBehind(spread, newest), ...awaited].map(seat => [lifeKey(seat), seat]));
-		all.delete(lifeKey(self));
+		const all = new Map([...seatsBehind(spread, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
+		all.delete(incarnationKey(self));
 		return [...all.values()];
 	}
 
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -9,7 +9,7 @@
 import {type ContractedLimit, type ServiceContract} from '@dogwooddeck/model/contract';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {
-	type InstanceIdentity, lifeKey, type Milliseconds, type MonotonicTime, type ZoneName,
+	type InstanceIdentity, incarnationKey, type Milliseconds, type MonotonicTime, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
 import {Divider, type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
 import {type RequestHead} from '@dogwooddeck/routing/target';
@@ -53,7 +53,7 @@
 
 /** Makes the limiter of an instance. It calls `noteAwaited` when a request begins to wait for a share. */
 export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, noteAwaited: () => void): Limiter {
-	const holder = lifeKey(self);
+	const holder = incarnationKey(self);
 	const entries = new Map<string, LimitEntry>();
 	const effectives = new WeakMap<ContractedLimit, EffectiveLimit>();
 	const waiting = new Set<LimitEntry>();
--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps the shares of limits that control gave until their holders ask again.
  */
-import {type InstanceIdentity, lifeKey} from '@dogwooddeck/model/identifiers';
+import {type InstanceIdentity, incarnationKey} from '@dogwooddeck/model/identifiers';
 import {type LimitShare} from '@dogwooddeck/model/share';
 
 /** Shares on their way to instances. */
@@ -26,7 +26,7 @@
 			}
 		},
 		take(instance) {
-			const holder = lifeKey(instance);
+			const holder = incarnationKey(instance);
 			const shares = waitingShares.get(holder) ?? [];
 			waitingShares.delete(holder);
 			return shares;
--- a/packages/daemon/src/slot-grants.ts
+++ b/packages/daemon/src/slot-grants.ts
@@ -7,7 +7,7 @@
 import {AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
 import {memoize} from '@dogwooddeck/model/derived';
 import {
-	type FenceNumber, lifeKey, type Slot, type UpstreamIdentity,
+	type FenceNumber, incarnationKey, type Slot, type UpstreamIdentity,
 } from '@dogwooddeck/model/identifiers';
 
 /** The right to serve one slot: an upstream that checks fences refuses requests with a smaller number. */
@@ -17,7 +17,7 @@
 	const grants = new Map<string, SlotGrant[]>();
 	for (const assignment of assignments) {
 		if (assignment.phase === AssignmentPhase.granted) {
-			const key = lifeKey(assignment.owner);
+			const key = incarnationKey(assignment.owner);
 			const owned = grants.get(key) ?? [];
 			grants.set(key, owned);
 			owned.push({slot: assignment.slot, fence: assignment.fence});
@@ -30,5 +30,5 @@
 /** The slots that an upstream owns, in their order. */
 export function grantsOf({ownership}: ControlState, upstream: UpstreamIdentity): readonly SlotGrant[] {
 	const assignments = ownership.services[upstream.service];
-	return assignments === undefined ? [] : grantsByOwner(assignments).get(lifeKey(upstream)) ?? [];
+	return assignments === undefined ? [] : grantsByOwner(assignments).get(incarnationKey(upstream)) ?? [];
 }
--- a/packages/model/src/identifiers.ts
+++ b/packages/model/src/identifiers.ts
@@ -64,7 +64,7 @@
 };
 
 /** Names one life of an instance, or of an upstream within its service, as a text: names hold no "#". */
-export function lifeKey({name, incarnation}: Pick<UpstreamIdentity, 'name' | 'incarnation'>): string {
+export function incarnationKey({name, incarnation}: Pick<UpstreamIdentity, 'name' | 'incarnation'>): string {
 	return `${name}#${incarnation}`;
 }
 
--- a/packages/ownership/src/holders.ts
+++ b/packages/ownership/src/holders.ts
@@ -3,7 +3,7 @@
  * counts until its lease has run out and what it had in flight is past its deadline.
  */
 import {
-	type InstanceIdentity, lifeKey, type LogIndex, type Milliseconds, type MonotonicTime,
+	type InstanceIdentity, incarnationKey, type LogIndex, type Milliseconds, type MonotonicTime,
 } from '@dogwooddeck/model/identifiers';
 import {grantorWait, type LeaseTerms} from './terms.js';
 
@@ -27,7 +27,7 @@
 
 /** Notes a lease. A later report never takes an earlier one back. */
 export function withHolder(holders: LeaseHolders, given: GivenLease, terms: LeaseTerms): LeaseHolders {
-	const key = lifeKey(given.instance);
+	const key = incarnationKey(given.instance);
 	const before = holders[key];
 	return {
 		...holders,
--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -3,7 +3,7 @@
  * and the zone's delegation from control.
  */
 import {
-	lifeKey, type LogIndex, type Milliseconds, type MonotonicTime,
+	incarnationKey, type LogIndex, type Milliseconds, type MonotonicTime,
 } from '@dogwooddeck/model/identifiers';
 import {emptyReport, type LeaseAnswer, type LeaseRequest} from '@dogwooddeck/model/lease';
 import {countedHolders, withHolder} from './holders.js';
@@ -45,7 +45,7 @@
 
 /** What a supporter says about its table is an acknowledgement as long as it supports this steward. */
 function withAcknowledgement(state: StewardState, request: LeaseRequest, now: MonotonicTime): StewardState {
-	const record = state.records[lifeKey(request.instance)];
+	const record = state.records[incarnationKey(request.instance)];
 	if (record === undefined || now >= record.until) {
 		return state;
 	}
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -2,7 +2,7 @@
  * Handlers for how an instance supports, stands and renews.
  */
 import {
-	type InstanceIdentity, lifeKey, type Milliseconds, type MonotonicTime, sameInstance,
+	type InstanceIdentity, incarnationKey, type Milliseconds, type MonotonicTime, sameInstance,
 } from '@dogwooddeck/model/identifiers';
 import {type SupportAnswer} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
@@ -54,7 +54,7 @@
 }
 
 function lateAt(state: StewardState, other: InstanceRecord): MonotonicTime {
-	return renewalLateAt(state.records[lifeKey(other)], state.terms);
+	return renewalLateAt(state.records[incarnationKey(other)], state.terms);
 }
 
 /** When the first renewal gets late that wasn't late at the last round. */
--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -9,7 +9,7 @@
  * therefore known to every later steward.
  */
 import {
-	type InstanceIdentity, lifeKey, type LogIndex, type MonotonicTime, sameInstance,
+	type InstanceIdentity, incarnationKey, type LogIndex, type MonotonicTime, sameInstance,
 } from '@dogwooddeck/model/identifiers';
 import {majorityOf} from './quorum.js';
 import {grantorWait, type LeaseTerms} from './terms.js';
@@ -86,7 +86,7 @@
 export type SupportRecords = Readonly<Record<string, SupportRecord>>;
 
 function majorityValue(members: readonly InstanceIdentity[], valueOf: (key: string) => number): number {
-	const values = members.map(member => valueOf(lifeKey(member))).sort((one, other) => other - one);
+	const values = members.map(member => valueOf(incarnationKey(member))).sort((one, other) => other - one);
 	return values[majorityOf(members.length) - 1] ?? -Infinity;
 }
 
@@ -102,7 +102,7 @@
 
 /** Notes a support that was asked for at `sentAt`, or what a supporter acknowledged. */
 export function withSupport(records: SupportRecords, member: InstanceIdentity, news: SupportRecord): SupportRecords {
-	const key = lifeKey(member);
+	const key = incarnationKey(member);
 	const before = records[key];
 	return {
 		...records,
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -6,7 +6,7 @@
 	type Assignment, AssignmentPhase, assignmentsInUse, type PinnedKey,
 } from '@dogwooddeck/model/assignment';
 import {
-	lifeKey, type RegionName, sameUpstream, type Slot, type UpstreamIdentity,
+	incarnationKey, type RegionName, sameUpstream, type Slot, type UpstreamIdentity,
 } from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {type PlacementInput, type PlacementUpstream} from './input.js';
@@ -64,7 +64,7 @@
 	}
 
 	const byTime = policy.coldShare + ((1 - policy.coldShare) * Math.min(1, age / Math.max(1, warmUp)));
-	const carried = (input.loads.answered[lifeKey(upstream.record)] ?? 0) / fairLoad;
+	const carried = (input.loads.answered[incarnationKey(upstream.record)] ?? 0) / fairLoad;
 	return Math.min(1, byTime, policy.coldShare + (policy.coldGrowth * carried));
 }
 
--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -5,7 +5,7 @@
  */
 import {type KeyLoad, type SlotLoad, type UpstreamEvidence} from '@dogwooddeck/model/evidence';
 import {
-	lifeKey, type Milliseconds, type MonotonicTime, type RegionName, type ServiceName, type Slot,
+	incarnationKey, type Milliseconds, type MonotonicTime, type RegionName, type ServiceName, type Slot,
 } from '@dogwooddeck/model/identifiers';
 
 /** Rates below this many requests a second are dropped. */
@@ -100,7 +100,7 @@
 	const slotLoads = report.slotLoads.filter(load => load.service === state.service);
 	const keyCounts = report.keyLoads.filter(load => load.service === state.service).map(load => [load.key, load.requests] as const);
 	const answers = report.evidence.filter(({upstream}) => upstream.service === state.service)
-		.map(({upstream, answered}) => [lifeKey(upstream), answered] as const);
+		.map(({upstream, answered}) => [incarnationKey(upstream), answered] as const);
 	const origins = {...state.origins, [report.region]: state.origins[report.region] ?? []};
 	return {
 		...state,
--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -3,7 +3,7 @@
  * of them may still follow are not forgotten. An instance in a cut zone keeps
  * its lease and its records without learning of a change of the seats.
  */
-import {type InstanceIdentity, lifeKey, type LogIndex} from '@dogwooddeck/model/identifiers';
+import {type InstanceIdentity, incarnationKey, type LogIndex} from '@dogwooddeck/model/identifiers';
 import {type ClaimRoster, type ClaimSeat} from './claim.js';
 
 /** The newest log entry that each instance said it has applied, by `lifeKey`. */
@@ -11,19 +11,19 @@
 
 /** Notes what an instance said. It never goes back. */
 export function noteApplied(spread: ClaimSpread, seat: InstanceIdentity, applied: LogIndex): ClaimSpread {
-	const key = lifeKey(seat);
+	const key = incarnationKey(seat);
 	return new Map([...spread, [key, Math.max(applied, spread.get(key) ?? 0)]]);
 }
 
 /** What is known of the seats of a roster alone. */
 export function spreadOf(spread: ClaimSpread, roster: ClaimRoster): ClaimSpread {
-	const seated = new Set(roster.seats.map(seat => lifeKey(seat)));
+	const seated = new Set(roster.seats.map(seat => incarnationKey(seat)));
 	return new Map([...spread].filter(([key]) => seated.has(key)));
 }
 
 /** The seats of a roster that are not known to have applied the entry that made it. */
 export function seatsBehind(spread: ClaimSpread, roster: ClaimRoster): readonly ClaimSeat[] {
-	return roster.seats.filter(seat => (spread.get(lifeKey(seat)) ?? 0) < roster.index);
+	return roster.seats.filter(seat => (spread.get(incarnationKey(seat)) ?? 0) < roster.index);
 }
 
 /**
@@ -31,5 +31,5 @@
  * seat that was never heard counts as behind all, until it is no longer seated.
  */
 export function acknowledgedBy(spread: ClaimSpread, roster: ClaimRoster): LogIndex {
-	return Math.min(roster.index, ...roster.seats.map(seat => spread.get(lifeKey(seat)) ?? 0));
+	return Math.min(roster.index, ...roster.seats.map(seat => spread.get(incarnationKey(seat)) ?? 0));
 }
