--- a/packages/configuration/src/contract-schema.ts
+++ b/packages/configuration/src/contract-schema.ts
@@ -4,7 +4,7 @@
  * (the plain data of the model). Both give the same contract.
  */
 import {
-	Counted, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, Weigh, WhenCut, WindowForm, type ServiceContract,
+	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, Weigh, WhenCut, WindowForm, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import * as v from 'valibot';
 import {
@@ -64,7 +64,7 @@
 	}),
 	units: boundedList(strictObject({
 		name: nameField,
-		counts: oneOf(Counted),
+		counts: oneOf(CountedQuantity),
 		countedPerUnit: shared.perUnit,
 		intervalMilliseconds: wholeNumber(...bounds.interval),
 		window: oneOf(WindowForm),
@@ -121,7 +121,7 @@
 const fileUnit = v.pipe(
 	strictObject({
 		name: nameField,
-		counts: oneOf(Counted),
+		counts: oneOf(CountedQuantity),
 		counted_per_unit: v.optional(shared.perUnit, 1),
 		interval: duration(...bounds.interval),
 		window: oneOf(WindowForm),
--- a/packages/daemon/src/limit-admission.ts
+++ b/packages/daemon/src/limit-admission.ts
@@ -1,7 +1,7 @@
 /** Charges a request to all limits that it meets, or to none. */
 import {admit, type Admission} from '@dogwooddeck/limits/bucket';
 import {
-	type ContractedLimit, Counted, type ServiceContract,
+	type ContractedLimit, CountedQuantity, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type MonotonicTime, type WallTime} from '@dogwooddeck/model/identifiers';
@@ -20,10 +20,10 @@
 type Cost = (contract: ServiceContract, head: RequestHead, idempotent: boolean) => number;
 
 /** What a request costs, in counted things. */
-export const costs: Readonly<Record<Counted, Cost>> = {
-	[Counted.requests]: () => 1,
-	[Counted.changes]: (_contract, _head, idempotent) => idempotent ? 0 : 1,
-	[Counted.bodyBytes](contract, head) {
+export const costs: Readonly<Record<CountedQuantity, Cost>> = {
+	[CountedQuantity.requests]: () => 1,
+	[CountedQuantity.changes]: (_contract, _head, idempotent) => idempotent ? 0 : 1,
+	[CountedQuantity.bodyBytes](contract, head) {
 		const length = head.headers['content-length'];
 		const isChunked = head.headers['transfer-encoding'] !== undefined;
 		return isChunked ? contract.largestBodyBytes : Number(length ?? 0);
--- a/packages/daemon/test/limited-contract.ts
+++ b/packages/daemon/test/limited-contract.ts
@@ -1,6 +1,6 @@
 /** A contract with one limit, for tests of the limiter. */
 import {
-	type ContractedLimit, Counted, defaultContract, LimitScope, Rounding, type ServiceContract, type LegacyUnit, WindowForm,
+	type ContractedLimit, CountedQuantity, defaultContract, LimitScope, Rounding, type ServiceContract, type LegacyUnit, WindowForm,
 } from '@dogwooddeck/model/contract';
 import {type ZoneName} from '@dogwooddeck/model/identifiers';
 
@@ -21,7 +21,7 @@
 		upstream: {...defaultContract.upstream, zones},
 		units: [{
 			name: 'piece',
-			counts: Counted.requests,
+			counts: CountedQuantity.requests,
 			countedPerUnit: 1,
 			window: WindowForm.sliding,
 			burst: 1,
--- a/packages/limits/src/unit.ts
+++ b/packages/limits/src/unit.ts
@@ -2,7 +2,7 @@
  * What a limit that is quoted in a declared legacy unit comes to.
  */
 import {
-	Rounding, WindowForm, type ContractedLimit, type Counted, type LegacyUnit, type LimitScope,
+	Rounding, WindowForm, type ContractedLimit, type CountedQuantity, type LegacyUnit, type LimitScope,
 } from '@dogwooddeck/model/contract';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -16,7 +16,7 @@
 	readonly window: WindowForm;
 	/** What may be used at once, as a multiple of the amount; at least 1. */
 	readonly burst: number;
-	readonly counts: Counted;
+	readonly counts: CountedQuantity;
 	readonly scope: LimitScope;
 };
 
--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import process from 'node:process';
 import {test} from 'node:test';
-import {Counted, LimitScope, WindowForm} from '@dogwooddeck/model/contract';
+import {CountedQuantity, LimitScope, WindowForm} from '@dogwooddeck/model/contract';
 import fc from 'fast-check';
 import {zipfRates} from './zipf-rates.js';
 import {
@@ -33,7 +33,7 @@
 
 function limitOf(window: WindowForm, intervalMilliseconds: number, burst: number, amount: number): EffectiveLimit {
 	return {
-		amount, intervalMilliseconds, window, burst, counts: Counted.requests, scope: LimitScope.deployment,
+		amount, intervalMilliseconds, window, burst, counts: CountedQuantity.requests, scope: LimitScope.deployment,
 	};
 }
 
--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	Counted, defaultContract, defaultCutReserve, LimitScope, type ServiceContract, WindowForm,
+	CountedQuantity, defaultContract, defaultCutReserve, LimitScope, type ServiceContract, WindowForm,
 } from '@dogwooddeck/model/contract';
 import {Divider, type LimitDemand} from '@dogwooddeck/model/share';
 import {zipfRates} from './zipf-rates.js';
@@ -20,7 +20,7 @@
 
 function limitOf(amount: number, scope: LimitScope = LimitScope.deployment): EffectiveLimit {
 	return {
-		amount, intervalMilliseconds: 1000, window: WindowForm.sliding, burst: 1, counts: Counted.requests, scope,
+		amount, intervalMilliseconds: 1000, window: WindowForm.sliding, burst: 1, counts: CountedQuantity.requests, scope,
 	};
 }
 
--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {Counted, LimitScope, WindowForm} from '@dogwooddeck/model/contract';
+import {CountedQuantity, LimitScope, WindowForm} from '@dogwooddeck/model/contract';
 import {Divider, type LimitDemand} from '@dogwooddeck/model/share';
 import {
 	createSharing, shareMilliseconds, shareOut, type SharingState,
@@ -8,7 +8,7 @@
 import {type EffectiveLimit} from '@dogwooddeck/limits/unit';
 
 const limit: EffectiveLimit = {
-	amount: 100, intervalMilliseconds: 10_000, window: WindowForm.sliding, burst: 1, counts: Counted.requests, scope: LimitScope.deployment,
+	amount: 100, intervalMilliseconds: 10_000, window: WindowForm.sliding, burst: 1, counts: CountedQuantity.requests, scope: LimitScope.deployment,
 };
 
 const memoryMilliseconds = shareMilliseconds + limit.intervalMilliseconds + 1000;
--- a/packages/limits/test/test-unit.ts
+++ b/packages/limits/test/test-unit.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	Counted, LimitScope, Rounding, WindowForm, type LegacyUnit,
+	CountedQuantity, LimitScope, Rounding, WindowForm, type LegacyUnit,
 } from '@dogwooddeck/model/contract';
 import {admit, createBucket, usedShare} from '@dogwooddeck/limits/bucket';
 import {effectiveLimit, type EffectiveLimit} from '@dogwooddeck/limits/unit';
 
 const unit: LegacyUnit = {
-	name: 'batch', counts: Counted.requests, countedPerUnit: 7, intervalMilliseconds: 1000, window: WindowForm.fixed, burst: 1, rounding: Rounding.down, scope: LimitScope.deployment,
+	name: 'batch', counts: CountedQuantity.requests, countedPerUnit: 7, intervalMilliseconds: 1000, window: WindowForm.fixed, burst: 1, rounding: Rounding.down, scope: LimitScope.deployment,
 };
 
 const quoted: ReadonlyArray<{readonly name: string; readonly amount: number; readonly unit: Partial<LegacyUnit>; readonly quotedIn?: string; readonly expected: number | string}> = [
@@ -51,7 +51,7 @@
 }
 
 const limit: EffectiveLimit = {
-	amount: 3, intervalMilliseconds: 1000, window: WindowForm.fixed, burst: 1, counts: Counted.requests, scope: LimitScope.deployment,
+	amount: 3, intervalMilliseconds: 1000, window: WindowForm.fixed, burst: 1, counts: CountedQuantity.requests, scope: LimitScope.deployment,
 };
 
 /** Requests as time, cost, share, and whether each is admitted. */
--- a/packages/model/src/contract.ts
+++ b/packages/model/src/contract.ts
@@ -124,7 +124,7 @@
 export type LimitScope = (typeof LimitScope)[keyof typeof LimitScope];
 
 /** What a unit counts. */
-export const Counted = {
+export const CountedQuantity = {
 	requests: 'requests',
 	/** Requests that change something: those that are not idempotent. */
 	changes: 'changes',
@@ -133,12 +133,12 @@
 } as const;
 
 /** One of the things that are counted. */
-export type Counted = (typeof Counted)[keyof typeof Counted];
+export type CountedQuantity = (typeof CountedQuantity)[keyof typeof CountedQuantity];
 
 /** The declaration of a unit that only the old system used. */
 export type LegacyUnit = {
 	readonly name: string;
-	readonly counts: Counted;
+	readonly counts: CountedQuantity;
 	/** How many counted things make one of the unit. */
 	readonly countedPerUnit: number;
 	readonly intervalMilliseconds: Milliseconds;
