--- a/packages/bench/src/earlier.ts
+++ b/packages/bench/src/earlier.ts
@@ -1,11 +1,11 @@
 /**
  * Earlier versions of our policy, kept as sets of numbers.
  */
-import {type Weigh} from '@dogwooddeck/model/contract';
+import {type MovePreference} from '@dogwooddeck/model/contract';
 import {type PlacementPolicy} from '@dogwooddeck/placement/policy';
 
 /** The numbers of earlier versions, by the version's name. */
-export const earlierPolicies: Readonly<Record<string, Readonly<Record<Weigh, PlacementPolicy>>>> = {
+export const earlierPolicies: Readonly<Record<string, Readonly<Record<MovePreference, PlacementPolicy>>>> = {
 	/** Slots and pinned keys alike, moved at a lower score. */
 	'version 1': {
 		availability: {
--- a/packages/bench/src/policies.ts
+++ b/packages/bench/src/policies.ts
@@ -1,7 +1,7 @@
 /**
  * The policies that are compared, by name.
  */
-import {type Weigh} from '@dogwooddeck/model/contract';
+import {type MovePreference} from '@dogwooddeck/model/contract';
 import {identityOf, UpstreamPhase} from '@dogwooddeck/model/registry';
 import {type SlotHash} from '@dogwooddeck/placement/hash';
 import {type PlacementInput} from '@dogwooddeck/placement/input';
@@ -61,7 +61,7 @@
 	};
 }
 
-function ours(policies?: Readonly<Record<Weigh, PlacementPolicy>>): Planner {
+function ours(policies?: Readonly<Record<MovePreference, PlacementPolicy>>): Planner {
 	return input => planPlacement(policies === undefined ? input : {...input, policy: policies[input.contract.weigh]});
 }
 
--- a/packages/bench/src/trace.ts
+++ b/packages/bench/src/trace.ts
@@ -3,7 +3,7 @@
  * outcome that a replay must give. Requests are not recorded one by one; the
  * weights of keys follow from the seed.
  */
-import {type WhenCut, type Weigh} from '@dogwooddeck/model/contract';
+import {type WhenCut, type MovePreference} from '@dogwooddeck/model/contract';
 
 /** What happens to upstreams and links. Times are seconds since the trace's start. */
 export type TraceEvent =
@@ -65,7 +65,7 @@
 
 /** One deployment. */
 export type DeploymentShape = {
-	readonly weigh: Weigh;
+	readonly weigh: MovePreference;
 	readonly regions: readonly string[];
 	/** By zone, the zone's region. */
 	readonly zones: Readonly<Record<string, string>>;
--- a/packages/configuration/src/contract-schema.ts
+++ b/packages/configuration/src/contract-schema.ts
@@ -4,7 +4,7 @@
  * (the plain data of the model). Both give the same contract.
  */
 import {
-	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, Weigh, WhenCut, WindowForm, type ServiceContract,
+	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, MovePreference, WhenCut, WindowForm, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import * as v from 'valibot';
 import {
@@ -23,7 +23,7 @@
 ], 'expected a place: "path", "header" or "query"');
 
 const shared = {
-	weigh: oneOf(Weigh),
+	weigh: oneOf(MovePreference),
 	target: v.pipe(v.number(), v.check(value => value > 0 && value < 1, 'expected a share above 0 and below 1')),
 	periodDays: boundedNumber(1, 366),
 	amount: v.pipe(v.number(), v.check(value => value > 0 && value <= largestAmount, `expected a number above 0, at most ${largestAmount}`)),
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	defaultContract, type ServiceContract, Weigh, WhenCut,
+	defaultContract, type ServiceContract, MovePreference, WhenCut,
 } from '@dogwooddeck/model/contract';
 import {type Announcement, type InstanceRecord} from '@dogwooddeck/model/registry';
 import {emptyReport, type Report} from '@dogwooddeck/model/lease';
@@ -325,9 +325,9 @@
 }
 
 const smoothingCases = [
-	{name: 'of a contract that weighs availability', weighs: [Weigh.availability], expected: placementPolicies.availability.smoothingMilliseconds},
-	{name: 'of a contract that weighs churn', weighs: [Weigh.churn], expected: placementPolicies.churn.smoothingMilliseconds},
-	{name: 'after the weight was changed', weighs: [Weigh.availability, Weigh.churn], expected: placementPolicies.churn.smoothingMilliseconds},
+	{name: 'of a contract that weighs availability', weighs: [MovePreference.availability], expected: placementPolicies.availability.smoothingMilliseconds},
+	{name: 'of a contract that weighs churn', weighs: [MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
+	{name: 'after the weight was changed', weighs: [MovePreference.availability, MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
 ];
 
 for (const {name, weighs, expected} of smoothingCases) {
--- a/packages/model/src/contract.ts
+++ b/packages/model/src/contract.ts
@@ -25,7 +25,7 @@
 	| {readonly place: typeof KeyPlace.query; readonly name: string};
 
 /** What a deployment weighs most when ownership has to move. */
-export const Weigh = {
+export const MovePreference = {
 	/** Keep the time during which keys are unavailable short. */
 	availability: 'availability',
 	/** Keep the number of moves low. */
@@ -33,7 +33,7 @@
 } as const;
 
 /** One of the weights. */
-export type Weigh = (typeof Weigh)[keyof typeof Weigh];
+export type MovePreference = (typeof MovePreference)[keyof typeof MovePreference];
 
 /** What happens to an availability zone's slots when the zone can't reach control. */
 export const WhenCut = {
@@ -182,7 +182,7 @@
 	readonly key: KeySource;
 	/** The number of slots that keys hash to. It never changes for a service. */
 	readonly slots: number;
-	readonly weigh: Weigh;
+	readonly weigh: MovePreference;
 	readonly whenCut: WhenCut;
 	/** No request of the service is given more time than this. */
 	readonly longestDeadlineMilliseconds: Milliseconds;
@@ -201,7 +201,7 @@
 /** A contract with the values that hold when operators say nothing else. */
 export const defaultContract: Omit<ServiceContract, 'name' | 'prefix' | 'key'> = {
 	slots: 256,
-	weigh: Weigh.availability,
+	weigh: MovePreference.availability,
 	whenCut: WhenCut.hold,
 	longestDeadlineMilliseconds: 1500,
 	largestBodyBytes: 1_048_576,
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -1,7 +1,7 @@
 /**
  * The numbers that placement decides by, one set for each of a contract's weights.
  */
-import {Weigh} from '@dogwooddeck/model/contract';
+import {MovePreference} from '@dogwooddeck/model/contract';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
 /** The numbers of one policy. Scores are multiples of an upstream's fair share. */
@@ -43,8 +43,8 @@
 };
 
 /** The policies by the contract's weight. */
-export const placementPolicies: Readonly<Record<Weigh, PlacementPolicy>> = {
-	[Weigh.availability]: {
+export const placementPolicies: Readonly<Record<MovePreference, PlacementPolicy>> = {
+	[MovePreference.availability]: {
 		pinTrigger: 1.1,
 		balanceTrigger: 1.4,
 		balanceTarget: 1.25,
@@ -63,7 +63,7 @@
 		coldShare: 0.5,
 		coldGrowth: 2,
 	},
-	[Weigh.churn]: {
+	[MovePreference.churn]: {
 		pinTrigger: 1.15,
 		balanceTrigger: 2,
 		balanceTarget: 1.7,
--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {test} from 'node:test';
 import {type Assignment, AssignmentPhase} from '@dogwooddeck/model/assignment';
-import {defaultContract, Weigh} from '@dogwooddeck/model/contract';
+import {defaultContract, MovePreference} from '@dogwooddeck/model/contract';
 import {sameUpstream} from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import fc from 'fast-check';
@@ -44,7 +44,7 @@
 
 const someInput: fc.Arbitrary<PlacementInput> = fc.record({
 	upstreams: fc.array(someUpstream, {maxLength: 8}),
-	weigh: fc.constantFrom(...Object.values(Weigh)),
+	weigh: fc.constantFrom(...Object.values(MovePreference)),
 	owned: fc.array(someOwnership, {minLength: slots, maxLength: slots}),
 	pinned: fc.array(someOwnership, {maxLength: 3}),
 	rates: fc.array(fc.integer({min: 0, max: 200}), {minLength: slots + 3, maxLength: slots + 3}),
--- a/packages/placement/test/test-plan.ts
+++ b/packages/placement/test/test-plan.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type Assignment, AssignmentPhase} from '@dogwooddeck/model/assignment';
-import {defaultContract, type ServiceContract, Weigh} from '@dogwooddeck/model/contract';
+import {defaultContract, type ServiceContract, MovePreference} from '@dogwooddeck/model/contract';
 import {UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {type PlacementInput, type PlacementUpstream} from '@dogwooddeck/placement/input';
 import {noRates} from '@dogwooddeck/placement/load';
@@ -11,7 +11,7 @@
 const service = 'bermrand/schedule';
 
 const contract: ServiceContract = {
-	...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, slots: 8, weigh: Weigh.availability,
+	...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, slots: 8, weigh: MovePreference.availability,
 };
 
 function upstream(name: string, changes: Partial<UpstreamRecord> = {}): PlacementUpstream {
