--- a/packages/bench/src/detection.ts
+++ b/packages/bench/src/detection.ts
@@ -3,7 +3,7 @@
  * the course of a trace. Fakes stand for upstreams and instances; the watch
  * and the registry are the real ones. It is the same for every policy.
  */
-import {defaultContract, type ServiceContract, WhenCut} from '@dogwooddeck/model/contract';
+import {defaultContract, type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type Report} from '@dogwooddeck/model/lease';
 import {type Announcement, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {
@@ -155,7 +155,7 @@
 function returnsAfterCuts(trace: Trace): readonly TraceEvent[] {
 	const deployment = deployments[trace.deployment]!;
 	const cuts = trace.events.filter(event => event.kind === 'zoneCut' || event.kind === 'regionsCut');
-	return trace.whenCut === WhenCut.hold
+	return trace.whenCut === PartitionPolicy.hold
 		? []
 		: cuts.flatMap(cut => deployment.services.flatMap(service =>
 			Array.from({length: service.upstreams}, (_, number) => upstreamName(service, number))
--- a/packages/bench/src/generator.ts
+++ b/packages/bench/src/generator.ts
@@ -1,7 +1,7 @@
 /**
  * Makes traces of both deployments from a seed.
  */
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {createRandom, type Random} from './random.js';
 import {
 	deployments, type DeploymentShape, type Trace, type TraceEvent, upstreamName,
@@ -103,7 +103,7 @@
 	},
 };
 
-function makeTrace(deployment: string, maker: string, seed: number, whenCut: WhenCut): Trace {
+function makeTrace(deployment: string, maker: string, seed: number, whenCut: PartitionPolicy): Trace {
 	const numbers = [Object.keys(deployments).indexOf(deployment), Object.keys(makers).indexOf(maker)];
 	const events = makers[maker]!(deployments[deployment]!, createRandom(seed, ...numbers));
 	return {
@@ -118,5 +118,5 @@
 
 /** All traces of a seed. */
 export function makeTraces(seed: number): readonly Trace[] {
-	return Object.keys(deployments).flatMap(deployment => Object.keys(makers).map(maker => makeTrace(deployment, maker, seed, WhenCut.hold)));
+	return Object.keys(deployments).flatMap(deployment => Object.keys(makers).map(maker => makeTrace(deployment, maker, seed, PartitionPolicy.hold)));
 }
--- a/packages/bench/src/slot-memory.ts
+++ b/packages/bench/src/slot-memory.ts
@@ -5,7 +5,7 @@
 import {applyEntry} from '@dogwooddeck/control/apply';
 import {encodeCommands} from '@dogwooddeck/control/command';
 import {type ControlState, emptyControl, encodeControl} from '@dogwooddeck/control/state';
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 
 /** What slots cost at one size. */
 export type SlotMemory = {
@@ -35,7 +35,7 @@
 
 function opened(slots: number): ControlState {
 	const open = encodeCommands([{
-		kind: 'serviceOpened', service, slots, policy: {whenCut: WhenCut.hold, longestDeadlineMilliseconds: 1000},
+		kind: 'serviceOpened', service, slots, policy: {whenCut: PartitionPolicy.hold, longestDeadlineMilliseconds: 1000},
 	}]);
 	return applyEntry(emptyControl, open, 1).state;
 }
--- a/packages/bench/src/table.ts
+++ b/packages/bench/src/table.ts
@@ -1,7 +1,7 @@
 /**
  * Replays traces under policies and prints the figures as a table.
  */
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {createSlotHash, type SlotHash} from '@dogwooddeck/placement/hash';
 import {detect} from './detection.js';
 import {addMeasures, type Measures} from './measures.js';
@@ -89,7 +89,7 @@
 	const hash = await createSlotHash();
 	const cuts = traces.filter(trace => trace.events.some(event => event.kind === 'zoneCut' || event.kind === 'regionsCut'));
 	const maker = createPolicies(hash).ours;
-	return cuts.flatMap(trace => Object.values(WhenCut).map((whenCut): Row => ({
+	return cuts.flatMap(trace => Object.values(PartitionPolicy).map((whenCut): Row => ({
 		trace: trace.name, policy: whenCut, measures: replayTrace({...trace, whenCut}, maker, hash),
 	})));
 }
--- a/packages/bench/src/trace.ts
+++ b/packages/bench/src/trace.ts
@@ -3,7 +3,7 @@
  * outcome that a replay must give. Requests are not recorded one by one; the
  * weights of keys follow from the seed.
  */
-import {type WhenCut, type MovePreference} from '@dogwooddeck/model/contract';
+import {type PartitionPolicy, type MovePreference} from '@dogwooddeck/model/contract';
 
 /** What happens to upstreams and links. Times are seconds since the trace's start. */
 export type TraceEvent =
@@ -41,7 +41,7 @@
 	readonly deployment: string;
 	readonly seed: number;
 	readonly durationSeconds: number;
-	readonly whenCut: WhenCut;
+	readonly whenCut: PartitionPolicy;
 	readonly events: readonly TraceEvent[];
 	/** The outcome of our policy. */
 	readonly outcome?: StatedOutcome;
--- a/packages/configuration/src/contract-schema.ts
+++ b/packages/configuration/src/contract-schema.ts
@@ -4,7 +4,7 @@
  * (the plain data of the model). Both give the same contract.
  */
 import {
-	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, MovePreference, WhenCut, WindowForm, type ServiceContract,
+	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, MovePreference, PartitionPolicy, WindowForm, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import * as v from 'valibot';
 import {
@@ -46,7 +46,7 @@
 	key: keySchema,
 	slots: wholeNumber(...bounds.slots),
 	weigh: shared.weigh,
-	whenCut: oneOf(WhenCut),
+	whenCut: oneOf(PartitionPolicy),
 	longestDeadlineMilliseconds: wholeNumber(...bounds.deadline),
 	servedAgainWithinMilliseconds: v.exactOptional(wholeNumber(...bounds.servedAgain)),
 	largestBodyBytes: wholeNumber(...bounds.body),
@@ -158,7 +158,7 @@
 		key: keySchema,
 		slots: v.optional(wholeNumber(...bounds.slots), defaults.slots),
 		weigh: v.optional(shared.weigh, defaults.weigh),
-		when_cut: v.optional(oneOf(WhenCut), defaults.whenCut),
+		when_cut: v.optional(oneOf(PartitionPolicy), defaults.whenCut),
 		longest_deadline: v.optional(duration(...bounds.deadline), `${defaults.longestDeadlineMilliseconds} ms`),
 		served_again_within: v.exactOptional(duration(...bounds.servedAgain)),
 		largest_body: v.optional(size(...bounds.body), `${defaults.largestBodyBytes} B`),
--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type Assignment, AssignmentPhase} from '@dogwooddeck/model/assignment';
-import {defaultContract, type ServiceContract, WhenCut} from '@dogwooddeck/model/contract';
+import {defaultContract, type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {UpstreamPhase} from '@dogwooddeck/model/registry';
 import {applyMembership} from '@dogwooddeck/membership/registry';
 import {defaultLeaseTerms} from '@dogwooddeck/ownership/terms';
@@ -16,7 +16,7 @@
 
 const service = 'team/service';
 const contract: ServiceContract = {
-	...defaultContract, name: service, prefix: '/service', key: {place: 'path', segment: 0}, slots: 4, whenCut: WhenCut.hold,
+	...defaultContract, name: service, prefix: '/service', key: {place: 'path', segment: 0}, slots: 4, whenCut: PartitionPolicy.hold,
 };
 const now = 1_000_000;
 const zones = ['noord-a', 'noord-b'] as const;
@@ -53,7 +53,7 @@
 		services: {[service]: {service, assignments, pinned: []}},
 		policies: {
 			[service]: {
-				service, slots: 4, changedAt: 1, whenCut: WhenCut.hold, longestDeadlineMilliseconds: 1000,
+				service, slots: 4, changedAt: 1, whenCut: PartitionPolicy.hold, longestDeadlineMilliseconds: 1000,
 			},
 		},
 		rosters,
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	defaultContract, type ServiceContract, MovePreference, WhenCut,
+	defaultContract, type ServiceContract, MovePreference, PartitionPolicy,
 } from '@dogwooddeck/model/contract';
 import {type Announcement, type InstanceRecord} from '@dogwooddeck/model/registry';
 import {emptyReport, type Report} from '@dogwooddeck/model/lease';
@@ -19,7 +19,7 @@
 import {type ControlState, emptyControl} from '@dogwooddeck/control/state';
 
 const contract: ServiceContract = {
-	...defaultContract, name: 'team/service', prefix: '/service', key: {place: 'path', segment: 0}, slots: 8, whenCut: WhenCut.hold,
+	...defaultContract, name: 'team/service', prefix: '/service', key: {place: 'path', segment: 0}, slots: 8, whenCut: PartitionPolicy.hold,
 };
 
 function instance(name: string, incarnation = 1, zone = 'noord-a'): InstanceRecord {
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -2,7 +2,7 @@
  * Which upstreams are judged to be gone: by silence, by what instances saw, or
  * because a later life of theirs announced itself.
  */
-import {type ServiceContract, WhenCut} from '@dogwooddeck/model/contract';
+import {type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type Milliseconds, type MonotonicTime, type ZoneName} from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {type MembershipCommand, type MembershipState, upstreamsOf} from './registry.js';
@@ -105,7 +105,7 @@
 
 function silenceSaysLost(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
 	const confirmation = zone.isStorm ? stormConfirmationMilliseconds : 0;
-	const mayJudge = zone.isReachable || contract.whenCut === WhenCut.takeOver;
+	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
 	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
 }
 
--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -2,7 +2,7 @@
  * A service's upstreams in two availability zones and the instances that hear
  * them, by small fakes, against the real watch and registry.
  */
-import {defaultContract, type ServiceContract, WhenCut} from '@dogwooddeck/model/contract';
+import {defaultContract, type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {emptyReport, type Report} from '@dogwooddeck/model/lease';
 import {type Announcement} from '@dogwooddeck/model/registry';
 import {applyMembership, emptyMembership, type MembershipState} from '@dogwooddeck/membership/registry';
@@ -16,7 +16,7 @@
 
 /** What stands for a zone's instances and a service's upstreams: each field says what goes wrong, and from when. */
 export type Scene = {
-	readonly whenCut?: WhenCut;
+	readonly whenCut?: PartitionPolicy;
 	/** Upstreams in each of the zones `n-1` and `n-2`. */
 	readonly upstreams?: number;
 	readonly rosterSize?: number;
@@ -51,7 +51,7 @@
 
 export function contractOf(scene: Scene): ServiceContract {
 	return {
-		...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, whenCut: scene.whenCut ?? WhenCut.hold,
+		...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, whenCut: scene.whenCut ?? PartitionPolicy.hold,
 	};
 }
 
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import process from 'node:process';
 import {test} from 'node:test';
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {emptyReport} from '@dogwooddeck/model/lease';
 import {UpstreamPhase} from '@dogwooddeck/model/registry';
 import fc from 'fast-check';
@@ -65,7 +65,7 @@
 	},
 	{
 		name: 'a zone is cut off, and its service is taken over',
-		scene: {whenCut: WhenCut.takeOver, cut: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000},
+		scene: {whenCut: PartitionPolicy.takeOver, cut: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000},
 		lost: namesIn({untilMilliseconds: 0}, 'n-1'),
 		within: [3250, 3400],
 	},
@@ -219,7 +219,7 @@
 }
 
 const randomScene: fc.Arbitrary<Scene> = fc.record({
-	whenCut: fc.constantFrom(WhenCut.hold, WhenCut.takeOver),
+	whenCut: fc.constantFrom(PartitionPolicy.hold, PartitionPolicy.takeOver),
 	upstreams: fc.integer({min: 2, max: 6}),
 	silentFrom: fc.dictionary(fc.constantFrom('n-1/u0', 'n-1/u1', 'n-2/u0'), fc.integer({min: 500, max: 8000})),
 	failingFrom: fc.dictionary(fc.constantFrom('n-1/u1', 'n-2/u1'), fc.record({
@@ -237,7 +237,7 @@
 	const isFailing = failing !== undefined && at >= failing.at && failing.instances.length >= 2;
 	// Until the first report after the cut, the zone is still unheard of.
 	const isUnheard = isCut(scene, zone, at) || isCut(scene, zone, at - reportMilliseconds);
-	return isSilent || isFailing || (scene.whenCut === WhenCut.takeOver && isUnheard);
+	return isSilent || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isUnheard);
 }
 
 test(`no verdict without silence, agreed evidence, or a cut of a service that is taken over (seed ${seed})`, () => {
@@ -250,7 +250,7 @@
 
 test(`a verdict never comes from a zone that is out of reach while its service holds (seed ${seed})`, () => {
 	fc.assert(fc.property(randomScene, scene => {
-		const run = play({...scene, whenCut: WhenCut.hold, failingFrom: {}});
+		const run = play({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
 		for (const {at, name} of run.log.filter(({change}) => change === UpstreamPhase.lost)) {
 			const from = scene.cut?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
 			assert.ok(!isCut(scene, name.slice(0, 3), at) || at <= from + 1000, `${name} judged at ${at}`);
--- a/packages/model/src/contract.ts
+++ b/packages/model/src/contract.ts
@@ -36,7 +36,7 @@
 export type MovePreference = (typeof MovePreference)[keyof typeof MovePreference];
 
 /** What happens to an availability zone's slots when the zone can't reach control. */
-export const WhenCut = {
+export const PartitionPolicy = {
 	/** The zone keeps its own slots and goes on serving them. */
 	hold: 'hold',
 	/** Control gives the slots to other zones after the delegation's term. */
@@ -44,7 +44,7 @@
 } as const;
 
 /** One of the policies for a cut. */
-export type WhenCut = (typeof WhenCut)[keyof typeof WhenCut];
+export type PartitionPolicy = (typeof PartitionPolicy)[keyof typeof PartitionPolicy];
 
 /** Which work goes first when there is too much of it. */
 export const Importance = {
@@ -183,7 +183,7 @@
 	/** The number of slots that keys hash to. It never changes for a service. */
 	readonly slots: number;
 	readonly weigh: MovePreference;
-	readonly whenCut: WhenCut;
+	readonly whenCut: PartitionPolicy;
 	/** No request of the service is given more time than this. */
 	readonly longestDeadlineMilliseconds: Milliseconds;
 	/** Keys are to be served again within this time of the loss of their upstream. Absent: nothing is stated. */
@@ -202,7 +202,7 @@
 export const defaultContract: Omit<ServiceContract, 'name' | 'prefix' | 'key'> = {
 	slots: 256,
 	weigh: MovePreference.availability,
-	whenCut: WhenCut.hold,
+	whenCut: PartitionPolicy.hold,
 	longestDeadlineMilliseconds: 1500,
 	largestBodyBytes: 1_048_576,
 	routes: [],
--- a/packages/ownership/src/policy.ts
+++ b/packages/ownership/src/policy.ts
@@ -3,12 +3,12 @@
  * in the ownership table, so that it changes at one log index for everyone.
  * Until every zone has applied a change, the stricter of both values holds.
  */
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type LogIndex, type Milliseconds, type ServiceName} from '@dogwooddeck/model/identifiers';
 
 /** What a contract says about cuts and deadlines. */
 export type PolicyTerms = {
-	readonly whenCut: WhenCut;
+	readonly whenCut: PartitionPolicy;
 	readonly longestDeadlineMilliseconds: Milliseconds;
 };
 
@@ -24,12 +24,12 @@
 
 /** Whether an instance that is cut off may go on serving its own zone's slots. */
 export function mayHold(policy: ServicePolicy): boolean {
-	return policy.whenCut === WhenCut.hold;
+	return policy.whenCut === PartitionPolicy.hold;
 }
 
 /** Whether some instance may be holding slots, so that expiry of a delegation proves nothing. */
 export function someMayHold(policy: ServicePolicy): boolean {
-	return policy.whenCut === WhenCut.hold || policy.former?.whenCut === WhenCut.hold;
+	return policy.whenCut === PartitionPolicy.hold || policy.former?.whenCut === PartitionPolicy.hold;
 }
 
 /** The longest deadline that an instance may give a request. */
@@ -44,9 +44,9 @@
 
 /** The strictest terms of two. */
 export function strictestTerms(one: PolicyTerms, other: PolicyTerms | undefined): PolicyTerms {
-	const holds = one.whenCut === WhenCut.hold || other?.whenCut === WhenCut.hold;
+	const holds = one.whenCut === PartitionPolicy.hold || other?.whenCut === PartitionPolicy.hold;
 	return {
-		whenCut: holds ? WhenCut.hold : WhenCut.takeOver,
+		whenCut: holds ? PartitionPolicy.hold : PartitionPolicy.takeOver,
 		longestDeadlineMilliseconds: Math.max(one.longestDeadlineMilliseconds, other?.longestDeadlineMilliseconds ?? 0),
 	};
 }
--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -1,7 +1,7 @@
 /**
  * The parties of a schedule, and what is noted of them.
  */
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type FailureKind} from '@dogwooddeck/model/failure';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
@@ -12,8 +12,8 @@
 
 /** The services: one of each policy. */
 export const services = [
-	{service: 'held', whenCut: WhenCut.hold},
-	{service: 'taken', whenCut: WhenCut.takeOver},
+	{service: 'held', whenCut: PartitionPolicy.hold},
+	{service: 'taken', whenCut: PartitionPolicy.takeOver},
 ];
 
 /** The slots of each service. Each has two keys. */
--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -2,7 +2,7 @@
  * Control, as the schedules need it: voters of which one at a time can have
  * entries accepted, while others may still believe that they lead.
  */
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {type DelegationAnswer, type DelegationRequest, type SeatRequest} from '@dogwooddeck/model/lease';
 import {
@@ -266,7 +266,7 @@
 
 	#policy(): PolicyTerms {
 		const {world, plan} = this.schedule;
-		const whenCut = world.random() < 0.5 ? WhenCut.hold : WhenCut.takeOver;
+		const whenCut = world.random() < 0.5 ? PartitionPolicy.hold : PartitionPolicy.takeOver;
 		return {whenCut, longestDeadlineMilliseconds: plan.longestDeadlineMilliseconds * (0.2 + world.random())};
 	}
 
--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -1,7 +1,7 @@
 /**
  * The events of a steward's cases, in a zone of three whose longest deadline is 800 ms.
  */
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {emptyReport, type SupportRenewal} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type StewardEvent} from '@dogwooddeck/ownership/steward-state';
@@ -19,7 +19,7 @@
 
 function tableOf(members: readonly InstanceRecord[]): OwnershipState {
 	const policy = {
-		service: 's', slots: 1, changedAt: 1, whenCut: WhenCut.hold, longestDeadlineMilliseconds: 800,
+		service: 's', slots: 1, changedAt: 1, whenCut: PartitionPolicy.hold, longestDeadlineMilliseconds: 800,
 	};
 	const roster = {
 		zone: 'n1', region: 'n', members, previousMembers: [], changedAt: 2,
--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -8,7 +8,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {emptyReport} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
@@ -33,25 +33,25 @@
 	};
 }
 
-function tableOf(first: ZoneRoster, former?: WhenCut): OwnershipState {
+function tableOf(first: ZoneRoster, former?: PartitionPolicy): OwnershipState {
 	const owner = {service: 's', name: 'u', incarnation: 1};
 	const revoking = {
 		phase: AssignmentPhase.revoking, slot: 0, owner, fence: 7, revokedAt: 20,
 	};
-	const open = (service: string, whenCut: WhenCut) => ({
+	const open = (service: string, whenCut: PartitionPolicy) => ({
 		service, slots: 1, changedAt: 1, whenCut, longestDeadlineMilliseconds: 800,
 		...(former !== undefined && {former: {whenCut: former, longestDeadlineMilliseconds: 800}}),
 	});
 	return {
 		...emptyOwnership,
 		services: {held: {service: 'held', assignments: [revoking], pinned: []}, taken: {service: 'taken', assignments: [revoking], pinned: []}},
-		policies: {held: open('held', WhenCut.hold), taken: open('taken', WhenCut.takeOver)},
+		policies: {held: open('held', PartitionPolicy.hold), taken: open('taken', PartitionPolicy.takeOver)},
 		rosters: {n1: first, n2: rosterOf('n2', [x])},
 	};
 }
 
 const usual = tableOf(rosterOf('n1', [a, b, c]));
-const unsettled = tableOf(rosterOf('n1', [a, b, c]), WhenCut.hold);
+const unsettled = tableOf(rosterOf('n1', [a, b, c]), PartitionPolicy.hold);
 const released = tableOf(rosterOf('n1', [], {releasedAt: 30, changedAt: 30}));
 const reseated = tableOf(rosterOf('n1', [a], {releasedAt: 30, changedAt: 31}));
 const releasedBefore = tableOf(rosterOf('n1', [a], {releasedAt: 10, changedAt: 15}));
--- a/packages/ownership/test/test-table.ts
+++ b/packages/ownership/test/test-table.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {WhenCut} from '@dogwooddeck/model/contract';
+import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
 	applyOwnership, assignmentOf, emptyOwnership, type OwnershipCommand, type OwnershipState, slotFor,
 } from '@dogwooddeck/ownership/table';
 
 const service = 'bermrand/schedule';
-const policy = {whenCut: WhenCut.hold, longestDeadlineMilliseconds: 1500};
+const policy = {whenCut: PartitionPolicy.hold, longestDeadlineMilliseconds: 1500};
 const first = {service, name: 'first', incarnation: 1};
 const second = {service, name: 'second', incarnation: 1};
 const opened: OwnershipCommand = {
