--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -17,7 +17,7 @@
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {
-	type KeyRange, type Life, lifeText, rangesHeldBy, sameLife,
+	type KeyRange, type UpstreamIncarnation, lifeText, rangesHeldBy, sameLife,
 } from '@dogwooddeck/key-lease/range';
 import {type KeyReport, rowsDigest, rowsFor} from '@dogwooddeck/key-lease/report';
 import {sightingOf} from '@dogwooddeck/key-lease/sightings';
@@ -72,7 +72,7 @@
 
 const lapseLinesPerSecond = 10;
 
-function spansOf(ranges: readonly KeyRange[], holder: Life): readonly HeldSpan[] {
+function spansOf(ranges: readonly KeyRange[], holder: UpstreamIncarnation): readonly HeldSpan[] {
 	return ranges.map(({from, to}) => ({from, to, holder}));
 }
 
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -5,7 +5,7 @@
 import {rangesOf} from '@dogwooddeck/key-lease/command';
 import {type GrantingState, type GrantingTerms, vacatedByTime} from '@dogwooddeck/key-lease/granting';
 import {type Candidate, type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
-import {type Life, lifeText, sameLife} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, lifeText, sameLife} from '@dogwooddeck/key-lease/range';
 import {sightingOf} from '@dogwooddeck/key-lease/sightings';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {standing} from './item.js';
@@ -44,12 +44,12 @@
 /** An upstream that was not heard for this long is forgotten: longer than partitions that it may serve through. */
 export const forgottenMilliseconds: Milliseconds = 20_000;
 
-function addressOf(state: DirectoryState, life: Life): string | undefined {
+function addressOf(state: DirectoryState, life: UpstreamIncarnation): string | undefined {
 	const known = state.upstreams[life.id];
 	return known !== undefined && sameLife(known, life) ? known.address : state.formerAddresses[lifeText(life)];
 }
 
-function heardAt({granting}: DirectoryPlanInput, life: Life): MonotonicTime {
+function heardAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
 	return sightingOf(granting.sightings, life)?.heardAt ?? granting.electedAt;
 }
 
--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -7,7 +7,7 @@
 import {
 	packRanges, packRows, type PackedRanges, type PackedRows, unpackRanges, unpackRows,
 } from '@dogwooddeck/key-lease/packing';
-import {type Life, lifeText} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, lifeText} from '@dogwooddeck/key-lease/range';
 import {
 	failure, FailureKind, toFailure, type Failure,
 } from '@dogwooddeck/model/failure';
@@ -59,7 +59,7 @@
 }
 
 /** Whether a life has said that it is gone. */
-export function hasDeparted(state: DirectoryState, life: Life): boolean {
+export function hasDeparted(state: DirectoryState, life: UpstreamIncarnation): boolean {
 	return state.departed.includes(lifeText(life));
 }
 
--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -5,7 +5,7 @@
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
-import {type Life, sameLife} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, sameLife} from '@dogwooddeck/key-lease/range';
 import {err, ok, type Result} from 'true-myth/result';
 
 /** What an upstream says it is doing. */
@@ -19,7 +19,7 @@
 export type UpstreamState = (typeof UpstreamState)[keyof typeof UpstreamState];
 
 /** One life of an upstream. */
-export type UpstreamRecord = Life & {
+export type UpstreamRecord = UpstreamIncarnation & {
 	readonly service: string;
 	/** `IP:port`. */
 	readonly address: string;
@@ -39,9 +39,9 @@
 	/** A life was announced, or its record changed. */
 	| {readonly kind: 'upstreamAnnounced'; readonly upstream: UpstreamRecord}
 	/** A life says that it is gone. */
-	| {readonly kind: 'upstreamDeparted'; readonly life: Life}
+	| {readonly kind: 'upstreamDeparted'; readonly life: UpstreamIncarnation}
 	/** A life was not heard any more. */
-	| {readonly kind: 'upstreamRemoved'; readonly life: Life};
+	| {readonly kind: 'upstreamRemoved'; readonly life: UpstreamIncarnation};
 
 function superseded(upstreams: Upstreams, {id, born, address, state}: UpstreamRecord): string | undefined {
 	const known = upstreams[id];
@@ -71,7 +71,7 @@
 	return ok({...Object.fromEntries(others), [upstream.id]: upstream});
 }
 
-function remove(upstreams: Upstreams, life: Life): Result<Upstreams, Failure> {
+function remove(upstreams: Upstreams, life: UpstreamIncarnation): Result<Upstreams, Failure> {
 	const {[life.id]: known, ...others} = upstreams;
 	return ok(sameLife(known, life) ? others : upstreams);
 }
@@ -102,7 +102,7 @@
 });
 
 /** Whether a life is known to have ended because a later one has its name or address. */
-export function isReplaced(upstreams: Upstreams, life: Life, address: string | undefined): boolean {
+export function isReplaced(upstreams: Upstreams, life: UpstreamIncarnation, address: string | undefined): boolean {
 	const known = upstreams[life.id];
 	const successor = address === undefined ? undefined : newestByAddress(upstreams).get(address);
 	return (known !== undefined && known.born > life.born)
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -6,7 +6,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {directoryMachine, type DirectoryState} from '@dogwooddeck/directory/state';
 import {Distance, distanceOf} from '@dogwooddeck/gateway/selection';
-import {type Life, lifeText} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, lifeText} from '@dogwooddeck/key-lease/range';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
 import {type Following, type MeshClients} from '@dogwooddeck/mesh/client';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -29,7 +29,7 @@
 	/** The number of entries of the deployment, as far as it is known; at least 1. */
 	readonly entryCount: () => number;
 	/** The part of the requests for its keys that an upstream with too much work can process; 1 for others. */
-	readonly shareOf: (life: Life) => number;
+	readonly shareOf: (life: UpstreamIncarnation) => number;
 	/** Follows further control instances. */
 	readonly followAlso: (addresses: readonly string[]) => void;
 	readonly stop: () => void;
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -10,7 +10,7 @@
 import {findRoute, type NamedRoute} from '@dogwooddeck/gateway/route-table';
 import {selectUpstream} from '@dogwooddeck/gateway/selection';
 import {type Waiter, waitingUntil} from '@dogwooddeck/gateway/waiting';
-import {keyCount, type Life} from '@dogwooddeck/key-lease/range';
+import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {maySendAgain, Seen, seenRules} from '@dogwooddeck/routing/outcome';
@@ -49,7 +49,7 @@
 	/** When this instance ends what is under way; infinite unless it is stopping. */
 	readonly endsAt: () => MonotonicTime;
 	/** The part of the requests for its keys that an upstream can process, as control tells. */
-	readonly shareOf: (life: Life) => number;
+	readonly shareOf: (life: UpstreamIncarnation) => number;
 	/** Gives numbers between 0 and 1. */
 	readonly random: () => number;
 };
--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -4,11 +4,11 @@
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {
-	changeSpans, type KeyRange, type KeySpan, type Life, sameLife, unheldRanges,
+	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, sameLife, unheldRanges,
 } from './range.js';
 
 /** Keys and the upstream that a command is about. */
-export type HeldSpan = KeySpan & {readonly holder: Life};
+export type HeldSpan = KeySpan & {readonly holder: UpstreamIncarnation};
 
 /** A change of the table of one service. */
 export type KeyCommand =
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -10,7 +10,7 @@
  */
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {
-	isSettled, type KeyRange, type KeySpan, type Life, rangesHeldBy, sharedSpan, withoutSpans,
+	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
 } from './range.js';
 import {
 	type HolderSighting, noSightings, sightingOf, type Sightings, withSighting,
@@ -21,7 +21,7 @@
 
 /** What an announcement says of keys. */
 export type HeldKeys = {
-	readonly life: Life;
+	readonly life: UpstreamIncarnation;
 	/** Grows with each announcement of one life. */
 	readonly sequence: number;
 	readonly holds: ReadonlyArray<KeySpan & {readonly fence: number}>;
@@ -54,13 +54,13 @@
 }
 
 /** Notes that an announcement came. */
-export function noteHeard(state: GrantingState, life: Life, now: MonotonicTime, terms: GrantingTerms): GrantingState {
+export function noteHeard(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
 	const known = sightingOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
 	return {...state, sightings: withSighting(state.sightings, {...known, heardAt: now})};
 }
 
 /** Notes that an announcement which came at `receivedAt` is being answered with the state at `index`. */
-export function noteAnswered(state: GrantingState, answer: {readonly life: Life; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
+export function noteAnswered(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
 	const known = sightingOf(state.sightings, answer.life);
 	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + longestHold(terms), answer.receivedAt + longestHold(terms));
 	const answered = known?.answered !== undefined && known.answered.sequence > answer.sequence
@@ -75,12 +75,12 @@
 }
 
 /** Until when an upstream may hold what it was told. */
-export function mayHoldUntil(state: GrantingState, life: Life, terms: GrantingTerms): MonotonicTime {
+export function mayHoldUntil(state: GrantingState, life: UpstreamIncarnation, terms: GrantingTerms): MonotonicTime {
 	return sightingOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + longestHold(terms);
 }
 
 /** Rows that are vacated, each with the token for the next holder. */
-export type VacatedRow = KeySpan & {readonly holder: Life; readonly handover: string};
+export type VacatedRow = KeySpan & {readonly holder: UpstreamIncarnation; readonly handover: string};
 
 /** What an announcement says of keys that may be vacant: those that its sender released, and those that it doesn't list, in order. */
 export type AnnouncedKeys = Pick<HeldKeys, 'life' | 'sequence' | 'released'> & {readonly missing: readonly KeySpan[]};
@@ -138,7 +138,7 @@
 }
 
 /** What time and later lives prove: holders whose hold has run out, and holders that a later process has replaced. */
-export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], isOver: (life: Life) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingTerms}): readonly VacatedRow[] {
+export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], isOver: (life: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingTerms}): readonly VacatedRow[] {
 	return ranges.flatMap(({from, to, holder}) => {
 		const vacated = holder !== undefined && (isOver(holder) || clock.now > mayHoldUntil(state, holder, clock.terms));
 		return vacated
@@ -150,6 +150,6 @@
 }
 
 /** The rows that an upstream is to hold. */
-export function rowsOf(ranges: readonly KeyRange[], life: Life): readonly KeyRange[] {
+export function rowsOf(ranges: readonly KeyRange[], life: UpstreamIncarnation): readonly KeyRange[] {
 	return rangesHeldBy(ranges, life).filter(({releasingSince}) => releasingSince === undefined);
 }
--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -9,11 +9,11 @@
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type KeyRate} from './planning.js';
-import {type KeyRange, type Life, lifeText} from './range.js';
+import {type KeyRange, type UpstreamIncarnation, lifeText} from './range.js';
 
 /** What may be sent to an upstream that has too much work. */
 export type HolderShare = {
-	readonly life: Life;
+	readonly life: UpstreamIncarnation;
 	/** The part of the requests for its keys that it can process: between 0 and 1. */
 	readonly share: number;
 };
@@ -45,8 +45,8 @@
 }
 
 /** Requests a second for the keys of each holder, by its life. Rates and ranges are in order of the keys. */
-function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly life: Life; readonly rate: number}> {
-	const sums = new Map<string, {readonly life: Life; rate: number}>();
+function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly life: UpstreamIncarnation; readonly rate: number}> {
+	const sums = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
 	let position = 0;
 	for (const {to, holder} of ranges) {
 		let sum = 0;
@@ -67,7 +67,7 @@
 }
 
 /** The holders that have too much work. */
-export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], perSecond: (life: Life) => number): readonly HolderShare[] {
+export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], perSecond: (life: UpstreamIncarnation) => number): readonly HolderShare[] {
 	return [...holderRates(ranges, rates).values()].flatMap(({life, rate}) => {
 		const share = perSecond(life) / rate;
 		return share < largestShareTold ? [{life, share}] : [];
--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -3,29 +3,29 @@
  * a few numbers. There are a thousand rows in a first grant.
  */
 import {type HeldSpan} from './command.js';
-import {type KeyRange, type Life, lifeText} from './range.js';
+import {type KeyRange, type UpstreamIncarnation, lifeText} from './range.js';
 
 /** The position of a holder in a list of holders; -1 where there is none. */
 type HolderPosition = number;
 
 /** Rows of a command: first key, last key, holder, and the token where there is one. */
 export type PackedRows = {
-	readonly holders: readonly Life[];
+	readonly holders: readonly UpstreamIncarnation[];
 	readonly rows: ReadonlyArray<readonly [number, number, HolderPosition] | readonly [number, number, HolderPosition, string]>;
 };
 
 /** Ranges: first key, last key, fence, holder, whether the holder was told (1 or 0), the index of the recall (0 for none) and the token. */
 export type PackedRanges = {
-	readonly holders: readonly Life[];
+	readonly holders: readonly UpstreamIncarnation[];
 	readonly ranges: ReadonlyArray<readonly [number, number, number, HolderPosition, number, number, string]>;
 };
 
 /** Gives each life a position. */
 class Holders {
-	readonly lives: Life[] = [];
+	readonly lives: UpstreamIncarnation[] = [];
 	readonly #positions = new Map<string, HolderPosition>();
 
-	positionOf(life: Life | undefined): HolderPosition {
+	positionOf(life: UpstreamIncarnation | undefined): HolderPosition {
 		if (life === undefined) {
 			return -1;
 		}
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -10,7 +10,7 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type HeldSpan} from './command.js';
 import {
-	isSettled, keyCount, type KeyRange, type KeySpan, type Life, lifeText, withoutSpans,
+	isSettled, keyCount, type KeyRange, type KeySpan, type UpstreamIncarnation, lifeText, withoutSpans,
 } from './range.js';
 
 /** The requests a second for one key. */
@@ -18,7 +18,7 @@
 
 /** An upstream that may get keys. */
 export type Candidate = {
-	readonly life: Life;
+	readonly life: UpstreamIncarnation;
 	/** How much work it can do beside the others; its number of slots. */
 	readonly weight: number;
 	/** Whether it may be given keys. */
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -8,7 +8,7 @@
 export const keyCount = 65_536;
 
 /** One life of an upstream: a process that starts anew under its name is another one. */
-export type Life = {
+export type UpstreamIncarnation = {
 	readonly id: string;
 	/** When the life began, in milliseconds since 1970 by the upstream's own clock. */
 	readonly born: number;
@@ -22,7 +22,7 @@
 	/** The fence of the newest grant; 0 before the first one. */
 	readonly fence: FenceNumber;
 	/** The upstream that the keys are granted to; undefined while nobody may hold them. */
-	readonly holder?: Life;
+	readonly holder?: UpstreamIncarnation;
 	/** The log index at which the holder was asked to give the keys up. */
 	readonly releasingSince?: LogIndex;
 	/** Whether the holder was told of its grant and not yet told to give the keys up: requests may be sent to it. */
@@ -37,7 +37,7 @@
 }];
 
 /** Whether two lives are the same. */
-export function sameLife(one: Life | undefined, other: Life | undefined): boolean {
+export function sameLife(one: UpstreamIncarnation | undefined, other: UpstreamIncarnation | undefined): boolean {
 	return one?.id === other?.id && one?.born === other?.born;
 }
 
@@ -47,7 +47,7 @@
 }
 
 /** A life as the key of a map. */
-export function lifeText({id, born}: Life): string {
+export function lifeText({id, born}: UpstreamIncarnation): string {
 	return `${id}#${born}`;
 }
 
@@ -66,7 +66,7 @@
 });
 
 /** The ranges that a life holds or has to give up, in order. */
-export function rangesHeldBy(ranges: readonly KeyRange[], life: Life): readonly KeyRange[] {
+export function rangesHeldBy(ranges: readonly KeyRange[], life: UpstreamIncarnation): readonly KeyRange[] {
 	return byHolder(ranges).get(lifeText(life)) ?? [];
 }
 
--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -6,12 +6,12 @@
 import {createHash} from 'node:crypto';
 import {type HeldKeys, type ReleasedRow, rowsOf} from './granting.js';
 import {
-	inOrder, type KeyRange, type KeySpan, type Life, rangesHeldBy, withoutSpans,
+	inOrder, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, withoutSpans,
 } from './range.js';
 
 /** The keys of one announcement beside the table. */
 export type KeyReport = {
-	readonly life: Life;
+	readonly life: UpstreamIncarnation;
 	/** Grows with each announcement of one life. */
 	readonly sequence: number;
 	/** Keys that the table gives to the upstream and that it doesn't list. */
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -3,11 +3,11 @@
  * announcement, so the record is divided: a change copies a small part of it.
  */
 import {type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {type Life, lifeText} from './range.js';
+import {type UpstreamIncarnation, lifeText} from './range.js';
 
 /** What the leader knows of one holder. */
 export type HolderSighting = {
-	readonly life: Life;
+	readonly life: UpstreamIncarnation;
 	readonly heardAt: MonotonicTime;
 	/** The newest announcement that was answered, and the log index of the state that the answer told. */
 	readonly answered?: {readonly sequence: number; readonly index: LogIndex};
@@ -36,7 +36,7 @@
 }
 
 /** What is known of a life. */
-export function sightingOf(sightings: Sightings, life: Life): HolderSighting | undefined {
+export function sightingOf(sightings: Sightings, life: UpstreamIncarnation): HolderSighting | undefined {
 	const key = lifeText(life);
 	return sightings[partOf(key)]![key];
 }
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -4,10 +4,10 @@
 	beginGranting, type GrantingState, type HeldKeys, lapsedRows, noteAnswered, noteHeard, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
-import {type KeyRange, type Life} from '@dogwooddeck/key-lease/range';
+import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 
 const terms = {holdMilliseconds: 5000, clockDrift: 0.02};
-const holder: Life = {id: 'a', born: 1};
+const holder: UpstreamIncarnation = {id: 'a', born: 1};
 const recalled: KeyRange = {
 	from: 0, to: 99, fence: 7, holder, releasingSince: 20, told: true, handover: '',
 };
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -8,7 +8,7 @@
 import {
 	beginGranting, type GrantingState, noteAnswered, noteHeard, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
-import {type KeyRange, type Life} from '@dogwooddeck/key-lease/range';
+import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
 const terms = {holdMilliseconds: 5000, clockDrift: 0.02};
@@ -21,7 +21,7 @@
 const calls = 2000;
 const rounds = 7;
 
-type Scene = {readonly lives: readonly Life[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
+type Scene = {readonly lives: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
 
 function sceneOf(count: number): Scene {
 	const lives = Array.from({length: count}, (_, position) => ({id: `i-${position}`, born: 1}));
@@ -32,7 +32,7 @@
 	return {lives, ranges, granting};
 }
 
-type Cost = (scene: Scene, life: Life, call: number) => unknown;
+type Cost = (scene: Scene, life: UpstreamIncarnation, call: number) => unknown;
 
 const costs: ReadonlyArray<{readonly name: string; readonly most?: number; readonly cost: Cost}> = [
 	{
--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -4,12 +4,12 @@
 	packRanges, packRows, unpackRanges, unpackRows,
 } from '@dogwooddeck/key-lease/packing';
 import {
-	changeSpans, type KeyRange, type KeySpan, type Life, unheldRanges, withoutSpans,
+	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, unheldRanges, withoutSpans,
 } from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
-const life: Life = {id: 'a', born: 1};
-const other: Life = {id: 'b', born: 2};
+const life: UpstreamIncarnation = {id: 'a', born: 1};
+const other: UpstreamIncarnation = {id: 'b', born: 2};
 
 function range(from: number, to: number, fields: Partial<KeyRange> = {}): KeyRange {
 	return {
--- a/packages/mesh/src/calls.ts
+++ b/packages/mesh/src/calls.ts
@@ -6,7 +6,7 @@
 import {type ItemChange} from '@dogwooddeck/directory/item';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {type HolderShare} from '@dogwooddeck/key-lease/holder-load';
-import {type KeyRange, type Life} from '@dogwooddeck/key-lease/range';
+import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type KeyReport} from '@dogwooddeck/key-lease/report';
 import {type CatchUp} from '@dogwooddeck/model/catch-up';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -54,7 +54,7 @@
 		answer: {readonly leader?: string; readonly members: readonly string[]; /** The entries of the whole deployment, as far as the answering instance knows. */ readonly entryCount: number};
 	};
 	announce: {request: {readonly announcements: readonly AnnouncementReport[]}; /** One for each, in order. */ answer: {readonly answers: ReadonlyArray<Reply<AnnouncementOutcome>>}};
-	depart: {request: {readonly life: Partial<Life> & Pick<Life, 'id'>}; answer: Record<string, never>};
+	depart: {request: {readonly life: Partial<UpstreamIncarnation> & Pick<UpstreamIncarnation, 'id'>}; answer: Record<string, never>};
 	declare: {request: {readonly changes: readonly ItemChange[]}; answer: {readonly index: LogIndex}};
 	/** Gives the newest state, confirmed by a majority. */
 	confirm: {request: Record<string, never>; answer: {readonly index: LogIndex}};
