--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -17,7 +17,7 @@
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {
-	type KeyRange, type UpstreamIncarnation, lifeText, rangesHeldBy, sameLife,
+	type KeyRange, type UpstreamIncarnation, lifeText, rangesHeldBy, sameIncarnation,
 } from '@dogwooddeck/key-lease/range';
 import {type KeyReport, rowsDigest, rowsFor} from '@dogwooddeck/key-lease/report';
 import {sightingOf} from '@dogwooddeck/key-lease/sightings';
@@ -193,7 +193,7 @@
 	/** The record that an announcement is about; undefined where the sender's table was older and this one has another life. */
 	function recordOf({upstream, keys: {life}}: AnnouncementReport): UpstreamRecord | undefined {
 		const known = holder.state().upstreams[life.id];
-		return upstream ?? (sameLife(known, life) ? known : undefined);
+		return upstream ?? (sameIncarnation(known, life) ? known : undefined);
 	}
 
 	async function announce(report: AnnouncementReport): Promise<Result<AnnouncementOutcome, Failure>> {
--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -5,7 +5,7 @@
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
-import {type UpstreamIncarnation, sameLife} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {err, ok, type Result} from 'true-myth/result';
 
 /** What an upstream says it is doing. */
@@ -73,7 +73,7 @@
 
 function remove(upstreams: Upstreams, life: UpstreamIncarnation): Result<Upstreams, Failure> {
 	const {[life.id]: known, ...others} = upstreams;
-	return ok(sameLife(known, life) ? others : upstreams);
+	return ok(sameIncarnation(known, life) ? others : upstreams);
 }
 
 const handlers: HandlerTable<UpstreamCommand, [Upstreams], Result<Upstreams, Failure>> = {
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -10,7 +10,7 @@
 import {Split} from '@dogwooddeck/gateway/split';
 import {UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {WaitingLine} from '@dogwooddeck/gateway/waiting';
-import {type KeyRange, rangeOfKey, sameLife} from '@dogwooddeck/key-lease/range';
+import {type KeyRange, rangeOfKey, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {
 	allowsRetry, bookAttempt, boundBudget, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
@@ -159,13 +159,13 @@
 		}
 
 		const upstream = this.#upstreams.get(range.holder.id);
-		return upstream !== undefined && sameLife(upstream.record, range.holder) && upstream.record.state === UpstreamState.ready ? {range, upstream} : undefined;
+		return upstream !== undefined && sameIncarnation(upstream.record, range.holder) && upstream.record.state === UpstreamState.ready ? {range, upstream} : undefined;
 	}
 
 	/** Whether requests may still be sent to a life of an upstream. */
 	isCurrent({id, record}: KnownUpstream): boolean {
 		const known = this.#upstreams.get(id);
-		return known !== undefined && sameLife(known.record, record) && known.record.state === UpstreamState.ready;
+		return known !== undefined && sameIncarnation(known.record, record) && known.record.state === UpstreamState.ready;
 	}
 
 	/** Closes connections on which bytes come without end in place of an answer. */
@@ -184,7 +184,7 @@
 
 	#updateUpstreams(records: DirectoryState['upstreams']): void {
 		for (const [id, known] of this.#upstreams) {
-			if (!sameLife(records[id], known.record)) {
+			if (!sameIncarnation(records[id], known.record)) {
 				known.pool.close();
 				this.#upstreams.delete(id);
 			}
--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -4,7 +4,7 @@
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {
-	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, sameLife, unheldRanges,
+	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, sameIncarnation, unheldRanges,
 } from './range.js';
 
 /** Keys and the upstream that a command is about. */
@@ -45,12 +45,12 @@
 			...range, holder, fence: index, told: false,
 		}
 		: range,
-	keysRecalled: (range, {holder}, index) => sameLife(range.holder, holder) && range.releasingSince === undefined
+	keysRecalled: (range, {holder}, index) => sameIncarnation(range.holder, holder) && range.releasingSince === undefined
 		? {...range, releasingSince: index}
 		: range,
-	keysStopped: (range, {holder}) => sameLife(range.holder, holder) && range.releasingSince !== undefined ? {...range, told: false} : range,
-	keysVacated: (range, {holder, handover}) => sameLife(range.holder, holder) ? withoutHolder(range, handover ?? '') : range,
-	keysTold: (range, {holder}) => sameLife(range.holder, holder) ? {...range, told: true} : range,
+	keysStopped: (range, {holder}) => sameIncarnation(range.holder, holder) && range.releasingSince !== undefined ? {...range, told: false} : range,
+	keysVacated: (range, {holder, handover}) => sameIncarnation(range.holder, holder) ? withoutHolder(range, handover ?? '') : range,
+	keysTold: (range, {holder}) => sameIncarnation(range.holder, holder) ? {...range, told: true} : range,
 };
 
 /** The kinds of key commands. */
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -37,7 +37,7 @@
 }];
 
 /** Whether two lives are the same. */
-export function sameLife(one: UpstreamIncarnation | undefined, other: UpstreamIncarnation | undefined): boolean {
+export function sameIncarnation(one: UpstreamIncarnation | undefined, other: UpstreamIncarnation | undefined): boolean {
 	return one?.id === other?.id && one?.born === other?.born;
 }
 
@@ -104,7 +104,7 @@
 function joinable(one: KeyRange, other: KeyRange): boolean {
 	return one.told === other.told && one.releasingSince === other.releasingSince
 		&& (one.fence === other.fence || one.holder === undefined)
-		&& one.handover === '' && other.handover === '' && sameLife(one.holder, other.holder);
+		&& one.handover === '' && other.handover === '' && sameIncarnation(one.holder, other.holder);
 }
 
 /** Keys that nobody holds keep the highest fence among them: the next grant's is higher than all. */
