--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -9,7 +9,7 @@
 import {type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
 import {rangesOf} from '@dogwooddeck/key-lease/command';
-import {isSettled, type KeyRange, lifeText} from '@dogwooddeck/key-lease/range';
+import {isSettled, type KeyRange, incarnationText} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 import {type AnnouncementAnswer, type AnnouncementOutcome, type AnnouncementReport} from '@dogwooddeck/mesh/calls';
 import {memoize} from '@dogwooddeck/model/derived';
@@ -32,7 +32,7 @@
 
 /** The lives that have to hear something of their keys: that they got some, or have to give some up. */
 const livesWithNews = memoize((ranges: readonly KeyRange[]): ReadonlySet<string> =>
-	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [lifeText(range.holder)] : [])));
+	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [incarnationText(range.holder)] : [])));
 
 /** Makes the desk. */
 export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, passOn}: AnnouncementDeskParts): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
@@ -53,7 +53,7 @@
 	});
 
 	function hasNews({upstream, keys: {life}}: Announcement): boolean {
-		return livesWithNews(rangesOf(holder.state().keys, upstream.service)).has(lifeText(life));
+		return livesWithNews(rangesOf(holder.state().keys, upstream.service)).has(incarnationText(life));
 	}
 
 	/**
@@ -63,7 +63,7 @@
 	 * and is not kept.
 	 */
 	async function keep({keys: {life}}: Announcement): Promise<void> {
-		const key = lifeText(life);
+		const key = incarnationText(life);
 		await new Promise<void>(resolve => {
 			const goOn = () => {
 				clearTimeout(timer);
--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -17,7 +17,7 @@
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {
-	type KeyRange, type UpstreamIncarnation, lifeText, rangesHeldBy, sameIncarnation,
+	type KeyRange, type UpstreamIncarnation, incarnationText, rangesHeldBy, sameIncarnation,
 } from '@dogwooddeck/key-lease/range';
 import {type KeyReport, rowsDigest, rowsFor} from '@dogwooddeck/key-lease/report';
 import {sightingOf} from '@dogwooddeck/key-lease/sightings';
@@ -201,7 +201,7 @@
 		const {keys, isUrgent} = report;
 		const upstream = recordOf(report);
 		if (upstream === undefined) {
-			return err(failure(FailureKind.notReady, `there is no record of ${lifeText(keys.life)} any more`));
+			return err(failure(FailureKind.notReady, `there is no record of ${incarnationText(keys.life)} any more`));
 		}
 
 		const recorded = recordAnnouncement(holder.state(), upstream);
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -5,7 +5,7 @@
 import {rangesOf} from '@dogwooddeck/key-lease/command';
 import {type GrantingState, type GrantingTerms, vacatedByTime} from '@dogwooddeck/key-lease/granting';
 import {type Candidate, type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
-import {type UpstreamIncarnation, lifeText, sameIncarnation} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, incarnationText, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {sightingOf} from '@dogwooddeck/key-lease/sightings';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {standing} from './item.js';
@@ -46,7 +46,7 @@
 
 function addressOf(state: DirectoryState, life: UpstreamIncarnation): string | undefined {
 	const known = state.upstreams[life.id];
-	return known !== undefined && sameIncarnation(known, life) ? known.address : state.formerAddresses[lifeText(life)];
+	return known !== undefined && sameIncarnation(known, life) ? known.address : state.formerAddresses[incarnationText(life)];
 }
 
 function heardAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -7,7 +7,7 @@
 import {
 	packRanges, packRows, type PackedRanges, type PackedRows, unpackRanges, unpackRows,
 } from '@dogwooddeck/key-lease/packing';
-import {type UpstreamIncarnation, lifeText} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, incarnationText} from '@dogwooddeck/key-lease/range';
 import {
 	failure, FailureKind, toFailure, type Failure,
 } from '@dogwooddeck/model/failure';
@@ -54,13 +54,13 @@
 
 function noteFormer(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
 	const gone = Object.values(state.upstreams).filter(({id, born}) => upstreams[id]?.born !== born);
-	const noted = [...Object.entries(state.formerAddresses), ...gone.map(({id, born, address}) => [lifeText({id, born}), address] as const)];
+	const noted = [...Object.entries(state.formerAddresses), ...gone.map(({id, born, address}) => [incarnationText({id, born}), address] as const)];
 	return gone.length === 0 ? state.formerAddresses : Object.fromEntries(noted.slice(-mostFormerAddresses));
 }
 
 /** Whether a life has said that it is gone. */
 export function hasDeparted(state: DirectoryState, life: UpstreamIncarnation): boolean {
-	return state.departed.includes(lifeText(life));
+	return state.departed.includes(incarnationText(life));
 }
 
 function isLate(state: DirectoryState, command: UpstreamCommand): boolean {
@@ -69,7 +69,7 @@
 
 function noteDeparted(state: DirectoryState, command: UpstreamCommand): DirectoryState['departed'] {
 	return command.kind === 'upstreamDeparted' && !hasDeparted(state, command.life)
-		? [...state.departed, lifeText(command.life)].slice(-mostDeparted)
+		? [...state.departed, incarnationText(command.life)].slice(-mostDeparted)
 		: state.departed;
 }
 
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -6,7 +6,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {directoryMachine, type DirectoryState} from '@dogwooddeck/directory/state';
 import {Distance, distanceOf} from '@dogwooddeck/gateway/selection';
-import {type UpstreamIncarnation, lifeText} from '@dogwooddeck/key-lease/range';
+import {type UpstreamIncarnation, incarnationText} from '@dogwooddeck/key-lease/range';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
 import {type Following, type MeshClients} from '@dogwooddeck/mesh/client';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -126,7 +126,7 @@
 		stream.freshAt = message.fresh ? stream.heardAt : stream.freshAt;
 		stream.distance = distanceOf(zone, message.zone, regions);
 		stream.entries = message.entryCount;
-		shares = new Map(message.shares.map(({life, share}) => [lifeText(life), share]));
+		shares = new Map(message.shares.map(({life, share}) => [incarnationText(life), share]));
 		sharesAt = stream.heardAt;
 		if (message.catchUp !== undefined) {
 			holder.catchUp(message.catchUp);
@@ -220,7 +220,7 @@
 			return heard.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
-		shareOf: life => monotonicNow() - sharesAt <= sharesMilliseconds ? shares.get(lifeText(life)) ?? 1 : 1,
+		shareOf: life => monotonicNow() - sharesAt <= sharesMilliseconds ? shares.get(incarnationText(life)) ?? 1 : 1,
 		followAlso(addresses) {
 			for (const address of addresses) {
 				open(address);
--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -9,7 +9,7 @@
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type KeyRate} from './planning.js';
-import {type KeyRange, type UpstreamIncarnation, lifeText} from './range.js';
+import {type KeyRange, type UpstreamIncarnation, incarnationText} from './range.js';
 
 /** What may be sent to an upstream that has too much work. */
 export type HolderShare = {
@@ -56,7 +56,7 @@
 		}
 
 		if (holder !== undefined && sum > 0) {
-			const text = lifeText(holder);
+			const text = incarnationText(holder);
 			const known = sums.get(text) ?? {life: holder, rate: 0};
 			known.rate += sum;
 			sums.set(text, known);
--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -3,7 +3,7 @@
  * a few numbers. There are a thousand rows in a first grant.
  */
 import {type HeldSpan} from './command.js';
-import {type KeyRange, type UpstreamIncarnation, lifeText} from './range.js';
+import {type KeyRange, type UpstreamIncarnation, incarnationText} from './range.js';
 
 /** The position of a holder in a list of holders; -1 where there is none. */
 type HolderPosition = number;
@@ -30,7 +30,7 @@
 			return -1;
 		}
 
-		const key = lifeText(life);
+		const key = incarnationText(life);
 		const known = this.#positions.get(key) ?? this.lives.length;
 		if (known === this.lives.length) {
 			this.lives.push({id: life.id, born: life.born});
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -10,7 +10,7 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type HeldSpan} from './command.js';
 import {
-	isSettled, keyCount, type KeyRange, type KeySpan, type UpstreamIncarnation, lifeText, withoutSpans,
+	isSettled, keyCount, type KeyRange, type KeySpan, type UpstreamIncarnation, incarnationText, withoutSpans,
 } from './range.js';
 
 /** The requests a second for one key. */
@@ -236,7 +236,7 @@
 	const spans = new Map<string, KeySpan[]>();
 	for (const range of ranges) {
 		if (range.holder !== undefined && isSettled(range)) {
-			const key = lifeText(range.holder);
+			const key = incarnationText(range.holder);
 			const known = spans.get(key) ?? [];
 			known.push(range);
 			spans.set(key, known);
@@ -262,7 +262,7 @@
 			break;
 		}
 
-		const key = lifeText(giver.candidate.life);
+		const key = incarnationText(giver.candidate.life);
 		const given = spans.get(key) ?? [];
 		const surplus = giver.work - (mean * giver.candidate.weight);
 		const room = (mean * taker.candidate.weight) - taker.work;
@@ -285,8 +285,8 @@
 
 /** Those that leave, and those that are not known any more. */
 function recallFromLeaving(input: PlanInput): readonly HeldSpan[] {
-	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({life}) => lifeText(life)));
-	return input.ranges.flatMap(({from, to, holder, releasingSince}) => holder !== undefined && releasingSince === undefined && !staying.has(lifeText(holder))
+	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({life}) => incarnationText(life)));
+	return input.ranges.flatMap(({from, to, holder, releasingSince}) => holder !== undefined && releasingSince === undefined && !staying.has(incarnationText(holder))
 		? [{from, to, holder}]
 		: []);
 }
@@ -295,9 +295,9 @@
 export function planKeys(input: PlanInput): Plan {
 	const work = new Work(input.rates);
 	const shares: Share[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
-	const byLife = new Map(shares.map(share => [lifeText(share.candidate.life), share]));
+	const byLife = new Map(shares.map(share => [incarnationText(share.candidate.life), share]));
 	for (const range of input.ranges) {
-		const share = range.holder === undefined ? undefined : byLife.get(lifeText(range.holder));
+		const share = range.holder === undefined ? undefined : byLife.get(incarnationText(range.holder));
 		if (share !== undefined) {
 			share.work += range.releasingSince === undefined ? work.of(range) : 0;
 			share.ranges += 1;
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -47,7 +47,7 @@
 }
 
 /** A life as the key of a map. */
-export function lifeText({id, born}: UpstreamIncarnation): string {
+export function incarnationText({id, born}: UpstreamIncarnation): string {
 	return `${id}#${born}`;
 }
 
@@ -55,7 +55,7 @@
 	const held = new Map<string, KeyRange[]>();
 	for (const range of ranges) {
 		if (range.holder !== undefined) {
-			const key = lifeText(range.holder);
+			const key = incarnationText(range.holder);
 			const known = held.get(key) ?? [];
 			known.push(range);
 			held.set(key, known);
@@ -67,7 +67,7 @@
 
 /** The ranges that a life holds or has to give up, in order. */
 export function rangesHeldBy(ranges: readonly KeyRange[], life: UpstreamIncarnation): readonly KeyRange[] {
-	return byHolder(ranges).get(lifeText(life)) ?? [];
+	return byHolder(ranges).get(incarnationText(life)) ?? [];
 }
 
 /** The keys that two spans share. */
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -3,7 +3,7 @@
  * announcement, so the record is divided: a change copies a small part of it.
  */
 import {type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {type UpstreamIncarnation, lifeText} from './range.js';
+import {type UpstreamIncarnation, incarnationText} from './range.js';
 
 /** What the leader knows of one holder. */
 export type HolderSighting = {
@@ -37,13 +37,13 @@
 
 /** What is known of a life. */
 export function sightingOf(sightings: Sightings, life: UpstreamIncarnation): HolderSighting | undefined {
-	const key = lifeText(life);
+	const key = incarnationText(life);
 	return sightings[partOf(key)]![key];
 }
 
 /** The sightings with a newer one. */
 export function withSighting(sightings: Sightings, sighting: HolderSighting): Sightings {
-	const key = lifeText(sighting.life);
+	const key = incarnationText(sighting.life);
 	const part = partOf(key);
 	return sightings.with(part, {...sightings[part], [key]: sighting});
 }
