--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -13,7 +13,7 @@
 	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
 } from './range.js';
 import {
-	type HolderSighting, noSightings, sightingOf, type Sightings, withSighting,
+	type HolderObservation, noSightings, sightingOf, type Sightings, withSighting,
 } from './sightings.js';
 
 /** Keys that an upstream says it released, with the token for its successor. */
@@ -92,7 +92,7 @@
 	});
 }
 
-function isOmitted(range: KeyRange, keys: AnnouncedKeys, sighting: HolderSighting | undefined): boolean {
+function isOmitted(range: KeyRange, keys: AnnouncedKeys, sighting: HolderObservation | undefined): boolean {
 	const answered = sighting?.answered;
 	return answered !== undefined
 		&& answered.sequence < keys.sequence
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -6,7 +6,7 @@
 import {type UpstreamIncarnation, incarnationText} from './range.js';
 
 /** What the leader knows of one holder. */
-export type HolderSighting = {
+export type HolderObservation = {
 	readonly life: UpstreamIncarnation;
 	readonly heardAt: MonotonicTime;
 	/** The newest announcement that was answered, and the log index of the state that the answer told. */
@@ -14,7 +14,7 @@
 	readonly mayHoldUntil: MonotonicTime;
 };
 
-type Part = Readonly<Record<string, HolderSighting>>;
+type Part = Readonly<Record<string, HolderObservation>>;
 
 /** All holders that were heard. */
 export type Sightings = readonly Part[];
@@ -36,13 +36,13 @@
 }
 
 /** What is known of a life. */
-export function sightingOf(sightings: Sightings, life: UpstreamIncarnation): HolderSighting | undefined {
+export function sightingOf(sightings: Sightings, life: UpstreamIncarnation): HolderObservation | undefined {
 	const key = incarnationText(life);
 	return sightings[partOf(key)]![key];
 }
 
 /** The sightings with a newer one. */
-export function withSighting(sightings: Sightings, sighting: HolderSighting): Sightings {
+export function withSighting(sightings: Sightings, sighting: HolderObservation): Sightings {
 	const key = incarnationText(sighting.life);
 	const part = partOf(key);
 	return sightings.with(part, {...sightings[part], [key]: sighting});
