--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -13,7 +13,7 @@
 	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
 } from './range.js';
 import {
-	type HolderObservation, noSightings, sightingOf, type Sightings, withSighting,
+	type HolderObservation, noSightings, sightingOf, type HolderObservations, withSighting,
 } from './sightings.js';
 
 /** Keys that an upstream says it released, with the token for its successor. */
@@ -31,7 +31,7 @@
 /** The leader's knowledge of holders. It is lost with the leadership. */
 export type GrantingState = {
 	readonly electedAt: MonotonicTime;
-	readonly sightings: Sightings;
+	readonly sightings: HolderObservations;
 };
 
 /** How long answers hold. */
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -17,13 +17,13 @@
 type Part = Readonly<Record<string, HolderObservation>>;
 
 /** All holders that were heard. */
-export type Sightings = readonly Part[];
+export type HolderObservations = readonly Part[];
 
 /** With ten thousand holders a part has forty. */
 const parts = 256;
 
 /** Nobody was heard yet. */
-export const noSightings: Sightings = Array.from({length: parts}, () => ({}));
+export const noSightings: HolderObservations = Array.from({length: parts}, () => ({}));
 
 /** The part that a life's sighting stands in. */
 function partOf(key: string): number {
@@ -36,13 +36,13 @@
 }
 
 /** What is known of a life. */
-export function sightingOf(sightings: Sightings, life: UpstreamIncarnation): HolderObservation | undefined {
+export function sightingOf(sightings: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
 	const key = incarnationText(life);
 	return sightings[partOf(key)]![key];
 }
 
 /** The sightings with a newer one. */
-export function withSighting(sightings: Sightings, sighting: HolderObservation): Sightings {
+export function withSighting(sightings: HolderObservations, sighting: HolderObservation): HolderObservations {
 	const key = incarnationText(sighting.life);
 	const part = partOf(key);
 	return sightings.with(part, {...sightings[part], [key]: sighting});
