--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -13,7 +13,7 @@
 	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
 } from './range.js';
 import {
-	type HolderObservation, noSightings, sightingOf, type HolderObservations, withSighting,
+	type HolderObservation, noObservations, sightingOf, type HolderObservations, withSighting,
 } from './sightings.js';
 
 /** Keys that an upstream says it released, with the token for its successor. */
@@ -46,7 +46,7 @@
 
 /** A leader that was just elected. */
 export function beginGranting(electedAt: MonotonicTime): GrantingState {
-	return {electedAt, sightings: noSightings};
+	return {electedAt, sightings: noObservations};
 }
 
 function longestHold({holdMilliseconds, clockDrift}: GrantingTerms): Milliseconds {
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -23,7 +23,7 @@
 const parts = 256;
 
 /** Nobody was heard yet. */
-export const noSightings: HolderObservations = Array.from({length: parts}, () => ({}));
+export const noObservations: HolderObservations = Array.from({length: parts}, () => ({}));
 
 /** The part that a life's sighting stands in. */
 function partOf(key: string): number {
