--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -20,7 +20,7 @@
 	type KeyRange, type UpstreamIncarnation, incarnationText, rangesHeldBy, sameIncarnation,
 } from '@dogwooddeck/key-lease/range';
 import {type KeyReport, rowsDigest, rowsFor} from '@dogwooddeck/key-lease/report';
-import {sightingOf} from '@dogwooddeck/key-lease/sightings';
+import {observationOf} from '@dogwooddeck/key-lease/sightings';
 import {
 	type AnnouncementOutcome, type AnnouncementReport, type LoadReport, type MeshCalls,
 } from '@dogwooddeck/mesh/calls';
@@ -144,7 +144,7 @@
 				sequence: keys.sequence,
 				ranges: lapsed.length,
 				until: Math.round(mayHoldUntil(granting, keys.life, terms) - receivedAt),
-				answered: sightingOf(granting.sightings, keys.life)?.answered?.sequence,
+				answered: observationOf(granting.sightings, keys.life)?.answered?.sequence,
 			});
 		}
 	}
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -6,7 +6,7 @@
 import {type GrantingState, type GrantingTerms, vacatedByTime} from '@dogwooddeck/key-lease/granting';
 import {type Candidate, type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {type UpstreamIncarnation, incarnationText, sameIncarnation} from '@dogwooddeck/key-lease/range';
-import {sightingOf} from '@dogwooddeck/key-lease/sightings';
+import {observationOf} from '@dogwooddeck/key-lease/sightings';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {standing} from './item.js';
 import {type DirectoryCommand, type DirectoryState} from './state.js';
@@ -50,11 +50,11 @@
 }
 
 function heardAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
-	return sightingOf(granting.sightings, life)?.heardAt ?? granting.electedAt;
+	return observationOf(granting.sightings, life)?.heardAt ?? granting.electedAt;
 }
 
 function isHeard(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
-	return sightingOf(input.granting.sightings, upstream) !== undefined && input.now - heardAt(input, upstream) <= silentMilliseconds;
+	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - heardAt(input, upstream) <= silentMilliseconds;
 }
 
 /** Upstreams that are still slow after their start get keys only while there are no others. */
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -13,7 +13,7 @@
 	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
 } from './range.js';
 import {
-	type HolderObservation, noObservations, sightingOf, type HolderObservations, withSighting,
+	type HolderObservation, noObservations, observationOf, type HolderObservations, withSighting,
 } from './sightings.js';
 
 /** Keys that an upstream says it released, with the token for its successor. */
@@ -55,13 +55,13 @@
 
 /** Notes that an announcement came. */
 export function noteHeard(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
-	const known = sightingOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
+	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
 	return {...state, sightings: withSighting(state.sightings, {...known, heardAt: now})};
 }
 
 /** Notes that an announcement which came at `receivedAt` is being answered with the state at `index`. */
 export function noteAnswered(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
-	const known = sightingOf(state.sightings, answer.life);
+	const known = observationOf(state.sightings, answer.life);
 	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + longestHold(terms), answer.receivedAt + longestHold(terms));
 	const answered = known?.answered !== undefined && known.answered.sequence > answer.sequence
 		? known.answered
@@ -76,7 +76,7 @@
 
 /** Until when an upstream may hold what it was told. */
 export function mayHoldUntil(state: GrantingState, life: UpstreamIncarnation, terms: GrantingTerms): MonotonicTime {
-	return sightingOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + longestHold(terms);
+	return observationOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + longestHold(terms);
 }
 
 /** Rows that are vacated, each with the token for the next holder. */
@@ -106,7 +106,7 @@
  * lists them. An announcement that was overtaken on its way proves nothing.
  */
 export function vacatedByAnnouncement(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly VacatedRow[] {
-	const sighting = sightingOf(state.sightings, keys.life);
+	const sighting = observationOf(state.sightings, keys.life);
 	if (sighting?.answered !== undefined && keys.sequence <= sighting.answered.sequence) {
 		return [];
 	}
@@ -129,7 +129,7 @@
  * did not reach it in time.
  */
 export function lapsedRows(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly KeyRange[] {
-	const {answered} = sightingOf(state.sightings, keys.life) ?? {};
+	const {answered} = observationOf(state.sightings, keys.life) ?? {};
 	if (answered === undefined || answered.sequence >= keys.sequence || keys.missing.length === 0) {
 		return [];
 	}
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -36,7 +36,7 @@
 }
 
 /** What is known of a life. */
-export function sightingOf(sightings: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
+export function observationOf(sightings: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
 	const key = incarnationText(life);
 	return sightings[partOf(key)]![key];
 }
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -16,7 +16,7 @@
 import {
 	keyCount, type KeyRange, sharedSpan, unheldRanges,
 } from '@dogwooddeck/key-lease/range';
-import {sightingOf} from '@dogwooddeck/key-lease/sightings';
+import {observationOf} from '@dogwooddeck/key-lease/sightings';
 
 const service = 's';
 const terms = {holdMilliseconds: 2000, clockDrift: 0.02};
@@ -133,7 +133,7 @@
 		const candidates = upstreams.map(upstream => ({
 			life: {id: upstream.id, born: upstream.born},
 			weight: 3,
-			accepting: !upstream.leaving && sightingOf(granting.sightings, upstream) !== undefined,
+			accepting: !upstream.leaving && observationOf(granting.sightings, upstream) !== undefined,
 			leaving: upstream.leaving,
 		}));
 		const {granted, recalled} = planKeys({
