--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -13,7 +13,7 @@
 	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
 } from './range.js';
 import {
-	type HolderObservation, noObservations, observationOf, type HolderObservations, withSighting,
+	type HolderObservation, noObservations, observationOf, type HolderObservations, withObservation,
 } from './sightings.js';
 
 /** Keys that an upstream says it released, with the token for its successor. */
@@ -56,7 +56,7 @@
 /** Notes that an announcement came. */
 export function noteHeard(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
-	return {...state, sightings: withSighting(state.sightings, {...known, heardAt: now})};
+	return {...state, sightings: withObservation(state.sightings, {...known, heardAt: now})};
 }
 
 /** Notes that an announcement which came at `receivedAt` is being answered with the state at `index`. */
@@ -68,7 +68,7 @@
 		: {sequence: answer.sequence, index: answer.index};
 	return {
 		...state,
-		sightings: withSighting(state.sightings, {
+		sightings: withObservation(state.sightings, {
 			life: answer.life, heardAt: known?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
 		}),
 	};
--- a/packages/key-lease/src/sightings.ts
+++ b/packages/key-lease/src/sightings.ts
@@ -42,7 +42,7 @@
 }
 
 /** The sightings with a newer one. */
-export function withSighting(sightings: HolderObservations, sighting: HolderObservation): HolderObservations {
+export function withObservation(sightings: HolderObservations, sighting: HolderObservation): HolderObservations {
 	const key = incarnationText(sighting.life);
 	const part = partOf(key);
 	return sightings.with(part, {...sightings[part], [key]: sighting});
