--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -20,7 +20,7 @@
 	type KeyRange, type UpstreamIncarnation, incarnationText, rangesHeldBy, sameIncarnation,
 } from '@dogwooddeck/key-lease/range';
 import {type KeyReport, rowsDigest, rowsFor} from '@dogwooddeck/key-lease/report';
-import {observationOf} from '@dogwooddeck/key-lease/sightings';
+import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {
 	type AnnouncementOutcome, type AnnouncementReport, type LoadReport, type MeshCalls,
 } from '@dogwooddeck/mesh/calls';
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -6,7 +6,7 @@
 import {type GrantingState, type GrantingTerms, vacatedByTime} from '@dogwooddeck/key-lease/granting';
 import {type Candidate, type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {type UpstreamIncarnation, incarnationText, sameIncarnation} from '@dogwooddeck/key-lease/range';
-import {observationOf} from '@dogwooddeck/key-lease/sightings';
+import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {standing} from './item.js';
 import {type DirectoryCommand, type DirectoryState} from './state.js';
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -14,7 +14,7 @@
 } from './range.js';
 import {
 	type HolderObservation, noObservations, observationOf, type HolderObservations, withObservation,
-} from './sightings.js';
+} from './observations.js';
 
 /** Keys that an upstream says it released, with the token for its successor. */
 export type ReleasedRow = KeySpan & {readonly handover: string};
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -16,7 +16,7 @@
 import {
 	keyCount, type KeyRange, sharedSpan, unheldRanges,
 } from '@dogwooddeck/key-lease/range';
-import {observationOf} from '@dogwooddeck/key-lease/sightings';
+import {observationOf} from '@dogwooddeck/key-lease/observations';
 
 const service = 's';
 const terms = {holdMilliseconds: 2000, clockDrift: 0.02};
