--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -11,7 +11,7 @@
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {
-	beginGranting, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, noteAnswered, noteHeard, rowsOf, vacatedByAnnouncement,
+	beginGranting, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, noteAnswered, recordContact, rowsOf, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type HeldSpan, rangesOf} from '@dogwooddeck/key-lease/command';
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
@@ -214,7 +214,7 @@
 		}
 
 		noteLapse(upstream, keys, receivedAt);
-		granting = noteHeard(granting, keys.life, receivedAt, terms);
+		granting = recordContact(granting, keys.life, receivedAt, terms);
 		const commands = [...recorded.value, ...evidenceOf(upstream, keys)];
 		const confirmed = commands.length === 0 ? await confirmTogether(isUrgent) : await propose(commands);
 		if (confirmed.isErr) {
--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {beginGranting, noteHeard} from '@dogwooddeck/key-lease/granting';
+import {beginGranting, recordContact} from '@dogwooddeck/key-lease/granting';
 import {keyCount, type KeyRange} from '@dogwooddeck/key-lease/range';
 import {planDirectory} from '@dogwooddeck/directory/key-plan';
 import {type DirectoryState, emptyDirectory} from '@dogwooddeck/directory/state';
@@ -39,7 +39,7 @@
 
 function timeOf(count: number): number {
 	const state = stateOf(count);
-	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => noteHeard(noted, {id, born}, 1000, terms), beginGranting(0));
+	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => recordContact(noted, {id, born}, 1000, terms), beginGranting(0));
 	const startedAt = performance.now();
 	const commands = planDirectory({
 		state, granting, terms, now: 1100, joinedAt: 0, mostRanges: 150, workOf: () => ({rates: [], countedMilliseconds: 8000, speedOf: () => 1}),
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -54,7 +54,7 @@
 }
 
 /** Notes that an announcement came. */
-export function noteHeard(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
+export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
 	return {...state, sightings: withObservation(state.sightings, {...known, heardAt: now})};
 }
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import {applyKeyCommand} from '@dogwooddeck/key-lease/command';
 import {
-	beginGranting, type GrantingState, noteAnswered, noteHeard, vacatedByAnnouncement,
+	beginGranting, type GrantingState, noteAnswered, recordContact, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
@@ -28,7 +28,7 @@
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: lives[position % count]!, told: true, handover: '',
 	}));
-	const granting = lives.reduce((state, life) => noteHeard(state, life, 0, terms), beginGranting(0));
+	const granting = lives.reduce((state, life) => recordContact(state, life, 0, terms), beginGranting(0));
 	return {lives, ranges, granting};
 }
 
@@ -38,7 +38,7 @@
 	{
 		name: 'hearing it',
 		cost(scene, life, call) {
-			scene.granting = noteHeard(scene.granting, life, call, terms);
+			scene.granting = recordContact(scene.granting, life, call, terms);
 		},
 	},
 	{
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -9,7 +9,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {applyKeyCommand, type KeyCommand, type KeyTables} from '@dogwooddeck/key-lease/command';
 import {
-	beginGranting, type GrantingState, noteAnswered, noteHeard, rowsOf, vacatedByAnnouncement, vacatedByTime,
+	beginGranting, type GrantingState, noteAnswered, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
@@ -78,7 +78,7 @@
 			return;
 		}
 
-		granting = noteHeard(granting, life, now, usedTerms);
+		granting = recordContact(granting, life, now, usedTerms);
 		const relied = breakage.omissionCountsAtOnce === true
 			? ranges().filter(range => range.releasingSince !== undefined && range.holder?.id === life.id).map(({from, to}) => ({
 				from, to, holder: life, handover: '',
