--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -11,7 +11,7 @@
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {
-	beginGranting, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, noteAnswered, recordContact, rowsOf, vacatedByAnnouncement,
+	beginGranting, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type HeldSpan, rangesOf} from '@dogwooddeck/key-lease/command';
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
@@ -112,7 +112,7 @@
 		const {life, sequence} = keys;
 		const ranges = rangesOf(holder.state().keys, service);
 		const rows = rowsOf(ranges, life);
-		granting = noteAnswered(granting, {
+		granting = recordAnswer(granting, {
 			life, sequence, receivedAt, index: holder.state().applied,
 		}, terms);
 		const untold = rows.filter(({told}) => !told);
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -60,7 +60,7 @@
 }
 
 /** Notes that an announcement which came at `receivedAt` is being answered with the state at `index`. */
-export function noteAnswered(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
+export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, answer.life);
 	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + longestHold(terms), answer.receivedAt + longestHold(terms));
 	const answered = known?.answered !== undefined && known.answered.sequence > answer.sequence
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	beginGranting, type GrantingState, type HeldKeys, lapsedRows, noteAnswered, recordContact, vacatedByAnnouncement, vacatedByTime,
+	beginGranting, type GrantingState, type HeldKeys, lapsedRows, recordAnswer, recordContact, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
@@ -21,7 +21,7 @@
 /** A leader elected at 0 that answered announcement 4 of the holder, received at 1000, by the state at an index. */
 function leaderThatAnswered(index: number): GrantingState {
 	const heard = recordContact(beginGranting(0), holder, 1000, terms);
-	return noteAnswered(heard, {
+	return recordAnswer(heard, {
 		life: holder, sequence: 4, receivedAt: 1000, index,
 	}, terms);
 }
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import {applyKeyCommand} from '@dogwooddeck/key-lease/command';
 import {
-	beginGranting, type GrantingState, noteAnswered, recordContact, vacatedByAnnouncement,
+	beginGranting, type GrantingState, recordAnswer, recordContact, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
@@ -44,7 +44,7 @@
 	{
 		name: 'answering it',
 		cost(scene, life, call) {
-			scene.granting = noteAnswered(scene.granting, {
+			scene.granting = recordAnswer(scene.granting, {
 				life, sequence: call, receivedAt: call, index: call,
 			}, terms);
 		},
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -9,7 +9,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {applyKeyCommand, type KeyCommand, type KeyTables} from '@dogwooddeck/key-lease/command';
 import {
-	beginGranting, type GrantingState, noteAnswered, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
+	beginGranting, type GrantingState, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
@@ -86,7 +86,7 @@
 			: vacatedByAnnouncement(granting, ranges(), reportKeys(ranges(), keys));
 		commit({kind: 'keysVacated', service, rows: relied});
 		const rows = rowsOf(ranges(), life);
-		granting = noteAnswered(granting, {
+		granting = recordAnswer(granting, {
 			life, sequence: keys.sequence, receivedAt: now, index,
 		}, usedTerms);
 		commit({kind: 'keysTold', service, rows: rows.filter(({told}) => !told).map(({from, to}) => ({from, to, holder: life}))});
