--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -21,7 +21,7 @@
 } from '@dogwooddeck/model/failure';
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {createStateHolder} from '@dogwooddeck/replica/state-holder';
-import {nextVoterSet, type VoterSighting} from '@dogwooddeck/replica/succession';
+import {nextVoterSet, type VoterObservation} from '@dogwooddeck/replica/succession';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {startLoadWatch} from '@dogwooddeck/telemetry/load-watch';
 import {type Log} from '@dogwooddeck/telemetry/log';
@@ -86,7 +86,7 @@
 	const calls = countCalls(measures);
 	const clients = createMeshClients(calls.made);
 	const holder = createStateHolder(directoryMachine);
-	const sightings = new Map<string, VoterSighting>();
+	const sightings = new Map<string, VoterObservation>();
 	const entryCount = new EntryCount();
 	/** The voter starts after the server through which the others reach it. */
 	const own: {voter?: DirectoryVoter; replication?: ReplicationWatch} = {};
--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -7,14 +7,14 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** When a control instance was last heard by the leader. */
-export type VoterSighting = {readonly voter: VoterIdentity; readonly heardAt: MonotonicTime};
+export type VoterObservation = {readonly voter: VoterIdentity; readonly heardAt: MonotonicTime};
 
 /** What the decision is made of. */
 export type SuccessionInput = {
 	readonly now: MonotonicTime;
 	readonly self: VoterIdentity;
 	readonly voterSet: VoterSet;
-	readonly sightings: readonly VoterSighting[];
+	readonly sightings: readonly VoterObservation[];
 	/** How many should vote: twice the losses to be borne, and one. */
 	readonly wantedVoters: number;
 };
@@ -37,7 +37,7 @@
 /** A voter's folder is gone for good once its instance is seen with another one. */
 function isReplaced({sightings}: SuccessionInput, voter: VoterIdentity): boolean {
 	const others = sightings.filter(sighting => sighting.voter.name === voter.name);
-	const newest = others.reduce<VoterSighting | undefined>((found, one) => found === undefined || one.heardAt > found.heardAt ? one : found, undefined);
+	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.heardAt > found.heardAt ? one : found, undefined);
 	return newest !== undefined && !sameVoter(newest.voter, voter);
 }
 
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -3,7 +3,7 @@
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
 import {voterChangeProblem} from '@dogwooddeck/consensus/voter-set';
 import {
-	lostLearnerMilliseconds, lostVoterMilliseconds, nextVoterSet, type VoterSighting,
+	lostLearnerMilliseconds, lostVoterMilliseconds, nextVoterSet, type VoterObservation,
 } from '@dogwooddeck/replica/succession';
 
 const now = 100_000;
@@ -12,14 +12,14 @@
 	return {name, folder};
 }
 
-function seen(identity: VoterIdentity, ago = 100): VoterSighting {
+function seen(identity: VoterIdentity, ago = 100): VoterObservation {
 	return {voter: identity, heardAt: now - ago};
 }
 
 const [one, two, three, four] = ['1', '2', '3', '4'].map(name => voter(name)) as [VoterIdentity, VoterIdentity, VoterIdentity, VoterIdentity];
 const renewed = voter('2', 'new');
 
-const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly sightings: readonly VoterSighting[]; readonly next: VoterSet | undefined}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly sightings: readonly VoterObservation[]; readonly next: VoterSet | undefined}> = [
 	{
 		name: 'nothing to do', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: undefined,
 	},
