--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -44,7 +44,7 @@
  * when the newest round that a majority answered was sent. Undefined on others, while
  * leadership is passed on, and when it is too long ago to rely on.
  */
-export function quorumHeardAt(state: VoterState, now: MonotonicTime): MonotonicTime | undefined {
+export function quorumContactAt(state: VoterState, now: MonotonicTime): MonotonicTime | undefined {
 	const {leadership, options} = state;
 	if (leadership === undefined || leadership.handOver !== undefined || !ownTermCommitted(state)) {
 		return undefined;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -26,7 +26,7 @@
 export {
 	committedIndex, knownCommittedIndex, leaderOf, memberPositions, roleOf, termOf, voterSetOf, type MemberPosition, type VoterState,
 } from './state.js';
-export {quorumHeardAt} from './quorum.js';
+export {quorumContactAt} from './quorum.js';
 export {foundCluster, founderFolder, foundVoterSet} from './founding.js';
 
 /**
--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -6,7 +6,7 @@
 import {voterDueAt} from '@dogwooddeck/consensus/due';
 import {entryAt} from '@dogwooddeck/consensus/log';
 import {
-	quorumHeardAt, roleOf, termOf, voterSetOf, type VoterState,
+	quorumContactAt, roleOf, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type LogEntry} from '@dogwooddeck/consensus/message';
 import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/machine';
@@ -35,7 +35,7 @@
 /** No leader relies on a quorum that elected another in a later term. */
 export function checkLeases(elected: Node, nodes: readonly Node[], now: number): void {
 	for (const {name, voter} of nodes) {
-		const heardAt = voter === undefined || termOf(voter) >= termOf(elected.voter!) ? undefined : quorumHeardAt(voter, now);
+		const heardAt = voter === undefined || termOf(voter) >= termOf(elected.voter!) ? undefined : quorumContactAt(voter, now);
 		assert.equal(heardAt, undefined, `${name} relies on a quorum that elected ${elected.name}`);
 	}
 }
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -10,7 +10,7 @@
 	names3, names5, proposeMany, started,
 } from './started.js';
 import {
-	createVoter, founderFolder, quorumHeardAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
+	createVoter, founderFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterSet} from '@dogwooddeck/consensus/message';
 import {Role} from '@dogwooddeck/consensus/machine';
@@ -41,7 +41,7 @@
 			assert.equal(schedule.refused.get(proposal), 'outcome-unknown');
 			assert.equal(schedule.refused.get(schedule.propose(old)), 'no-quorum');
 			assert.equal(schedule.refused.get(schedule.read(old)), 'no-quorum');
-			assert.equal(quorumHeardAt(old.voter!, schedule.now), undefined);
+			assert.equal(quorumContactAt(old.voter!, schedule.now), undefined);
 			assert.ok(!schedule.accepted.has('lost'));
 			schedule.settle();
 			assert.equal(schedule.accepted.size, 20);
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -12,7 +12,7 @@
 import {isSound} from '@dogwooddeck/consensus/soundness';
 import {sameVoter} from '@dogwooddeck/consensus/voter-set';
 import {
-	committedIndex, createVoter, knownCommittedIndex, leaderOf, type MemberPosition, memberPositions, quorumHeardAt, roleOf, stepVoter, voterSetOf,
+	committedIndex, createVoter, knownCommittedIndex, leaderOf, type MemberPosition, memberPositions, quorumContactAt, roleOf, stepVoter, voterSetOf,
 } from '@dogwooddeck/consensus/voter';
 import {startDueTimer} from '@dogwooddeck/clock/due';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -262,7 +262,7 @@
 		},
 		isLeader: () => roleOf(state) === Role.leader,
 		leader: () => leaderOf(state)?.name,
-		quorumHeardAt: now => quorumHeardAt(state, now),
+		quorumHeardAt: now => quorumContactAt(state, now),
 		leaderHeardAt: () => state.leaderHeardAt,
 		voterSet: () => voterSetOf(state),
 		committed: () => committedIndex(state),
