--- a/packages/consensus/src/due.ts
+++ b/packages/consensus/src/due.ts
@@ -5,7 +5,7 @@
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {latestVoterSet} from './log.js';
 import {Role} from './machine.js';
-import {roundHeardAt} from './quorum.js';
+import {roundContactAt} from './quorum.js';
 import {type Leadership, votesItself, type VoterState} from './state.js';
 import {isMajority} from './voter-set.js';
 
@@ -28,7 +28,7 @@
  */
 export function leadershipEndsAt(state: VoterState, leadership: Leadership): MonotonicTime {
 	const {electionMilliseconds} = state.options;
-	const heardAt = isAlone(state) ? Infinity : roundHeardAt(state, leadership);
+	const heardAt = isAlone(state) ? Infinity : roundContactAt(state, leadership);
 	return Math.min(heardAt, leadership.handOver?.startedAt ?? Infinity) + electionMilliseconds;
 }
 
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -29,7 +29,7 @@
 }
 
 /** When the newest round that a majority has answered was sent; the start of leadership before the first one. */
-export function roundHeardAt(state: VoterState, leadership: Leadership): MonotonicTime {
+export function roundContactAt(state: VoterState, leadership: Leadership): MonotonicTime {
 	const answered = answeredRound(state, leadership);
 	return leadership.rounds.find(({round}) => round === answered)?.sentAt ?? leadership.startedAt;
 }
@@ -54,6 +54,6 @@
 		return now;
 	}
 
-	const heardAt = roundHeardAt(state, leadership);
+	const heardAt = roundContactAt(state, leadership);
 	return now - heardAt < options.electionMilliseconds && answeredRound(state, leadership) > 0 ? heardAt : undefined;
 }
