--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -26,7 +26,7 @@
 } from '@dogwooddeck/routing/budget';
 import {fingerprintOf} from '@dogwooddeck/routing/claim-fingerprint';
 import {deadlineOf} from '@dogwooddeck/routing/deadline';
-import {Seen, seenRules} from '@dogwooddeck/routing/outcome';
+import {Seen, observationRules} from '@dogwooddeck/routing/outcome';
 import {
 	createTargetIndex, matchService, readKey, type RequestHead, routeOf, type ServiceTarget, type TargetIndex,
 } from '@dogwooddeck/routing/target';
@@ -287,7 +287,7 @@
 		attemptEnded(_request, owner, {seen, latencyMilliseconds}) {
 			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
 			if (owner.flight !== undefined) {
-				const isOver = seenRules[seen].outcome !== Outcome.unknown;
+				const isOver = observationRules[seen].outcome !== Outcome.unknown;
 				(isOver ? flights.ended : flights.abandoned)(owner.flight);
 				owner.flight = undefined;
 			}
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -13,7 +13,7 @@
 import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {maySendAgain, Seen, seenRules} from '@dogwooddeck/routing/outcome';
+import {maySendAgain, Seen, observationRules} from '@dogwooddeck/routing/outcome';
 import {requestHeaders} from '@dogwooddeck/upstream-client/headers';
 import {
 	isForeign, isMisdirected, isNotRun, signalOf,
@@ -334,7 +334,7 @@
 			this.#target?.noteMisdirected(now);
 		}
 
-		this.#mayHaveRun += seenRules[result.seen].outcome === Outcome.notRun ? 0 : 1;
+		this.#mayHaveRun += observationRules[result.seen].outcome === Outcome.notRun ? 0 : 1;
 		this.#conclude(upstream, result, now);
 		advance(this.#service!);
 	}
--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -10,7 +10,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	maySendAgain, Seen, seenRules, statusOf,
+	maySendAgain, Seen, observationRules, statusOf,
 } from './outcome.js';
 
 /** Where a request is. */
@@ -151,7 +151,7 @@
 }
 
 function tellsWhy(state: RequestState, event: Extract<RequestEvent, {kind: 'seen'}>): Step {
-	const rule = seenRules[event.seen];
+	const rule = observationRules[event.seen];
 	const more = event.retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds: event.retryAfterMilliseconds};
 	return refused(state, failure(rule.kind, rule.detail, more), rule.outcome, rule.status);
 }
@@ -165,7 +165,7 @@
 		return ended(before, [{kind: 'complete'}]);
 	}
 
-	const state = {...before, mayHaveRun: before.mayHaveRun || seenRules[event.seen].outcome !== Outcome.notRun};
+	const state = {...before, mayHaveRun: before.mayHaveRun || observationRules[event.seen].outcome !== Outcome.notRun};
 	if (event.headPassed) {
 		return ended(state, [{kind: 'break'}]);
 	}
--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -68,7 +68,7 @@
 const badRequest = 400;
 
 /** The rule for each thing that can be seen. `not-run` stands only where no byte was handed over or the upstream said so. */
-export const seenRules: Readonly<Record<Seen, SeenRule>> = {
+export const observationRules: Readonly<Record<Seen, SeenRule>> = {
 	[Seen.refusedConnection]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the upstream takes no connection',
 	},
@@ -121,7 +121,7 @@
 
 /** Whether a request may be sent again after what was seen. */
 export function maySendAgain(seen: Seen, idempotent: boolean): boolean {
-	return mayResend[seenRules[seen].resend](idempotent);
+	return mayResend[observationRules[seen].resend](idempotent);
 }
 
 const statuses: Partial<Record<FailureKind, number>> = {
--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -7,7 +7,7 @@
 	beginRequest, type RequestEffect, type RequestEvent, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
 import {allowsRetry, bookAttempt, createRetryBudget} from '@dogwooddeck/routing/budget';
-import {Seen, seenRules} from '@dogwooddeck/routing/outcome';
+import {Seen, observationRules} from '@dogwooddeck/routing/outcome';
 
 const seed = 20_261_204;
 const deadline = 1000;
@@ -146,7 +146,7 @@
 			const wasSending = state.phase === 'sending';
 			const step = stepRequest(state, event);
 			state = step.state;
-			mayHaveRun ||= wasSending && event.kind === 'seen' && seenRules[event.seen].outcome !== Outcome.notRun;
+			mayHaveRun ||= wasSending && event.kind === 'seen' && observationRules[event.seen].outcome !== Outcome.notRun;
 			for (const effect of step.effects) {
 				assert.ok(!(effect.kind === 'send' && mayHaveRun), 'sent again');
 				assert.ok(!(effect.kind === 'refuse' && effect.outcome === Outcome.notRun && mayHaveRun), 'told not-run');
--- a/packages/routing/test/test-outcome.ts
+++ b/packages/routing/test/test-outcome.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {maySendAgain, Seen, seenRules} from '@dogwooddeck/routing/outcome';
+import {maySendAgain, Seen, observationRules} from '@dogwooddeck/routing/outcome';
 
 type Case = {readonly seen: Seen; readonly outcome: Outcome; readonly idempotentAgain: boolean; readonly otherAgain: boolean};
 
@@ -52,7 +52,7 @@
 
 for (const {seen, outcome, idempotentAgain, otherAgain} of cases) {
 	test(`outcome: ${seen}`, () => {
-		assert.equal(seenRules[seen].outcome, outcome);
+		assert.equal(observationRules[seen].outcome, outcome);
 		assert.equal(maySendAgain(seen, true), idempotentAgain);
 		assert.equal(maySendAgain(seen, false), otherAgain);
 	});
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -13,7 +13,7 @@
 	beginRequest, type RequestEffect, type RequestEvent, RequestPhase, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
 import {type ClaimDecision, type StoredAnswer} from '@dogwooddeck/routing/claim';
-import {type Seen, seenRules, statusOf} from '@dogwooddeck/routing/outcome';
+import {type Seen, observationRules, statusOf} from '@dogwooddeck/routing/outcome';
 import {CallerAnswer} from './caller-answer.js';
 import {type SentRequest, type UpstreamClient} from './client.js';
 import {type Forwarder} from './forwarder.js';
@@ -137,7 +137,7 @@
 		const now = this.#path.now();
 		const latencyMilliseconds = now - this.#sentAt;
 		const owner = this.#owner!;
-		this.#mayHaveRun ||= seenRules[seen].outcome !== Outcome.notRun;
+		this.#mayHaveRun ||= observationRules[seen].outcome !== Outcome.notRun;
 		this.#path.attemptEnded(this.#opened, owner, {seen, latencyMilliseconds});
 		this.step({
 			kind: 'seen',
