--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -26,7 +26,7 @@
 } from '@dogwooddeck/routing/budget';
 import {fingerprintOf} from '@dogwooddeck/routing/claim-fingerprint';
 import {deadlineOf} from '@dogwooddeck/routing/deadline';
-import {Seen, observationRules} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 import {
 	createTargetIndex, matchService, readKey, type RequestHead, routeOf, type ServiceTarget, type TargetIndex,
 } from '@dogwooddeck/routing/target';
@@ -83,21 +83,21 @@
 const claimMarginMilliseconds: Milliseconds = 500;
 const longestOperationKey = 256;
 
-const endOfSeen: Readonly<Record<Seen, AttemptEnd>> = {
-	[Seen.refusedConnection]: AttemptEnd.failed,
-	[Seen.closedBeforeFirstByte]: AttemptEnd.failed,
-	[Seen.closedAfterFirstByte]: AttemptEnd.failed,
-	[Seen.shed]: AttemptEnd.shed,
-	[Seen.deadlinePassedBeforeFirstByte]: AttemptEnd.cancelled,
-	[Seen.deadlinePassedAfterFirstByte]: AttemptEnd.timedOut,
-	[Seen.wholeAnswer]: AttemptEnd.answered,
-	[Seen.cutAnswer]: AttemptEnd.failed,
-	[Seen.foreignAnswer]: AttemptEnd.failed,
-	[Seen.unboundedAnswer]: AttemptEnd.failed,
-	[Seen.leaseLost]: AttemptEnd.cancelled,
-	[Seen.unsendable]: AttemptEnd.cancelled,
-	[Seen.cancelledBeforeFirstByte]: AttemptEnd.cancelled,
-	[Seen.cancelledAfterFirstByte]: AttemptEnd.cancelled,
+const endOfSeen: Readonly<Record<AttemptObservation, AttemptEnd>> = {
+	[AttemptObservation.refusedConnection]: AttemptEnd.failed,
+	[AttemptObservation.closedBeforeFirstByte]: AttemptEnd.failed,
+	[AttemptObservation.closedAfterFirstByte]: AttemptEnd.failed,
+	[AttemptObservation.shed]: AttemptEnd.shed,
+	[AttemptObservation.deadlinePassedBeforeFirstByte]: AttemptEnd.cancelled,
+	[AttemptObservation.deadlinePassedAfterFirstByte]: AttemptEnd.timedOut,
+	[AttemptObservation.wholeAnswer]: AttemptEnd.answered,
+	[AttemptObservation.cutAnswer]: AttemptEnd.failed,
+	[AttemptObservation.foreignAnswer]: AttemptEnd.failed,
+	[AttemptObservation.unboundedAnswer]: AttemptEnd.failed,
+	[AttemptObservation.leaseLost]: AttemptEnd.cancelled,
+	[AttemptObservation.unsendable]: AttemptEnd.cancelled,
+	[AttemptObservation.cancelledBeforeFirstByte]: AttemptEnd.cancelled,
+	[AttemptObservation.cancelledAfterFirstByte]: AttemptEnd.cancelled,
 };
 
 const noOwner = failure(FailureKind.noOwner, 'the key has no owner at this moment', {retryAfterMilliseconds: ownerRetryMilliseconds});
--- a/packages/entry/src/answer-rules.ts
+++ b/packages/entry/src/answer-rules.ts
@@ -2,7 +2,7 @@
  * What an upstream's answer is held against, and what an attempt says about its upstream.
  */
 import {Signal} from '@dogwooddeck/gateway/upstream-load';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type AnswerHead, fieldOf} from '@dogwooddeck/upstream-client/headers';
 import {type FieldNames} from './settings.js';
 
@@ -11,21 +11,21 @@
 const firstServerFailure = 500;
 const misdirected = 421;
 
-const signalOfSeen: Readonly<Record<Seen, Signal>> = {
-	[Seen.refusedConnection]: Signal.broken,
-	[Seen.closedBeforeFirstByte]: Signal.broken,
-	[Seen.closedAfterFirstByte]: Signal.broken,
-	[Seen.shed]: Signal.full,
-	[Seen.deadlinePassedBeforeFirstByte]: Signal.none,
-	[Seen.deadlinePassedAfterFirstByte]: Signal.failed,
-	[Seen.wholeAnswer]: Signal.answered,
-	[Seen.cutAnswer]: Signal.failed,
-	[Seen.foreignAnswer]: Signal.failed,
-	[Seen.unboundedAnswer]: Signal.failed,
-	[Seen.leaseLost]: Signal.none,
-	[Seen.unsendable]: Signal.none,
-	[Seen.cancelledBeforeFirstByte]: Signal.none,
-	[Seen.cancelledAfterFirstByte]: Signal.none,
+const signalOfSeen: Readonly<Record<AttemptObservation, Signal>> = {
+	[AttemptObservation.refusedConnection]: Signal.broken,
+	[AttemptObservation.closedBeforeFirstByte]: Signal.broken,
+	[AttemptObservation.closedAfterFirstByte]: Signal.broken,
+	[AttemptObservation.shed]: Signal.full,
+	[AttemptObservation.deadlinePassedBeforeFirstByte]: Signal.none,
+	[AttemptObservation.deadlinePassedAfterFirstByte]: Signal.failed,
+	[AttemptObservation.wholeAnswer]: Signal.answered,
+	[AttemptObservation.cutAnswer]: Signal.failed,
+	[AttemptObservation.foreignAnswer]: Signal.failed,
+	[AttemptObservation.unboundedAnswer]: Signal.failed,
+	[AttemptObservation.leaseLost]: Signal.none,
+	[AttemptObservation.unsendable]: Signal.none,
+	[AttemptObservation.cancelledBeforeFirstByte]: Signal.none,
+	[AttemptObservation.cancelledAfterFirstByte]: Signal.none,
 };
 
 /** Whether an upstream says that it did not run the request. */
@@ -48,12 +48,12 @@
 }
 
 /** Whether an upstream refused a request because it is another one, or does not hold the key. */
-export function isMisdirected(seen: Seen, status: number): boolean {
-	return seen === Seen.shed && status === misdirected;
+export function isMisdirected(seen: AttemptObservation, status: number): boolean {
+	return seen === AttemptObservation.shed && status === misdirected;
 }
 
 /** What an attempt says about its upstream. `answered` is the status of a whole answer. */
-export function signalOf(seen: Seen, refusedWith: number, answered: number | undefined): Signal {
+export function signalOf(seen: AttemptObservation, refusedWith: number, answered: number | undefined): Signal {
 	if (isMisdirected(seen, refusedWith)) {
 		return Signal.none;
 	}
--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -5,7 +5,7 @@
 import {Buffer} from 'node:buffer';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {
 	Abandoned, type AnswerRules, type AnswerSink, Exchange,
 } from '@dogwooddeck/upstream-client/exchange';
@@ -17,7 +17,7 @@
 
 /** How an attempt ended. */
 export type AttemptResult = {
-	readonly seen: Seen;
+	readonly seen: AttemptObservation;
 	readonly milliseconds: Milliseconds;
 	/** With `wholeAnswer`, unless its parts were passed on as they came. */
 	readonly answer?: UpstreamAnswer;
@@ -69,7 +69,7 @@
 	/** The head of an answer has come. */
 	readonly answering: () => void;
 	/** The request is over; the rest of a refusal may still come. */
-	readonly ended: (seen: Seen) => void;
+	readonly ended: (seen: AttemptObservation) => void;
 	/** Nothing more comes of the request. */
 	readonly release: () => void;
 };
@@ -111,13 +111,13 @@
 		return this.#bytes <= gatheredBytes || this.#passOn();
 	}
 
-	onEnd(seen: Seen, retryAfterMilliseconds?: Milliseconds): void {
+	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
 		this.#hold.ended(seen);
-		if (seen !== Seen.shed || this.#isDrained) {
+		if (seen !== AttemptObservation.shed || this.#isDrained) {
 			this.#hold.release();
 		}
 
-		const answer = seen === Seen.wholeAnswer && !this.#isLong
+		const answer = seen === AttemptObservation.wholeAnswer && !this.#isLong
 			? {status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks)}
 			: undefined;
 		this.#specification.onEnd({
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -13,7 +13,7 @@
 import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {maySendAgain, Seen, observationRules} from '@dogwooddeck/routing/outcome';
+import {maySendAgain, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 import {requestHeaders} from '@dogwooddeck/upstream-client/headers';
 import {
 	isForeign, isMisdirected, isNotRun, signalOf,
@@ -320,13 +320,13 @@
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
 		upstream.load.note(signalOf(result.seen, this.#status, result.answer?.status), result.milliseconds, now);
-		if (result.seen !== Seen.wholeAnswer) {
+		if (result.seen !== AttemptObservation.wholeAnswer) {
 			journal.attemptFailed({
 				run: this, upstream, seen: result.seen, status: this.#status, milliseconds: result.milliseconds, left: this.#deadline - now,
 			});
 		}
 
-		if (result.seen === Seen.wholeAnswer && this.#target !== undefined) {
+		if (result.seen === AttemptObservation.wholeAnswer && this.#target !== undefined) {
 			countAnswer(this.#service!.name, upstream.id, result.milliseconds);
 		}
 
@@ -357,7 +357,7 @@
 	}
 
 	#concludeLong(upstream: KnownUpstream, result: AttemptResult): void {
-		if (result.seen === Seen.wholeAnswer) {
+		if (result.seen === AttemptObservation.wholeAnswer) {
 			this.#exchange.end();
 		} else {
 			this.#exchange.cut();
@@ -370,7 +370,7 @@
 
 	#sendAgainOrRefuse({seen}: AttemptResult, now: MonotonicTime): void {
 		const route = this.#route!;
-		if (seen === Seen.deadlinePassedAfterFirstByte || now >= this.#deadline - leastSendMilliseconds) {
+		if (seen === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - leastSendMilliseconds) {
 			this.#refuse(Refusal.timeout);
 			return;
 		}
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -4,14 +4,14 @@
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type RequestSpecification, sendRequest, type SentAttempt} from './attempt.js';
 import {Connection, type ConnectionTerms} from './connection.js';
 
 /** Ends a request whose upstream has an address that can't be reached. */
 function unreachable({onEnd}: RequestSpecification): SentAttempt {
 	setImmediate(() => {
-		onEnd({seen: Seen.refusedConnection, milliseconds: 0});
+		onEnd({seen: AttemptObservation.refusedConnection, milliseconds: 0});
 	});
 	return {cancel: () => undefined, resume: () => undefined};
 }
@@ -48,10 +48,10 @@
 				connection.hasHead = true;
 			},
 			ended: seen => {
-				if (seen === Seen.shed) {
+				if (seen === AttemptObservation.shed) {
 					refusedOn.add(connection);
 					connection.isDraining = true;
-				} else if (seen !== Seen.wholeAnswer) {
+				} else if (seen !== AttemptObservation.wholeAnswer) {
 					this.#end(connection);
 				}
 			},
--- a/packages/entry/test/test-answers.ts
+++ b/packages/entry/test/test-answers.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Signal} from '@dogwooddeck/gateway/upstream-load';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {
 	isForeign, isMisdirected, isNotRun, signalOf,
 } from '@dogwooddeck/entry/answer-rules';
@@ -57,24 +57,24 @@
 	});
 }
 
-const signals: ReadonlyArray<{readonly name: string; readonly seen: Seen; readonly refusedWith: number; readonly answered?: number; readonly signal: Signal}> = [
+const signals: ReadonlyArray<{readonly name: string; readonly seen: AttemptObservation; readonly refusedWith: number; readonly answered?: number; readonly signal: Signal}> = [
 	{
-		name: 'a whole answer', seen: Seen.wholeAnswer, refusedWith: 0, answered: 200, signal: Signal.answered,
+		name: 'a whole answer', seen: AttemptObservation.wholeAnswer, refusedWith: 0, answered: 200, signal: Signal.answered,
 	},
 	{
-		name: 'a failure of its own', seen: Seen.wholeAnswer, refusedWith: 0, answered: 500, signal: Signal.failed,
+		name: 'a failure of its own', seen: AttemptObservation.wholeAnswer, refusedWith: 0, answered: 500, signal: Signal.failed,
 	},
 	{
-		name: 'full', seen: Seen.shed, refusedWith: 503, signal: Signal.full,
+		name: 'full', seen: AttemptObservation.shed, refusedWith: 503, signal: Signal.full,
 	},
 	{
-		name: 'not the holder of the key', seen: Seen.shed, refusedWith: 421, signal: Signal.none,
+		name: 'not the holder of the key', seen: AttemptObservation.shed, refusedWith: 421, signal: Signal.none,
 	},
 	{
-		name: 'a reset', seen: Seen.closedAfterFirstByte, refusedWith: 0, signal: Signal.broken,
+		name: 'a reset', seen: AttemptObservation.closedAfterFirstByte, refusedWith: 0, signal: Signal.broken,
 	},
 	{
-		name: 'a caller that left', seen: Seen.cancelledAfterFirstByte, refusedWith: 0, signal: Signal.none,
+		name: 'a caller that left', seen: AttemptObservation.cancelledAfterFirstByte, refusedWith: 0, signal: Signal.none,
 	},
 ];
 
--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -3,7 +3,7 @@
 import {once} from 'node:events';
 import {type AddressInfo, createServer, type Socket} from 'node:net';
 import {test} from 'node:test';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type AttemptResult} from '@dogwooddeck/entry/attempt';
 import {UpstreamPool} from '@dogwooddeck/entry/upstream-pool';
 
@@ -11,7 +11,7 @@
 	readonly name: string;
 	/** What the upstream does with the connection once it has read the request. */
 	readonly answer: (socket: Socket) => void;
-	readonly seen: Seen;
+	readonly seen: AttemptObservation;
 	readonly body?: string;
 };
 
@@ -27,13 +27,13 @@
 	{
 		name: 'an answer with a length',
 		answer: socket => socket.write(`${head}Content-Length: 5\r\n\r\nwhole`),
-		seen: Seen.wholeAnswer,
+		seen: AttemptObservation.wholeAnswer,
 		body: 'whole',
 	},
 	{
 		name: 'an answer without a length whose connection ends',
 		answer: socket => socket.end(`${head}\r\nwhole`),
-		seen: Seen.wholeAnswer,
+		seen: AttemptObservation.wholeAnswer,
 		body: 'whole',
 	},
 	{
@@ -44,7 +44,7 @@
 				socket.resetAndDestroy();
 			});
 		},
-		seen: Seen.cutAnswer,
+		seen: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer without a length and with "Connection: close" that is reset',
@@ -54,7 +54,7 @@
 				socket.resetAndDestroy();
 			});
 		},
-		seen: Seen.cutAnswer,
+		seen: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer without a length that is reset at once',
@@ -63,22 +63,22 @@
 				socket.resetAndDestroy();
 			});
 		},
-		seen: Seen.cutAnswer,
+		seen: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer that ends before its length',
 		answer: socket => socket.end(`${head}Content-Length: 50\r\n\r\nhalf`),
-		seen: Seen.cutAnswer,
+		seen: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer to another request',
 		answer: socket => socket.write('HTTP/1.1 200 OK\r\nIdentifier: b\r\nContent-Length: 5\r\n\r\nother'),
-		seen: Seen.foreignAnswer,
+		seen: AttemptObservation.foreignAnswer,
 	},
 	{
 		name: 'a refusal',
 		answer: socket => socket.write('HTTP/1.1 503 Full\r\nNot-Run: 1\r\nIdentifier: a\r\nContent-Length: 0\r\n\r\n'),
-		seen: Seen.shed,
+		seen: AttemptObservation.shed,
 	},
 ];
 
--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -8,7 +8,7 @@
 import {type AddressInfo, createServer, type Socket} from 'node:net';
 import process from 'node:process';
 import {test} from 'node:test';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type AttemptResult} from '@dogwooddeck/entry/attempt';
 import {UpstreamPool} from '@dogwooddeck/entry/upstream-pool';
 
@@ -28,50 +28,50 @@
 	readonly more: string;
 	/** How often a second it is sent; as fast as it is read where left out. */
 	readonly perSecond?: number;
-	readonly seen: readonly Seen[];
+	readonly seen: readonly AttemptObservation[];
 	/** Whether it has to end well before the deadline, as no answer can come of it any more. */
 	readonly endsEarly: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'bytes that are no answer', begin: '', more: '\u0000\u0001garbage', seen: [Seen.closedAfterFirstByte], endsEarly: true,
+		name: 'bytes that are no answer', begin: '', more: '\u0000\u0001garbage', seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), seen: [Seen.closedAfterFirstByte], endsEarly: true,
+		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'one header field', begin: 'HTTP/1.1 200 OK\r\nField: ', more: 'x'.repeat(1000), seen: [Seen.closedAfterFirstByte], endsEarly: true,
+		name: 'one header field', begin: 'HTTP/1.1 200 OK\r\nField: ', more: 'x'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), seen: [Seen.closedAfterFirstByte], endsEarly: true,
+		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'heads that announce another', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', seen: [Seen.foreignAnswer, Seen.closedAfterFirstByte], endsEarly: true,
+		name: 'heads that announce another', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', seen: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'heads that announce another, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, seen: [Seen.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'heads that announce another, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), seen: [Seen.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'a body in chunks', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [Seen.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'a body in chunks', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'the extension of a chunk', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n4;`, more: 'x'.repeat(1000), seen: [Seen.deadlinePassedAfterFirstByte, Seen.cutAnswer], endsEarly: false,
+		name: 'the extension of a chunk', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n4;`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte, AttemptObservation.cutAnswer], endsEarly: false,
 	},
 	{
-		name: 'trailers', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n0\r\n`, more: 'Field: x\r\n'.repeat(100), seen: [Seen.cutAnswer], endsEarly: true,
+		name: 'trailers', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n0\r\n`, more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.cutAnswer], endsEarly: true,
 	},
 	{
-		name: 'the body of a refusal', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [Seen.shed], endsEarly: true,
+		name: 'the body of a refusal', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [AttemptObservation.shed], endsEarly: true,
 	},
 	{
-		name: 'the body of a refusal, slowly', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', perSecond: 20, seen: [Seen.shed], endsEarly: true,
+		name: 'the body of a refusal, slowly', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', perSecond: 20, seen: [AttemptObservation.shed], endsEarly: true,
 	},
 	{
-		name: 'the body of an answer to another request', begin: 'HTTP/1.1 200 OK\r\nIdentifier: b\r\n\r\n', more: 'x'.repeat(1000), seen: [Seen.foreignAnswer], endsEarly: true,
+		name: 'the body of an answer to another request', begin: 'HTTP/1.1 200 OK\r\nIdentifier: b\r\n\r\n', more: 'x'.repeat(1000), seen: [AttemptObservation.foreignAnswer], endsEarly: true,
 	},
 ];
 
@@ -157,7 +157,7 @@
 		assert.ok(poured.seen.includes(result.seen), result.seen);
 		assert.ok(took < (poured.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
 		const next = await attempt(pool, timeoutMilliseconds);
-		assert.equal(next.seen, Seen.wholeAnswer);
+		assert.equal(next.seen, AttemptObservation.wholeAnswer);
 		assert.ok(next.milliseconds < timeoutMilliseconds / 2, `the next request took ${next.milliseconds} ms`);
 		while (counts.open > 1) {
 			assert.ok(performance.now() - startedAt < timeoutMilliseconds + (2 * slackMilliseconds), 'the connection stays open');
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -9,7 +9,7 @@
 import {Importance} from '@dogwooddeck/model/contract';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {Seen} from './outcome.js';
+import {AttemptObservation} from './outcome.js';
 
 /** What waits for a slot. The queue compares tickets by identity. */
 export type Ticket = {
@@ -45,15 +45,15 @@
 /** One of the ends. */
 export type Finished = (typeof Finished)[keyof typeof Finished];
 
-const finishedBySeen: Partial<Record<Seen, Finished>> = {
-	[Seen.wholeAnswer]: Finished.answered,
-	[Seen.shed]: Finished.strained,
-	[Seen.deadlinePassedAfterFirstByte]: Finished.strained,
-	[Seen.closedAfterFirstByte]: Finished.strained,
+const finishedBySeen: Partial<Record<AttemptObservation, Finished>> = {
+	[AttemptObservation.wholeAnswer]: Finished.answered,
+	[AttemptObservation.shed]: Finished.strained,
+	[AttemptObservation.deadlinePassedAfterFirstByte]: Finished.strained,
+	[AttemptObservation.closedAfterFirstByte]: Finished.strained,
 };
 
 /** What the end of an attempt says about the upstream's load. */
-export function finishedBy(seen: Seen): Finished {
+export function finishedBy(seen: AttemptObservation): Finished {
 	return finishedBySeen[seen] ?? Finished.neutral;
 }
 
--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -10,7 +10,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	maySendAgain, Seen, observationRules, statusOf,
+	maySendAgain, AttemptObservation, observationRules, statusOf,
 } from './outcome.js';
 
 /** Where a request is. */
@@ -50,7 +50,7 @@
 	/** There is no owner, no lease or no slot. For want of an owner or a lease it waits for `retryAfterMilliseconds` and comes again. */
 	| {readonly kind: 'refused'; readonly now: MonotonicTime; readonly failure: Failure}
 	| {
-		readonly kind: 'seen'; readonly now: MonotonicTime; readonly seen: Seen;
+		readonly kind: 'seen'; readonly now: MonotonicTime; readonly seen: AttemptObservation;
 		/** Whether a byte of the answer's head was passed to the caller. */
 		readonly headPassed: boolean;
 		/** Whether the service's budget allows a retry. */
@@ -161,7 +161,7 @@
 		return {state: before, effects: []};
 	}
 
-	if (event.seen === Seen.wholeAnswer) {
+	if (event.seen === AttemptObservation.wholeAnswer) {
 		return ended(before, [{kind: 'complete'}]);
 	}
 
@@ -170,7 +170,7 @@
 		return ended(state, [{kind: 'break'}]);
 	}
 
-	if (event.seen === Seen.leaseLost) {
+	if (event.seen === AttemptObservation.leaseLost) {
 		const located = {...state, attempts: state.attempts - 1};
 		return paused(located, event.now, 0) ?? tellsWhy(located, event);
 	}
--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -6,7 +6,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 
 /** What can be seen of one attempt. The first byte is that of the request, as it is handed to the socket. */
-export const Seen = {
+export const AttemptObservation = {
 	/** The upstream took no connection. */
 	refusedConnection: 'refused-connection',
 	/** The connection ended before the first byte. */
@@ -38,7 +38,7 @@
 } as const;
 
 /** One of the things that can be seen. */
-export type Seen = (typeof Seen)[keyof typeof Seen];
+export type AttemptObservation = (typeof AttemptObservation)[keyof typeof AttemptObservation];
 
 /** When a request may be sent again. */
 export const Resend = {
@@ -68,47 +68,47 @@
 const badRequest = 400;
 
 /** The rule for each thing that can be seen. `not-run` stands only where no byte was handed over or the upstream said so. */
-export const observationRules: Readonly<Record<Seen, SeenRule>> = {
-	[Seen.refusedConnection]: {
+export const observationRules: Readonly<Record<AttemptObservation, SeenRule>> = {
+	[AttemptObservation.refusedConnection]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the upstream takes no connection',
 	},
-	[Seen.closedBeforeFirstByte]: {
+	[AttemptObservation.closedBeforeFirstByte]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection ended before the request was sent',
 	},
-	[Seen.leaseLost]: {
+	[AttemptObservation.leaseLost]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: serviceUnavailable, kind: FailureKind.noLease, detail: 'the lease over the key ended before the request was sent',
 	},
-	[Seen.deadlinePassedBeforeFirstByte]: {
+	[AttemptObservation.deadlinePassedBeforeFirstByte]: {
 		outcome: Outcome.notRun, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the request was sent',
 	},
-	[Seen.cancelledBeforeFirstByte]: {
+	[AttemptObservation.cancelledBeforeFirstByte]: {
 		outcome: Outcome.notRun, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller went away before the request was sent',
 	},
-	[Seen.unsendable]: {
+	[AttemptObservation.unsendable]: {
 		outcome: Outcome.notRun, resend: Resend.never, status: badRequest, kind: FailureKind.malformed, detail: 'the request can\'t be sent on as it is',
 	},
-	[Seen.shed]: {
+	[AttemptObservation.shed]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: serviceUnavailable, kind: FailureKind.overloaded, detail: 'the upstream shed the request',
 	},
-	[Seen.closedAfterFirstByte]: {
+	[AttemptObservation.closedAfterFirstByte]: {
 		outcome: Outcome.unknown, resend: Resend.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection ended before the answer',
 	},
-	[Seen.deadlinePassedAfterFirstByte]: {
+	[AttemptObservation.deadlinePassedAfterFirstByte]: {
 		outcome: Outcome.unknown, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the answer',
 	},
-	[Seen.cancelledAfterFirstByte]: {
+	[AttemptObservation.cancelledAfterFirstByte]: {
 		outcome: Outcome.unknown, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller went away before the answer',
 	},
-	[Seen.wholeAnswer]: {
+	[AttemptObservation.wholeAnswer]: {
 		outcome: Outcome.ran, resend: Resend.never, status: badGateway, kind: FailureKind.internal, detail: 'the answer came whole',
 	},
-	[Seen.cutAnswer]: {
+	[AttemptObservation.cutAnswer]: {
 		outcome: Outcome.unknown, resend: Resend.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer ended early',
 	},
-	[Seen.foreignAnswer]: {
+	[AttemptObservation.foreignAnswer]: {
 		outcome: Outcome.unknown, resend: Resend.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer belongs to another request',
 	},
-	[Seen.unboundedAnswer]: {
+	[AttemptObservation.unboundedAnswer]: {
 		outcome: Outcome.unknown, resend: Resend.never, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer has neither a length nor chunks',
 	},
 };
@@ -120,7 +120,7 @@
 };
 
 /** Whether a request may be sent again after what was seen. */
-export function maySendAgain(seen: Seen, idempotent: boolean): boolean {
+export function maySendAgain(seen: AttemptObservation, idempotent: boolean): boolean {
 	return mayResend[observationRules[seen].resend](idempotent);
 }
 
--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -7,7 +7,7 @@
 	beginRequest, type RequestEffect, type RequestEvent, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
 import {allowsRetry, bookAttempt, createRetryBudget} from '@dogwooddeck/routing/budget';
-import {Seen, observationRules} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 
 const seed = 20_261_204;
 const deadline = 1000;
@@ -34,7 +34,7 @@
 const noOwner = failure(FailureKind.noOwner, 'nobody owns the key', {retryAfterMilliseconds: 20});
 const overloaded = failure(FailureKind.overloaded, 'full', {retryAfterMilliseconds: 20});
 
-function seen(what: Seen, more: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
+function seen(what: AttemptObservation, more: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
 	return {
 		kind: 'seen', now: 10, seen: what, headPassed: false, budgetAllows: true, ...more,
 	};
@@ -44,35 +44,35 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a whole answer', idempotent: false, events: [admitted, seen(Seen.wholeAnswer)], expected: ['send', 'complete'],
+		name: 'a whole answer', idempotent: false, events: [admitted, seen(AttemptObservation.wholeAnswer)], expected: ['send', 'complete'],
 	},
 	{
-		name: 'not-run is tried again', idempotent: false, events: [admitted, seen(Seen.shed), {kind: 'pause-over', now: 90}], expected: ['send', 'pause', 'admit'],
+		name: 'not-run is tried again', idempotent: false, events: [admitted, seen(AttemptObservation.shed), {kind: 'pause-over', now: 90}], expected: ['send', 'pause', 'admit'],
 	},
 	{
-		name: 'unknown is not tried again', idempotent: false, events: [admitted, seen(Seen.closedAfterFirstByte)], expected: ['send', 'refuse unknown'],
+		name: 'unknown is not tried again', idempotent: false, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'refuse unknown'],
 	},
 	{
-		name: 'unknown is tried again where that is idempotent', idempotent: true, events: [admitted, seen(Seen.closedAfterFirstByte)], expected: ['send', 'pause'],
+		name: 'unknown is tried again where that is idempotent', idempotent: true, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'pause'],
 	},
 	{
-		name: 'no budget', idempotent: true, events: [admitted, seen(Seen.shed, {budgetAllows: false})], expected: ['send', 'refuse not-run'],
+		name: 'no budget', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {budgetAllows: false})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'Retry-After past the deadline', idempotent: true, events: [admitted, seen(Seen.shed, {retryAfterMilliseconds: 5000})], expected: ['send', 'refuse not-run'],
+		name: 'Retry-After past the deadline', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {retryAfterMilliseconds: 5000})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'too late for a pause', idempotent: true, events: [admitted, seen(Seen.shed, {now: 999.9, retryAfterMilliseconds: 1})], expected: ['send', 'refuse not-run'],
+		name: 'too late for a pause', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {now: 999.9, retryAfterMilliseconds: 1})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'the head was passed', idempotent: true, events: [admitted, seen(Seen.cutAnswer, {headPassed: true})], expected: ['send', 'break'],
+		name: 'the head was passed', idempotent: true, events: [admitted, seen(AttemptObservation.cutAnswer, {headPassed: true})], expected: ['send', 'break'],
 	},
 	{
 		name: 'once unknown, never told not-run',
 		idempotent: true,
 		events: [
 			admitted,
-			seen(Seen.closedAfterFirstByte),
+			seen(AttemptObservation.closedAfterFirstByte),
 			{kind: 'pause-over', now: 200},
 			{kind: 'refused', now: 200, failure: overloaded},
 		],
@@ -93,28 +93,28 @@
 		events: [
 			admitted,
 			{kind: 'deadline-passed', now: 1000},
-			seen(Seen.deadlinePassedAfterFirstByte, {now: 1000}),
+			seen(AttemptObservation.deadlinePassedAfterFirstByte, {now: 1000}),
 		],
 		expected: ['send', 'refuse unknown'],
 	},
 	{
-		name: 'the caller goes away', idempotent: false, events: [admitted, {kind: 'caller-gone', now: 5}, seen(Seen.cancelledAfterFirstByte)], expected: ['send', 'cancel'],
+		name: 'the caller goes away', idempotent: false, events: [admitted, {kind: 'caller-gone', now: 5}, seen(AttemptObservation.cancelledAfterFirstByte)], expected: ['send', 'cancel'],
 	},
 	{
-		name: 'a lost lease needs no budget', idempotent: false, events: [admitted, seen(Seen.leaseLost, {budgetAllows: false})], expected: ['send', 'pause'],
+		name: 'a lost lease needs no budget', idempotent: false, events: [admitted, seen(AttemptObservation.leaseLost, {budgetAllows: false})], expected: ['send', 'pause'],
 	},
 	{
 		name: 'three attempts',
 		idempotent: true,
 		events: [
 			admitted,
-			seen(Seen.shed),
+			seen(AttemptObservation.shed),
 			{kind: 'pause-over', now: 100},
 			{kind: 'admitted', now: 100},
-			seen(Seen.shed, {now: 110}),
+			seen(AttemptObservation.shed, {now: 110}),
 			{kind: 'pause-over', now: 300},
 			{kind: 'admitted', now: 300},
-			seen(Seen.shed, {now: 310}),
+			seen(AttemptObservation.shed, {now: 310}),
 		],
 		expected: ['send', 'pause', 'admit', 'send', 'pause', 'admit', 'send', 'refuse not-run'],
 	},
@@ -129,7 +129,7 @@
 const anyEvent: fc.Arbitrary<(now: number) => RequestEvent> = fc.oneof(
 	fc.constant((now: number): RequestEvent => ({kind: 'admitted', now})),
 	fc.constantFrom(noOwner, overloaded).map(why => (now: number): RequestEvent => ({kind: 'refused', now, failure: why})),
-	fc.constantFrom(...Object.values(Seen)).map(what => (now: number): RequestEvent => seen(what, {now})),
+	fc.constantFrom(...Object.values(AttemptObservation)).map(what => (now: number): RequestEvent => seen(what, {now})),
 	fc.constant((now: number): RequestEvent => ({kind: 'pause-over', now})),
 	fc.constant((now: number): RequestEvent => ({kind: 'deadline-passed', now})),
 );
--- a/packages/routing/test/test-outcome.ts
+++ b/packages/routing/test/test-outcome.ts
@@ -1,52 +1,52 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {maySendAgain, Seen, observationRules} from '@dogwooddeck/routing/outcome';
+import {maySendAgain, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 
-type Case = {readonly seen: Seen; readonly outcome: Outcome; readonly idempotentAgain: boolean; readonly otherAgain: boolean};
+type Case = {readonly seen: AttemptObservation; readonly outcome: Outcome; readonly idempotentAgain: boolean; readonly otherAgain: boolean};
 
 const cases: readonly Case[] = [
 	{
-		seen: Seen.refusedConnection, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
+		seen: AttemptObservation.refusedConnection, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
 	},
 	{
-		seen: Seen.closedBeforeFirstByte, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
+		seen: AttemptObservation.closedBeforeFirstByte, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
 	},
 	{
-		seen: Seen.leaseLost, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
+		seen: AttemptObservation.leaseLost, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
 	},
 	{
-		seen: Seen.shed, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
+		seen: AttemptObservation.shed, outcome: Outcome.notRun, idempotentAgain: true, otherAgain: true,
 	},
 	{
-		seen: Seen.deadlinePassedBeforeFirstByte, outcome: Outcome.notRun, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.deadlinePassedBeforeFirstByte, outcome: Outcome.notRun, idempotentAgain: false, otherAgain: false,
 	},
 	{
-		seen: Seen.cancelledBeforeFirstByte, outcome: Outcome.notRun, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.cancelledBeforeFirstByte, outcome: Outcome.notRun, idempotentAgain: false, otherAgain: false,
 	},
 	{
-		seen: Seen.unsendable, outcome: Outcome.notRun, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.unsendable, outcome: Outcome.notRun, idempotentAgain: false, otherAgain: false,
 	},
 	{
-		seen: Seen.closedAfterFirstByte, outcome: Outcome.unknown, idempotentAgain: true, otherAgain: false,
+		seen: AttemptObservation.closedAfterFirstByte, outcome: Outcome.unknown, idempotentAgain: true, otherAgain: false,
 	},
 	{
-		seen: Seen.deadlinePassedAfterFirstByte, outcome: Outcome.unknown, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.deadlinePassedAfterFirstByte, outcome: Outcome.unknown, idempotentAgain: false, otherAgain: false,
 	},
 	{
-		seen: Seen.cancelledAfterFirstByte, outcome: Outcome.unknown, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.cancelledAfterFirstByte, outcome: Outcome.unknown, idempotentAgain: false, otherAgain: false,
 	},
 	{
-		seen: Seen.cutAnswer, outcome: Outcome.unknown, idempotentAgain: true, otherAgain: false,
+		seen: AttemptObservation.cutAnswer, outcome: Outcome.unknown, idempotentAgain: true, otherAgain: false,
 	},
 	{
-		seen: Seen.foreignAnswer, outcome: Outcome.unknown, idempotentAgain: true, otherAgain: false,
+		seen: AttemptObservation.foreignAnswer, outcome: Outcome.unknown, idempotentAgain: true, otherAgain: false,
 	},
 	{
-		seen: Seen.unboundedAnswer, outcome: Outcome.unknown, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.unboundedAnswer, outcome: Outcome.unknown, idempotentAgain: false, otherAgain: false,
 	},
 	{
-		seen: Seen.wholeAnswer, outcome: Outcome.ran, idempotentAgain: false, otherAgain: false,
+		seen: AttemptObservation.wholeAnswer, outcome: Outcome.ran, idempotentAgain: false, otherAgain: false,
 	},
 ];
 
@@ -59,5 +59,5 @@
 }
 
 test('outcome: the table of cases holds everything that can be seen', () => {
-	assert.deepEqual(cases.map(entry => entry.seen).sort(), Object.values(Seen).sort());
+	assert.deepEqual(cases.map(entry => entry.seen).sort(), Object.values(AttemptObservation).sort());
 });
--- a/packages/stand-in/test/test-forward-callers.ts
+++ b/packages/stand-in/test/test-forward-callers.ts
@@ -4,7 +4,7 @@
 import {connect} from 'node:net';
 import {test, type TestContext} from 'node:test';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {Entry} from './entry.js';
 import {Fault} from '@dogwooddeck/stand-in/fault';
 import {startUpstream, type StandInUpstream} from '@dogwooddeck/stand-in/upstream';
@@ -58,7 +58,7 @@
 	}
 
 	assert.equal(size, largeBytes);
-	assert.equal(entry.attempts[0]!.seen, Seen.wholeAnswer);
+	assert.equal(entry.attempts[0]!.seen, AttemptObservation.wholeAnswer);
 });
 
 test('forward: a caller that goes away in the middle of an answer cancels it upstream', async t => {
@@ -67,7 +67,7 @@
 	await once(answer, 'readable');
 	answer.destroy();
 	await until(() => entry.reports.length === 1);
-	assert.equal(entry.attempts[0]!.seen, Seen.cancelledAfterFirstByte);
+	assert.equal(entry.attempts[0]!.seen, AttemptObservation.cancelledAfterFirstByte);
 	assert.deepEqual([entry.reports[0]!.outcome, entry.reports[0]!.status], [Outcome.unknown, undefined]);
 });
 
--- a/packages/stand-in/test/test-upstream-client-faults.ts
+++ b/packages/stand-in/test/test-upstream-client-faults.ts
@@ -4,7 +4,7 @@
 import {test, type TestContext} from 'node:test';
 import {request} from 'undici';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {Entry, type EntrySettings} from './entry.js';
 import {Fault} from '@dogwooddeck/stand-in/fault';
 import {startUpstream, type StandInUpstream} from '@dogwooddeck/stand-in/upstream';
@@ -37,52 +37,52 @@
 	readonly fault: Fault;
 	readonly status: number | 'broken';
 	readonly outcome?: Outcome;
-	readonly seen: readonly Seen[];
+	readonly seen: readonly AttemptObservation[];
 	readonly ran: number;
 };
 
 const cases: readonly Case[] = [
 	{
-		fault: Fault.none, status: 200, outcome: Outcome.ran, seen: [Seen.wholeAnswer], ran: 1,
+		fault: Fault.none, status: 200, outcome: Outcome.ran, seen: [AttemptObservation.wholeAnswer], ran: 1,
 	},
 	{
-		fault: Fault.refuse, status: 502, outcome: Outcome.notRun, seen: [Seen.refusedConnection], ran: 0,
+		fault: Fault.refuse, status: 502, outcome: Outcome.notRun, seen: [AttemptObservation.refusedConnection], ran: 0,
 	},
 	{
-		fault: Fault.shed, status: 503, outcome: Outcome.notRun, seen: [Seen.shed], ran: 0,
+		fault: Fault.shed, status: 503, outcome: Outcome.notRun, seen: [AttemptObservation.shed], ran: 0,
 	},
 	{
-		fault: Fault.stall, status: 504, outcome: Outcome.unknown, seen: [Seen.deadlinePassedAfterFirstByte], ran: 0,
+		fault: Fault.stall, status: 504, outcome: Outcome.unknown, seen: [AttemptObservation.deadlinePassedAfterFirstByte], ran: 0,
 	},
 	{
-		fault: Fault.runAndStall, status: 504, outcome: Outcome.unknown, seen: [Seen.deadlinePassedAfterFirstByte], ran: 1,
+		fault: Fault.runAndStall, status: 504, outcome: Outcome.unknown, seen: [AttemptObservation.deadlinePassedAfterFirstByte], ran: 1,
 	},
 	{
-		fault: Fault.resetBeforeRun, status: 502, outcome: Outcome.unknown, seen: [Seen.closedAfterFirstByte], ran: 0,
+		fault: Fault.resetBeforeRun, status: 502, outcome: Outcome.unknown, seen: [AttemptObservation.closedAfterFirstByte], ran: 0,
 	},
 	{
-		fault: Fault.resetAfterRun, status: 502, outcome: Outcome.unknown, seen: [Seen.closedAfterFirstByte], ran: 1,
+		fault: Fault.resetAfterRun, status: 502, outcome: Outcome.unknown, seen: [AttemptObservation.closedAfterFirstByte], ran: 1,
 	},
 	{
-		fault: Fault.closeAfterRun, status: 502, outcome: Outcome.unknown, seen: [Seen.closedAfterFirstByte], ran: 1,
+		fault: Fault.closeAfterRun, status: 502, outcome: Outcome.unknown, seen: [AttemptObservation.closedAfterFirstByte], ran: 1,
 	},
 	{
-		fault: Fault.cutLength, status: 'broken', seen: [Seen.cutAnswer], ran: 1,
+		fault: Fault.cutLength, status: 'broken', seen: [AttemptObservation.cutAnswer], ran: 1,
 	},
 	{
-		fault: Fault.cutChunks, status: 'broken', seen: [Seen.cutAnswer], ran: 1,
+		fault: Fault.cutChunks, status: 'broken', seen: [AttemptObservation.cutAnswer], ran: 1,
 	},
 	{
-		fault: Fault.late, status: 200, outcome: Outcome.ran, seen: [Seen.wholeAnswer], ran: 1,
+		fault: Fault.late, status: 200, outcome: Outcome.ran, seen: [AttemptObservation.wholeAnswer], ran: 1,
 	},
 	{
-		fault: Fault.unbounded, status: 502, outcome: Outcome.unknown, seen: [Seen.unboundedAnswer], ran: 1,
+		fault: Fault.unbounded, status: 502, outcome: Outcome.unknown, seen: [AttemptObservation.unboundedAnswer], ran: 1,
 	},
 	{
-		fault: Fault.unboundedCut, status: 502, outcome: Outcome.unknown, seen: [Seen.unboundedAnswer], ran: 1,
+		fault: Fault.unboundedCut, status: 502, outcome: Outcome.unknown, seen: [AttemptObservation.unboundedAnswer], ran: 1,
 	},
 	{
-		fault: Fault.closeIdle, status: 200, outcome: Outcome.ran, seen: [Seen.wholeAnswer], ran: 1,
+		fault: Fault.closeIdle, status: 200, outcome: Outcome.ran, seen: [AttemptObservation.wholeAnswer], ran: 1,
 	},
 ];
 
@@ -104,7 +104,7 @@
 	const {upstream, entry} = await setUp(t, {});
 	await upstream.order({fault: Fault.resetOnConnect});
 	const met = await call(entry.address, 'one');
-	assert.ok(met !== 'broken' && [Seen.closedBeforeFirstByte, Seen.closedAfterFirstByte, Seen.refusedConnection].includes(entry.attempts[0]!.seen as 'refused-connection'));
+	assert.ok(met !== 'broken' && [AttemptObservation.closedBeforeFirstByte, AttemptObservation.closedAfterFirstByte, AttemptObservation.refusedConnection].includes(entry.attempts[0]!.seen as 'refused-connection'));
 	assert.equal(upstream.ran.size, 0);
 });
 
@@ -113,7 +113,7 @@
 	const met = await call(entry.address, 'one');
 	assert.ok(met !== 'broken' && met.outcome === Outcome.notRun);
 	assert.equal(upstream.ran.size, 0);
-	assert.ok(entry.attempts.length > 1 && entry.attempts.every(attempt => attempt.seen === Seen.leaseLost));
+	assert.ok(entry.attempts.length > 1 && entry.attempts.every(attempt => attempt.seen === AttemptObservation.leaseLost));
 });
 
 test('upstream client: an answer that comes after the deadline goes nowhere', async t => {
--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -7,7 +7,7 @@
  */
 import {failure, FailureError, FailureKind} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {
 	type AnswerHead, type RawHeaders, readAnswerHead, retryAfterMilliseconds,
 } from './headers.js';
@@ -21,7 +21,7 @@
 	/** A part of the body. `false` asks to wait until `resume`. */
 	onChunk(chunk: Uint8Array): boolean;
 	/** Called once, and last but for `onDrained`. */
-	onEnd(seen: Seen, retryAfterMilliseconds?: Milliseconds): void;
+	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void;
 	/** The rest of a shed answer was read: its connection can be used again. Before `onEnd` where the answer has no body. */
 	onDrained?(): void;
 };
@@ -45,21 +45,21 @@
 /** One of the reasons. */
 export type Abandoned = (typeof Abandoned)[keyof typeof Abandoned];
 
-const seenWhenAbandoned: Readonly<Record<Abandoned, {readonly before: Seen; readonly after: Seen}>> = {
-	[Abandoned.callerGone]: {before: Seen.cancelledBeforeFirstByte, after: Seen.cancelledAfterFirstByte},
-	[Abandoned.deadlinePassed]: {before: Seen.deadlinePassedBeforeFirstByte, after: Seen.deadlinePassedAfterFirstByte},
+const seenWhenAbandoned: Readonly<Record<Abandoned, {readonly before: AttemptObservation; readonly after: AttemptObservation}>> = {
+	[Abandoned.callerGone]: {before: AttemptObservation.cancelledBeforeFirstByte, after: AttemptObservation.cancelledAfterFirstByte},
+	[Abandoned.deadlinePassed]: {before: AttemptObservation.deadlinePassedBeforeFirstByte, after: AttemptObservation.deadlinePassedAfterFirstByte},
 };
 
 /** What an error means while no byte was handed over. Others: the connection ended. */
-const seenByCode: Readonly<Record<string, Seen>> = {
-	ECONNREFUSED: Seen.refusedConnection,
-	EHOSTUNREACH: Seen.refusedConnection,
-	ENETUNREACH: Seen.refusedConnection,
-	ETIMEDOUT: Seen.refusedConnection,
-	UND_ERR_CONNECT_TIMEOUT: Seen.refusedConnection,
-	UND_ERR_INVALID_ARG: Seen.unsendable,
-	UND_ERR_NOT_SUPPORTED: Seen.unsendable,
-	UND_ERR_REQ_CONTENT_LENGTH_MISMATCH: Seen.unsendable,
+const seenByCode: Readonly<Record<string, AttemptObservation>> = {
+	ECONNREFUSED: AttemptObservation.refusedConnection,
+	EHOSTUNREACH: AttemptObservation.refusedConnection,
+	ENETUNREACH: AttemptObservation.refusedConnection,
+	ETIMEDOUT: AttemptObservation.refusedConnection,
+	UND_ERR_CONNECT_TIMEOUT: AttemptObservation.refusedConnection,
+	UND_ERR_INVALID_ARG: AttemptObservation.unsendable,
+	UND_ERR_NOT_SUPPORTED: AttemptObservation.unsendable,
+	UND_ERR_REQ_CONTENT_LENGTH_MISMATCH: AttemptObservation.unsendable,
 };
 
 const firstFinalStatus = 200;
@@ -129,14 +129,14 @@
 		const {isNotRun, isForeign, endedInOrder} = this.#rules;
 		this.#unbounded = !bounded;
 		if (isForeign?.(status, head) === true) {
-			this.#finishAndAbort(Seen.foreignAnswer);
+			this.#finishAndAbort(AttemptObservation.foreignAnswer);
 		} else if (isNotRun(status, head)) {
 			this.#shed(head, bounded);
 		} else if (bounded || endedInOrder !== undefined) {
 			this.#headSeen = true;
 			this.#sink.onHead(status, head.headers);
 		} else {
-			this.#finishAndAbort(Seen.unboundedAnswer);
+			this.#finishAndAbort(AttemptObservation.unboundedAnswer);
 		}
 
 		return true;
@@ -161,25 +161,25 @@
 		clearTimeout(this.#timer);
 		if (this.#ended || this.#emptyShed !== undefined) {
 			this.#sink.onDrained?.();
-			this.#finish(Seen.shed, this.#emptyShed?.retryAfter);
+			this.#finish(AttemptObservation.shed, this.#emptyShed?.retryAfter);
 			return;
 		}
 
 		const isWhole = !this.#unbounded || this.#rules.endedInOrder?.() === true;
-		this.#finish(isWhole ? Seen.wholeAnswer : Seen.cutAnswer);
+		this.#finish(isWhole ? AttemptObservation.wholeAnswer : AttemptObservation.cutAnswer);
 	}
 
 	/** For `undici`. */
 	onError(error: Error & {readonly code?: string}): void {
 		clearTimeout(this.#timer);
 		if (this.#emptyShed !== undefined) {
-			this.#finish(Seen.shed, this.#emptyShed.retryAfter);
+			this.#finish(AttemptObservation.shed, this.#emptyShed.retryAfter);
 		} else if (this.#headSeen) {
-			this.#finish(Seen.cutAnswer);
+			this.#finish(AttemptObservation.cutAnswer);
 		} else if (this.#handedOver) {
-			this.#finish(Seen.closedAfterFirstByte);
+			this.#finish(AttemptObservation.closedAfterFirstByte);
 		} else {
-			this.#finish(seenByCode[error.code ?? ''] ?? Seen.closedBeforeFirstByte);
+			this.#finish(seenByCode[error.code ?? ''] ?? AttemptObservation.closedBeforeFirstByte);
 		}
 	}
 
@@ -194,7 +194,7 @@
 			return true;
 		}
 
-		this.#finish(Seen.leaseLost);
+		this.#finish(AttemptObservation.leaseLost);
 		return false;
 	}
 
@@ -206,13 +206,13 @@
 			return;
 		}
 
-		this.#finish(Seen.shed, retryAfter);
+		this.#finish(AttemptObservation.shed, retryAfter);
 		if (!bounded) {
 			this.#abort();
 		}
 	}
 
-	#finishAndAbort(seen: Seen): void {
+	#finishAndAbort(seen: AttemptObservation): void {
 		if (!this.#ended) {
 			clearTimeout(this.#timer);
 			this.#finish(seen);
@@ -220,7 +220,7 @@
 		}
 	}
 
-	#finish(seen: Seen, retryAfter?: Milliseconds): void {
+	#finish(seen: AttemptObservation, retryAfter?: Milliseconds): void {
 		if (!this.#ended) {
 			this.#ended = true;
 			this.#sink.onEnd(seen, retryAfter);
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -13,7 +13,7 @@
 	beginRequest, type RequestEffect, type RequestEvent, RequestPhase, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
 import {type ClaimDecision, type StoredAnswer} from '@dogwooddeck/routing/claim';
-import {type Seen, observationRules, statusOf} from '@dogwooddeck/routing/outcome';
+import {type AttemptObservation, observationRules, statusOf} from '@dogwooddeck/routing/outcome';
 import {CallerAnswer} from './caller-answer.js';
 import {type SentRequest, type UpstreamClient} from './client.js';
 import {type Forwarder} from './forwarder.js';
@@ -133,7 +133,7 @@
 		});
 	}
 
-	onEnd(seen: Seen, retryAfterMilliseconds?: Milliseconds): void {
+	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
 		const now = this.#path.now();
 		const latencyMilliseconds = now - this.#sentAt;
 		const owner = this.#owner!;
--- a/packages/upstream-client/src/request-path.ts
+++ b/packages/upstream-client/src/request-path.ts
@@ -10,7 +10,7 @@
 import {type Outcome} from '@dogwooddeck/model/outcome';
 import {type Admission} from '@dogwooddeck/routing/admission';
 import {type ClaimDecision, type StoredAnswer} from '@dogwooddeck/routing/claim';
-import {type Seen} from '@dogwooddeck/routing/outcome';
+import {type AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type RequestHead} from '@dogwooddeck/routing/target';
 import {type Result} from 'true-myth';
 
@@ -39,7 +39,7 @@
 
 /** How one attempt went. */
 export type AttemptReport = {
-	readonly seen: Seen;
+	readonly seen: AttemptObservation;
 	/** From the send to the end. */
 	readonly latencyMilliseconds: Milliseconds;
 };
--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
-import {Seen} from '@dogwooddeck/routing/outcome';
+import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {Abandoned, type AnswerSink, Exchange} from '@dogwooddeck/upstream-client/exchange';
 
 type Told = {
 	readonly heads: number[];
-	readonly ends: Array<[Seen, number | undefined]>;
+	readonly ends: Array<[AttemptObservation, number | undefined]>;
 	chunks: number;
 	aborts: number;
 };
@@ -75,7 +75,7 @@
 type Case = {
 	readonly name: string;
 	readonly steps: readonly Step[];
-	readonly seen: Seen;
+	readonly seen: AttemptObservation;
 	readonly method?: string;
 	readonly mayStart?: boolean;
 	readonly heads?: readonly number[];
@@ -88,51 +88,51 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a whole answer', steps: [connect, ok, chunk, complete], seen: Seen.wholeAnswer, heads: [200],
+		name: 'a whole answer', steps: [connect, ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'an informational head comes first', steps: [connect, head(103), ok, chunk, complete], seen: Seen.wholeAnswer, heads: [200],
+		name: 'an informational head comes first', steps: [connect, head(103), ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip, chunked'), chunk, complete], seen: Seen.wholeAnswer, heads: [200],
+		name: 'chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip, chunked'), chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'a coding that is not chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip'), chunk], seen: Seen.unboundedAnswer, aborts: 1,
+		name: 'a coding that is not chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip'), chunk], seen: AttemptObservation.unboundedAnswer, aborts: 1,
 	},
 	{
-		name: 'neither length nor chunks', steps: [connect, head(200), chunk, complete], seen: Seen.unboundedAnswer, aborts: 1,
+		name: 'neither length nor chunks', steps: [connect, head(200), chunk, complete], seen: AttemptObservation.unboundedAnswer, aborts: 1,
 	},
 	{
-		name: 'no length in an answer to HEAD', steps: [connect, head(200), complete], seen: Seen.wholeAnswer, method: 'HEAD', heads: [200],
+		name: 'no length in an answer to HEAD', steps: [connect, head(200), complete], seen: AttemptObservation.wholeAnswer, method: 'HEAD', heads: [200],
 	},
 	{
-		name: 'no length in an answer without content', steps: [connect, head(204), complete], seen: Seen.wholeAnswer, heads: [204],
+		name: 'no length in an answer without content', steps: [connect, head(204), complete], seen: AttemptObservation.wholeAnswer, heads: [204],
 	},
 	{
-		name: 'a body that ends early', steps: [connect, ok, fail('UND_ERR_SOCKET')], seen: Seen.cutAnswer, heads: [200],
+		name: 'a body that ends early', steps: [connect, ok, fail('UND_ERR_SOCKET')], seen: AttemptObservation.cutAnswer, heads: [200],
 	},
-	{name: 'an end before the head', steps: [connect, fail('ECONNRESET')], seen: Seen.closedAfterFirstByte},
-	{name: 'no connection', steps: [fail('ECONNREFUSED')], seen: Seen.refusedConnection},
-	{name: 'no connection in time', steps: [fail('UND_ERR_CONNECT_TIMEOUT')], seen: Seen.refusedConnection},
-	{name: 'an end before the first byte', steps: [fail('ECONNRESET')], seen: Seen.closedBeforeFirstByte},
-	{name: 'a head that can\'t be sent', steps: [fail('UND_ERR_INVALID_ARG')], seen: Seen.unsendable},
+	{name: 'an end before the head', steps: [connect, fail('ECONNRESET')], seen: AttemptObservation.closedAfterFirstByte},
+	{name: 'no connection', steps: [fail('ECONNREFUSED')], seen: AttemptObservation.refusedConnection},
+	{name: 'no connection in time', steps: [fail('UND_ERR_CONNECT_TIMEOUT')], seen: AttemptObservation.refusedConnection},
+	{name: 'an end before the first byte', steps: [fail('ECONNRESET')], seen: AttemptObservation.closedBeforeFirstByte},
+	{name: 'a head that can\'t be sent', steps: [fail('UND_ERR_INVALID_ARG')], seen: AttemptObservation.unsendable},
 	{
-		name: 'a shed with Retry-After', steps: [connect, head(503, 'Retry-After', '2', 'Content-Length', '0'), complete], seen: Seen.shed, retryAfter: 2000,
+		name: 'a shed with Retry-After', steps: [connect, head(503, 'Retry-After', '2', 'Content-Length', '0'), complete], seen: AttemptObservation.shed, retryAfter: 2000,
 	},
 	{
-		name: 'a shed whose body does not end', steps: [connect, head(503, ...length), chunk, largeChunk], seen: Seen.shed, aborts: 1,
+		name: 'a shed whose body does not end', steps: [connect, head(503, ...length), chunk, largeChunk], seen: AttemptObservation.shed, aborts: 1,
 	},
 	{
-		name: 'a lease that ended', steps: [refusedConnect], seen: Seen.leaseLost, mayStart: false,
+		name: 'a lease that ended', steps: [refusedConnect], seen: AttemptObservation.leaseLost, mayStart: false,
 	},
-	{name: 'sent anew by the library', steps: [connect, refusedConnect, fail('UND_ERR_SOCKET')], seen: Seen.closedAfterFirstByte},
-	{name: 'given up while it waits for a connection', steps: [abandon(Abandoned.callerGone), refusedConnect], seen: Seen.cancelledBeforeFirstByte},
+	{name: 'sent anew by the library', steps: [connect, refusedConnect, fail('UND_ERR_SOCKET')], seen: AttemptObservation.closedAfterFirstByte},
+	{name: 'given up while it waits for a connection', steps: [abandon(Abandoned.callerGone), refusedConnect], seen: AttemptObservation.cancelledBeforeFirstByte},
 	{
-		name: 'given up after the first byte', steps: [connect, abandon(Abandoned.callerGone), fail('UND_ERR_ABORTED')], seen: Seen.cancelledAfterFirstByte, aborts: 1,
+		name: 'given up after the first byte', steps: [connect, abandon(Abandoned.callerGone), fail('UND_ERR_ABORTED')], seen: AttemptObservation.cancelledAfterFirstByte, aborts: 1,
 	},
-	{name: 'the deadline before the first byte', steps: [abandon(Abandoned.deadlinePassed), refusedConnect], seen: Seen.deadlinePassedBeforeFirstByte},
+	{name: 'the deadline before the first byte', steps: [abandon(Abandoned.deadlinePassed), refusedConnect], seen: AttemptObservation.deadlinePassedBeforeFirstByte},
 	{
-		name: 'an answer after the deadline', steps: [connect, abandon(Abandoned.deadlinePassed), ok, chunk, complete], seen: Seen.deadlinePassedAfterFirstByte, aborts: 1,
+		name: 'an answer after the deadline', steps: [connect, abandon(Abandoned.deadlinePassed), ok, chunk, complete], seen: AttemptObservation.deadlinePassedAfterFirstByte, aborts: 1,
 	},
 ];
 
@@ -164,5 +164,5 @@
 	t.mock.timers.tick(99);
 	assert.deepEqual(told.ends, []);
 	t.mock.timers.tick(1);
-	assert.deepEqual([told.ends, told.aborts > 0], [[[Seen.deadlinePassedAfterFirstByte, undefined]], true]);
+	assert.deepEqual([told.ends, told.aborts > 0], [[[AttemptObservation.deadlinePassedAfterFirstByte, undefined]], true]);
 });
