--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -22,7 +22,7 @@
 };
 
 /** How a ticket was taken. */
-export const Entered = {
+export const AdmissionDecision = {
 	/** It has a slot; `admitted` is not called. */
 	admitted: 'admitted',
 	/** It waits; `admitted` or `refused` is called later, unless it leaves. */
@@ -30,7 +30,7 @@
 } as const;
 
 /** One of the ways in. */
-export type Entered = (typeof Entered)[keyof typeof Entered];
+export type AdmissionDecision = (typeof AdmissionDecision)[keyof typeof AdmissionDecision];
 
 /** How an attempt ended, as far as admission goes. */
 export const Finished = {
@@ -74,7 +74,7 @@
 	/** The requests that may be under way now. */
 	readonly limit: number;
 	/** Takes a ticket, or refuses it at once with `overloaded`. */
-	enter(ticket: Ticket, now: MonotonicTime): Result<Entered, Failure>;
+	enter(ticket: Ticket, now: MonotonicTime): Result<AdmissionDecision, Failure>;
 	/** Gives a slot back and admits who is next. */
 	finish(how: Finished, latency: Milliseconds): void;
 	/** Takes a waiting ticket out. */
@@ -121,10 +121,10 @@
 		return Math.floor(this.#allowed);
 	}
 
-	enter(ticket: Ticket, now: MonotonicTime): Result<Entered, Failure> {
+	enter(ticket: Ticket, now: MonotonicTime): Result<AdmissionDecision, Failure> {
 		if (this.underWay < this.limit && this.#queue.length === 0) {
 			this.underWay++;
-			return Result.ok(Entered.admitted);
+			return Result.ok(AdmissionDecision.admitted);
 		}
 
 		const wait = this.#expectedWait();
@@ -158,7 +158,7 @@
 		return (this.#queue.length + 1) * this.#latency / this.limit;
 	}
 
-	#refusal(detail: string, wait: Milliseconds): Result<Entered, Failure> {
+	#refusal(detail: string, wait: Milliseconds): Result<AdmissionDecision, Failure> {
 		return Result.err(failure(FailureKind.overloaded, detail, {retryAfterMilliseconds: Math.ceil(wait)}));
 	}
 
@@ -179,9 +179,9 @@
 		return evicted !== undefined;
 	}
 
-	#enqueue(ticket: Ticket): Result<Entered, Failure> {
+	#enqueue(ticket: Ticket): Result<AdmissionDecision, Failure> {
 		this.#queue.push(ticket);
-		return Result.ok(Entered.queued);
+		return Result.ok(AdmissionDecision.queued);
 	}
 
 	#learn(how: Finished, latency: Milliseconds): void {
--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {Importance} from '@dogwooddeck/model/contract';
 import {
-	type Admission, connectionsFor, createAdmission, Entered, Finished, type Ticket,
+	type Admission, connectionsFor, createAdmission, AdmissionDecision, Finished, type Ticket,
 } from '@dogwooddeck/routing/admission';
 
 const seed = 20_261_204;
@@ -43,14 +43,14 @@
 test('admission: a slot is given on, in order', () => {
 	const admission = createAdmission({slots: 1, instances: 1, queueLength: 4});
 	const [first, second, third] = [ticketOf(), ticketOf(), ticketOf()];
-	assert.deepEqual([enter(admission, first), enter(admission, second), enter(admission, third)], [Entered.admitted, Entered.queued, Entered.queued]);
+	assert.deepEqual([enter(admission, first), enter(admission, second), enter(admission, third)], [AdmissionDecision.admitted, AdmissionDecision.queued, AdmissionDecision.queued]);
 	admission.leave(second);
 	admission.finish(Finished.neutral, 1);
 	assert.deepEqual([second.state, third.state, admission.underWay], ['new', 'admitted', 1]);
 });
 
 const waits = [
-	{name: 'in time', deadline: 1000, expected: Entered.queued},
+	{name: 'in time', deadline: 1000, expected: AdmissionDecision.queued},
 	{name: 'too late', deadline: 199, expected: 'overloaded'},
 ];
 
@@ -66,9 +66,9 @@
 	const admission = createAdmission({slots: 1, instances: 1, queueLength: 4});
 	enter(admission, ticketOf());
 	const low = [ticketOf(Importance.low), ticketOf(Importance.low), ticketOf(Importance.low)];
-	assert.deepEqual(low.map(ticket => enter(admission, ticket)), [Entered.queued, Entered.queued, 'overloaded']);
+	assert.deepEqual(low.map(ticket => enter(admission, ticket)), [AdmissionDecision.queued, AdmissionDecision.queued, 'overloaded']);
 	const high = [0, 1, 2, 3, 4].map(() => enter(admission, ticketOf()));
-	assert.deepEqual(high, [Entered.queued, Entered.queued, Entered.queued, Entered.queued, 'overloaded']);
+	assert.deepEqual(high, [AdmissionDecision.queued, AdmissionDecision.queued, AdmissionDecision.queued, AdmissionDecision.queued, 'overloaded']);
 	assert.deepEqual(low.map(ticket => ticket.state), ['refused', 'refused', 'new']);
 });
 
@@ -98,7 +98,7 @@
 			const before = admission.underWay;
 			if (kind === 'enter') {
 				const ticket = ticketOf(number % 2 === 0 ? Importance.low : Importance.high);
-				if (enter(admission, ticket) === Entered.queued) {
+				if (enter(admission, ticket) === AdmissionDecision.queued) {
 					waiting.push(ticket);
 				}
 			} else if (kind === 'leave') {
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -8,7 +8,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
-import {Entered, finishedBy, type Ticket} from '@dogwooddeck/routing/admission';
+import {AdmissionDecision, finishedBy, type Ticket} from '@dogwooddeck/routing/admission';
 import {
 	beginRequest, type RequestEffect, type RequestEvent, RequestPhase, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
@@ -250,7 +250,7 @@
 	#enter(owner: Owner): void {
 		owner.admission.enter(this, this.#path.now()).match({
 			Ok: how => {
-				if (how === Entered.admitted) {
+				if (how === AdmissionDecision.admitted) {
 					this.admitted();
 				} else {
 					this.#armDeadline();
