--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -53,7 +53,7 @@
 };
 
 /** What the end of an attempt says about the upstream's load. */
-export function finishedBy(seen: AttemptObservation): Finished {
+export function completionOf(seen: AttemptObservation): Finished {
 	return finishedBySeen[seen] ?? Finished.neutral;
 }
 
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -8,7 +8,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
-import {AdmissionDecision, finishedBy, type Ticket} from '@dogwooddeck/routing/admission';
+import {AdmissionDecision, completionOf, type Ticket} from '@dogwooddeck/routing/admission';
 import {
 	beginRequest, type RequestEffect, type RequestEvent, RequestPhase, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
@@ -147,7 +147,7 @@
 			budgetAllows: this.#path.allowsRetry(this.#opened),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
 		});
-		owner.admission.finish(finishedBy(seen), latencyMilliseconds);
+		owner.admission.finish(completionOf(seen), latencyMilliseconds);
 	}
 
 	/** Feeds the state machine and carries its effects out. */
