--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -33,7 +33,7 @@
 export type AdmissionDecision = (typeof AdmissionDecision)[keyof typeof AdmissionDecision];
 
 /** How an attempt ended, as far as admission goes. */
-export const Finished = {
+export const RequestCompletion = {
 	/** A whole answer came: the upstream keeps up. */
 	answered: 'answered',
 	/** The upstream shed, timed out or cut: it does not keep up. */
@@ -43,18 +43,18 @@
 } as const;
 
 /** One of the ends. */
-export type Finished = (typeof Finished)[keyof typeof Finished];
+export type RequestCompletion = (typeof RequestCompletion)[keyof typeof RequestCompletion];
 
-const finishedBySeen: Partial<Record<AttemptObservation, Finished>> = {
-	[AttemptObservation.wholeAnswer]: Finished.answered,
-	[AttemptObservation.shed]: Finished.strained,
-	[AttemptObservation.deadlinePassedAfterFirstByte]: Finished.strained,
-	[AttemptObservation.closedAfterFirstByte]: Finished.strained,
+const finishedBySeen: Partial<Record<AttemptObservation, RequestCompletion>> = {
+	[AttemptObservation.wholeAnswer]: RequestCompletion.answered,
+	[AttemptObservation.shed]: RequestCompletion.strained,
+	[AttemptObservation.deadlinePassedAfterFirstByte]: RequestCompletion.strained,
+	[AttemptObservation.closedAfterFirstByte]: RequestCompletion.strained,
 };
 
 /** What the end of an attempt says about the upstream's load. */
-export function completionOf(seen: AttemptObservation): Finished {
-	return finishedBySeen[seen] ?? Finished.neutral;
+export function completionOf(seen: AttemptObservation): RequestCompletion {
+	return finishedBySeen[seen] ?? RequestCompletion.neutral;
 }
 
 /** The bounds of one upstream's admission. */
@@ -76,7 +76,7 @@
 	/** Takes a ticket, or refuses it at once with `overloaded`. */
 	enter(ticket: Ticket, now: MonotonicTime): Result<AdmissionDecision, Failure>;
 	/** Gives a slot back and admits who is next. */
-	finish(how: Finished, latency: Milliseconds): void;
+	finish(how: RequestCompletion, latency: Milliseconds): void;
 	/** Takes a waiting ticket out. */
 	leave(ticket: Ticket): void;
 	/** Changes the bounds, as upstreams' contracts and the number of instances do. */
@@ -135,7 +135,7 @@
 		return this.#hasRoomFor(ticket) ? this.#enqueue(ticket) : this.#refusal('the queue of the key\'s owner is full', wait);
 	}
 
-	finish(how: Finished, latency: Milliseconds): void {
+	finish(how: RequestCompletion, latency: Milliseconds): void {
 		this.underWay--;
 		this.#learn(how, latency);
 		this.#admitNext();
@@ -184,11 +184,11 @@
 		return Result.ok(AdmissionDecision.queued);
 	}
 
-	#learn(how: Finished, latency: Milliseconds): void {
-		if (how === Finished.answered) {
+	#learn(how: RequestCompletion, latency: Milliseconds): void {
+		if (how === RequestCompletion.answered) {
 			this.#latency += (latency - this.#latency) * latencyWeight;
 			this.#allowed = Math.min(Math.max(1, this.#bounds.slots), this.#allowed + (1 / this.#allowed));
-		} else if (how === Finished.strained) {
+		} else if (how === RequestCompletion.strained) {
 			this.#allowed = Math.max(shareOf(this.#bounds), this.#allowed / 2);
 		}
 	}
--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {Importance} from '@dogwooddeck/model/contract';
 import {
-	type Admission, connectionsFor, createAdmission, AdmissionDecision, Finished, type Ticket,
+	type Admission, connectionsFor, createAdmission, AdmissionDecision, RequestCompletion, type Ticket,
 } from '@dogwooddeck/routing/admission';
 
 const seed = 20_261_204;
@@ -34,7 +34,7 @@
 	const admission = createAdmission({slots, instances: 1, queueLength: 4});
 	for (let count = 0; count < 100; count++) {
 		enter(admission, ticketOf());
-		admission.finish(Finished.answered, latency);
+		admission.finish(RequestCompletion.answered, latency);
 	}
 
 	return admission;
@@ -45,7 +45,7 @@
 	const [first, second, third] = [ticketOf(), ticketOf(), ticketOf()];
 	assert.deepEqual([enter(admission, first), enter(admission, second), enter(admission, third)], [AdmissionDecision.admitted, AdmissionDecision.queued, AdmissionDecision.queued]);
 	admission.leave(second);
-	admission.finish(Finished.neutral, 1);
+	admission.finish(RequestCompletion.neutral, 1);
 	assert.deepEqual([second.state, third.state, admission.underWay], ['new', 'admitted', 1]);
 });
 
@@ -77,13 +77,13 @@
 	const began = admission.limit;
 	for (let count = 0; count < 1000; count++) {
 		enter(admission, ticketOf());
-		admission.finish(Finished.answered, 1);
+		admission.finish(RequestCompletion.answered, 1);
 	}
 
 	const grown = admission.limit;
 	for (let count = 0; count < 10; count++) {
 		enter(admission, ticketOf());
-		admission.finish(Finished.strained, 1);
+		admission.finish(RequestCompletion.strained, 1);
 	}
 
 	assert.deepEqual([began, grown, admission.limit], [2, 18, 2]);
@@ -107,7 +107,7 @@
 					admission.leave(ticket);
 				}
 			} else if (before > 0) {
-				admission.finish(kind === 'finish' ? Finished.answered : Finished.strained, number);
+				admission.finish(kind === 'finish' ? RequestCompletion.answered : RequestCompletion.strained, number);
 			}
 
 			assert.ok(admission.underWay <= Math.max(3, before));
