--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -22,7 +22,7 @@
 import {type SlotHash} from '@dogwooddeck/placement/hash';
 import {type Admission, connectionsFor, createAdmission} from '@dogwooddeck/routing/admission';
 import {
-	allowsRetry, bookAttempt, createRetryBudget, type RetryBudget,
+	allowsRetry, recordAttempt, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
 import {fingerprintOf} from '@dogwooddeck/routing/claim-fingerprint';
 import {deadlineOf} from '@dogwooddeck/routing/deadline';
@@ -280,7 +280,7 @@
 		mayStart: mayStartNow,
 		allowsRetry: request => allowsRetry(budgetOf(request)),
 		attemptStarted(request, owner, retry) {
-			budgets.set(owner.service, bookAttempt(budgetOf(request), {kind: retry ? 'retry' : 'first-attempt'}).state);
+			budgets.set(owner.service, recordAttempt(budgetOf(request), {kind: retry ? 'retry' : 'first-attempt'}).state);
 			evidence.started(owner.upstream);
 			reports.requested(owner.service, owner.slot, request.key);
 		},
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -12,7 +12,7 @@
 import {WaitingLine} from '@dogwooddeck/gateway/waiting';
 import {type KeyRange, rangeOfKey, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {
-	allowsRetry, bookAttempt, boundBudget, createRetryBudget, type RetryBudget,
+	allowsRetry, recordAttempt, boundBudget, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
 import {type ConnectionTerms} from './connection.js';
 import {type EntrySettings} from './settings.js';
@@ -216,11 +216,11 @@
 		return false;
 	}
 
-	service.budget = bookAttempt(service.budget, {kind: 'retry'}).state;
+	service.budget = recordAttempt(service.budget, {kind: 'retry'}).state;
 	return true;
 }
 
 /** Books the first attempt of a request. */
 export function bookFirst(service: KnownService): void {
-	service.budget = bookAttempt(service.budget, {kind: 'first-attempt'}).state;
+	service.budget = recordAttempt(service.budget, {kind: 'first-attempt'}).state;
 }
--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -33,7 +33,7 @@
 }
 
 /** Books a first attempt or a retry. */
-export function bookAttempt(budget: RetryBudget, event: RetryBudgetEvent): Transition<RetryBudget, never> {
+export function recordAttempt(budget: RetryBudget, event: RetryBudgetEvent): Transition<RetryBudget, never> {
 	const change = event.kind === 'retry' ? -1 : budget.ratio;
 	return {state: {...budget, balance: Math.min(budget.largest, budget.balance + change)}, effects: []};
 }
--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -6,7 +6,7 @@
 import {
 	beginRequest, type RequestEffect, type RequestEvent, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
-import {allowsRetry, bookAttempt, createRetryBudget} from '@dogwooddeck/routing/budget';
+import {allowsRetry, recordAttempt, createRetryBudget} from '@dogwooddeck/routing/budget';
 import {AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 
 const seed = 20_261_204;
@@ -160,9 +160,9 @@
 	let budget = createRetryBudget(0.1);
 	let retries = 0;
 	for (let count = 0; count < 1000; count++) {
-		budget = bookAttempt(budget, {kind: 'first-attempt'}).state;
+		budget = recordAttempt(budget, {kind: 'first-attempt'}).state;
 		if (allowsRetry(budget)) {
-			budget = bookAttempt(budget, {kind: 'retry'}).state;
+			budget = recordAttempt(budget, {kind: 'retry'}).state;
 			retries++;
 		}
 	}
--- a/packages/stand-in/src/cost-children.ts
+++ b/packages/stand-in/src/cost-children.ts
@@ -12,7 +12,7 @@
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {createAdmission} from '@dogwooddeck/routing/admission';
 import {
-	allowsRetry, bookAttempt, createRetryBudget, type RetryBudget,
+	allowsRetry, recordAttempt, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
 import {deadlineOf} from '@dogwooddeck/routing/deadline';
 import {
@@ -102,7 +102,7 @@
 	}
 
 	attemptStarted(_opened: OpenedRequest, _owner: RequestOwner, retry: boolean): void {
-		this.#budget = bookAttempt(this.#budget, {kind: retry ? 'retry' : 'first-attempt'}).state;
+		this.#budget = recordAttempt(this.#budget, {kind: retry ? 'retry' : 'first-attempt'}).state;
 	}
 
 	attemptEnded(): void {
