--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -9,7 +9,7 @@
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
-import {createFlights} from '@dogwooddeck/ownership/drain';
+import {createInFlightTracker} from '@dogwooddeck/ownership/drain';
 import {defaultLeaseTerms} from '@dogwooddeck/ownership/terms';
 import {createSlotHash} from '@dogwooddeck/placement/hash';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
@@ -72,7 +72,7 @@
 	const textHash = await loadTextHash();
 	const holder = createControlHolder();
 	const clients = createPeerClients(settings.keys.peer);
-	const flights = createFlights(terms);
+	const flights = createInFlightTracker(terms);
 	const evidence = createEvidenceRecorder();
 	const measures = createMeasures();
 	const requestMeasures = createRequestMeasures(measures);
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -76,7 +76,7 @@
 }
 
 /** Makes an empty count. */
-export function createFlights(terms: LeaseTerms): Flights {
+export function createInFlightTracker(terms: LeaseTerms): Flights {
 	const services = new Map<ServiceName, SlotFlights>();
 	let inFlight = 0;
 
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -12,7 +12,7 @@
 	Instance, type Plan, type Refusal, services, slotCount, Upstream, type Work,
 } from './actors.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
-import {createFlights} from '@dogwooddeck/ownership/drain';
+import {createInFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
 	answered, createLease, isHeld, mayStart, requestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
@@ -75,7 +75,7 @@
 		instance.record = {...instance.record, incarnation: instance.life};
 		instance.steward = createSteward(instance.record, now, terms);
 		instance.lease = createLease(terms);
-		instance.flights = createFlights(terms);
+		instance.flights = createInFlightTracker(terms);
 		instance.applied = 0;
 		instance.seatAskedAt = -Infinity;
 		instance.dueAt = -Infinity;
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {AssignmentPhase, type Assignment} from '@dogwooddeck/model/assignment';
-import {createFlights, type Flights} from '@dogwooddeck/ownership/drain';
+import {createInFlightTracker, type Flights} from '@dogwooddeck/ownership/drain';
 import {
 	answered, createLease, type LeaseState, mayStart, requestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
@@ -113,7 +113,7 @@
 for (const {name, assignment, at = 10, finish, expected} of drains) {
 	test(`drain: one request in flight: ${name}`, () => {
 		const state: OwnershipState = {...emptyOwnership, services: {s: {service: 's', assignments: [assignment], pinned: []}}};
-		const flights = createFlights(terms);
+		const flights = createInFlightTracker(terms);
 		const flight = flights.started('s', 0, 7, 0, 1000);
 		finish?.(flights, flight);
 		assert.equal(flights.drained(state, 30, at), expected);
