--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -15,7 +15,7 @@
 	type InstanceName, type Milliseconds, type MonotonicTime, type ServiceName, type Slot, type UpstreamIdentity, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {type Flight, type Flights} from '@dogwooddeck/ownership/drain';
+import {type Flight, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {isHeld, type LeaseState, mayStart} from '@dogwooddeck/ownership/lease';
 import {routedDeadline} from '@dogwooddeck/ownership/policy';
 import {assignmentOf, seatedInstances, slotFor} from '@dogwooddeck/ownership/table';
@@ -67,7 +67,7 @@
 	readonly lease: () => LeaseState;
 	/** When requests that are under way are ended; infinite unless the instance stops. */
 	readonly endsAt: () => MonotonicTime;
-	readonly flights: Flights;
+	readonly flights: InFlightTracker;
 	readonly evidence: EvidenceRecorder;
 	readonly reports: ReportCollector;
 	readonly claims: ClaimRunner;
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -4,7 +4,7 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type LimitShare} from '@dogwooddeck/model/share';
-import {type Flights} from '@dogwooddeck/ownership/drain';
+import {type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {type LeaseTerms} from '@dogwooddeck/ownership/terms';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {type PeerClients} from '@dogwooddeck/wire/client';
@@ -22,7 +22,7 @@
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly clients: PeerClients;
-	readonly flights: Flights;
+	readonly flights: InFlightTracker;
 	/** What this instance saw. */
 	readonly ownReports: ReportCollector;
 	/** What this instance passes on as steward. */
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -25,7 +25,7 @@
 };
 
 /** The requests that an instance has in flight. */
-export type Flights = {
+export type InFlightTracker = {
 	/** Notes that a request is about to be handed to the socket. Its deadline is on this instance's clock. */
 	readonly started: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => Flight;
 	/** Notes that a request is over at its upstream: a whole answer, or certainly not run. */
@@ -76,7 +76,7 @@
 }
 
 /** Makes an empty count. */
-export function createInFlightTracker(terms: LeaseTerms): Flights {
+export function createInFlightTracker(terms: LeaseTerms): InFlightTracker {
 	const services = new Map<ServiceName, SlotFlights>();
 	let inFlight = 0;
 
--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -6,7 +6,7 @@
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {Process} from './world.js';
-import {type Flights} from '@dogwooddeck/ownership/drain';
+import {type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {type LeaseState} from '@dogwooddeck/ownership/lease';
 import {type StewardState} from '@dogwooddeck/ownership/steward-state';
 
@@ -65,7 +65,7 @@
 	record!: InstanceRecord;
 	steward!: StewardState;
 	lease!: LeaseState;
-	flights!: Flights;
+	flights!: InFlightTracker;
 	applied: LogIndex = 0;
 	seatAskedAt = -Infinity;
 	/** When the steward's next tick has something to do, as told after its last event. */
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {AssignmentPhase, type Assignment} from '@dogwooddeck/model/assignment';
-import {createInFlightTracker, type Flights} from '@dogwooddeck/ownership/drain';
+import {createInFlightTracker, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
 	answered, createLease, type LeaseState, mayStart, requestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
@@ -85,7 +85,7 @@
 	readonly name: string;
 	readonly assignment: Assignment;
 	readonly at?: number;
-	readonly finish?: (flights: Flights, flight: ReturnType<Flights['started']>) => void;
+	readonly finish?: (flights: InFlightTracker, flight: ReturnType<InFlightTracker['started']>) => void;
 	readonly expected: number;
 }> = [
 	{name: 'still allowed', assignment: granted, expected: 30},
