--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -15,7 +15,7 @@
 	type InstanceName, type Milliseconds, type MonotonicTime, type ServiceName, type Slot, type UpstreamIdentity, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {type Flight, type InFlightTracker} from '@dogwooddeck/ownership/drain';
+import {type InFlightRequests, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {isHeld, type LeaseState, mayStart} from '@dogwooddeck/ownership/lease';
 import {routedDeadline} from '@dogwooddeck/ownership/policy';
 import {assignmentOf, seatedInstances, slotFor} from '@dogwooddeck/ownership/table';
@@ -56,7 +56,7 @@
 	readonly upstream: UpstreamIdentity;
 	readonly zone: ZoneName;
 	/** Set when the first byte may go. */
-	flight: Flight | undefined;
+	flight: InFlightRequests | undefined;
 };
 
 /** What the path needs. */
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -13,7 +13,7 @@
 import {grantorWait, type LeaseTerms} from './terms.js';
 
 /** The requests of one instance under one assignment. Give it back to `ended` or `abandoned`. */
-export type Flight = {
+export type InFlightRequests = {
 	readonly service: ServiceName;
 	readonly slot: Slot;
 	readonly fence: FenceNumber;
@@ -27,11 +27,11 @@
 /** The requests that an instance has in flight. */
 export type InFlightTracker = {
 	/** Notes that a request is about to be handed to the socket. Its deadline is on this instance's clock. */
-	readonly started: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => Flight;
+	readonly started: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => InFlightRequests;
 	/** Notes that a request is over at its upstream: a whole answer, or certainly not run. */
-	readonly ended: (flight: Flight) => void;
+	readonly ended: (flight: InFlightRequests) => void;
 	/** Notes that a request was given up while its upstream may still run it until its deadline. */
-	readonly abandoned: (flight: Flight) => void;
+	readonly abandoned: (flight: InFlightRequests) => void;
 	/** The largest index such that nothing which an earlier entry allowed and the table doesn't is in flight. */
 	readonly drained: (state: OwnershipState, applied: LogIndex, now: MonotonicTime) => LogIndex;
 	/** The number of requests in flight. */
@@ -39,12 +39,12 @@
 };
 
 /** Whether something of a flight may still be running. */
-function running(flight: Flight, now: MonotonicTime): boolean {
+function running(flight: InFlightRequests, now: MonotonicTime): boolean {
 	return (flight.inFlight > 0 && now < flight.pastDeadlineAt) || now < flight.abandonedUntil;
 }
 
 /** The index up to which a flight doesn't stand in the way. */
-function drainedBefore(flight: Flight, state: OwnershipState): LogIndex {
+function drainedBefore(flight: InFlightRequests, state: OwnershipState): LogIndex {
 	const assignment = assignmentOf(state, flight.service, flight.slot);
 	if (assignment === undefined || assignment.phase === AssignmentPhase.vacant || assignment.fence !== flight.fence) {
 		return flight.fence;
@@ -53,9 +53,9 @@
 	return assignment.phase === AssignmentPhase.revoking ? assignment.revokedAt - 1 : Infinity;
 }
 
-type SlotFlights = Map<Slot, Flight[]>;
+type SlotFlights = Map<Slot, InFlightRequests[]>;
 
-function flightFor(slots: SlotFlights, service: ServiceName, slot: Slot, fence: FenceNumber): Flight {
+function flightFor(slots: SlotFlights, service: ServiceName, slot: Slot, fence: FenceNumber): InFlightRequests {
 	let flights = slots.get(slot);
 	if (flights === undefined) {
 		flights = [];
@@ -80,7 +80,7 @@
 	const services = new Map<ServiceName, SlotFlights>();
 	let inFlight = 0;
 
-	function started(service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime): Flight {
+	function started(service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime): InFlightRequests {
 		let slots = services.get(service);
 		if (slots === undefined) {
 			slots = new Map();
@@ -94,12 +94,12 @@
 		return flight;
 	}
 
-	function ended(flight: Flight): void {
+	function ended(flight: InFlightRequests): void {
 		flight.inFlight -= 1;
 		inFlight -= 1;
 	}
 
-	function abandoned(flight: Flight): void {
+	function abandoned(flight: InFlightRequests): void {
 		flight.abandonedUntil = flight.pastDeadlineAt;
 		ended(flight);
 	}
