--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -60,7 +60,7 @@
 }
 
 /** What is known of an upstream that was never heard. */
-export function unheard(state: WatchState): UpstreamWatch {
+export function noContact(state: WatchState): UpstreamWatch {
 	return {
 		heardAt: state.startedAt, heardInReport: 0, witnesses: {}, flaps: {lives: []},
 	};
@@ -68,7 +68,7 @@
 
 /** What is known of an upstream. */
 export function watchOf(state: WatchState, service: ServiceName, name: string): UpstreamWatch {
-	return state.upstreams.get(upstreamKey(service, name)) ?? unheard(state);
+	return state.upstreams.get(upstreamKey(service, name)) ?? noContact(state);
 }
 
 /** When this leader let the incarnation join. Absent: it joined before this leader's time. */
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -18,7 +18,7 @@
 } from './registry.js';
 import {lostCommands} from './verdict.js';
 import {
-	announcementTimeoutMilliseconds, unheard, upstreamKey, type UpstreamWatch, watchOf, type WatchState, zoneTimeoutMilliseconds, type ZoneWatch,
+	announcementTimeoutMilliseconds, noContact, upstreamKey, type UpstreamWatch, watchOf, type WatchState, zoneTimeoutMilliseconds, type ZoneWatch,
 } from './view.js';
 import {noteEvidence} from './witness.js';
 
@@ -97,11 +97,11 @@
 	for (const announcement of report.announcements) {
 		const {service, name, zone} = announcement;
 		const key = upstreamKey(service, name);
-		upstreams.set(key, hearAnnouncement(upstreams.get(key) ?? unheard(state), announcement, zones[zone]?.reports ?? 0, now));
+		upstreams.set(key, hearAnnouncement(upstreams.get(key) ?? noContact(state), announcement, zones[zone]?.reports ?? 0, now));
 	}
 
 	for (const [key, evidence] of byUpstream(report.evidence)) {
-		const watch = upstreams.get(key) ?? unheard(state);
+		const watch = upstreams.get(key) ?? noContact(state);
 		upstreams.set(key, {...watch, witnesses: noteEvidence(watch.witnesses, evidence, reporter.zone, now)});
 	}
 
