--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -16,7 +16,7 @@
 	acknowledgedBy, type ClaimSpread, noteApplied, seatsBehind, spreadOf,
 } from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
-import {type ClaimDesk, createClaimDesk} from '@dogwooddeck/upstream-client/claim-desk';
+import {type ClaimDesk, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type Result} from 'true-myth/result';
 import {type ClaimReport, readClaimAnswer, readClaimMessage} from './claim-message.js';
@@ -75,7 +75,7 @@
 		}
 	}
 
-	const desk = createClaimDesk({
+	const desk = createClaimCoordinator({
 		self, hash, bounds: holderBounds, lifetimeMilliseconds: claimLifetimeMilliseconds, rosters: [], rostersComplete: true, now: monotonicNow(),
 	}, {
 		async ask(request) {
--- a/packages/stand-in/test/entry.ts
+++ b/packages/stand-in/test/entry.ts
@@ -15,7 +15,7 @@
 import {fingerprintOf} from '@dogwooddeck/routing/claim-fingerprint';
 import {type RequestHead} from '@dogwooddeck/routing/target';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
-import {type ClaimDesk, createClaimDesk} from '@dogwooddeck/upstream-client/claim-desk';
+import {type ClaimDesk, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
 import {createUpstreamClient, type UpstreamClient} from '@dogwooddeck/upstream-client/client';
 import {forward} from '@dogwooddeck/upstream-client/forward';
 import {
@@ -126,7 +126,7 @@
 	const lost = new Set<string>();
 	const desks = new Map<string, ClaimDesk>();
 	for (const self of roster.seats) {
-		desks.set(self.name, createClaimDesk({
+		desks.set(self.name, createClaimCoordinator({
 			self: {name: self.name, incarnation: self.incarnation},
 			hash,
 			bounds: {records: 10_000, answerBytes: 10_000_000},
--- a/packages/upstream-client/src/claim-desk.ts
+++ b/packages/upstream-client/src/claim-desk.ts
@@ -161,6 +161,6 @@
 }
 
 /** Opens the claims of an instance that has just started. */
-export function createClaimDesk(input: ClaimsInput, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimDesk {
+export function createClaimCoordinator(input: ClaimsInput, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimDesk {
 	return new CarriedClaims(input, carrier, now);
 }
