--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -16,7 +16,7 @@
 	acknowledgedBy, type ClaimSpread, noteApplied, seatsBehind, spreadOf,
 } from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
-import {type ClaimDesk, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
+import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type Result} from 'true-myth/result';
 import {type ClaimReport, readClaimAnswer, readClaimMessage} from './claim-message.js';
@@ -25,7 +25,7 @@
 
 /** The claims of this instance. */
 export type ClaimRunner = {
-	readonly claim: ClaimDesk['claim'];
+	readonly claim: ClaimCoordinator['claim'];
 	/** Takes a message of another instance, as JSON. */
 	readonly take: (body: string) => Result<string, Failure>;
 	/** What this instance tells of the claims that it holds. */
--- a/packages/stand-in/test/entry.ts
+++ b/packages/stand-in/test/entry.ts
@@ -15,7 +15,7 @@
 import {fingerprintOf} from '@dogwooddeck/routing/claim-fingerprint';
 import {type RequestHead} from '@dogwooddeck/routing/target';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
-import {type ClaimDesk, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
+import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
 import {createUpstreamClient, type UpstreamClient} from '@dogwooddeck/upstream-client/client';
 import {forward} from '@dogwooddeck/upstream-client/forward';
 import {
@@ -29,7 +29,7 @@
 	readonly attempts: number;
 	/** Whether the lease still holds right before the first byte. */
 	readonly holdsLease?: () => boolean;
-	readonly desk?: ClaimDesk;
+	readonly desk?: ClaimCoordinator;
 };
 
 type Opened = OpenedRequest & {readonly head: RequestHead};
@@ -122,9 +122,9 @@
 const unreachable = failure(FailureKind.unreachable, 'the instance is lost');
 
 /** The claims of a group of instances that reach each other within one process, and can be lost. */
-export function createDesks(roster: ClaimRoster, hash: TextHash): {readonly desks: ReadonlyMap<string, ClaimDesk>; readonly lost: Set<string>} {
+export function createDesks(roster: ClaimRoster, hash: TextHash): {readonly desks: ReadonlyMap<string, ClaimCoordinator>; readonly lost: Set<string>} {
 	const lost = new Set<string>();
-	const desks = new Map<string, ClaimDesk>();
+	const desks = new Map<string, ClaimCoordinator>();
 	for (const self of roster.seats) {
 		desks.set(self.name, createClaimCoordinator({
 			self: {name: self.name, incarnation: self.incarnation},
--- a/packages/upstream-client/src/claim-desk.ts
+++ b/packages/upstream-client/src/claim-desk.ts
@@ -51,7 +51,7 @@
 };
 
 /** The claims of one instance. */
-export type ClaimDesk = {
+export type ClaimCoordinator = {
 	/** Claims an operation and calls `decided` once. */
 	claim(wish: ClaimWish, decided: (decision: ClaimDecision) => void): OpenClaim;
 	/** Takes a message of another instance; a request is answered at once. */
@@ -64,7 +64,7 @@
 	sweep(acknowledged: LogIndex): void;
 };
 
-class CarriedClaims implements ClaimDesk {
+class CarriedClaims implements ClaimCoordinator {
 	static readonly #effects: HandlerTable<ClaimsEffect, [CarriedClaims], void> = {
 		send(effect, desk) {
 			void desk.#send(effect.message);
@@ -161,6 +161,6 @@
 }
 
 /** Opens the claims of an instance that has just started. */
-export function createClaimCoordinator(input: ClaimsInput, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimDesk {
+export function createClaimCoordinator(input: ClaimsInput, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimCoordinator {
 	return new CarriedClaims(input, carrier, now);
 }
