--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -16,7 +16,7 @@
 	acknowledgedBy, type ClaimSpread, noteApplied, seatsBehind, spreadOf,
 } from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
-import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
+import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-coordinator';
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type Result} from 'true-myth/result';
 import {type ClaimReport, readClaimAnswer, readClaimMessage} from './claim-message.js';
--- a/packages/stand-in/test/entry.ts
+++ b/packages/stand-in/test/entry.ts
@@ -15,7 +15,7 @@
 import {fingerprintOf} from '@dogwooddeck/routing/claim-fingerprint';
 import {type RequestHead} from '@dogwooddeck/routing/target';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
-import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-desk';
+import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-coordinator';
 import {createUpstreamClient, type UpstreamClient} from '@dogwooddeck/upstream-client/client';
 import {forward} from '@dogwooddeck/upstream-client/forward';
 import {
