--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -16,7 +16,7 @@
 import {type OperatorAsked} from '@dogwooddeck/control/command';
 import {requireServedAgain} from '@dogwooddeck/control/served-again';
 import {type ControlAccepted, type ControlState} from '@dogwooddeck/control/state';
-import {type OperatorSurface, type SurfaceHandler, type SurfaceRequest} from '@dogwooddeck/front/surface';
+import {type OperatorSurface, type SurfaceHandler, type ApiRequest} from '@dogwooddeck/front/surface';
 import {upstreamOf, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {
 	type Assignment, AssignmentPhase, assignmentsInUse, type PinnedKey,
@@ -62,11 +62,11 @@
 const anyAuthority: Permission = (_state, authority) => ok(authority);
 const ofTeam = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
-function permitted({token}: SurfaceRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
+function permitted({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
 	return authorityOf(state.configuration, hashToken(token)).andThen(authority => permission(state, authority));
 }
 
-function queried({query}: SurfaceRequest, name: string): Result<string, Failure> {
+function queried({query}: ApiRequest, name: string): Result<string, Failure> {
 	const value = query[name];
 	return value === undefined || value === '' ? err(failure(FailureKind.malformed, `the query lacks "${name}"`)) : ok(value);
 }
@@ -127,7 +127,7 @@
 	function writing<Read>(
 		parse: (body: unknown) => Result<Read, Failure>,
 		permission: (read: Read) => Permission,
-		act: (read: Read, request: SurfaceRequest) => Promise<Result<unknown, Failure>>,
+		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): SurfaceHandler {
 		return async request => {
 			const known = permitted(request, holder.state(), anyAuthority);
@@ -153,7 +153,7 @@
 		};
 	}
 
-	async function members(request: SurfaceRequest): Promise<Result<unknown, Failure>> {
+	async function members(request: ApiRequest): Promise<Result<unknown, Failure>> {
 		const state = holder.state();
 		const allowed = permitted(request, state, anyAuthority);
 		if (allowed.isErr) {
--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -7,7 +7,7 @@
 	Body, Controller, Get, Headers, HttpCode, Inject, Post, Query,
 } from '@nestjs/common';
 import {operatorSurfaceToken} from './injection.js';
-import {type OperatorSurface, type SurfaceHandler, type SurfaceRequest} from './surface.js';
+import {type OperatorSurface, type SurfaceHandler, type ApiRequest} from './surface.js';
 
 type HeaderFields = Readonly<Record<string, string | undefined>>;
 type QueryFields = Readonly<Record<string, unknown>>;
@@ -15,7 +15,7 @@
 const bearer = /^bearer\s+(\S+)$/iv;
 const okStatus = 200;
 
-function surfaceRequest(headers: HeaderFields, query: QueryFields, body: unknown): SurfaceRequest {
+function surfaceRequest(headers: HeaderFields, query: QueryFields, body: unknown): ApiRequest {
 	const single = Object.entries(query).filter((pair): pair is [string, string] => typeof pair[1] === 'string');
 	return {
 		token: bearer.exec(headers.authorization ?? '')?.[1] ?? '',
@@ -25,7 +25,7 @@
 	};
 }
 
-async function answered(handler: SurfaceHandler, request: SurfaceRequest): Promise<unknown> {
+async function answered(handler: SurfaceHandler, request: ApiRequest): Promise<unknown> {
 	const answer = await handler(request);
 	if (answer.isErr) {
 		throw new FailureError(answer.error);
--- a/packages/front/src/surface.ts
+++ b/packages/front/src/surface.ts
@@ -7,7 +7,7 @@
 import {type Result} from 'true-myth/result';
 
 /** What an operator or an upstream sent. */
-export type SurfaceRequest = {
+export type ApiRequest = {
 	/** The bearer token; empty where there is none. */
 	readonly token: string;
 	/** A label for the history that gives no right. */
@@ -17,7 +17,7 @@
 };
 
 /** Answers one kind of request with a JSON value or a failure. */
-export type SurfaceHandler = (request: SurfaceRequest) => Promise<Result<unknown, Failure>>;
+export type SurfaceHandler = (request: ApiRequest) => Promise<Result<unknown, Failure>>;
 
 /** The operators' surface, keyed by the last segment of the path. */
 export type OperatorSurface = {
--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -12,10 +12,10 @@
 import {ok} from 'true-myth/result';
 import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 import {
-	type FrontServer, type OperatorSurface, type SurfaceHandler, type SurfaceRequest,
+	type FrontServer, type OperatorSurface, type SurfaceHandler, type ApiRequest,
 } from '@dogwooddeck/front/surface';
 
-const reached: SurfaceRequest[] = [];
+const reached: ApiRequest[] = [];
 let server: FrontServer;
 
 const handle: SurfaceHandler = async request => {
@@ -123,7 +123,7 @@
 	});
 }
 
-const taken: ReadonlyArray<readonly [name: string, bytes: string, expected: Partial<SurfaceRequest>]> = [
+const taken: ReadonlyArray<readonly [name: string, bytes: string, expected: Partial<ApiRequest>]> = [
 	['of a field that stands twice the last counts', posted('{"base": 1, "base": 2}'), {body: {base: 2}}],
 	['of two tokens the first counts', request('GET', '/operator/status', ['authorization: Bearer one', 'authorization: Bearer two']), {token: 'one'}],
 	['a token of another scheme is none', request('GET', '/operator/status', ['authorization: Basic b25l']), {token: ''}],
