--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -7,7 +7,7 @@
 import {parseStrictly, strictObject} from '@dogwooddeck/configuration/strict-schema';
 import {contractOf} from '@dogwooddeck/configuration/tree';
 import {type ControlState} from '@dogwooddeck/control/state';
-import {type SurfaceHandler} from '@dogwooddeck/front/surface';
+import {type ApiHandler} from '@dogwooddeck/front/surface';
 import {checkAnnouncement} from '@dogwooddeck/membership/registry';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type Announcement} from '@dogwooddeck/model/registry';
@@ -51,7 +51,7 @@
 };
 
 /** Makes the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
-export function createAnnouncements({holder, key, isStopping, taken}: AnnouncementSurroundings): SurfaceHandler {
+export function createAnnouncements({holder, key, isStopping, taken}: AnnouncementSurroundings): ApiHandler {
 	return async ({token, body}) => {
 		if (!sameSecret(token, key)) {
 			return err(failure(FailureKind.unauthenticated, 'the announcement carries no right token'));
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -16,7 +16,7 @@
 import {type OperatorAsked} from '@dogwooddeck/control/command';
 import {requireServedAgain} from '@dogwooddeck/control/served-again';
 import {type ControlAccepted, type ControlState} from '@dogwooddeck/control/state';
-import {type OperatorSurface, type SurfaceHandler, type ApiRequest} from '@dogwooddeck/front/surface';
+import {type OperatorSurface, type ApiHandler, type ApiRequest} from '@dogwooddeck/front/surface';
 import {upstreamOf, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {
 	type Assignment, AssignmentPhase, assignmentsInUse, type PinnedKey,
@@ -53,8 +53,8 @@
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
 	/** Asks another instance what it has applied; undefined if it can't be reached. */
 	readonly askMember: (member: InstanceRecord) => Promise<MemberReport | undefined>;
-	readonly announce: SurfaceHandler;
-	readonly burn: SurfaceHandler;
+	readonly announce: ApiHandler;
+	readonly burn: ApiHandler;
 };
 
 type Permission = (state: ControlState, authority: Authority) => Result<Authority, Failure>;
@@ -128,7 +128,7 @@
 		parse: (body: unknown) => Result<Read, Failure>,
 		permission: (read: Read) => Permission,
 		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
-	): SurfaceHandler {
+	): ApiHandler {
 		return async request => {
 			const known = permitted(request, holder.state(), anyAuthority);
 			const read = known.andThen(() => parse(request.body));
@@ -137,7 +137,7 @@
 		};
 	}
 
-	function reading(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): SurfaceHandler {
+	function reading(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
 		return async request => {
 			const state = holder.state();
 			return permitted(request, state, anyAuthority)
--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -7,7 +7,7 @@
 	Body, Controller, Get, Headers, HttpCode, Inject, Post, Query,
 } from '@nestjs/common';
 import {operatorSurfaceToken} from './injection.js';
-import {type OperatorSurface, type SurfaceHandler, type ApiRequest} from './surface.js';
+import {type OperatorSurface, type ApiHandler, type ApiRequest} from './surface.js';
 
 type HeaderFields = Readonly<Record<string, string | undefined>>;
 type QueryFields = Readonly<Record<string, unknown>>;
@@ -25,7 +25,7 @@
 	};
 }
 
-async function answered(handler: SurfaceHandler, request: ApiRequest): Promise<unknown> {
+async function answered(handler: ApiHandler, request: ApiRequest): Promise<unknown> {
 	const answer = await handler(request);
 	if (answer.isErr) {
 		throw new FailureError(answer.error);
--- a/packages/front/src/surface.ts
+++ b/packages/front/src/surface.ts
@@ -17,23 +17,23 @@
 };
 
 /** Answers one kind of request with a JSON value or a failure. */
-export type SurfaceHandler = (request: ApiRequest) => Promise<Result<unknown, Failure>>;
+export type ApiHandler = (request: ApiRequest) => Promise<Result<unknown, Failure>>;
 
 /** The operators' surface, keyed by the last segment of the path. */
 export type OperatorSurface = {
-	readonly apply: SurfaceHandler;
-	readonly configuration: SurfaceHandler;
-	readonly history: SurfaceHandler;
-	readonly owners: SurfaceHandler;
-	readonly status: SurfaceHandler;
-	readonly members: SurfaceHandler;
-	readonly move: SurfaceHandler;
-	readonly drain: SurfaceHandler;
-	readonly zoneDeclareLost: SurfaceHandler;
-	readonly token: SurfaceHandler;
-	readonly burn: SurfaceHandler;
+	readonly apply: ApiHandler;
+	readonly configuration: ApiHandler;
+	readonly history: ApiHandler;
+	readonly owners: ApiHandler;
+	readonly status: ApiHandler;
+	readonly members: ApiHandler;
+	readonly move: ApiHandler;
+	readonly drain: ApiHandler;
+	readonly zoneDeclareLost: ApiHandler;
+	readonly token: ApiHandler;
+	readonly burn: ApiHandler;
 	/** Upstreams announce themselves here. */
-	readonly announce: SurfaceHandler;
+	readonly announce: ApiHandler;
 };
 
 /** Whether the balancer may send callers here, and why. */
--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -12,13 +12,13 @@
 import {ok} from 'true-myth/result';
 import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 import {
-	type FrontServer, type OperatorSurface, type SurfaceHandler, type ApiRequest,
+	type FrontServer, type OperatorSurface, type ApiHandler, type ApiRequest,
 } from '@dogwooddeck/front/surface';
 
 const reached: ApiRequest[] = [];
 let server: FrontServer;
 
-const handle: SurfaceHandler = async request => {
+const handle: ApiHandler = async request => {
 	reached.push(request);
 	return ok({taken: true});
 };
