--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -16,7 +16,7 @@
 import {type OperatorAsked} from '@dogwooddeck/control/command';
 import {requireServedAgain} from '@dogwooddeck/control/served-again';
 import {type ControlAccepted, type ControlState} from '@dogwooddeck/control/state';
-import {type OperatorSurface, type ApiHandler, type ApiRequest} from '@dogwooddeck/front/surface';
+import {type OperatorApi, type ApiHandler, type ApiRequest} from '@dogwooddeck/front/surface';
 import {upstreamOf, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {
 	type Assignment, AssignmentPhase, assignmentsInUse, type PinnedKey,
@@ -108,7 +108,7 @@
 }
 
 /** Makes the operators' surface. */
-export function createOperatorSurface(surroundings: OperatorSurroundings): OperatorSurface {
+export function createOperatorSurface(surroundings: OperatorSurroundings): OperatorApi {
 	const {holder, control} = surroundings;
 
 	async function configure(command: ConfigurationCommand): Promise<Result<ConfigurationAccepted, Failure>> {
--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -7,7 +7,7 @@
 	Body, Controller, Get, Headers, HttpCode, Inject, Post, Query,
 } from '@nestjs/common';
 import {operatorSurfaceToken} from './injection.js';
-import {type OperatorSurface, type ApiHandler, type ApiRequest} from './surface.js';
+import {type OperatorApi, type ApiHandler, type ApiRequest} from './surface.js';
 
 type HeaderFields = Readonly<Record<string, string | undefined>>;
 type QueryFields = Readonly<Record<string, unknown>>;
@@ -37,7 +37,7 @@
 /** Answers `/announce` and everything below `/operator`. */
 @Controller()
 export class OperatorController {
-	constructor(@Inject(operatorSurfaceToken) private readonly surface: OperatorSurface) {}
+	constructor(@Inject(operatorSurfaceToken) private readonly surface: OperatorApi) {}
 
 	@Post('announce')
 	@HttpCode(okStatus)
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -10,7 +10,7 @@
 import {healthSurfaceToken, operatorSurfaceToken} from './injection.js';
 import {OperatorController} from './operator-controller.js';
 import {refuseWithProblem} from './problem-filter.js';
-import {type FrontServer, type HealthSurface, type OperatorSurface} from './surface.js';
+import {type FrontServer, type HealthSurface, type OperatorApi} from './surface.js';
 
 /** The Nest module of the operators' server. */
 @Module({})
@@ -19,7 +19,7 @@
 /** Starts the server. Fails with `unreachable` when the address can't be bound. */
 export async function startOperatorServer(
 	address: string,
-	operators: OperatorSurface,
+	operators: OperatorApi,
 	health: HealthSurface,
 ): Promise<Result<FrontServer, Failure>> {
 	return startApplication({
--- a/packages/front/src/surface.ts
+++ b/packages/front/src/surface.ts
@@ -20,7 +20,7 @@
 export type ApiHandler = (request: ApiRequest) => Promise<Result<unknown, Failure>>;
 
 /** The operators' surface, keyed by the last segment of the path. */
-export type OperatorSurface = {
+export type OperatorApi = {
 	readonly apply: ApiHandler;
 	readonly configuration: ApiHandler;
 	readonly history: ApiHandler;
--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -12,7 +12,7 @@
 import {ok} from 'true-myth/result';
 import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 import {
-	type FrontServer, type OperatorSurface, type ApiHandler, type ApiRequest,
+	type FrontServer, type OperatorApi, type ApiHandler, type ApiRequest,
 } from '@dogwooddeck/front/surface';
 
 const reached: ApiRequest[] = [];
@@ -23,7 +23,7 @@
 	return ok({taken: true});
 };
 
-const surface: OperatorSurface = {
+const surface: OperatorApi = {
 	apply: handle,
 	configuration: handle,
 	history: handle,
