--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -3,7 +3,7 @@
  * and to the other instances.
  */
 import {type StatusAnswer} from '@dogwooddeck/configuration/messages';
-import {type HealthSurface, type Readiness} from '@dogwooddeck/front/surface';
+import {type HealthApi, type Readiness} from '@dogwooddeck/front/surface';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type Measures, MeasureName} from '@dogwooddeck/telemetry/measure';
 import {measureProcess} from '@dogwooddeck/telemetry/process-measures';
@@ -26,7 +26,7 @@
 };
 
 /** What an instance tells of itself. */
-export type InstanceStatus = HealthSurface & {
+export type InstanceStatus = HealthApi & {
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
 	/** Told to other instances. */
 	readonly member: () => MemberReport;
--- a/packages/front/src/health-controller.ts
+++ b/packages/front/src/health-controller.ts
@@ -6,7 +6,7 @@
 } from '@nestjs/common';
 import {type FastifyReply} from 'fastify';
 import {healthSurfaceToken} from './injection.js';
-import {type HealthSurface} from './surface.js';
+import {type HealthApi} from './surface.js';
 
 const readyStatus = 200;
 const notReadyStatus = 503;
@@ -14,7 +14,7 @@
 /** Answers `/live`, `/ready` and `/metrics`. */
 @Controller()
 export class HealthController {
-	constructor(@Inject(healthSurfaceToken) private readonly surface: HealthSurface) {}
+	constructor(@Inject(healthSurfaceToken) private readonly surface: HealthApi) {}
 
 	/** The process runs. */
 	@Get('live')
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -10,7 +10,7 @@
 import {healthSurfaceToken, operatorSurfaceToken} from './injection.js';
 import {OperatorController} from './operator-controller.js';
 import {refuseWithProblem} from './problem-filter.js';
-import {type FrontServer, type HealthSurface, type OperatorApi} from './surface.js';
+import {type FrontServer, type HealthApi, type OperatorApi} from './surface.js';
 
 /** The Nest module of the operators' server. */
 @Module({})
@@ -20,7 +20,7 @@
 export async function startOperatorServer(
 	address: string,
 	operators: OperatorApi,
-	health: HealthSurface,
+	health: HealthApi,
 ): Promise<Result<FrontServer, Failure>> {
 	return startApplication({
 		address,
--- a/packages/front/src/surface.ts
+++ b/packages/front/src/surface.ts
@@ -40,7 +40,7 @@
 export type Readiness = {readonly ready: boolean; readonly reason: string};
 
 /** What the health endpoints tell. */
-export type HealthSurface = {
+export type HealthApi = {
 	readonly readiness: () => Readiness;
 	readonly metrics: () => string;
 };
