--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -7,7 +7,7 @@
 import {parseStrictly, strictObject} from '@dogwooddeck/configuration/strict-schema';
 import {contractOf} from '@dogwooddeck/configuration/tree';
 import {type ControlState} from '@dogwooddeck/control/state';
-import {type ApiHandler} from '@dogwooddeck/front/surface';
+import {type ApiHandler} from '@dogwooddeck/front/api';
 import {checkAnnouncement} from '@dogwooddeck/membership/registry';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type Announcement} from '@dogwooddeck/model/registry';
--- a/packages/daemon/src/caller-handler.ts
+++ b/packages/daemon/src/caller-handler.ts
@@ -1,7 +1,7 @@
 /**
  * Joins the callers' server to the forwarder.
  */
-import {type CallerHandler} from '@dogwooddeck/front/surface';
+import {type CallerHandler} from '@dogwooddeck/front/api';
 import {type UpstreamClient} from '@dogwooddeck/upstream-client/client';
 import {forward} from '@dogwooddeck/upstream-client/forward';
 import {type RequestPath} from '@dogwooddeck/upstream-client/request-path';
--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -3,7 +3,7 @@
  * and to the other instances.
  */
 import {type StatusAnswer} from '@dogwooddeck/configuration/messages';
-import {type HealthApi, type Readiness} from '@dogwooddeck/front/surface';
+import {type HealthApi, type Readiness} from '@dogwooddeck/front/api';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type Measures, MeasureName} from '@dogwooddeck/telemetry/measure';
 import {measureProcess} from '@dogwooddeck/telemetry/process-measures';
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -4,7 +4,7 @@
 import {wallNow} from '@dogwooddeck/clock/monotonic';
 import {startCallerServer} from '@dogwooddeck/front/caller-server';
 import {startOperatorServer} from '@dogwooddeck/front/operator-server';
-import {type FrontServer} from '@dogwooddeck/front/surface';
+import {type FrontServer} from '@dogwooddeck/front/api';
 import {createEvidenceRecorder} from '@dogwooddeck/membership/evidence';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -16,7 +16,7 @@
 import {type OperatorAsked} from '@dogwooddeck/control/command';
 import {requireServedAgain} from '@dogwooddeck/control/served-again';
 import {type ControlAccepted, type ControlState} from '@dogwooddeck/control/state';
-import {type OperatorApi, type ApiHandler, type ApiRequest} from '@dogwooddeck/front/surface';
+import {type OperatorApi, type ApiHandler, type ApiRequest} from '@dogwooddeck/front/api';
 import {upstreamOf, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {
 	type Assignment, AssignmentPhase, assignmentsInUse, type PinnedKey,
--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -4,7 +4,7 @@
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
-import {type FrontServer} from '@dogwooddeck/front/surface';
+import {type FrontServer} from '@dogwooddeck/front/api';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -8,7 +8,7 @@
 import {FastifyAdapter, type NestFastifyApplication} from '@nestjs/platform-fastify';
 import {err, ok, type Result} from 'true-myth/result';
 import {ProblemFilter, type RefusableReply, type Refuse} from './problem-filter.js';
-import {type FrontServer} from './surface.js';
+import {type FrontServer} from './api.js';
 import {answerUnread} from './unread-request.js';
 
 /** What an application is made of. */
--- a/packages/front/src/caller-server.ts
+++ b/packages/front/src/caller-server.ts
@@ -9,7 +9,7 @@
 import {type Result} from 'true-myth/result';
 import {startApplication} from './application.js';
 import {type Refuse} from './problem-filter.js';
-import {type CallerHandler, type FrontServer} from './surface.js';
+import {type CallerHandler, type FrontServer} from './api.js';
 
 /** The Nest module of the callers' server. */
 @Module({})
--- a/packages/front/src/health-controller.ts
+++ b/packages/front/src/health-controller.ts
@@ -6,7 +6,7 @@
 } from '@nestjs/common';
 import {type FastifyReply} from 'fastify';
 import {healthSurfaceToken} from './injection.js';
-import {type HealthApi} from './surface.js';
+import {type HealthApi} from './api.js';
 
 const readyStatus = 200;
 const notReadyStatus = 503;
--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -7,7 +7,7 @@
 	Body, Controller, Get, Headers, HttpCode, Inject, Post, Query,
 } from '@nestjs/common';
 import {operatorSurfaceToken} from './injection.js';
-import {type OperatorApi, type ApiHandler, type ApiRequest} from './surface.js';
+import {type OperatorApi, type ApiHandler, type ApiRequest} from './api.js';
 
 type HeaderFields = Readonly<Record<string, string | undefined>>;
 type QueryFields = Readonly<Record<string, unknown>>;
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -10,7 +10,7 @@
 import {healthSurfaceToken, operatorSurfaceToken} from './injection.js';
 import {OperatorController} from './operator-controller.js';
 import {refuseWithProblem} from './problem-filter.js';
-import {type FrontServer, type HealthApi, type OperatorApi} from './surface.js';
+import {type FrontServer, type HealthApi, type OperatorApi} from './api.js';
 
 /** The Nest module of the operators' server. */
 @Module({})
--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -13,7 +13,7 @@
 import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 import {
 	type FrontServer, type OperatorApi, type ApiHandler, type ApiRequest,
-} from '@dogwooddeck/front/surface';
+} from '@dogwooddeck/front/api';
 
 const reached: ApiRequest[] = [];
 let server: FrontServer;
