--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -9,7 +9,7 @@
 import {type Distance, distanceOf} from '@dogwooddeck/gateway/selection';
 import {Split} from '@dogwooddeck/gateway/split';
 import {UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
-import {WaitingLine} from '@dogwooddeck/gateway/waiting';
+import {WaitingQueue} from '@dogwooddeck/gateway/waiting';
 import {type KeyRange, rangeOfKey, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {
 	allowsRetry, recordAttempt, boundBudget, createRetryBudget, type RetryBudget,
@@ -31,7 +31,7 @@
 /** One service, as this instance uses it. It is updated in place: it is on the request path. */
 export type KnownService = {
 	readonly name: string;
-	readonly line: WaitingLine;
+	readonly line: WaitingQueue;
 	readonly pace: KeyPace;
 	keyed: boolean;
 	maxConnections: number;
@@ -122,7 +122,7 @@
 		}
 
 		const made: KnownService = {
-			name, line: new WaitingLine(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
+			name, line: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
 		};
 		this.#services.set(name, made);
 		return made;
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -62,7 +62,7 @@
 }
 
 /** The waiting requests of one service, or of one holder of keys. It is updated in place: it is on the request path. */
-export class WaitingLine {
+export class WaitingQueue {
 	#waiters: Waiter[] = [];
 
 	/** The number of waiting requests. */
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -6,7 +6,7 @@
 import {type Choice, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
 import {Split} from '@dogwooddeck/gateway/split';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
-import {type Waiter, WaitingLine, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {type Waiter, WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
 
 function route(hostname: string, pathPrefix: string): Route {
 	return {
@@ -168,7 +168,7 @@
 }
 
 test('waiting: the most urgent first, and those that waited too long are told', () => {
-	const line = new WaitingLine();
+	const line = new WaitingQueue();
 	const told: string[] = [];
 	let room = 0;
 	const add = (name: string, priority: number, until: number) => {
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -12,7 +12,7 @@
 import {keyCount} from '@dogwooddeck/key-lease/range';
 import {isPaced, KeyPace} from '@dogwooddeck/gateway/key-pace';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
-import {WaitingLine, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
 
 type Pattern = {
 	readonly name: string;
@@ -130,7 +130,7 @@
 	const generator = xoroshiro128plus(seed);
 	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
-	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), line: new WaitingLine(), pace: new KeyPace()}));
+	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), line: new WaitingQueue(), pace: new KeyPace()}));
 	const control = new Control(pattern);
 	const perStep = pattern.slots * stepMilliseconds / pattern.workMilliseconds;
 	let counts = noCounts;
