--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -6,7 +6,7 @@
 import {pause} from '@dogwooddeck/clock/pause';
 import {recordAnnouncement} from '@dogwooddeck/directory/announcement';
 import {type ItemChange, standing} from '@dogwooddeck/directory/item';
-import {isTaken} from '@dogwooddeck/directory/item-change';
+import {isNoOp} from '@dogwooddeck/directory/item-change';
 import {planDirectory} from '@dogwooddeck/directory/key-plan';
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
@@ -178,7 +178,7 @@
 	 * change again when they hear nothing, and each entry of the log goes to all instances.
 	 */
 	async function declareOnce(changes: readonly ItemChange[]): Promise<Result<LogIndex, Failure>> {
-		if (isTaken(holder.state().items, changes)) {
+		if (isNoOp(holder.state().items, changes)) {
 			return voter().read();
 		}
 
--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -98,7 +98,7 @@
 }
 
 /** Whether a change is valid and changes nothing, as it was taken before or was overtaken. */
-export function isTaken(items: Items, changes: readonly ItemChange[]): boolean {
+export function isNoOp(items: Items, changes: readonly ItemChange[]): boolean {
 	return changeItems(items, changes).map(changed => changed === items).unwrapOr(false);
 }
 
