--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -91,6 +91,6 @@
 };
 
 /** Judges a request for an objective. */
-export function judge(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): Judgement {
+export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): Judgement {
 	return judges[sample.end](sample, objective.withinMilliseconds);
 }
--- a/packages/burn/src/recorder.ts
+++ b/packages/burn/src/recorder.ts
@@ -6,7 +6,7 @@
 import {type ServiceName, type WallTime} from '@dogwooddeck/model/identifiers';
 import {type Histogram} from 'hdr-histogram-js';
 import {
-	Judgement, judge, RequestEnd, type RequestSample,
+	Judgement, classifyRequest, RequestEnd, type RequestSample,
 } from './judgement.js';
 import {emptyHistogram, encodeHistogram, recordLatency} from './latency.js';
 import {intervalMilliseconds, type BurnInterval, type ObjectiveCounts} from './window.js';
@@ -71,7 +71,7 @@
 		}
 
 		for (const objective of contract.objectives) {
-			counters[judge(sample, objective)](this.#countsOf(record, objective.name));
+			counters[classifyRequest(sample, objective)](this.#countsOf(record, objective.name));
 		}
 	}
 
--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -7,7 +7,7 @@
 	decodeInterval, decodeJournal, encodeInterval, encodeJournal,
 } from '../src/encoding.js';
 import {
-	endOf, judge, type Ended, type RequestEnd, type Judgement,
+	endOf, classifyRequest, type Ended, type RequestEnd, type Judgement,
 } from '../src/judgement.js';
 import {BurnRecorder} from '../src/recorder.js';
 import {reportPage} from '../src/report-page.js';
@@ -39,7 +39,7 @@
 for (const [end, idempotent, latencyMilliseconds, forAvailable, forFast] of judgements) {
 	test(`judge: ${end}, ${idempotent ? 'idempotent' : 'non-idempotent'}, ${latencyMilliseconds} ms`, () => {
 		const sample = {end, idempotent, latencyMilliseconds};
-		assert.deepEqual([judge(sample, available), judge(sample, fast)], [forAvailable, forFast]);
+		assert.deepEqual([classifyRequest(sample, available), classifyRequest(sample, fast)], [forAvailable, forFast]);
 	});
 }
 
