--- a/packages/configuration/src/field.ts
+++ b/packages/configuration/src/field.ts
@@ -2,7 +2,7 @@
  * The schemas of single fields, shared by settings files and by the messages
  * of the operators' surface, so that both take the same values.
  */
-import {isFreeName} from '@dogwooddeck/model/identifiers';
+import {isSafeRecordKey} from '@dogwooddeck/model/identifiers';
 import * as v from 'valibot';
 import {parseDuration, parseSize} from './quantity.js';
 
@@ -83,7 +83,7 @@
 const segmentForm = 'a name of lower-case letters, digits and hyphens that starts with a letter, at most 63 characters';
 
 function isName(text: string): boolean {
-	return /^[a-z][a-z\d-]{0,62}$/u.test(text) && isFreeName(text);
+	return /^[a-z][a-z\d-]{0,62}$/u.test(text) && isSafeRecordKey(text);
 }
 
 /** A team, a zone, a limit or an objective. A name that every object has, such as "constructor", is none. */
--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -3,7 +3,7 @@
  * change that is not valid changes nothing at all.
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
-import {isFreeName} from '@dogwooddeck/model/identifiers';
+import {isSafeRecordKey} from '@dogwooddeck/model/identifiers';
 import {err, ok, type Result} from 'true-myth/result';
 import {
 	type Item, type ItemChange, type ItemKind, type Items, type Route, standing,
@@ -33,7 +33,7 @@
 }
 
 function nameProblem({name}: ItemChange): string | undefined {
-	return isFreeName(name) && name !== '' ? undefined : `the name ${JSON.stringify(name)} can't be used`;
+	return isSafeRecordKey(name) && name !== '' ? undefined : `the name ${JSON.stringify(name)} can't be used`;
 }
 
 function sameItem(one: Item<unknown>, other: Item<unknown>): boolean {
--- a/packages/model/src/identifiers.ts
+++ b/packages/model/src/identifiers.ts
@@ -87,6 +87,6 @@
  * Whether a name may be given to something that is kept in a record by its name:
  * a name that every object has, such as "constructor", would be found in an empty record.
  */
-export function isFreeName(name: string): boolean {
+export function isSafeRecordKey(name: string): boolean {
 	return !(name in Object.prototype);
 }
--- a/packages/wire/src/message-parts.ts
+++ b/packages/wire/src/message-parts.ts
@@ -1,7 +1,7 @@
 /**
  * Checks of parts that stand in requests and in answers between instances.
  */
-import {isFreeName} from '@dogwooddeck/model/identifiers';
+import {isSafeRecordKey} from '@dogwooddeck/model/identifiers';
 import {
 	type FieldCheck, formed, message, text, whole,
 } from './field-check.js';
@@ -12,7 +12,7 @@
 const plainName = formed(/^[a-z][a-z\d\-]{0,62}$/v, 'a name');
 
 /** An instance, a zone, a region or a limit. */
-export const name: FieldCheck = value => plainName(value) ?? (isFreeName(value as string) ? undefined : ' is not a free name');
+export const name: FieldCheck = value => plainName(value) ?? (isSafeRecordKey(value as string) ? undefined : ' is not a free name');
 
 /** A service's path: its team and its own name. */
 export const service = formed(/^[a-z][a-z\d\-]{0,62}\/[a-z][a-z\d\-]{0,62}$/v, 'the path of a service');
