--- a/packages/configuration/src/contract-check.ts
+++ b/packages/configuration/src/contract-check.ts
@@ -4,7 +4,7 @@
  * path and reason.
  */
 import {
-	KeyPlace, type KeySource, type RouteContract, type ServiceContract,
+	KeyLocation, type KeySource, type RouteContract, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import {FailureKind, type Failure, type SettingsProblem} from '@dogwooddeck/model/failure';
 import {type ServiceName} from '@dogwooddeck/model/identifiers';
@@ -46,7 +46,7 @@
 
 function routesWithoutKey(contract: ServiceContract, file: string): readonly SettingsProblem[] {
 	const {key} = contract;
-	if (key.place !== KeyPlace.path) {
+	if (key.place !== KeyLocation.path) {
 		return [];
 	}
 
--- a/packages/configuration/src/contract-schema.ts
+++ b/packages/configuration/src/contract-schema.ts
@@ -4,7 +4,7 @@
  * (the plain data of the model). Both give the same contract.
  */
 import {
-	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyPlace, LimitScope, Rounding, MovePreference, PartitionPolicy, WindowForm, type ServiceContract,
+	CountedQuantity, defaultContract, defaultCutReserve, Importance, KeyLocation, LimitScope, Rounding, MovePreference, PartitionPolicy, WindowForm, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import * as v from 'valibot';
 import {
@@ -17,9 +17,9 @@
 const largestSegment = 15;
 
 const keySchema = v.variant('place', [
-	strictObject({place: v.literal(KeyPlace.path), segment: wholeNumber(0, largestSegment)}),
-	strictObject({place: v.literal(KeyPlace.header), name: headerField}),
-	strictObject({place: v.literal(KeyPlace.query), name: queryField}),
+	strictObject({place: v.literal(KeyLocation.path), segment: wholeNumber(0, largestSegment)}),
+	strictObject({place: v.literal(KeyLocation.header), name: headerField}),
+	strictObject({place: v.literal(KeyLocation.query), name: queryField}),
 ], 'expected a place: "path", "header" or "query"');
 
 const shared = {
--- a/packages/configuration/test/sample.ts
+++ b/packages/configuration/test/sample.ts
@@ -1,13 +1,13 @@
 /**
  * Contracts and commands for tests.
  */
-import {defaultContract, KeyPlace, type ServiceContract} from '@dogwooddeck/model/contract';
+import {defaultContract, KeyLocation, type ServiceContract} from '@dogwooddeck/model/contract';
 import {ConfigurationCommandKind, type ConfigurationState, type SubtreeApplied} from '../src/tree.js';
 
 /** A contract with default values whose prefix is the service's own name. */
 export function contract(name: string, more: Partial<ServiceContract> = {}): ServiceContract {
 	return {
-		...defaultContract, name, prefix: `/${name.split('/')[1]}`, key: {place: KeyPlace.path, segment: 0}, ...more,
+		...defaultContract, name, prefix: `/${name.split('/')[1]}`, key: {place: KeyLocation.path, segment: 0}, ...more,
 	};
 }
 
--- a/packages/model/src/contract.ts
+++ b/packages/model/src/contract.ts
@@ -6,7 +6,7 @@
 import {type Milliseconds, type ServiceName, type ZoneName} from './identifiers.js';
 
 /** Where a request carries its key. */
-export const KeyPlace = {
+export const KeyLocation = {
 	/** A segment of the path after the service's prefix, counted from 0. */
 	path: 'path',
 	/** A header field. */
@@ -16,13 +16,13 @@
 } as const;
 
 /** One of the places of a key. */
-export type KeyPlace = (typeof KeyPlace)[keyof typeof KeyPlace];
+export type KeyLocation = (typeof KeyLocation)[keyof typeof KeyLocation];
 
 /** How the key is read from a request. */
 export type KeySource =
-	| {readonly place: typeof KeyPlace.path; readonly segment: number}
-	| {readonly place: typeof KeyPlace.header; readonly name: string}
-	| {readonly place: typeof KeyPlace.query; readonly name: string};
+	| {readonly place: typeof KeyLocation.path; readonly segment: number}
+	| {readonly place: typeof KeyLocation.header; readonly name: string}
+	| {readonly place: typeof KeyLocation.query; readonly name: string};
 
 /** What a deployment weighs most when ownership has to move. */
 export const MovePreference = {
--- a/packages/routing/test/test-target.ts
+++ b/packages/routing/test/test-target.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	defaultContract, Importance, KeyPlace, type KeySource, type ServiceContract,
+	defaultContract, Importance, KeyLocation, type KeySource, type ServiceContract,
 } from '@dogwooddeck/model/contract';
 import {FailureKind} from '@dogwooddeck/model/failure';
 import {deadlineOf} from '@dogwooddeck/routing/deadline';
@@ -23,9 +23,9 @@
 }
 
 const index = createTargetIndex([
-	contractOf('bermrand/schedule', '/schedule', {place: KeyPlace.path, segment: 0}),
-	contractOf('bermrand/booking', '/schedule/booking/', {place: KeyPlace.header, name: 'X-Verge'}),
-	contractOf('valbrembo/catalogue', '/catalogue', {place: KeyPlace.query, name: 'hide'}),
+	contractOf('bermrand/schedule', '/schedule', {place: KeyLocation.path, segment: 0}),
+	contractOf('bermrand/booking', '/schedule/booking/', {place: KeyLocation.header, name: 'X-Verge'}),
+	contractOf('valbrembo/catalogue', '/catalogue', {place: KeyLocation.query, name: 'hide'}),
 ]);
 
 function headOf(path: string, headers: RequestHead['headers'] = {}, method = 'GET'): RequestHead {
@@ -127,7 +127,7 @@
 
 for (const {asked, expected} of deadlineCases) {
 	test(`deadline: a caller asks for ${asked}`, () => {
-		const contract = contractOf('s', '/s', {place: KeyPlace.path, segment: 0});
+		const contract = contractOf('s', '/s', {place: KeyLocation.path, segment: 0});
 		assert.equal(deadlineOf(contract, headOf('/s/a', {'dogwooddeck-deadline': asked}), 100), expected);
 	});
 }
--- a/packages/stand-in/src/cost-children.ts
+++ b/packages/stand-in/src/cost-children.ts
@@ -8,7 +8,7 @@
 import {Result} from 'true-myth';
 import {Pool} from 'undici';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
-import {defaultContract, KeyPlace, type ServiceContract} from '@dogwooddeck/model/contract';
+import {defaultContract, KeyLocation, type ServiceContract} from '@dogwooddeck/model/contract';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {createAdmission} from '@dogwooddeck/routing/admission';
 import {
@@ -32,7 +32,7 @@
 	...defaultContract,
 	name: 'bermrand/schedule',
 	prefix: '/schedule',
-	key: {place: KeyPlace.path, segment: 0},
+	key: {place: KeyLocation.path, segment: 0},
 	routes: [{
 		method: 'GET', path: '/*', idempotent: true, importance: 'high',
 	}],
