--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -53,7 +53,7 @@
 export type Resend = (typeof Resend)[keyof typeof Resend];
 
 /** What follows from a thing that was seen. */
-export type SeenRule = {
+export type ObservationRule = {
 	readonly outcome: Outcome;
 	readonly resend: Resend;
 	/** The status that the caller is told, where no answer was passed on. */
@@ -68,7 +68,7 @@
 const badRequest = 400;
 
 /** The rule for each thing that can be seen. `not-run` stands only where no byte was handed over or the upstream said so. */
-export const observationRules: Readonly<Record<AttemptObservation, SeenRule>> = {
+export const observationRules: Readonly<Record<AttemptObservation, ObservationRule>> = {
 	[AttemptObservation.refusedConnection]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the upstream takes no connection',
 	},
