--- a/packages/consensus/src/founding.ts
+++ b/packages/consensus/src/founding.ts
@@ -19,7 +19,7 @@
 }
 
 /** What a founder persists before its first start. The voter set is the log's first entry. */
-export function foundCluster(names: readonly string[]): SavedState {
+export function bootstrapCluster(names: readonly string[]): SavedState {
 	return {
 		hardState: {term: foundingTerm},
 		entries: [{index: 1, term: foundingTerm, body: {kind: 'votersChanged', voterSet: foundVoterSet(names)}}],
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -13,7 +13,7 @@
 	checkDue, checkLeases, checkMajority, checkSynced,
 } from './invariants.js';
 import {
-	committedIndex, createVoter, foundCluster, founderFolder, roleOf, stepVoter, termOf, voterSetOf,
+	committedIndex, createVoter, bootstrapCluster, founderFolder, roleOf, stepVoter, termOf, voterSetOf,
 } from '@dogwooddeck/consensus/voter';
 import {
 	type ConsensusEnvelope, type LogEntry, type VoterSet,
@@ -83,7 +83,7 @@
 	constructor(seed: number, names: readonly string[]) {
 		this.#random = xoroshiro128plus(seed);
 		this.nodes = names.map(name => ({
-			name, identity: {name, folder: founderFolder}, voter: undefined, disk: foundCluster(names), writes: [], machine: [], startsAt: 0, frozenUntil: 0, lives: 0,
+			name, identity: {name, folder: founderFolder}, voter: undefined, disk: bootstrapCluster(names), writes: [], machine: [], startsAt: 0, frozenUntil: 0, lives: 0,
 		}));
 	}
 
--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -7,7 +7,7 @@
 import {type ConsensusEffect, type ConsensusEvent} from '@dogwooddeck/consensus/machine';
 import {type ConsensusMessage, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {
-	createVoter, foundCluster, founderFolder, stepVoter, type VoterState,
+	createVoter, bootstrapCluster, founderFolder, stepVoter, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 
 const [a, b] = ['a', 'b'].map(name => ({name, folder: founderFolder})) as [VoterIdentity, VoterIdentity];
@@ -18,7 +18,7 @@
 class Leader {
 	state: VoterState = createVoter({
 		self: a, electionMilliseconds: 300, heartbeatMilliseconds, entriesBeforeSnapshot: 100, seed: 1,
-	}, foundCluster(['a', 'b']), 0);
+	}, bootstrapCluster(['a', 'b']), 0);
 
 	appends: Array<Extract<ConsensusMessage, {readonly kind: 'appendRequested'}>> = [];
 	/** The numbers of the messages whose end the transport has to tell. */
--- a/packages/consensus/test/test-voter.ts
+++ b/packages/consensus/test/test-voter.ts
@@ -6,7 +6,7 @@
 import {type ConsensusEvent} from '@dogwooddeck/consensus/machine';
 import {type ConsensusMessage, type LogEntry, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {
-	createVoter, foundCluster, founderFolder, stepVoter,
+	createVoter, bootstrapCluster, founderFolder, stepVoter,
 } from '@dogwooddeck/consensus/voter';
 
 const [a, b, c] = ['a', 'b', 'c'].map(name => ({name, folder: founderFolder})) as [VoterIdentity, VoterIdentity, VoterIdentity];
@@ -99,7 +99,7 @@
 	test(`follower: ${name}`, () => {
 		let state = createVoter({
 			self: a, electionMilliseconds: 300, heartbeatMilliseconds: 50, entriesBeforeSnapshot: 100, seed: 1,
-		}, foundCluster(['a', 'b', 'c']), 0);
+		}, bootstrapCluster(['a', 'b', 'c']), 0);
 		let sent: ConsensusMessage[] = [];
 		for (const event of events) {
 			const step = stepVoter(state, event);
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -2,7 +2,7 @@
  * This instance's voter: its data folder, its way to the other voters, and its
  * being seen by the leader, which decides who votes.
  */
-import {foundCluster} from '@dogwooddeck/consensus/founding';
+import {bootstrapCluster} from '@dogwooddeck/consensus/founding';
 import {type Role, type SavedState} from '@dogwooddeck/consensus/machine';
 import {
 	type ConsensusEnvelope, type ConsensusMessage, messageCharacters, type VoterIdentity,
@@ -80,7 +80,7 @@
 		return folder.saved;
 	}
 
-	const founded = foundCluster(settings.seeds);
+	const founded = bootstrapCluster(settings.seeds);
 	const persisted = await folder.storage.persist({hardState: founded.hardState, entries: founded.entries});
 	if (persisted.isErr) {
 		throw new FailureError(persisted.error);
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test, type TestContext} from 'node:test';
-import {foundCluster, founderFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapCluster, founderFolder} from '@dogwooddeck/consensus/founding';
 import {type ConsensusEnvelope, messageCharacters} from '@dogwooddeck/consensus/message';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type Storage} from '@dogwooddeck/storage/folder';
@@ -132,7 +132,7 @@
 				entriesBeforeSnapshot: 1000,
 				seed,
 			},
-			saved: foundCluster(names),
+			saved: bootstrapCluster(names),
 			storage,
 			holder: holders.get(name)!,
 			log: silent,
