--- a/packages/consensus/src/founding.ts
+++ b/packages/consensus/src/founding.ts
@@ -14,7 +14,7 @@
 const foundingTerm = 1;
 
 /** The voter set of a cluster that is founded by the instances with these names. */
-export function foundVoterSet(names: readonly string[]): VoterSet {
+export function bootstrapVoterSet(names: readonly string[]): VoterSet {
 	return {voters: [...new Set(names)].sort().map(name => ({name, folder: founderFolder})), learners: []};
 }
 
@@ -22,6 +22,6 @@
 export function bootstrapCluster(names: readonly string[]): SavedState {
 	return {
 		hardState: {term: foundingTerm},
-		entries: [{index: 1, term: foundingTerm, body: {kind: 'votersChanged', voterSet: foundVoterSet(names)}}],
+		entries: [{index: 1, term: foundingTerm, body: {kind: 'votersChanged', voterSet: bootstrapVoterSet(names)}}],
 	};
 }
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -27,7 +27,7 @@
 	committedIndex, knownCommittedIndex, leaderOf, memberPositions, roleOf, termOf, voterSetOf, type MemberPosition, type VoterState,
 } from './state.js';
 export {quorumContactAt} from './quorum.js';
-export {bootstrapCluster, founderFolder, foundVoterSet} from './founding.js';
+export {bootstrapCluster, founderFolder, bootstrapVoterSet} from './founding.js';
 
 /**
  * The state of a voter that starts with what its disk holds. The edge has to
