--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -13,7 +13,7 @@
 import {type ClaimEnded} from '@dogwooddeck/routing/claim';
 import {type ClaimsView} from '@dogwooddeck/routing/claim-rosters';
 import {
-	acknowledgedBy, type ClaimSpread, noteApplied, seatsBehind, spreadOf,
+	acknowledgedBy, type AppliedIndexes, noteApplied, seatsBehind, spreadOf,
 } from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-coordinator';
@@ -61,7 +61,7 @@
 
 	const peers = new ClaimPeers(clients);
 
-	let spread: ClaimSpread = new Map();
+	let spread: AppliedIndexes = new Map();
 	let sweeps = 0;
 
 	/** Ends are sent again until they arrive: resends rest on them. */
--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -7,22 +7,22 @@
 import {type ClaimRoster, type ClaimSeat} from './claim.js';
 
 /** The newest log entry that each instance said it has applied, by `lifeKey`. */
-export type ClaimSpread = ReadonlyMap<string, LogIndex>;
+export type AppliedIndexes = ReadonlyMap<string, LogIndex>;
 
 /** Notes what an instance said. It never goes back. */
-export function noteApplied(spread: ClaimSpread, seat: InstanceIdentity, applied: LogIndex): ClaimSpread {
+export function noteApplied(spread: AppliedIndexes, seat: InstanceIdentity, applied: LogIndex): AppliedIndexes {
 	const key = incarnationKey(seat);
 	return new Map([...spread, [key, Math.max(applied, spread.get(key) ?? 0)]]);
 }
 
 /** What is known of the seats of a roster alone. */
-export function spreadOf(spread: ClaimSpread, roster: ClaimRoster): ClaimSpread {
+export function spreadOf(spread: AppliedIndexes, roster: ClaimRoster): AppliedIndexes {
 	const seated = new Set(roster.seats.map(seat => incarnationKey(seat)));
 	return new Map([...spread].filter(([key]) => seated.has(key)));
 }
 
 /** The seats of a roster that are not known to have applied the entry that made it. */
-export function seatsBehind(spread: ClaimSpread, roster: ClaimRoster): readonly ClaimSeat[] {
+export function seatsBehind(spread: AppliedIndexes, roster: ClaimRoster): readonly ClaimSeat[] {
 	return roster.seats.filter(seat => (spread.get(incarnationKey(seat)) ?? 0) < roster.index);
 }
 
@@ -30,6 +30,6 @@
  * The newest log entry that every seat of a roster is known to have applied. A
  * seat that was never heard counts as behind all, until it is no longer seated.
  */
-export function acknowledgedBy(spread: ClaimSpread, roster: ClaimRoster): LogIndex {
+export function acknowledgedBy(spread: AppliedIndexes, roster: ClaimRoster): LogIndex {
 	return Math.min(roster.index, ...roster.seats.map(seat => spread.get(incarnationKey(seat)) ?? 0));
 }
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -12,7 +12,7 @@
 } from '@dogwooddeck/routing/claims';
 import {copiedThrough} from '@dogwooddeck/routing/claim-holder';
 import {type CopyReport} from '@dogwooddeck/routing/claim-rosters';
-import {acknowledgedBy, type ClaimSpread, noteApplied} from '@dogwooddeck/routing/claim-spread';
+import {acknowledgedBy, type AppliedIndexes, noteApplied} from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 
 export const lifetimeMilliseconds = 60_000;
@@ -29,7 +29,7 @@
 };
 
 type Packet = {readonly from: InstanceIdentity; readonly to: InstanceIdentity; readonly content: ClaimRequest | ClaimEnded | ClaimAnswer; readonly copied?: ClaimRequest};
-type Member = {claims: ClaimsState; applied: number; hasView: boolean; spread: ClaimSpread; readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>};
+type Member = {claims: ClaimsState; applied: number; hasView: boolean; spread: AppliedIndexes; readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>};
 
 const seats = [
 	{name: 'a', zone: 'noord-1'},
