--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -16,7 +16,7 @@
 }
 
 /** What is known of the seats of a roster alone. */
-export function spreadOf(spread: AppliedIndexes, roster: ClaimRoster): AppliedIndexes {
+export function appliedIndexesOf(spread: AppliedIndexes, roster: ClaimRoster): AppliedIndexes {
 	const seated = new Set(roster.seats.map(seat => incarnationKey(seat)));
 	return new Map([...spread].filter(([key]) => seated.has(key)));
 }
