--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -13,7 +13,7 @@
 import {type ClaimEnded} from '@dogwooddeck/routing/claim';
 import {type ClaimsView} from '@dogwooddeck/routing/claim-rosters';
 import {
-	acknowledgedBy, type AppliedIndexes, noteApplied, seatsBehind, appliedIndexesOf,
+	acknowledgedBy, type AppliedIndexes, recordApplied, seatsBehind, appliedIndexesOf,
 } from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-coordinator';
@@ -148,7 +148,7 @@
 		const asked = desk.standing().newest;
 		const report = await peers.report(seat);
 		if (report !== undefined) {
-			spread = noteApplied(spread, seat, report.applied);
+			spread = recordApplied(spread, seat, report.applied);
 			desk.learn({kind: 'copies-told', report: {seat, asked, copiedThrough: report.copiedThrough}});
 		}
 	}
@@ -169,7 +169,7 @@
 
 	/** What all seats have applied; those whose reports are missing are asked, for the next sweep. */
 	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
-		spread = noteApplied(appliedIndexesOf(spread, newest), self, control.state().applied);
+		spread = recordApplied(appliedIndexesOf(spread, newest), self, control.state().applied);
 		for (const seat of seatsToAsk(newest, now)) {
 			void askReport(seat);
 		}
--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -10,7 +10,7 @@
 export type AppliedIndexes = ReadonlyMap<string, LogIndex>;
 
 /** Notes what an instance said. It never goes back. */
-export function noteApplied(spread: AppliedIndexes, seat: InstanceIdentity, applied: LogIndex): AppliedIndexes {
+export function recordApplied(spread: AppliedIndexes, seat: InstanceIdentity, applied: LogIndex): AppliedIndexes {
 	const key = incarnationKey(seat);
 	return new Map([...spread, [key, Math.max(applied, spread.get(key) ?? 0)]]);
 }
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -12,7 +12,7 @@
 } from '@dogwooddeck/routing/claims';
 import {copiedThrough} from '@dogwooddeck/routing/claim-holder';
 import {type CopyReport} from '@dogwooddeck/routing/claim-rosters';
-import {acknowledgedBy, type AppliedIndexes, noteApplied} from '@dogwooddeck/routing/claim-spread';
+import {acknowledgedBy, type AppliedIndexes, recordApplied} from '@dogwooddeck/routing/claim-spread';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 
 export const lifetimeMilliseconds = 60_000;
@@ -223,7 +223,7 @@
 	/** Each instance asks the seats that it reaches how far they are. */
 	#acknowledged(name: string): number {
 		const member = this.#members.get(name)!;
-		member.spread = this.#reached(name).reduce((spread, {claims, applied}) => noteApplied(spread, claims.self, applied), member.spread);
+		member.spread = this.#reached(name).reduce((spread, {claims, applied}) => recordApplied(spread, claims.self, applied), member.spread);
 		return acknowledgedBy(member.spread, member.claims.rosters[0]!.roster);
 	}
 
