--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -6,7 +6,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 
 /** How a request ended, as its caller saw it. */
-export const RequestEnd = {
+export const CompletionStatus = {
 	/** A whole answer that is not an error of the upstream. */
 	answered: 'answered',
 	/** A whole answer that tells of an error of the upstream. */
@@ -20,7 +20,7 @@
 } as const;
 
 /** One of the ends. */
-export type RequestEnd = (typeof RequestEnd)[keyof typeof RequestEnd];
+export type CompletionStatus = (typeof CompletionStatus)[keyof typeof CompletionStatus];
 
 /** What is known of a request when it has ended. */
 export type Ended = {
@@ -34,10 +34,10 @@
 const firstErrorStatus = 500;
 const firstCallerStatus = 400;
 
-const endsOfOutcome: Readonly<Record<Outcome, (ended: Ended) => RequestEnd>> = {
-	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? RequestEnd.failed : RequestEnd.answered,
-	[Outcome.notRun]: ({status, limited}) => limited || isCallerStatus(status) ? RequestEnd.callerFault : RequestEnd.notRun,
-	[Outcome.unknown]: () => RequestEnd.unknown,
+const endsOfOutcome: Readonly<Record<Outcome, (ended: Ended) => CompletionStatus>> = {
+	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
+	[Outcome.notRun]: ({status, limited}) => limited || isCallerStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
+	[Outcome.unknown]: () => CompletionStatus.unknown,
 };
 
 function isCallerStatus(status: number | undefined): boolean {
@@ -45,13 +45,13 @@
 }
 
 /** How a request ended, from its outcome and the status that its caller got. */
-export function endOf(ended: Ended): RequestEnd {
+export function endOf(ended: Ended): CompletionStatus {
 	return endsOfOutcome[ended.outcome](ended);
 }
 
 /** One request that has ended. */
 export type RequestSample = {
-	readonly end: RequestEnd;
+	readonly end: CompletionStatus;
 	readonly idempotent: boolean;
 	/** From the first byte of the request to the last of the answer. */
 	readonly latencyMilliseconds: Milliseconds;
@@ -82,7 +82,7 @@
 	return !sample.idempotent && withinMilliseconds !== undefined ? Judgement.uncounted : Judgement.notRun;
 }
 
-const judges: Readonly<Record<RequestEnd, Judge>> = {
+const judges: Readonly<Record<CompletionStatus, Judge>> = {
 	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? Judgement.slow : Judgement.good,
 	failed: () => Judgement.failed,
 	notRun: judgeNotRun,
--- a/packages/burn/src/recorder.ts
+++ b/packages/burn/src/recorder.ts
@@ -6,13 +6,13 @@
 import {type ServiceName, type WallTime} from '@dogwooddeck/model/identifiers';
 import {type Histogram} from 'hdr-histogram-js';
 import {
-	Judgement, classifyRequest, RequestEnd, type RequestSample,
+	Judgement, classifyRequest, CompletionStatus, type RequestSample,
 } from './judgement.js';
 import {emptyHistogram, encodeHistogram, recordLatency} from './latency.js';
 import {intervalMilliseconds, type BurnInterval, type ObjectiveCounts} from './window.js';
 
 /** The ends with a whole answer, whose latency means something. */
-const answeredEnds: ReadonlySet<RequestEnd> = new Set([RequestEnd.answered, RequestEnd.failed]);
+const answeredEnds: ReadonlySet<CompletionStatus> = new Set([CompletionStatus.answered, CompletionStatus.failed]);
 
 type MutableCounts = {
 	total: number;
--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -7,7 +7,7 @@
 	decodeInterval, decodeJournal, encodeInterval, encodeJournal,
 } from '../src/encoding.js';
 import {
-	endOf, classifyRequest, type Ended, type RequestEnd, type Judgement,
+	endOf, classifyRequest, type Ended, type CompletionStatus, type Judgement,
 } from '../src/judgement.js';
 import {BurnRecorder} from '../src/recorder.js';
 import {reportPage} from '../src/report-page.js';
@@ -24,7 +24,7 @@
 	name: 'fast', target: 0.9, withinMilliseconds: 800, periodDays: 28,
 };
 
-const judgements: ReadonlyArray<readonly [end: RequestEnd, idempotent: boolean, latency: number, available: Judgement, fast: Judgement]> = [
+const judgements: ReadonlyArray<readonly [end: CompletionStatus, idempotent: boolean, latency: number, available: Judgement, fast: Judgement]> = [
 	['answered', true, 800, 'good', 'good'],
 	['answered', true, 801, 'good', 'slow'],
 	['answered', false, 801, 'good', 'slow'],
@@ -43,7 +43,7 @@
 	});
 }
 
-const ends: ReadonlyArray<readonly [ended: Ended, expected: RequestEnd]> = [
+const ends: ReadonlyArray<readonly [ended: Ended, expected: CompletionStatus]> = [
 	[{outcome: 'ran', status: 200, limited: false}, 'answered'],
 	[{outcome: 'ran', status: 404, limited: false}, 'answered'],
 	[{outcome: 'ran', status: 500, limited: false}, 'failed'],
@@ -60,7 +60,7 @@
 	});
 }
 
-function recorded(startedAt: number, ends: readonly RequestEnd[], latencyMilliseconds = 20): BurnInterval {
+function recorded(startedAt: number, ends: readonly CompletionStatus[], latencyMilliseconds = 20): BurnInterval {
 	const recorder = new BurnRecorder();
 	for (const end of ends) {
 		recorder.record({name: service, objectives: [available, fast]}, {end, idempotent: false, latencyMilliseconds});
@@ -71,7 +71,7 @@
 
 /** Anywhere, or close together, so that several fall into one longer interval. */
 const starts = fc.oneof(fc.nat({max: 40_000}), fc.integer({min: 30_000, max: 30_060}));
-const intervals = fc.tuple(starts, fc.array(fc.constantFrom<RequestEnd>('answered', 'failed', 'notRun', 'unknown'), {maxLength: 8}), fc.nat({max: 5000}))
+const intervals = fc.tuple(starts, fc.array(fc.constantFrom<CompletionStatus>('answered', 'failed', 'notRun', 'unknown'), {maxLength: 8}), fc.nat({max: 5000}))
 	.map(([number, ends, latency]) => recorded(number * intervalMilliseconds, ends, latency));
 
 test(`burn: merging is associative and commutative (seed ${seed})`, () => {
@@ -127,12 +127,12 @@
 	instances: [
 		{
 			instance: 'entry-1',
-			intervals: [recorded(at - minute, [...Array.from<RequestEnd>({length: 98}).fill('answered'), 'failed', 'unknown'])],
+			intervals: [recorded(at - minute, [...Array.from<CompletionStatus>({length: 98}).fill('answered'), 'failed', 'unknown'])],
 			loads: [{service, upstream: 'one', requests: 60}, {service, upstream: 'two', requests: 40}],
 		},
 		{
 			instance: 'entry-2',
-			intervals: [recorded(at - (30 * minute), Array.from<RequestEnd>({length: 100}).fill('answered'), 900)],
+			intervals: [recorded(at - (30 * minute), Array.from<CompletionStatus>({length: 100}).fill('answered'), 900)],
 			loads: [{service, upstream: 'one', requests: 40}, {service, upstream: 'two', requests: 20}],
 		},
 	],
