--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -45,7 +45,7 @@
 }
 
 /** How a request ended, from its outcome and the status that its caller got. */
-export function endOf(ended: Ended): CompletionStatus {
+export function completionStatusOf(ended: Ended): CompletionStatus {
 	return endsOfOutcome[ended.outcome](ended);
 }
 
--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -7,7 +7,7 @@
 	decodeInterval, decodeJournal, encodeInterval, encodeJournal,
 } from '../src/encoding.js';
 import {
-	endOf, classifyRequest, type Ended, type CompletionStatus, type Judgement,
+	completionStatusOf, classifyRequest, type Ended, type CompletionStatus, type Judgement,
 } from '../src/judgement.js';
 import {BurnRecorder} from '../src/recorder.js';
 import {reportPage} from '../src/report-page.js';
@@ -56,7 +56,7 @@
 
 for (const [ended, expected] of ends) {
 	test(`judge: ${JSON.stringify(ended)} ends as ${expected}`, () => {
-		assert.equal(endOf(ended), expected);
+		assert.equal(completionStatusOf(ended), expected);
 	});
 }
 
--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -10,7 +10,7 @@
 import {
 	decodeJournal, encodeInterval, encodeJournal, isInstanceBurn,
 } from '@dogwooddeck/burn/encoding';
-import {endOf} from '@dogwooddeck/burn/judgement';
+import {completionStatusOf} from '@dogwooddeck/burn/judgement';
 import {LoadRecorder} from '@dogwooddeck/burn/load';
 import {BurnRecorder} from '@dogwooddeck/burn/recorder';
 import {type BurnInput} from '@dogwooddeck/burn/report';
@@ -139,7 +139,7 @@
 				return;
 			}
 
-			const end = endOf({
+			const end = completionStatusOf({
 				outcome: report.outcome,
 				limited: report.failure?.kind === FailureKind.limitReached,
 				...(report.status === undefined ? {} : {status: report.status}),
