--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -23,7 +23,7 @@
 export type CompletionStatus = (typeof CompletionStatus)[keyof typeof CompletionStatus];
 
 /** What is known of a request when it has ended. */
-export type Ended = {
+export type CompletedRequest = {
 	readonly outcome: Outcome;
 	/** The status that the caller got; absent where no whole answer came. */
 	readonly status?: number;
@@ -34,7 +34,7 @@
 const firstErrorStatus = 500;
 const firstCallerStatus = 400;
 
-const endsOfOutcome: Readonly<Record<Outcome, (ended: Ended) => CompletionStatus>> = {
+const endsOfOutcome: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
 	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
 	[Outcome.notRun]: ({status, limited}) => limited || isCallerStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
 	[Outcome.unknown]: () => CompletionStatus.unknown,
@@ -45,7 +45,7 @@
 }
 
 /** How a request ended, from its outcome and the status that its caller got. */
-export function completionStatusOf(ended: Ended): CompletionStatus {
+export function completionStatusOf(ended: CompletedRequest): CompletionStatus {
 	return endsOfOutcome[ended.outcome](ended);
 }
 
--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -7,7 +7,7 @@
 	decodeInterval, decodeJournal, encodeInterval, encodeJournal,
 } from '../src/encoding.js';
 import {
-	completionStatusOf, classifyRequest, type Ended, type CompletionStatus, type Judgement,
+	completionStatusOf, classifyRequest, type CompletedRequest, type CompletionStatus, type Judgement,
 } from '../src/judgement.js';
 import {BurnRecorder} from '../src/recorder.js';
 import {reportPage} from '../src/report-page.js';
@@ -43,7 +43,7 @@
 	});
 }
 
-const ends: ReadonlyArray<readonly [ended: Ended, expected: CompletionStatus]> = [
+const ends: ReadonlyArray<readonly [ended: CompletedRequest, expected: CompletionStatus]> = [
 	[{outcome: 'ran', status: 200, limited: false}, 'answered'],
 	[{outcome: 'ran', status: 404, limited: false}, 'answered'],
 	[{outcome: 'ran', status: 500, limited: false}, 'failed'],
