--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -10,10 +10,10 @@
 import {problemMediaType} from '@dogwooddeck/configuration/problem';
 import {FailureKind} from '@dogwooddeck/model/failure';
 import {ok} from 'true-myth/result';
-import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 import {
 	type FrontServer, type OperatorApi, type ApiHandler, type ApiRequest,
 } from '@dogwooddeck/front/api';
+import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 
 const reached: ApiRequest[] = [];
 let server: FrontServer;
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -7,6 +7,7 @@
 import {test} from 'node:test';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
+import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {applyKeyCommand, type KeyCommand, type KeyTables} from '@dogwooddeck/key-lease/command';
 import {
 	beginGranting, type GrantingState, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
@@ -16,7 +17,6 @@
 import {
 	keyCount, type KeyRange, sharedSpan, unheldRanges,
 } from '@dogwooddeck/key-lease/range';
-import {observationOf} from '@dogwooddeck/key-lease/observations';
 
 const service = 's';
 const terms = {holdMilliseconds: 2000, clockDrift: 0.02};
