--- a/packages/model/src/assignment.ts
+++ b/packages/model/src/assignment.ts
@@ -1,5 +1,5 @@
 /**
- * Who owns which slot, as it stands in the replicated log.
+ * The assignments of slots to upstreams, as recorded in the replicated log.
  */
 import {
 	type FenceNumber, type LogIndex, type ServiceName, type Slot, type UpstreamIdentity,
@@ -7,11 +7,11 @@
 
 /** The state of one slot's ownership. */
 export const AssignmentPhase = {
-	/** Nobody owns the slot, and nobody may be sent work for it. */
+	/** The slot has no owner, and no upstream may be sent requests for it. */
 	vacant: 'vacant',
 	/** One upstream owns the slot. */
 	granted: 'granted',
-	/** The owner gets no new work; evidence is gathered that it has none in flight. */
+	/** The owner is sent no new requests; evidence is gathered that it has none in flight. */
 	revoking: 'revoking',
 } as const;
 
@@ -34,12 +34,12 @@
 		readonly revokedAt: LogIndex;
 	};
 
-/** A hot key with an assignment of its own. */
+/** A hot key with its own assignment. */
 export type PinnedKey = {
 	readonly key: string;
 	/** The slot that the key hashes to. */
 	readonly home: Slot;
-	/** The number of the key's own assignment: at least the service's number of slots. */
+	/** The index of the key's own assignment: at least the service's number of slots. */
 	readonly slot: Slot;
 };
 
@@ -52,9 +52,9 @@
 };
 
 /**
- * The assignments that keys use: all slots, and the places of pinned keys. The
- * place of a key that is pinned no more stays in the list, vacant, until
- * another key takes it; nobody misses an owner there.
+ * The assignments that keys use: those of all slots and of pinned keys. When a
+ * key is unpinned, its assignment stays in the list, vacant, until another key
+ * reuses it; it needs no owner meanwhile.
  */
 export function assignmentsInUse({assignments, pinned}: ServiceAssignments, slots: number): readonly Assignment[] {
 	const places = new Set(pinned.map(({slot}) => slot));
--- a/packages/model/src/contract.ts
+++ b/packages/model/src/contract.ts
@@ -1,21 +1,21 @@
 /**
- * A service's contract: which keys exist, who may own them, how requests are
- * treated and which limits hold. Contracts are plain data that travel in the
- * replicated log.
+ * The contract of a service: where its keys are read from, which upstreams may
+ * own them, how requests are handled and which limits and objectives apply.
+ * Contracts are plain data that is stored in the replicated log.
  */
 import {type Milliseconds, type ServiceName, type ZoneName} from './identifiers.js';
 
-/** Where a request carries its key. */
+/** The part of a request that contains the key. */
 export const KeyLocation = {
-	/** A segment of the path after the service's prefix, counted from 0. */
+	/** A segment of the path after the service's prefix, numbered from 0. */
 	path: 'path',
 	/** A header field. */
 	header: 'header',
-	/** A parameter of the query. */
+	/** A query parameter. */
 	query: 'query',
 } as const;
 
-/** One of the places of a key. */
+/** One of the key locations. */
 export type KeyLocation = (typeof KeyLocation)[keyof typeof KeyLocation];
 
 /** How the key is read from a request. */
@@ -24,126 +24,126 @@
 	| {readonly place: typeof KeyLocation.header; readonly name: string}
 	| {readonly place: typeof KeyLocation.query; readonly name: string};
 
-/** What a deployment weighs most when ownership has to move. */
+/** What a deployment optimises for when ownership has to move. */
 export const MovePreference = {
-	/** Keep the time during which keys are unavailable short. */
+	/** Minimise the time during which keys are unavailable. */
 	availability: 'availability',
-	/** Keep the number of moves low. */
+	/** Minimise the number of moves. */
 	churn: 'churn',
 } as const;
 
-/** One of the weights. */
+/** One of the preferences. */
 export type MovePreference = (typeof MovePreference)[keyof typeof MovePreference];
 
 /** What happens to an availability zone's slots when the zone can't reach control. */
 export const PartitionPolicy = {
-	/** The zone keeps its own slots and goes on serving them. */
+	/** The zone keeps its own slots and continues to serve them. */
 	hold: 'hold',
-	/** Control gives the slots to other zones after the delegation's term. */
+	/** Control assigns the slots to other zones after the term of the zone's delegation. */
 	takeOver: 'take-over',
 } as const;
 
-/** One of the policies for a cut. */
+/** One of the partition policies. */
 export type PartitionPolicy = (typeof PartitionPolicy)[keyof typeof PartitionPolicy];
 
-/** Which work goes first when there is too much of it. */
+/** Which requests take precedence under overload. */
 export const Importance = {
 	high: 'high',
 	low: 'low',
 } as const;
 
-/** One of the importances. */
+/** One of the levels of importance. */
 export type Importance = (typeof Importance)[keyof typeof Importance];
 
-/** How requests of one method and path are treated. Undeclared ones are non-idempotent and of high importance. */
+/** How requests of one method and path are handled. Requests that match no declared route are non-idempotent and of high importance. */
 export type RouteContract = {
 	/** The HTTP method, in upper case. */
 	readonly method: string;
-	/** The path after the service's prefix; `*` stands for one segment. */
+	/** The path after the service's prefix; `*` matches one segment. */
 	readonly path: string;
 	readonly idempotent: boolean;
 	readonly importance: Importance;
 };
 
-/** What the service's upstreams can do. */
+/** The capacity and capabilities of a service's upstreams. */
 export type UpstreamContract = {
-	/** Requests that one upstream runs at one time. */
+	/** The requests that one upstream runs concurrently. */
 	readonly slots: number;
-	/** Connections that one upstream takes, from all instances together. */
+	/** The connections that one upstream accepts, from all instances together. */
 	readonly connections: number;
-	/** Whether upstreams refuse a request with an older fence number. */
+	/** Whether upstreams reject a request with an older fence number. */
 	readonly checksFence: boolean;
-	/** Statuses by which an upstream says that it did not run the request. */
+	/** The statuses by which an upstream reports that it did not run the request. */
 	readonly notRunStatuses: readonly number[];
-	/** The time over which a new upstream comes to its full share of load. */
+	/** The time over which a new upstream ramps up to its full share of load. */
 	readonly warmUpMilliseconds: Milliseconds;
 	/** The zones that may own keys. Empty: all zones. */
 	readonly zones: readonly ZoneName[];
 };
 
-/** How requests are sent again. */
+/** How requests are retried. */
 export type RetryContract = {
-	/** Attempts for one request, the first among them. */
+	/** The maximum number of attempts for one request, including the first. */
 	readonly attempts: number;
-	/** Retries as a share of first attempts. */
+	/** The retry budget, as a ratio of retries to first attempts. */
 	readonly budgetRatio: number;
-	/** The longest pause before the first retry; it doubles with each. */
+	/** The maximum delay before the first retry; it doubles with each further one. */
 	readonly backoffMilliseconds: Milliseconds;
 };
 
-/** How a legacy unit counts over time. */
+/** The kind of time window over which a legacy unit counts. */
 export const WindowForm = {
 	/** Windows that start at whole multiples of the interval since 1970 in UTC. */
 	fixed: 'fixed',
-	/** Any stretch of time that is as long as the interval. */
+	/** Any period that is as long as the interval. */
 	sliding: 'sliding',
 } as const;
 
-/** One of the forms of a window. */
+/** One of the kinds of window. */
 export type WindowForm = (typeof WindowForm)[keyof typeof WindowForm];
 
-/** How a limit that is not whole is made whole. */
+/** How a limit that is not a whole number is rounded. */
 export const Rounding = {
 	down: 'down',
 	nearest: 'nearest',
 	up: 'up',
 } as const;
 
-/** One of the roundings. */
+/** One of the rounding modes. */
 export type Rounding = (typeof Rounding)[keyof typeof Rounding];
 
-/** Who shares a limit. */
+/** Which instances share a limit. */
 export const LimitScope = {
 	/** All instances together. */
 	deployment: 'deployment',
-	/** Each instance has the whole limit, as in the old system. */
+	/** Each instance has the whole limit to itself, as in the legacy system. */
 	instance: 'instance',
 } as const;
 
 /** One of the scopes of a limit. */
 export type LimitScope = (typeof LimitScope)[keyof typeof LimitScope];
 
-/** What a unit counts. */
+/** The quantity that a unit counts. */
 export const CountedQuantity = {
 	requests: 'requests',
-	/** Requests that change something: those that are not idempotent. */
+	/** Requests that change state: those that are not idempotent. */
 	changes: 'changes',
 	/** Bytes of request bodies. */
 	bodyBytes: 'body-bytes',
 } as const;
 
-/** One of the things that are counted. */
+/** One of the counted quantities. */
 export type CountedQuantity = (typeof CountedQuantity)[keyof typeof CountedQuantity];
 
-/** The declaration of a unit that only the old system used. */
+/** The declaration of a unit in which only the legacy system quoted limits. */
 export type LegacyUnit = {
 	readonly name: string;
 	readonly counts: CountedQuantity;
-	/** How many counted things make one of the unit. */
+	/** How much of the counted quantity makes up one unit. */
 	readonly countedPerUnit: number;
 	readonly intervalMilliseconds: Milliseconds;
 	readonly window: WindowForm;
-	/** What may be used at once, as a multiple of the limit. 1: no more than the limit. */
+	/** The amount that may be used at once, as a multiple of the limit. 1: no more than the limit. */
 	readonly burst: number;
 	readonly rounding: Rounding;
 	readonly scope: LimitScope;
@@ -154,27 +154,27 @@
 	readonly name: string;
 	readonly amount: number;
 	readonly unit: string;
-	/** The header field whose value names the caller that the limit holds for. Absent: all callers together. */
+	/** The header field that identifies the caller; the limit applies to each caller separately. Absent: it applies to all callers together. */
 	readonly callerHeader?: string;
-	/** The part of the amount, from 0 to 1, that is divided over the zones of `upstream.zones` for the time of a cut. Absent: none. */
+	/** The fraction of the amount, from 0 to 1, that is reserved for partitions and divided among the zones of `upstream.zones`. Absent: none. */
 	readonly cutReserve?: number;
 };
 
 /** A service-level objective. */
 export type Objective = {
 	readonly name: string;
-	/** The share of requests that must be good, below 1. */
+	/** The fraction of requests that must be good, below 1. */
 	readonly target: number;
-	/** A good answer comes within this time. Absent: any time within the deadline. */
+	/** The latency within which an answer counts as good. Absent: any time within the deadline. */
 	readonly withinMilliseconds?: Milliseconds;
-	/** The period over which the target holds. */
+	/** The period over which the target is measured. */
 	readonly periodDays: number;
 };
 
-/** The `cutReserve` of a limit whose contract file says nothing else. */
+/** The `cutReserve` of a limit whose contract file sets none. */
 export const defaultCutReserve = 0.2;
 
-/** All that is contracted about one service. */
+/** The contract of one service. */
 export type ServiceContract = {
 	readonly name: ServiceName;
 	/** The path prefix of the service's requests, such as `/schedule`. */
@@ -182,13 +182,15 @@
 	readonly key: KeySource;
 	/** The number of slots that keys hash to. It never changes for a service. */
 	readonly slots: number;
+	/** What to optimise for when ownership has to move. */
 	readonly weigh: MovePreference;
+	/** What happens to a zone's slots when the zone can't reach control. */
 	readonly whenCut: PartitionPolicy;
-	/** No request of the service is given more time than this. */
+	/** The upper bound on the deadline of every request of the service. */
 	readonly longestDeadlineMilliseconds: Milliseconds;
-	/** Keys are to be served again within this time of the loss of their upstream. Absent: nothing is stated. */
+	/** The target time from the loss of an upstream until its keys are served again. Absent: no target is stated. */
 	readonly servedAgainWithinMilliseconds?: Milliseconds;
-	/** The largest request body that is taken. */
+	/** The largest request body that is accepted. */
 	readonly largestBodyBytes: number;
 	readonly routes: readonly RouteContract[];
 	readonly upstream: UpstreamContract;
@@ -198,7 +200,7 @@
 	readonly objectives: readonly Objective[];
 };
 
-/** A contract with the values that hold when operators say nothing else. */
+/** The default values of a contract. */
 export const defaultContract: Omit<ServiceContract, 'name' | 'prefix' | 'key'> = {
 	slots: 256,
 	weigh: MovePreference.availability,
--- a/packages/model/src/derived.ts
+++ b/packages/model/src/derived.ts
@@ -1,9 +1,9 @@
 /**
- * What is derived from state and asked for often. State is never changed in
- * place, so that the same object always gives the same answer.
+ * Memoization of values that are computed from immutable state and read often.
+ * State is never changed in place, so the same object always yields the same value.
  */
 
-/** The function with its last answer for each object kept for as long as the object lives. */
+/** Returns a function that caches the result for each state object until the object is garbage-collected. */
 export function memoize<State extends object, Answer>(derive: (state: State) => Answer): (state: State) => Answer {
 	const answers = new WeakMap<State, {readonly answer: Answer}>();
 	return state => {
--- a/packages/model/src/failure.ts
+++ b/packages/model/src/failure.ts
@@ -1,47 +1,47 @@
 /**
- * Every failure that the system tells a caller, an operator, an upstream or
- * another instance about. No failure is a bare string.
+ * The failures that the system reports to callers, operators, upstreams and
+ * other instances. No failure is a bare string.
  */
 
-/** The kinds of failure. The values are what travels and what is logged. */
+/** The kinds of failure. The values are sent in messages and logged. */
 export const FailureKind = {
-	/** The message can't be read, or one of its fields is not what it should be. */
+	/** The message can't be parsed, or one of its fields is invalid. */
 	malformed: 'malformed',
-	/** The message is larger than the receiver takes. */
+	/** The message is larger than the receiver accepts. */
 	tooLarge: 'too-large',
-	/** No credential, or a wrong one. */
+	/** The credential is missing or wrong. */
 	unauthenticated: 'unauthenticated',
-	/** The credential is right, but doesn't give the right to this. */
+	/** The credential is valid, but doesn't authorise this operation. */
 	forbidden: 'forbidden',
 	/** No such service, path, slot, upstream, instance or operation. */
 	notFound: 'not-found',
-	/** A change builds on a revision that is no longer the newest. */
+	/** A change is based on a revision that is no longer the newest. */
 	conflict: 'conflict',
-	/** Settings or a contract don't pass their check. */
+	/** Settings or a contract fail validation. */
 	settingsInvalid: 'settings-invalid',
-	/** A limit is quoted in a unit that nobody declared. */
+	/** A limit is quoted in an undeclared unit. */
 	unitUndeclared: 'unit-undeclared',
 	/** No majority of the voters can be reached, so nothing can be accepted. */
 	noQuorum: 'no-quorum',
 	/** This instance is not the leader; another may be. */
 	notLeader: 'not-leader',
-	/** A change was sent, and whether it was accepted can't be told yet. */
+	/** A change was sent, and it isn't known yet whether it was accepted. */
 	outcomeUnknown: 'outcome-unknown',
-	/** The key has no owner at this moment. */
+	/** The key currently has no owner. */
 	noOwner: 'no-owner',
-	/** This instance holds no lease over the key at this moment. */
+	/** This instance currently holds no lease over the key. */
 	noLease: 'no-lease',
 	/** The contracted limit is spent. */
 	limitReached: 'limit-reached',
-	/** The queue is full, or the work can't be done in time. */
+	/** The queue is full, or the request can't be completed in time. */
 	overloaded: 'overloaded',
 	/** The deadline passed. */
 	deadlineExceeded: 'deadline-exceeded',
-	/** The upstream refused, or cut the connection. */
+	/** The upstream refused the connection or closed it early. */
 	upstreamFailed: 'upstream-failed',
-	/** The same operation is running or has ended already. */
+	/** The same operation is running or has already ended. */
 	duplicate: 'duplicate',
-	/** Whether the operation was already claimed can't be checked. */
+	/** It can't be checked whether the operation was already claimed. */
 	claimUnavailable: 'claim-unavailable',
 	/** The instance is stopping or not yet ready. */
 	notReady: 'not-ready',
@@ -53,49 +53,49 @@
 	storageFailed: 'storage-failed',
 	/** A peer can't be reached. */
 	unreachable: 'unreachable',
-	/** A fault of the program itself. */
+	/** A bug in the program itself. */
 	internal: 'internal',
 } as const;
 
 /** One of the kinds of failure. */
 export type FailureKind = (typeof FailureKind)[keyof typeof FailureKind];
 
-/** One thing that is wrong with a settings file or a contract. */
+/** One validation error in a settings file or a contract. */
 export type SettingsProblem = {
-	/** The file, or the name of the surface that the settings came through. */
+	/** The file, or the name of the API that the settings were submitted to. */
 	readonly file: string;
-	/** The path within the file, with dots between its segments. */
+	/** The path within the file, with segments separated by dots. */
 	readonly path: string;
 	/** What is wrong, as a sentence. */
 	readonly reason: string;
 };
 
-/** A failure: its kind, a sentence for a person, and what a program may need. */
+/** A failure: its kind, a sentence for people, and details for programs. */
 export type Failure = {
 	readonly kind: FailureKind;
 	readonly detail: string;
-	/** With `conflict`: the revision that stands. */
+	/** With `conflict`: the current revision. */
 	readonly winningRevision?: number;
-	/** With `settingsInvalid` and `unitUndeclared`: each thing that is wrong. */
+	/** With `settingsInvalid` and `unitUndeclared`: all validation errors. */
 	readonly problems?: readonly SettingsProblem[];
 	/** With `notLeader`: the name of the instance that may be the leader. */
 	readonly leader?: string;
-	/** With `limitReached`, `overloaded` and `noOwner`: when to come again. */
+	/** With `limitReached`, `overloaded` and `noOwner`: how long to wait before retrying. */
 	readonly retryAfterMilliseconds?: number;
 	/** With `storageDamaged`: where the damage is. */
 	readonly location?: {readonly file: string; readonly offsetBytes: number};
 };
 
-/** Makes a failure of a kind. */
+/** Creates a failure. */
 export function failure(kind: FailureKind, detail: string, more: Omit<Failure, 'kind' | 'detail'> = {}): Failure {
 	return {kind, detail, ...more};
 }
 
-/** The one exception that this project throws, for faults that no result can carry. */
+/** The only exception that this project throws, for failures that can't be returned as a `Result`. */
 export class FailureError extends Error {
 	readonly failure: Failure;
 
-	/** Wraps a failure, so that it can be thrown. */
+	/** Wraps a failure so that it can be thrown. */
 	constructor(failure: Failure) {
 		super(`${failure.kind}: ${failure.detail}`);
 		this.name = 'FailureError';
@@ -103,7 +103,7 @@
 	}
 }
 
-/** Turns anything that was thrown into a failure. */
+/** Converts a thrown value into a failure. `kind` applies to values other than a `FailureError`. */
 export function toFailure(thrown: unknown, kind: FailureKind = FailureKind.internal): Failure {
 	if (thrown instanceof FailureError) {
 		return thrown.failure;
--- a/packages/model/src/json-record.ts
+++ b/packages/model/src/json-record.ts
@@ -1,11 +1,11 @@
 /**
- * JSON objects whose fields are not checked yet.
+ * JSON objects whose fields are not validated yet.
  */
 
-/** An object that came of JSON. */
+/** A parsed JSON object. */
 export type JsonRecord = Readonly<Record<string, unknown>>;
 
-/** Whether a value is an object and no list. */
+/** Whether a value is an object and not an array. */
 export function isRecord(value: unknown): value is JsonRecord {
 	return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
--- a/packages/model/src/outcome.ts
+++ b/packages/model/src/outcome.ts
@@ -1,14 +1,14 @@
 /**
- * What is known about whether an upstream ran a request.
+ * The outcome of an attempt: whether the upstream is known to have run the request.
  */
 
-/** The three things that can be known after an attempt. */
+/** The possible outcomes of an attempt. */
 export const Outcome = {
 	/** The upstream ran the request. */
 	ran: 'ran',
 	/** The upstream did not run the request, and never will. */
 	notRun: 'not-run',
-	/** Whether the upstream ran the request, or still will, can't be told. */
+	/** It can't be determined whether the upstream ran the request or still will. */
 	unknown: 'unknown',
 } as const;
 
--- a/packages/model/src/registry.ts
+++ b/packages/model/src/registry.ts
@@ -1,11 +1,11 @@
 /**
- * The records of instances and upstreams, as they stand in the replicated log.
+ * The records of instances and upstreams in the replicated log, and the announcements of upstreams.
  */
 import {
 	type Incarnation, type InstanceName, type Milliseconds, type RegionName, type ServiceName, type UpstreamIdentity, type UpstreamName, type ZoneName,
 } from './identifiers.js';
 
-/** An instance that belongs to the roster of its availability zone. */
+/** An instance in the roster of its availability zone. */
 export type InstanceRecord = {
 	readonly name: InstanceName;
 	readonly incarnation: Incarnation;
@@ -19,13 +19,13 @@
 	readonly operatorAddress: string;
 };
 
-/** What is decided about an upstream. */
+/** The phase that control has decided for an upstream. */
 export const UpstreamPhase = {
 	/** It may own keys. */
 	serving: 'serving',
-	/** It gives its keys away and gets no new work. */
+	/** It gives up its keys and receives no new work. */
 	leaving: 'leaving',
-	/** It is judged to be gone. It may come back only as a later incarnation. */
+	/** It is declared lost. It may return only as a later incarnation. */
 	lost: 'lost',
 } as const;
 
@@ -42,16 +42,16 @@
 	/** Where requests go, as `IP:port`. */
 	readonly address: string;
 	readonly phase: UpstreamPhase;
-	/** How long nothing had been heard of it when it was judged lost. Absent: it is not lost, or that isn't known. */
+	/** The time since the last contact with it when it was declared lost. Absent: it is not lost, or the time isn't known. */
 	readonly silentMilliseconds?: Milliseconds;
 };
 
-/** The identity within an upstream's record. */
+/** Returns the identity of the upstream in a record. */
 export function identityOf(record: UpstreamRecord): UpstreamIdentity {
 	return {service: record.service, name: record.name, incarnation: record.incarnation};
 }
 
-/** What an upstream tells an instance, again and again. */
+/** The heartbeat that an upstream sends to an instance. */
 export type Announcement = {
 	readonly service: ServiceName;
 	readonly name: UpstreamName;
@@ -59,8 +59,8 @@
 	readonly region: RegionName;
 	readonly zone: ZoneName;
 	readonly address: string;
-	/** Whether it wants to give its keys away. */
+	/** Whether it asks to give up its keys. */
 	readonly leaving: boolean;
-	/** Its own figure for how busy it is, from 0 to 1. It may lag or mislead. */
+	/** Its load as it measures it itself, from 0 to 1. It may be out of date or misleading. */
 	readonly load: number;
 };
--- a/packages/model/src/share.ts
+++ b/packages/model/src/share.ts
@@ -1,38 +1,39 @@
 /**
- * How a contracted limit is divided: what an instance would use, and what it
- * may use. Control divides one part of a limit over all instances, each zone's
- * steward the zone's reserve over the instances of the zone.
+ * The messages that divide a contracted limit among instances: what an instance
+ * would use, and what it may use. Control divides one part of a limit among all
+ * instances, and each zone's steward divides the zone's reserve among the
+ * instances of the zone.
  */
 import {type Milliseconds, type ServiceName} from './identifiers.js';
 
-/** Who divides a part of a limit. */
+/** The role that divides a part of a limit. */
 export const Divider = {
 	/** The leader of control, for the whole deployment. */
 	control: 'control',
-	/** The steward of the holder's zone, also while the zone is cut off. */
+	/** The steward of the holder's zone, also while the zone is partitioned from control. */
 	zone: 'zone',
 } as const;
 
 /** One of the dividers. */
 export type Divider = (typeof Divider)[keyof typeof Divider];
 
-/** What an instance asks for of one limit. */
+/** An instance's request for a share of one limit. */
 export type LimitDemand = {
 	readonly service: ServiceName;
 	readonly limit: string;
-	/** The caller that the limit holds for; empty where all callers share it. */
+	/** The caller that the limit applies to; empty if all callers share it. */
 	readonly caller: string;
-	/** Who is asked. */
+	/** The role that the request is sent to. */
 	readonly divider: Divider;
-	/** One life of the instance that asks. */
+	/** The incarnation of the requesting instance. */
 	readonly holder: string;
-	/** Grows with each demand of the holder. */
+	/** Increases with each demand of the holder. */
 	readonly sequence: number;
-	/** What it would use of the divider's part, in counted things an interval. */
+	/** What it would use of the divider's part, in counted quantities per interval. */
 	readonly wanted: number;
-	/** The divider's share that is in force at the holder; 0 where none is. */
+	/** The divider's share that is in force at the holder; 0 if there is none. */
 	readonly held: number;
-	/** The greater of `held` and what was used within the last window, of all dividers' shares together, as a share. */
+	/** The greater of `held` and the use within the last window under the shares of all dividers together, expressed as a share. */
 	readonly usable: number;
 };
 
@@ -44,8 +45,8 @@
 	readonly holder: string;
 	/** The demand that this answers. */
 	readonly sequence: number;
-	/** In counted things an interval. */
+	/** In counted quantities per interval. */
 	readonly amount: number;
-	/** How long the share holds, from when the demand was made. */
+	/** How long the share is valid, from when the demand was made. */
 	readonly validMilliseconds: Milliseconds;
 };
--- a/packages/model/src/transition.ts
+++ b/packages/model/src/transition.ts
@@ -1,23 +1,23 @@
 /**
- * The form of every decision: a state machine takes a state and an event and
- * returns the next state and the effects for the edge to carry out.
+ * Types for state machines and tables of handlers. A state machine maps a state
+ * and an event to the next state and the effects that its caller carries out.
  */
 
-/** What one event changes and what it asks the edge to do. */
+/** The result of handling one event: the next state, and the effects to carry out. */
 export type Transition<State, Effect> = {
 	readonly state: State;
 	readonly effects: readonly Effect[];
 };
 
-/** Anything that a lookup table of handlers can be keyed by. */
+/** A member of a union that is discriminated by `kind`. */
 export type Kinded = {readonly kind: string};
 
-/** A lookup table with one handler for each kind of a union of messages. */
+/** A lookup table with one handler for each kind in a union of messages. */
 export type HandlerTable<Message extends Kinded, Parameters extends readonly unknown[], Returned> = {
 	readonly [Kind in Message['kind']]: (message: Extract<Message, {readonly kind: Kind}>, ...parameters: Parameters) => Returned;
 };
 
-/** Calls the handler that a table holds for the kind of a message. */
+/** Calls the handler for the kind of a message. */
 export function dispatch<Message extends Kinded, Parameters extends readonly unknown[], Returned>(
 	table: HandlerTable<Message, Parameters, Returned>,
 	message: Message,
