--- a/packages/clock/src/due.ts
+++ b/packages/clock/src/due.ts
@@ -1,31 +1,31 @@
 /**
- * A timer for work whose next due moment changes with each event: it waits for
- * that moment in place of asking again and again.
+ * A timer for work whose due time may change with each event. It waits for the
+ * due time instead of polling.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {monotonicNow} from './monotonic.js';
 
 /** A timer that runs its work when it is due. */
 export type DueTimer = {
-	/** Something happened: the moment is asked for anew. A wait is cut short by it and never drawn out, so that a flood of events can't hold the work up. */
+	/** Computes the due time again after an event. The current wait may become shorter, never longer, so that a flood of events can't delay the work. */
 	readonly arm: () => void;
-	/** Nothing runs any more. */
+	/** Stops the timer; the work isn't run again. */
 	readonly stop: () => void;
 };
 
-/** What a timer runs. */
+/** The work that a timer runs. */
 export type DueWork = {
-	/** When the work is due next. In the past: now. Infinite: not before something happens. */
+	/** Returns when the work is due next. In the past: it is due now. Infinity: not before the next event. */
 	readonly dueAt: (now: MonotonicTime) => MonotonicTime;
 	readonly run: () => void;
 };
 
-/** The shortest wait, so that work which stays due takes no more than a part of the loop. */
+/** The shortest wait, so that work that is always due leaves the event loop time for other tasks. */
 export const leastWaitMilliseconds: Milliseconds = 5;
-/** The longest wait, so that no clock's jump and no forgotten event holds the work up for long. */
+/** The longest wait, so that neither a clock jump nor a missed event delays the work for long. */
 export const longestWaitMilliseconds: Milliseconds = 250;
 
-/** Starts a timer. It is armed anew after each run. */
+/** Starts a timer. It is rearmed after each run. */
 export function startDueTimer({dueAt, run}: DueWork): DueTimer {
 	let timer: NodeJS.Timeout | undefined;
 	let armedFor = Infinity;
--- a/packages/clock/src/pause.ts
+++ b/packages/clock/src/pause.ts
@@ -1,9 +1,9 @@
 /**
- * Waiting for a duration without holding up the loop.
+ * A delay that doesn't block the event loop.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** Ends after a duration. */
+/** Resolves after a duration. */
 export async function pause(duration: Milliseconds): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, duration);
--- a/packages/clock/test/test-due.ts
+++ b/packages/clock/test/test-due.ts
@@ -7,9 +7,9 @@
 
 type Case = {
 	readonly name: string;
-	/** When the work is due, at a moment and after so many runs. */
+	/** Returns when the work is due, from the current time and the number of runs so far. */
 	readonly dueAt: (now: number, runs: number) => number;
-	/** When something happens. */
+	/** When `arm` is called. */
 	readonly eventsAt?: readonly number[];
 	readonly stopsAt?: number;
 	readonly until: number;
@@ -18,29 +18,29 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'runs when the work is due, and waits for the next moment', dueAt: (_now, runs) => [30, 100, 101][runs] ?? Infinity, until: 200, expected: [30, 100, 105],
+		name: 'runs when the work is due, and waits for the next due time', dueAt: (_now, runs) => [30, 100, 101][runs] ?? Infinity, until: 200, expected: [30, 100, 105],
 	},
 	{
 		name: 'waits no longer than the longest wait', dueAt: () => Infinity, until: 2 * longestWaitMilliseconds, expected: [longestWaitMilliseconds, 2 * longestWaitMilliseconds],
 	},
 	{
-		name: 'rests between two runs of work that stays due', dueAt: () => -Infinity, until: 3 * leastWaitMilliseconds, expected: [5, 10, 15],
+		name: 'leaves the shortest wait between runs of work that is always due', dueAt: () => -Infinity, until: 3 * leastWaitMilliseconds, expected: [5, 10, 15],
 	},
 	{
-		name: 'an event brings the work forward', dueAt: now => now >= 40 && now < 60 ? 60 : Infinity, eventsAt: [40], until: 100, expected: [60],
+		name: 'an event makes the wait shorter', dueAt: now => now >= 40 && now < 60 ? 60 : Infinity, eventsAt: [40], until: 100, expected: [60],
 	},
 	{
-		name: 'an event that puts the work off leaves the wait as it is', dueAt: now => now < 40 ? 60 : 500, eventsAt: [40], until: 100, expected: [60],
+		name: 'an event doesn\'t make the wait longer', dueAt: now => now < 40 ? 60 : 500, eventsAt: [40], until: 100, expected: [60],
 	},
 	{
-		name: 'a flood of events does not hold the work up',
+		name: 'a flood of events doesn\'t delay the work',
 		dueAt: () => -Infinity,
 		eventsAt: Array.from({length: 12}, (_, number) => number),
 		until: 12,
 		expected: [5, 10],
 	},
 	{
-		name: 'nothing runs once it was stopped', dueAt: () => 30, eventsAt: [25], stopsAt: 20, until: 300, expected: [],
+		name: 'doesn\'t run after it was stopped', dueAt: () => 30, eventsAt: [25], stopsAt: 20, until: 300, expected: [],
 	},
 ];
 
