--- a/packages/model/src/derived.ts
+++ b/packages/model/src/derived.ts
@@ -4,10 +4,10 @@
  */
 
 /** Returns a function that caches the result for each state object until the object is garbage-collected. */
-export function memoize<State extends object, Answer>(derive: (state: State) => Answer): (state: State) => Answer {
+export function memoize<State extends object, Answer>(compute: (state: State) => Answer): (state: State) => Answer {
 	const answers = new WeakMap<State, {readonly answer: Answer}>();
 	return state => {
-		const kept = answers.get(state) ?? {answer: derive(state)};
+		const kept = answers.get(state) ?? {answer: compute(state)};
 		answers.set(state, kept);
 		return kept.answer;
 	};
