--- a/packages/model/src/derived.ts
+++ b/packages/model/src/derived.ts
@@ -4,8 +4,8 @@
  */
 
 /** Returns a function that caches the result for each state object until the object is garbage-collected. */
-export function memoize<State extends object, Answer>(compute: (state: State) => Answer): (state: State) => Answer {
-	const answers = new WeakMap<State, {readonly answer: Answer}>();
+export function memoize<State extends object, Value>(compute: (state: State) => Value): (state: State) => Value {
+	const answers = new WeakMap<State, {readonly answer: Value}>();
 	return state => {
 		const kept = answers.get(state) ?? {answer: compute(state)};
 		answers.set(state, kept);
