--- a/packages/model/src/derived.ts
+++ b/packages/model/src/derived.ts
@@ -5,10 +5,10 @@
 
 /** Returns a function that caches the result for each state object until the object is garbage-collected. */
 export function memoize<State extends object, Value>(compute: (state: State) => Value): (state: State) => Value {
-	const answers = new WeakMap<State, {readonly answer: Value}>();
+	const cache = new WeakMap<State, {readonly answer: Value}>();
 	return state => {
-		const kept = answers.get(state) ?? {answer: compute(state)};
-		answers.set(state, kept);
+		const kept = cache.get(state) ?? {answer: compute(state)};
+		cache.set(state, kept);
 		return kept.answer;
 	};
 }
