--- a/packages/model/src/derived.ts
+++ b/packages/model/src/derived.ts
@@ -7,8 +7,8 @@
 export function memoize<State extends object, Value>(compute: (state: State) => Value): (state: State) => Value {
 	const cache = new WeakMap<State, {readonly answer: Value}>();
 	return state => {
-		const kept = cache.get(state) ?? {answer: compute(state)};
-		cache.set(state, kept);
-		return kept.answer;
+		const cached = cache.get(state) ?? {answer: compute(state)};
+		cache.set(state, cached);
+		return cached.answer;
 	};
 }
