--- a/packages/model/src/transition.ts
+++ b/packages/model/src/transition.ts
@@ -10,15 +10,15 @@
 };
 
 /** A member of a union that is discriminated by `kind`. */
-export type Kinded = {readonly kind: string};
+export type Discriminated = {readonly kind: string};
 
 /** A lookup table with one handler for each kind in a union of messages. */
-export type HandlerTable<Message extends Kinded, Parameters extends readonly unknown[], Returned> = {
+export type HandlerTable<Message extends Discriminated, Parameters extends readonly unknown[], Returned> = {
 	readonly [Kind in Message['kind']]: (message: Extract<Message, {readonly kind: Kind}>, ...parameters: Parameters) => Returned;
 };
 
 /** Calls the handler for the kind of a message. */
-export function dispatch<Message extends Kinded, Parameters extends readonly unknown[], Returned>(
+export function dispatch<Message extends Discriminated, Parameters extends readonly unknown[], Returned>(
 	table: HandlerTable<Message, Parameters, Returned>,
 	message: Message,
 	...parameters: Parameters
