--- a/packages/clock/src/due.ts
+++ b/packages/clock/src/due.ts
@@ -28,23 +28,23 @@
 /** Starts a timer. It is rearmed after each run. */
 export function startDueTimer({dueAt, run}: DueWork): DueTimer {
 	let timer: NodeJS.Timeout | undefined;
-	let armedFor = Infinity;
+	let nextRunAt = Infinity;
 	let isStopped = false;
 
 	function arm(): void {
 		const now = monotonicNow();
 		const at = Math.min(now + longestWaitMilliseconds, Math.max(now + leastWaitMilliseconds, dueAt(now)));
-		if (isStopped || armedFor <= at) {
+		if (isStopped || nextRunAt <= at) {
 			return;
 		}
 
 		clearTimeout(timer);
-		armedFor = at;
+		nextRunAt = at;
 		timer = setTimeout(fire, Math.ceil(at - now));
 	}
 
 	function fire(): void {
-		armedFor = Infinity;
+		nextRunAt = Infinity;
 		run();
 		arm();
 	}
