--- a/packages/clock/src/due.ts
+++ b/packages/clock/src/due.ts
@@ -33,14 +33,14 @@
 
 	function arm(): void {
 		const now = monotonicNow();
-		const at = Math.min(now + longestWaitMilliseconds, Math.max(now + leastWaitMilliseconds, dueAt(now)));
-		if (isStopped || nextRunAt <= at) {
+		const runAt = Math.min(now + longestWaitMilliseconds, Math.max(now + leastWaitMilliseconds, dueAt(now)));
+		if (isStopped || nextRunAt <= runAt) {
 			return;
 		}
 
 		clearTimeout(timer);
-		nextRunAt = at;
-		timer = setTimeout(fire, Math.ceil(at - now));
+		nextRunAt = runAt;
+		timer = setTimeout(fire, Math.ceil(runAt - now));
 	}
 
 	function fire(): void {
