--- a/packages/clock/test/test-due.ts
+++ b/packages/clock/test/test-due.ts
@@ -2,7 +2,7 @@
 import {performance} from 'node:perf_hooks';
 import {mock, test} from 'node:test';
 import {
-	leastWaitMilliseconds, longestWaitMilliseconds, startDueTimer,
+	minimumWaitMilliseconds, longestWaitMilliseconds, startDueTimer,
 } from '@dogwooddeck/clock/due';
 
 type Case = {
@@ -24,7 +24,7 @@
 		name: 'waits no longer than the longest wait', dueAt: () => Infinity, until: 2 * longestWaitMilliseconds, expected: [longestWaitMilliseconds, 2 * longestWaitMilliseconds],
 	},
 	{
-		name: 'leaves the shortest wait between runs of work that is always due', dueAt: () => -Infinity, until: 3 * leastWaitMilliseconds, expected: [5, 10, 15],
+		name: 'leaves the shortest wait between runs of work that is always due', dueAt: () => -Infinity, until: 3 * minimumWaitMilliseconds, expected: [5, 10, 15],
 	},
 	{
 		name: 'an event makes the wait shorter', dueAt: now => now >= 40 && now < 60 ? 60 : Infinity, eventsAt: [40], until: 100, expected: [60],
