--- a/packages/clock/src/due.ts
+++ b/packages/clock/src/due.ts
@@ -23,7 +23,7 @@
 /** The shortest wait, so that work that is always due leaves the event loop time for other tasks. */
 export const minimumWaitMilliseconds: Milliseconds = 5;
 /** The longest wait, so that neither a clock jump nor a missed event delays the work for long. */
-export const longestWaitMilliseconds: Milliseconds = 250;
+export const maximumWaitMilliseconds: Milliseconds = 250;
 
 /** Starts a timer. It is rearmed after each run. */
 export function startDueTimer({dueAt, run}: DueWork): DueTimer {
@@ -33,7 +33,7 @@
 
 	function arm(): void {
 		const now = monotonicNow();
-		const runAt = Math.min(now + longestWaitMilliseconds, Math.max(now + minimumWaitMilliseconds, dueAt(now)));
+		const runAt = Math.min(now + maximumWaitMilliseconds, Math.max(now + minimumWaitMilliseconds, dueAt(now)));
 		if (isStopped || nextRunAt <= runAt) {
 			return;
 		}
--- a/packages/clock/test/test-due.ts
+++ b/packages/clock/test/test-due.ts
@@ -2,7 +2,7 @@
 import {performance} from 'node:perf_hooks';
 import {mock, test} from 'node:test';
 import {
-	minimumWaitMilliseconds, longestWaitMilliseconds, startDueTimer,
+	minimumWaitMilliseconds, maximumWaitMilliseconds, startDueTimer,
 } from '@dogwooddeck/clock/due';
 
 type Case = {
@@ -21,7 +21,7 @@
 		name: 'runs when the work is due, and waits for the next due time', dueAt: (_now, runs) => [30, 100, 101][runs] ?? Infinity, until: 200, expected: [30, 100, 105],
 	},
 	{
-		name: 'waits no longer than the longest wait', dueAt: () => Infinity, until: 2 * longestWaitMilliseconds, expected: [longestWaitMilliseconds, 2 * longestWaitMilliseconds],
+		name: 'waits no longer than the longest wait', dueAt: () => Infinity, until: 2 * maximumWaitMilliseconds, expected: [maximumWaitMilliseconds, 2 * maximumWaitMilliseconds],
 	},
 	{
 		name: 'leaves the shortest wait between runs of work that is always due', dueAt: () => -Infinity, until: 3 * minimumWaitMilliseconds, expected: [5, 10, 15],
