--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -12,7 +12,7 @@
 import {isSettled, type KeyRange, incarnationText} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 import {type AnnouncementAnswer, type AnnouncementOutcome, type AnnouncementReport} from '@dogwooddeck/mesh/calls';
-import {memoize} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/memoize';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {ok, type Result} from 'true-myth/result';
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -7,7 +7,7 @@
 import {flappingCount, joinedAt} from '@dogwooddeck/membership/watch';
 import {type Assignment, AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
 import {type ServiceContract} from '@dogwooddeck/model/contract';
-import {memoize} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/memoize';
 import {
 	type Milliseconds, type MonotonicTime, sameUpstream, type ServiceName, type Slot, type UpstreamIdentity, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
--- a/packages/daemon/src/slot-grants.ts
+++ b/packages/daemon/src/slot-grants.ts
@@ -5,7 +5,7 @@
  */
 import {type ControlState} from '@dogwooddeck/control/state';
 import {AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
-import {memoize} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/memoize';
 import {
 	type FenceNumber, incarnationKey, type Slot, type UpstreamIdentity,
 } from '@dogwooddeck/model/identifiers';
--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -1,7 +1,7 @@
 /**
  * The upstreams that have announced themselves, one record for each life.
  */
-import {memoize} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/memoize';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -1,7 +1,7 @@
 /**
  * The key space of one service as ranges, each with its holder and its fence.
  */
-import {memoize} from '@dogwooddeck/model/derived';
+import {memoize} from '@dogwooddeck/model/memoize';
 import {type FenceNumber, type LogIndex} from '@dogwooddeck/model/identifiers';
 
 /** The number of keys that a service has. */
