--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -1,9 +1,10 @@
 /**
- * Admission to one upstream as one instance sees it: how many requests may be
- * under way, and a bounded queue that refuses at once what can't be done in time.
+ * Admission control of one instance for one upstream: an adaptive limit of requests
+ * in flight, and a bounded queue that immediately rejects requests which can't finish
+ * before their deadline.
  *
- * The queue is a small mutable structure, since it is touched twice by every
- * request; it reads no clock and starts nothing itself.
+ * The queue is a small mutable object, since every request touches it twice. It reads
+ * no clock and starts no timers.
  */
 import {Result} from 'true-myth';
 import {Importance} from '@dogwooddeck/model/contract';
@@ -11,38 +12,36 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {AttemptObservation} from './outcome.js';
 
-/** What waits for a slot. The queue compares tickets by identity. */
+/** A request that enters the queue. Tickets are compared by identity. */
 export type Ticket = {
 	readonly importance: Importance;
 	readonly deadline: MonotonicTime;
-	/** Called once, outside of the queue's own calls, when the ticket got a slot. */
+	/** Called once when a queued ticket gets a slot, from within `finish` or `rebound`. */
 	readonly admitted: () => void;
-	/** Called once when the ticket has to make room for a more important one. */
+	/** Called once when a more important ticket evicts this one from the queue. */
 	readonly refused: (why: Failure) => void;
 };
 
-/** How a ticket was taken. */
+/** How a ticket was accepted. */
 export const AdmissionDecision = {
-	/** It has a slot; `admitted` is not called. */
+	/** The ticket has a slot; `admitted` is not called. */
 	admitted: 'admitted',
-	/** It waits; `admitted` or `refused` is called later, unless it leaves. */
+	/** The ticket waits; `admitted` or `refused` is called later, unless it leaves. */
 	queued: 'queued',
 } as const;
 
-/** One of the ways in. */
 export type AdmissionDecision = (typeof AdmissionDecision)[keyof typeof AdmissionDecision];
 
-/** How an attempt ended, as far as admission goes. */
+/** What the end of an attempt says about the upstream's load. */
 export const RequestCompletion = {
-	/** A whole answer came: the upstream keeps up. */
+	/** A complete response was received: the upstream keeps up. */
 	answered: 'answered',
-	/** The upstream shed, timed out or cut: it does not keep up. */
+	/** The upstream shed the request, timed out or closed the connection: it is overloaded. */
 	strained: 'strained',
-	/** The end says nothing about the upstream's load. */
+	/** The end gives no information about the upstream's load. */
 	neutral: 'neutral',
 } as const;
 
-/** One of the ends. */
 export type RequestCompletion = (typeof RequestCompletion)[keyof typeof RequestCompletion];
 
 const finishedBySeen: Partial<Record<AttemptObservation, RequestCompletion>> = {
@@ -52,18 +51,18 @@
 	[AttemptObservation.closedAfterFirstByte]: RequestCompletion.strained,
 };
 
-/** What the end of an attempt says about the upstream's load. */
+/** Classifies the end of an attempt for admission. */
 export function completionOf(seen: AttemptObservation): RequestCompletion {
 	return finishedBySeen[seen] ?? RequestCompletion.neutral;
 }
 
 /** The bounds of one upstream's admission. */
 export type AdmissionBounds = {
-	/** The slots of the upstream. */
+	/** The requests that the upstream processes concurrently. */
 	readonly slots: number;
-	/** The instances that send to it, this one among them. */
+	/** The instances that send to it, including this one. */
 	readonly instances: number;
-	/** The most tickets that wait. */
+	/** The most tickets that may wait. */
 	readonly queueLength: number;
 };
 
@@ -71,15 +70,15 @@
 export type Admission = {
 	readonly underWay: number;
 	readonly waiting: number;
-	/** The requests that may be under way now. */
+	/** The current limit of requests in flight. */
 	readonly limit: number;
-	/** Takes a ticket, or refuses it at once with `overloaded`. */
+	/** Admits or queues a ticket, or rejects it immediately with `overloaded`. */
 	enter(ticket: Ticket, now: MonotonicTime): Result<AdmissionDecision, Failure>;
-	/** Gives a slot back and admits who is next. */
+	/** Releases a slot and admits the next ticket. */
 	finish(how: RequestCompletion, latency: Milliseconds): void;
-	/** Takes a waiting ticket out. */
+	/** Removes a waiting ticket. */
 	leave(ticket: Ticket): void;
-	/** Changes the bounds, as upstreams' contracts and the number of instances do. */
+	/** Applies new bounds after a change of the contract or of the number of instances. */
 	rebound(bounds: AdmissionBounds): void;
 };
 
@@ -87,15 +86,15 @@
 const lowImportanceShare = 0.5;
 
 /**
- * The connections that one instance may have to an upstream, so that all
- * instances together keep to the upstream's. 0: this instance has none.
+ * Returns how many connections one instance may open to an upstream, so that all
+ * instances together keep to the upstream's limit. May be 0.
  */
 export function connectionsFor(connections: number, instances: number, position: number): number {
 	const whole = Math.floor(connections / instances);
 	return position < connections % instances ? whole + 1 : whole;
 }
 
-/** What an instance may always use: its share of the slots, and no less than one. */
+/** The lower bound of an instance's limit: its equal share of the slots, at least one. */
 function shareOf(bounds: AdmissionBounds): number {
 	return Math.max(1, Math.floor(bounds.slots / bounds.instances));
 }
@@ -104,7 +103,7 @@
 	underWay = 0;
 	readonly #queue: Ticket[] = [];
 	#bounds: AdmissionBounds;
-	/** Grows by one slot for each round of whole answers and halves under strain; from the share to all slots. */
+	/** Grows by one slot for each round of complete responses and halves under overload; between the instance's share and all slots. */
 	#allowed: number;
 	#latency: Milliseconds = 0;
 
@@ -129,7 +128,7 @@
 
 		const wait = this.#expectedWait();
 		if (now + wait + this.#latency > ticket.deadline) {
-			return this.#refusal('the work can\'t be done before the deadline', wait);
+			return this.#refusal('the request can\'t finish before the deadline', wait);
 		}
 
 		return this.#hasRoomFor(ticket) ? this.#enqueue(ticket) : this.#refusal('the queue of the key\'s owner is full', wait);
@@ -162,7 +161,7 @@
 		return Result.err(failure(FailureKind.overloaded, detail, {retryAfterMilliseconds: Math.ceil(wait)}));
 	}
 
-	/** Work of low importance has half of the queue, and gives way in a full one. */
+	/** Low importance may fill half of the queue, and is evicted from a full one. */
 	#hasRoomFor(ticket: Ticket): boolean {
 		const {queueLength} = this.#bounds;
 		if (ticket.importance === Importance.low) {
@@ -175,7 +174,7 @@
 	#evictLow(): boolean {
 		const position = this.#queue.findLastIndex(waiting => waiting.importance === Importance.low);
 		const [evicted] = position === -1 ? [] : this.#queue.splice(position, 1);
-		evicted?.refused(failure(FailureKind.overloaded, 'more important work took its place', {retryAfterMilliseconds: Math.ceil(this.#expectedWait())}));
+		evicted?.refused(failure(FailureKind.overloaded, 'evicted from the queue by a more important request', {retryAfterMilliseconds: Math.ceil(this.#expectedWait())}));
 		return evicted !== undefined;
 	}
 
@@ -206,7 +205,7 @@
 	}
 }
 
-/** Opens the admission to one upstream. */
+/** Creates the admission control for one upstream. */
 export function createAdmission(bounds: AdmissionBounds): Admission {
 	return new UpstreamAdmission(bounds);
 }
--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * The life of one request: it is admitted, sent, and either answered, sent
- * again after a pause, or refused. Nothing here reads a clock or a socket.
+ * State machine of one request: admission, attempts, retries after a backoff, and
+ * the end by a complete response or a refusal. Reads no clock and no socket.
  */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
@@ -13,75 +13,73 @@
 	maySendAgain, AttemptObservation, observationRules, statusOf,
 } from './outcome.js';
 
-/** Where a request is. */
 export const RequestPhase = {
-	/** It waits for a slot of the owner. */
+	/** Waits for the owner to be found and for a slot there. */
 	admitting: 'admitting',
-	/** An attempt is under way. */
+	/** An attempt is in flight. */
 	sending: 'sending',
-	/** It waits before it is tried again. */
+	/** Waits before the next admission. */
 	pausing: 'pausing',
-	/** The caller has what it will get. */
+	/** The caller has its response, or is gone. */
 	ended: 'ended',
 } as const;
 
-/** One of the phases of a request. */
 export type RequestPhase = (typeof RequestPhase)[keyof typeof RequestPhase];
 
-/** One request, from its head to its end. */
+/** The state of one request, from the time its head was read. */
 export type RequestState = {
 	readonly phase: RequestPhase;
 	readonly idempotent: boolean;
 	readonly deadline: MonotonicTime;
 	readonly retry: RetryContract;
-	/** Seeds the jitter. */
+	/** Seed of the backoff jitter. */
 	readonly seed: number;
-	/** Attempts that were begun, but for those that the lease ended before their first byte. */
+	/** Attempts started, except those that were stopped by a lost lease before their first byte. */
 	readonly attempts: number;
-	/** Pauses that were begun, for want of an owner too. */
+	/** Pauses started, including those for a missing owner or lease. */
 	readonly pauses: number;
 	/** Whether one of the attempts may have run. */
 	readonly mayHaveRun: boolean;
 };
 
-/** What happens to a request. `now` is monotonic. */
+/** An event of a request. `now` is monotonic. */
 export type RequestEvent =
 	| {readonly kind: 'admitted'; readonly now: MonotonicTime}
-	/** There is no owner, no lease or no slot. For want of an owner or a lease it waits for `retryAfterMilliseconds` and comes again. */
+	/** There is no owner, no lease or no slot. Without an owner or a lease, the request waits for `retryAfterMilliseconds` at least and is admitted again. */
 	| {readonly kind: 'refused'; readonly now: MonotonicTime; readonly failure: Failure}
 	| {
 		readonly kind: 'seen'; readonly now: MonotonicTime; readonly seen: AttemptObservation;
-		/** Whether a byte of the answer's head was passed to the caller. */
+		/** Whether a byte of the response head was forwarded to the caller. */
 		readonly headPassed: boolean;
-		/** Whether the service's budget allows a retry. */
+		/** Whether the service's retry budget allows a retry. */
 		readonly budgetAllows: boolean;
-		/** What the upstream asked for. */
+		/** The `Retry-After` of the upstream's response. */
 		readonly retryAfterMilliseconds?: Milliseconds;
 	}
 	| {readonly kind: 'pause-over'; readonly now: MonotonicTime}
 	| {readonly kind: 'deadline-passed'; readonly now: MonotonicTime}
 	| {readonly kind: 'caller-gone'; readonly now: MonotonicTime};
 
-/** What the edge does. */
+/** An effect that the caller of `stepRequest` carries out. */
 export type RequestEffect =
-	/** Find the owner and enter its queue. */
+	/** Find the owner of the key and enter its queue. */
 	| {readonly kind: 'admit'}
-	/** Send the request. `retry`: draw it from the budget. */
+	/** Send the request. `retry`: charge the retry budget. */
 	| {readonly kind: 'send'; readonly retry: boolean}
-	/** Come again after the pause. */
+	/** Start a timer that raises `pause-over`. */
 	| {readonly kind: 'pause'; readonly milliseconds: Milliseconds}
-	/** Take the request out of the queue and cancel the attempt. */
+	/** Remove the request from the queue and cancel the attempt. */
 	| {readonly kind: 'cancel'}
-	/** The answer was passed on whole. */
+	/** The complete response was forwarded. */
 	| {readonly kind: 'complete'}
-	/** Break the caller's connection: what it has of the answer is not whole. */
+	/** Close the caller's connection, since the response it received is truncated. */
 	| {readonly kind: 'break'}
-	/** Tell the caller why there is no answer. */
+	/** Send the caller an error response. */
 	| {readonly kind: 'refuse'; readonly status: number; readonly outcome: Outcome; readonly failure: Failure};
 
 type Step = Transition<RequestState, RequestEffect>;
 
-/** Begins a request whose head was read. */
+/** Creates the state of a request whose head was read, and starts its admission. */
 export function beginRequest(input: Pick<RequestState, 'idempotent' | 'deadline' | 'retry' | 'seed'>): Step {
 	const state: RequestState = {
 		phase: RequestPhase.admitting,
@@ -110,16 +108,16 @@
 	}]);
 }
 
-/** What a request waits for: the owner of its key may come back within the deadline. */
+/** The refusals after which a request waits, since the key may get an owner and a lease again before the deadline. */
 const awaited: ReadonlySet<FailureKind> = new Set([FailureKind.noOwner, FailureKind.noLease]);
 
-/** Full jitter: any pause up to a bound that doubles with each. */
+/** Exponential backoff with full jitter: uniform between 0 and a bound that doubles with each pause. */
 function backoff(state: RequestState): Milliseconds {
 	const bound = state.retry.backoffMilliseconds * (2 ** state.pauses);
 	return uniformFloat64(xoroshiro128plus(state.seed + state.pauses)) * bound;
 }
 
-/** Pauses for the backoff, but at least as long as was asked for. Nothing where that ends past the deadline. */
+/** Pauses for the backoff, but at least for `atLeast`. Returns undefined if the pause would not end before the deadline. */
 function paused(state: RequestState, now: MonotonicTime, atLeast: Milliseconds): Step | undefined {
 	const milliseconds = Math.max(atLeast, backoff(state));
 	if (now + milliseconds >= state.deadline) {
@@ -188,7 +186,7 @@
 	return {state: {...state, phase: RequestPhase.admitting}, effects: [{kind: 'admit'}]};
 }
 
-/** While an attempt is under way its own deadline ends it, so that what was seen is told. */
+/** An attempt in flight is ended by its own deadline, so that the outcome is taken from what was observed of it. */
 function whenDeadlinePassed(_event: RequestEvent, state: RequestState): Step {
 	if (state.phase === RequestPhase.sending || state.phase === RequestPhase.ended) {
 		return {state, effects: []};
@@ -211,7 +209,7 @@
 	'caller-gone': whenCallerGone,
 };
 
-/** The next state of a request and what the edge does. Events that come too late change nothing. */
+/** Returns the next state of a request and the effects to carry out. Ignores events that arrive in a later phase. */
 export function stepRequest(state: RequestState, event: RequestEvent): Step {
 	return dispatch(handlers, event, state);
 }
--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -1,38 +1,39 @@
 /**
- * A service's budget of retries: a share of its first attempts.
+ * Retry budget of a service: a token bucket that every first attempt refills by
+ * a fixed ratio and every retry draws one token from.
  */
 import {type Transition} from '@dogwooddeck/model/transition';
 
-/** What is left to spend, in retries. */
+/** The state of a budget, in retries. */
 export type RetryBudget = {
 	readonly ratio: number;
 	readonly balance: number;
-	/** The retries that may be saved up. */
+	/** The most retries that can accumulate. */
 	readonly largest: number;
 };
 
-/** What changes a budget. */
+/** An attempt that changes the budget. */
 export type RetryBudgetEvent = {readonly kind: 'first-attempt'} | {readonly kind: 'retry'};
 
-/** The retries that a quiet service may save up, so that its first failures can be sent again. */
+/** The retries that an idle service accumulates at most, so that its first failures can be retried. */
 const largestBalance = 10;
 
-/** A full budget. */
+/** Creates a full budget. */
 export function createRetryBudget(ratio: number, largest = largestBalance): RetryBudget {
 	return {ratio, balance: largest, largest};
 }
 
-/** The same budget with another bound on what may be saved up. */
+/** Returns the budget with another capacity; a balance above it is lowered to it. */
 export function boundBudget(budget: RetryBudget, largest: number): RetryBudget {
 	return {...budget, largest, balance: Math.min(budget.balance, largest)};
 }
 
-/** Whether a retry may be drawn. */
+/** Whether the budget covers one more retry. */
 export function allowsRetry(budget: RetryBudget): boolean {
 	return budget.balance >= 1;
 }
 
-/** Books a first attempt or a retry. */
+/** Charges the budget for a retry, or credits it for a first attempt. */
 export function recordAttempt(budget: RetryBudget, event: RetryBudgetEvent): Transition<RetryBudget, never> {
 	const change = event.kind === 'retry' ? -1 : budget.ratio;
 	return {state: {...budget, balance: Math.min(budget.largest, budget.balance + change)}, effects: []};
--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -1,6 +1,7 @@
 /**
- * What a holder of claims decides. A record is never dropped before its time:
- * a holder that is full refuses new claims.
+ * State machine of a holder: stores claim records, answers requests and copies records
+ * to the holders of a new roster. A record is never removed before it expires, except
+ * after `not-run`; a full holder refuses new claims.
  */
 import {
 	includesInstance, type InstanceIdentity, type LogIndex, type Milliseconds, type MonotonicTime, sameInstance,
@@ -13,62 +14,62 @@
 } from './claim.js';
 import {type TextHash} from './text-hash.js';
 
-/** One claim as a holder keeps it. */
+/** A claim as stored by a holder. */
 export type ClaimRecord = {
 	readonly operation: Operation;
 	readonly fingerprint: string;
 	readonly token: ClaimToken;
 	readonly ended?: {readonly outcome: Outcome; readonly answer?: StoredAnswer};
-	/** When a running operation is over at the latest. */
+	/** The latest time at which the operation can still run. */
 	readonly runsUntil: MonotonicTime;
 	readonly expiresAt: MonotonicTime;
-	/** The holders that this one copies the record to; they are told of its end. */
+	/** The holders to which this one copies the record; the end of the operation is forwarded to them. */
 	readonly copies: readonly ClaimCopy[];
 };
 
-/** A copy of a record that another holder gets. */
+/** A copy of a record to another holder. */
 export type ClaimCopy = {
 	readonly holder: InstanceIdentity;
-	/** When it is sent again. Infinite once the holder has it. */
+	/** When it is sent next. Infinite once the holder has acknowledged it. */
 	readonly sendAgainAt: MonotonicTime;
-	/** The pause before that; it doubles with each. */
+	/** The backoff after the next send; doubles with each send. */
 	readonly pause: Milliseconds;
 };
 
-/** How much a holder keeps. */
+/** The storage limits of a holder. */
 export type HolderBounds = {
 	readonly records: number;
-	/** The bytes of stored answers, in base64; answers beyond are not kept, their records are. */
+	/** The bytes of stored responses, in base64. Beyond that a record is stored without its response. */
 	readonly answerBytes: number;
 };
 
-/** All that a holder knows. */
+/** The state of a holder. */
 export type HolderState = {
 	readonly self: InstanceIdentity;
 	readonly bounds: HolderBounds;
-	/** The newest roster that any claimant named; older ones are refused. */
+	/** The newest roster that this instance has applied or a request has named; older ones are refused. */
 	readonly rosterIndex: LogIndex;
 	readonly answerBytes: number;
-	/** By the text of the operation. Never copied: only this module changes it, in place, since it may hold every claim of hours. */
+	/** Records by `operationText`. Mutated in place, by this module alone, instead of copied, since it may hold the claims of hours. */
 	readonly records: Map<string, ClaimRecord>;
-	/** The texts of the operations with copies that are still to arrive. Changed in place, as `records` is. */
+	/** The `operationText` of the records with unacknowledged copies. Mutated in place, as `records` is. */
 	readonly copying: Set<string>;
-	/** The newest roster that this instance has applied; copies go to its seats alone. */
+	/** The newest roster that this instance has applied; copies are sent to its seats alone. */
 	readonly roster: ClaimRoster;
 	readonly hash: TextHash;
 };
 
-/** What a holder meets. `now` is monotonic. */
+/** An event of a holder. `now` is monotonic. */
 export type HolderEvent =
 	| {readonly kind: 'message'; readonly now: MonotonicTime; readonly message: ClaimRequest | ClaimEnded}
-	/** This instance has applied a roster: records are copied to the holders that it brings. */
+	/** This instance has applied a roster: records are copied to their new holders. */
 	| {readonly kind: 'roster'; readonly now: MonotonicTime; readonly roster: ClaimRoster}
 	/** The holder of a copy answered. */
 	| {readonly kind: 'copied'; readonly request: ClaimRequest; readonly verdict: ClaimVerdict}
-	/** Time to drop what has expired, and to send copies again. */
+	/** Raised periodically, to remove expired records and to resend copies. */
 	| {readonly kind: 'swept'; readonly now: MonotonicTime};
 
-/** What the edge does. */
+/** An effect that the caller of `stepHolder` carries out. */
 export type HolderEffect =
 	| {readonly kind: 'answer'; readonly answer: ClaimAnswer}
 	/** Send a message to another holder. */
@@ -78,14 +79,14 @@
 
 const firstCopyPause: Milliseconds = 1000;
 
-/** A holder that knows nothing. */
+/** Creates a holder without records. */
 export function createHolder(self: InstanceIdentity, bounds: HolderBounds, hash: TextHash, roster: ClaimRoster): HolderState {
 	return {
 		self, bounds, hash, roster, rosterIndex: roster.index, answerBytes: 0, records: new Map(), copying: new Set(),
 	};
 }
 
-/** What a record says at a time. A run that is over without an end has an unknown outcome. */
+/** Returns the status of a record at a time. A run past its latest time without a reported end has an unknown outcome. */
 export function statusOfRecord(record: ClaimRecord, now: MonotonicTime): ClaimStatus {
 	if (record.ended !== undefined) {
 		return {kind: 'ended', ...record.ended};
@@ -102,7 +103,7 @@
 	return {state, effects: [{kind: 'answer', answer}]};
 }
 
-/** Answers in the name of the life that was asked, which the claimant waits for. */
+/** Answers with the incarnation that the request was addressed to, since the claimant waits for that one. */
 function notHeldHere(state: HolderState, request: ClaimRequest): Step {
 	const answer: ClaimAnswer = {
 		kind: 'claim-answer', token: request.token, holder: request.holder, verdict: ClaimVerdict.notHolder, rosterIndex: state.rosterIndex,
@@ -180,7 +181,7 @@
 	return isLateCopy(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
 }
 
-/** Whether a copy was sent by an older roster than this instance has applied, so that it must be copied on. */
+/** Whether a copy was sent by an older roster than this instance has applied, so that it must be copied to the newer holders. */
 function isLateCopy(state: HolderState, request: ClaimRequest): boolean {
 	return request.purpose === ClaimPurpose.copy && request.rosterIndex < state.roster.index;
 }
@@ -221,7 +222,7 @@
 	'claim-ended': whenEnded,
 };
 
-/** Records stand in the order of their claims, so that what has expired comes first; a copy may stay a little longer. */
+/** Removes expired records. They are stored in the order of their claims, so the expired ones come first; a copy may be kept slightly longer. */
 function withoutExpired(before: HolderState, now: MonotonicTime): HolderState {
 	let state = before;
 	for (const [text, record] of before.records) {
@@ -263,7 +264,7 @@
 		.filter(seat => !sameInstance(seat, state.self) && !record.copies.some(copy => sameInstance(copy.holder, seat)));
 }
 
-/** Keeps the copies of a record; it is done with when all have arrived. */
+/** Stores the copies of a record, and whether one of them is still unacknowledged. */
 function keepCopies(state: HolderState, text: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
 	state.records.set(text, {...record, copies});
 	if (copies.every(copy => hasArrived(copy))) {
@@ -273,7 +274,7 @@
 	}
 }
 
-/** Sends the copies of a record that are due; those to instances without a seat are over. */
+/** Sends the due copies of a record, and drops unacknowledged ones to instances without a seat. */
 function copiesDue(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
 	const wanted = record.copies.filter(copy => hasArrived(copy) || isSeated(state, copy.holder));
@@ -282,7 +283,7 @@
 	return due.map(copy => ({kind: 'send', message: copyOf(state, record, copy.holder, now)}));
 }
 
-/** Copies a record to the holders by the newest roster that don't have it from here. */
+/** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
 function copiesBegun(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
 	const copies = newHolders(state, record).map(holder => ({holder, sendAgainAt: now, pause: firstCopyPause}));
@@ -294,7 +295,7 @@
 	return copiesDue(state, text, now);
 }
 
-/** Copies every live record to the holders by the new roster, so that the loss of the last old holder loses nothing. */
+/** Copies every unexpired record to the holders by the new roster, so that no record is lost with its last old holder. */
 function whenRoster(event: Extract<HolderEvent, {kind: 'roster'}>, before: HolderState): Step {
 	const {now, roster} = event;
 	const state = {...before, rosterIndex: Math.max(before.rosterIndex, roster.index), roster};
@@ -302,7 +303,7 @@
 	return {state, effects: live.flatMap(([text]) => copiesBegun(state, text, now))};
 }
 
-/** A copy has arrived once its holder says `held`: what another claim recorded there may be removed again when that ends unsent. */
+/** Only `held` acknowledges a copy: a record of another claim there may be removed again when that claim ends with `not-run`. */
 function whenCopied({request, verdict}: Extract<HolderEvent, {kind: 'copied'}>, state: HolderState): Step {
 	const text = operationText(request.operation);
 	const record = state.records.get(text);
@@ -313,7 +314,7 @@
 	return {state, effects: []};
 }
 
-/** The roster whose holders have answered copies of all records that are kept here; 0 while some are missing. */
+/** Returns the index of the roster whose holders have acknowledged copies of all records stored here; 0 while an acknowledgement is missing. */
 export function copiedThrough(state: HolderState): LogIndex {
 	return state.copying.size === 0 ? state.roster.index : 0;
 }
@@ -330,7 +331,7 @@
 	swept: (event, state) => whenSwept(state, event.now),
 };
 
-/** The next state of a holder and its answers. */
+/** Returns the next state of a holder and the effects to carry out. */
 export function stepHolder(state: HolderState, event: HolderEvent): Step {
 	return dispatch(handlers, event, state);
 }
--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -1,17 +1,17 @@
 /**
- * Which instances hold a claim: rendezvous hashing over the seats of a roster.
- * Every instance that knows the same roster comes to the same holders.
+ * Chooses the holders of a claim by rendezvous hashing over the seats of a roster.
+ * Every instance computes the same holders from the same roster.
  */
 import {includesInstance, type Milliseconds, sameInstance} from '@dogwooddeck/model/identifiers';
 import {type KnownRoster} from './claim-rosters.js';
 import {type ClaimRoster, type ClaimSeat} from './claim.js';
 import {type TextHash} from './text-hash.js';
 
-/** Whom a claimant asks, by the rosters that may be in use. */
+/** The holders that a claimant queries, by the rosters that may be in use. */
 export type ClaimHolders = {
-	/** Must all record the claim: two instances in different availability zones. */
+	/** Two instances in different availability zones; both must record the claim. */
 	readonly current: readonly ClaimSeat[];
-	/** One group for each earlier roster; one of each group must know nothing of the operation. */
+	/** One group for each earlier roster; one of each group must have no record of the operation. */
 	readonly earlier: ReadonlyArray<readonly ClaimSeat[]>;
 };
 
@@ -26,8 +26,8 @@
 }
 
 /**
- * The two holders of an operation: the seat with the highest score, and the
- * highest one in another availability zone. With one zone alone: just the first.
+ * Returns the two holders of an operation: the seat with the highest score, and the
+ * highest one in another availability zone. With a single zone, only the first.
  */
 export function holdersOf(roster: ClaimRoster, operation: string, hash: TextHash): readonly ClaimSeat[] {
 	const seats = roster.seats.map(seat => scored(seat, operation, hash)).sort(byScore).map(entry => entry.seat);
@@ -45,9 +45,9 @@
 }
 
 /**
- * The holders by the newest roster and by each earlier one. Rosters come newest
- * first. A group is left out if it is equal to one that comes before, or if one
- * of it has told that its records are copied.
+ * Returns the holders by the newest roster and by each earlier one. Rosters are ordered
+ * newest first. A group is left out if it equals one before it, or if one of its
+ * members has reported that its records are copied.
  */
 export function claimHolders(rosters: readonly KnownRoster[], operation: string, hash: TextHash): ClaimHolders {
 	const groups = rosters
@@ -59,8 +59,9 @@
 }
 
 /**
- * How long an operation stays refused at most because all of its holders by an
- * earlier roster have lost their seats; undefined if that is so of none.
+ * Returns the longest time for which an operation stays refused because all of its
+ * holders by an earlier roster have lost their seats; undefined if there is no such
+ * roster.
  */
 export function refusedFor(rosters: readonly KnownRoster[], holders: ClaimHolders, remaining: (known: KnownRoster) => Milliseconds): Milliseconds | undefined {
 	const seats = rosters[0]?.roster.seats ?? [];
--- a/packages/routing/src/claim.ts
+++ b/packages/routing/src/claim.ts
@@ -1,7 +1,8 @@
 /**
- * The words of claims: a claim names one operation of a caller, so that it runs
- * at most once. Two instances in different availability zones hold each claim.
- * The messages are plain JSON, so that any front end can carry them.
+ * Types and messages of the claim protocol. A claim records one operation of a caller
+ * under its idempotency key, so that the operation runs at most once. Two instances in
+ * different availability zones, its holders, keep each claim. The messages are plain
+ * JSON, so that any front end can carry them.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
 import {
@@ -9,114 +10,112 @@
 } from '@dogwooddeck/model/identifiers';
 import {type Outcome} from '@dogwooddeck/model/outcome';
 
-/** An operation, as its caller names it. */
+/** An operation, as identified by its caller. */
 export type Operation = {
 	readonly service: ServiceName;
-	/** The key that the request names. */
+	/** The key of the request. */
 	readonly key: string;
 	/** The value of the caller's `Idempotency-Key`. */
 	readonly operationKey: string;
 };
 
-/** An answer that is kept for resends. */
+/** A response that is kept to be replayed to resends. */
 export type StoredAnswer = {
 	readonly status: number;
-	/** Names and values in turn. */
+	/** Alternating names and values. */
 	readonly headers: readonly string[];
 	/** The body in base64. */
 	readonly body: string;
 };
 
-/** An instance that may hold claims. */
+/** A seated instance, which may hold claims. */
 export type ClaimSeat = InstanceIdentity & {readonly zone: ZoneName};
 
-/** The seated instances of all zones, as they stood from a log entry on. */
+/** The seated instances of all zones as of a log entry. */
 export type ClaimRoster = {
-	/** The log entry that made this roster. */
+	/** The index of the log entry that created this roster. */
 	readonly index: LogIndex;
 	readonly seats: readonly ClaimSeat[];
 };
 
-/** What a request wants of a holder. */
+/** What a request asks a holder to do. */
 export const ClaimPurpose = {
-	/** To record the claim. */
+	/** Record the claim. */
 	hold: 'hold',
-	/** To learn whether it is recorded, and to refuse older rosters from now on. */
+	/** Report whether the operation is claimed, and refuse older rosters from now on. */
 	check: 'check',
-	/** To copy a record to a new holder. */
+	/** Store a copy of another holder's record. */
 	copy: 'copy',
 } as const;
 
-/** One of the purposes. */
 export type ClaimPurpose = (typeof ClaimPurpose)[keyof typeof ClaimPurpose];
 
-/** Tells one claim from any other, also of the same operation. */
+/** Identifies a claim, also among those of the same operation. */
 export type ClaimToken = {
 	readonly claimant: InstanceIdentity;
-	/** Counts the claims of one life of the claimant. */
+	/** Numbers the claims of one incarnation of the claimant. */
 	readonly sequence: number;
 };
 
-/** What is known of a claimed operation. */
+/** The status of a claimed operation. */
 export type ClaimStatus =
-	/** It may run until this much time has passed; after that its outcome is unknown. */
+	/** May run for this long; after that its outcome is unknown. */
 	| {readonly kind: 'running'; readonly remainingMilliseconds: Milliseconds}
-	/** It ended; `not-run` is never kept. Without an answer: it was too large to keep, or never came. */
+	/** Ended; `not-run` is never stored. `answer` is absent if it was too large to store or was never received. */
 	| {readonly kind: 'ended'; readonly outcome: Outcome; readonly answer?: StoredAnswer};
 
-/** An entry instance asks a holder. */
+/** A request of the claimant, the entry instance of a request, or of a copying holder to a holder. */
 export type ClaimRequest = {
 	readonly kind: 'claim-request';
 	readonly purpose: ClaimPurpose;
 	readonly operation: Operation;
-	/** A hash of the request; a resend has the same. */
+	/** A hash of the request, equal for a resend. */
 	readonly fingerprint: string;
 	readonly token: ClaimToken;
-	/** The life of the instance that is asked. */
+	/** The incarnation that the request is addressed to. */
 	readonly holder: InstanceIdentity;
-	/** The roster that the claimant chose the holders by. */
+	/** The index of the roster by which the sender chose the holders. */
 	readonly rosterIndex: LogIndex;
-	/** With `hold` and `copy`: what is recorded. */
+	/** With `hold` and `copy`: the status to record. */
 	readonly status: ClaimStatus;
 	/** How long the record is kept from now. */
 	readonly lifetimeMilliseconds: Milliseconds;
 };
 
-/** What a holder says. */
+/** A holder's verdict on a request. */
 export const ClaimVerdict = {
 	/** The claim is recorded. */
 	held: 'held',
 	/** Nothing is recorded for the operation. */
 	free: 'free',
-	/** Another claim of the operation stands. */
+	/** The operation is recorded under another claim. */
 	taken: 'taken',
 	/** The operation was claimed for a different request. */
 	mismatch: 'mismatch',
-	/** The claimant's roster is older than one that the holder has met. */
+	/** The claimant's roster is older than the newest that the holder received. */
 	staleRoster: 'stale-roster',
-	/** The message is for another life of the holder. */
+	/** The message is addressed to another incarnation of the holder. */
 	notHolder: 'not-holder',
-	/** The holder keeps as many records as it may. */
+	/** The holder has reached its limit of records. */
 	full: 'full',
 } as const;
 
-/** One of the verdicts. */
 export type ClaimVerdict = (typeof ClaimVerdict)[keyof typeof ClaimVerdict];
 
 /** A holder's answer to a claimant. */
 export type ClaimAnswer = {
 	readonly kind: 'claim-answer';
 	readonly token: ClaimToken;
-	/** The life that was asked, also where another one answers with `not-holder`. */
+	/** The incarnation that the request was addressed to, also if another one answers `not-holder`. */
 	readonly holder: InstanceIdentity;
 	readonly verdict: ClaimVerdict;
-	/** With `taken`: what is recorded. */
+	/** With `taken`: the recorded status. */
 	readonly status?: ClaimStatus;
-	/** The newest roster that the holder has met. */
+	/** The index of the newest roster that the holder received. */
 	readonly rosterIndex: LogIndex;
 };
 
-/** A claimant tells a holder how the operation ended. After `not-run` the operation is free again. */
+/** A claimant reports the end of the operation to a holder. After `not-run` the operation can be claimed again. */
 export type ClaimEnded = {
 	readonly kind: 'claim-ended';
 	readonly operation: Operation;
@@ -126,21 +125,21 @@
 	readonly answer?: StoredAnswer;
 };
 
-/** What a claimant learns. */
+/** The decision on a claim. */
 export type ClaimDecision =
 	/** The claim is held: the request may be sent. */
 	| {readonly kind: 'run'}
-	/** The operation ended before: this is its answer. */
+	/** The operation ended before, with this response. */
 	| {readonly kind: 'replay'; readonly answer: StoredAnswer}
-	/** Nothing was sent. `outcome` is what is known of the operation, by this request or an earlier one. */
+	/** Nothing was sent. `outcome` is that of the operation, whether by this request or an earlier one. */
 	| {readonly kind: 'refuse'; readonly failure: Failure; readonly outcome: Outcome};
 
-/** Whether two tokens name the same claim. */
+/** Whether two tokens identify the same claim. */
 export function sameToken(one: ClaimToken, other: ClaimToken): boolean {
 	return one.sequence === other.sequence && sameInstance(one.claimant, other.claimant);
 }
 
-/** The text that names an operation; different operations have different texts. */
+/** Returns a string key for an operation, different for different operations. */
 export function operationText(operation: Operation): string {
 	return JSON.stringify([operation.service, operation.key, operation.operationKey]);
 }
--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -1,7 +1,8 @@
 /**
- * What an entry instance decides about one claim: it asks the holders, and may
- * send the request only once all current holders have recorded the claim and,
- * for each earlier roster, one of its holders knows nothing of the operation.
+ * State machine of one claim at its claimant, the entry instance of the request. It
+ * queries the holders, and may send the request only once all current holders have
+ * recorded the claim and, for each earlier roster, one of its holders has no record of
+ * the operation.
  */
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {
@@ -14,7 +15,7 @@
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, ClaimPurpose, type ClaimRequest, type ClaimStatus, type ClaimToken, ClaimVerdict, type Operation, sameToken, type StoredAnswer,
 } from './claim.js';
 
-/** Where a claim is, as its claimant sees it. */
+/** The phase of a claim at its claimant. */
 export const ClaimPhase = {
 	asking: 'asking',
 	/** The request may be sent. */
@@ -23,44 +24,43 @@
 	ended: 'ended',
 } as const;
 
-/** One of the phases of a claim. */
 export type ClaimPhase = (typeof ClaimPhase)[keyof typeof ClaimPhase];
 
-/** What a claimant starts from. */
+/** The initial values of a claim. */
 export type ClaimInput = {
 	readonly operation: Operation;
 	readonly fingerprint: string;
 	readonly token: ClaimToken;
 	readonly holders: ClaimHolders;
-	/** The index of the newest roster, by which the current holders were chosen. */
+	/** The index of the newest roster, from which the current holders were chosen. */
 	readonly rosterIndex: LogIndex;
-	/** From now until nothing of the operation is in flight any more. */
+	/** The time after which nothing of the operation is in flight any more. */
 	readonly runsForMilliseconds: Milliseconds;
 	readonly lifetimeMilliseconds: Milliseconds;
-	/** With holders that are lost: how long the operation stays refused at most. */
+	/** If all holders by an earlier roster are lost: how long the operation stays refused at most. */
 	readonly refusedForMilliseconds?: Milliseconds | undefined;
 };
 
-/** One claim of an entry instance. */
+/** The state of one claim at its claimant. */
 export type ClaimantState = ClaimInput & {
 	readonly phase: ClaimPhase;
-	/** Who was asked and did not answer yet. */
+	/** The holders that have not answered yet. */
 	readonly waitingFor: readonly InstanceIdentity[];
-	/** Who recorded the claim, or knows nothing of the operation. */
+	/** The holders that recorded the claim, or that have no record of the operation. */
 	readonly confirmed: readonly InstanceIdentity[];
 };
 
-/** What happens to a claim. */
+/** An event of a claim. */
 export type ClaimantEvent =
 	| {readonly kind: 'answered'; readonly answer: ClaimAnswer}
-	/** A holder can't be reached, or did not answer in time. */
+	/** A holder can't be reached or did not answer in time. */
 	| {readonly kind: 'unreachable'; readonly holder: InstanceIdentity}
-	/** The deadline passed before the claim was held, or the caller went away. */
+	/** The deadline passed before the claim was held, or the caller disconnected. */
 	| {readonly kind: 'given-up'}
 	/** The request ended. */
 	| {readonly kind: 'finished'; readonly outcome: Outcome; readonly answer?: StoredAnswer};
 
-/** What the edge does. */
+/** An effect that the caller of `stepClaimant` carries out. */
 export type ClaimantEffect =
 	| {readonly kind: 'ask'; readonly request: ClaimRequest}
 	| {readonly kind: 'tell'; readonly ended: ClaimEnded}
@@ -87,7 +87,7 @@
 	return all.filter((seat, position) => all.findIndex(other => sameInstance(other, seat)) === position);
 }
 
-/** Whether enough have confirmed, or still can: all of the current holders and one of each earlier group. */
+/** Whether `seats` contains the confirmations required: all current holders and one of each earlier group. */
 function suffices(holders: ClaimHolders, seats: readonly InstanceIdentity[]): boolean {
 	return holders.current.every(seat => includesInstance(seats, seat))
 		&& holders.earlier.every(group => group.some(seat => includesInstance(seats, seat)));
@@ -102,7 +102,7 @@
 	}));
 }
 
-/** Ends a claim under which nothing was sent, and frees what was recorded for it. */
+/** Ends a claim under which nothing was sent, and releases its records. */
 function endedUnsent(state: ClaimantState, decision: ClaimDecision): Step {
 	return {
 		state: {...state, phase: ClaimPhase.ended, waitingFor: []},
@@ -110,27 +110,27 @@
 	};
 }
 
-/** Nothing is sent now, but an earlier send of the operation may have run. */
+/** Refuses the request with an unknown outcome: nothing is sent now, but an earlier send of the operation may have run. */
 function unavailable(state: ClaimantState, detail: string): Step {
 	const {refusedForMilliseconds} = state;
 	const details = refusedForMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusedForMilliseconds)};
 	return endedUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
 }
 
-/** Begins a claim: asks every holder. Fails at once where there are not two holders in different zones. */
+/** Creates a claim and queries every holder. Fails immediately if there are no two holders in different zones. */
 export function beginClaim(input: ClaimInput): Step {
 	const waitingFor = everybody(input.holders);
 	const state: ClaimantState = {
 		...input, phase: ClaimPhase.asking, waitingFor, confirmed: [],
 	};
 	if (input.holders.current.length < 2) {
-		return unavailable(state, 'there are not two instances in different availability zones to hold the claim');
+		return unavailable(state, 'no two instances in different availability zones can hold the claim');
 	}
 
 	return {state, effects: waitingFor.map(holder => ({kind: 'ask', request: requestTo(input, holder)}))};
 }
 
-/** Goes on when enough have confirmed, and gives up when enough no longer can. */
+/** Decides to run once enough holders have confirmed, and to refuse once no answer is outstanding and too few have. */
 function settled(state: ClaimantState): Step {
 	if (suffices(state.holders, state.confirmed)) {
 		return {state: {...state, phase: ClaimPhase.held}, effects: [{kind: 'decide', decision: {kind: 'run'}}]};
@@ -202,11 +202,11 @@
 const handlers: HandlerTable<ClaimantEvent, [ClaimantState], Step> = {
 	answered: whenAnswered,
 	unreachable: whenUnreachable,
-	'given-up': (_event, state) => state.phase === ClaimPhase.asking ? unavailable(state, 'the claim was not held in time') : {state, effects: []},
+	'given-up': (_event, state) => state.phase === ClaimPhase.asking ? unavailable(state, 'the claim was not recorded in time') : {state, effects: []},
 	finished: whenFinished,
 };
 
-/** The next state of a claim and what the edge does. Events that come too late change nothing. */
+/** Returns the next state of a claim and the effects to carry out. Ignores events that arrive in a later phase. */
 export function stepClaimant(state: ClaimantState, event: ClaimantEvent): Step {
 	return dispatch(handlers, event, state);
 }
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -1,6 +1,7 @@
 /**
- * All claims of one instance: those it asks for as an entry instance, and those
- * it holds for others. Messages to itself never leave the state machine.
+ * State machine of all claims of one instance: those that it requests as an entry
+ * instance, and those that it holds for others. Messages to itself never leave the
+ * state machine.
  */
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {
@@ -23,16 +24,16 @@
 } from './claimant.js';
 import {type TextHash} from './text-hash.js';
 
-/** What the claims of an instance start from. */
+/** The initial values of an instance's claims. */
 export type ClaimsInput = {
 	readonly self: InstanceIdentity;
 	readonly hash: TextHash;
 	readonly bounds: HolderBounds;
-	/** How long a claim is kept. A resend that comes later runs anew. */
+	/** How long a claim is kept. A resend after that runs again. */
 	readonly lifetimeMilliseconds: Milliseconds;
-	/** Every roster that a live instance may have used within that time, newest first. */
+	/** The rosters that live instances may have used within the lifetime, newest first. */
 	readonly rosters: readonly ClaimRoster[];
-	/** Whether `rosters` is known to hold them all. If not, nothing is claimed for one lifetime. */
+	/** Whether `rosters` holds all of them. If not, nothing is claimed for one lifetime. */
 	readonly rostersComplete: boolean;
 	readonly now: MonotonicTime;
 };
@@ -44,54 +45,54 @@
 	readonly lifetimeMilliseconds: Milliseconds;
 	/** Newest first. */
 	readonly rosters: readonly KnownRoster[];
-	/** Before this time rosters may be missing, and nothing is claimed. */
+	/** Until this time rosters may be missing, and no claim is requested. */
 	readonly claimsFrom: MonotonicTime;
 	readonly holder: HolderState;
-	/** The claims that this instance asked for, by sequence. Changed in place by this module alone, twice for each claim. */
+	/** The claims that this instance requested, by sequence. Mutated in place, by this module alone and twice for each claim. */
 	readonly open: Map<number, ClaimantState>;
 	readonly sequence: number;
 };
 
-/** What happens to claims. `now` is monotonic. */
+/** An event of an instance's claims. `now` is monotonic. */
 export type ClaimsEvent =
-	/** A request with an operation key came. Its claim gets the sequence `state.sequence + 1`. */
+	/** A request with an operation key was received. Its claim gets the sequence `state.sequence + 1`. */
 	| {
 		readonly kind: 'begun'; readonly now: MonotonicTime; readonly operation: Operation; readonly fingerprint: string;
-		/** From now until nothing of the operation is in flight any more. */
+		/** The time after which nothing of the operation is in flight any more. */
 		readonly runsForMilliseconds: Milliseconds;
 	}
-	/** A message of another instance came. */
+	/** A message of another instance was received. */
 	| {readonly kind: 'message'; readonly now: MonotonicTime; readonly message: ClaimRequest | ClaimEnded}
 	/** A holder answered. */
 	| {readonly kind: 'answered'; readonly now: MonotonicTime; readonly answer: ClaimAnswer}
-	/** A holder could not be reached, or did not answer in time. */
+	/** A holder could not be reached or did not answer in time. */
 	| {readonly kind: 'unreachable'; readonly now: MonotonicTime; readonly request: ClaimRequest}
-	/** A holder answered a copy. Until it says `held`, the copy is sent again with growing pauses. */
+	/** A holder answered a copy. Until the verdict is `held`, the copy is resent with exponential backoff. */
 	| {readonly kind: 'copied'; readonly now: MonotonicTime; readonly request: ClaimRequest; readonly verdict: ClaimVerdict}
 	| {readonly kind: 'given-up'; readonly now: MonotonicTime; readonly sequence: number}
 	| {readonly kind: 'finished'; readonly now: MonotonicTime; readonly sequence: number; readonly outcome: Outcome; readonly answer?: StoredAnswer}
 	/** This instance has applied a newer roster. */
 	| {readonly kind: 'roster'; readonly now: MonotonicTime; readonly roster: ClaimRoster}
-	/** This instance missed rosters before the newest that it knows. Nothing is claimed until a view is adopted, or for one lifetime. */
+	/** This instance missed rosters before the newest that it has. Nothing is claimed until a view is adopted or one lifetime has passed. */
 	| {readonly kind: 'rosters-missed'; readonly now: MonotonicTime}
-	/** An instance that was asked for it told its view. */
+	/** Another instance sent the view that it was asked for. */
 	| {readonly kind: 'view-told'; readonly now: MonotonicTime; readonly view: ClaimsView}
-	/** An instance told of its records. */
+	/** An instance reported whether its records are copied. */
 	| {readonly kind: 'copies-told'; readonly now: MonotonicTime; readonly report: CopyReport}
-	/** Comes now and then. Every live instance has applied the entry `acknowledged`. */
+	/** Raised periodically. Every live instance has applied the entry `acknowledged`. */
 	| {readonly kind: 'swept'; readonly now: MonotonicTime; readonly acknowledged: LogIndex};
 
-/** What the edge does. */
+/** An effect that the caller of `stepClaims` carries out. */
 export type ClaimsEffect =
-	/** Send a message to its holder. For a request: bring its answer, or say that the holder is unreachable. For a copy: say `copied` once it is answered. */
+	/** Send a message to its holder. The result of a request is reported as `answered` or `unreachable`, that of a copy as `copied` once it is answered. */
 	| {readonly kind: 'send'; readonly message: ClaimRequest | ClaimEnded}
-	/** Answer the instance that asked. */
+	/** Answer the instance that sent the request. */
 	| {readonly kind: 'answer'; readonly answer: ClaimAnswer}
 	| {readonly kind: 'decide'; readonly sequence: number; readonly decision: ClaimDecision};
 
 type Step = Transition<ClaimsState, ClaimsEffect>;
 
-/** The claims of an instance that has just started. */
+/** Creates the claims of an instance that has just started. */
 export function createClaims(input: ClaimsInput): ClaimsState {
 	return {
 		self: input.self,
@@ -105,7 +106,7 @@
 	};
 }
 
-/** Carries out effects in turn; each may lead to further ones. */
+/** Applies effects in order and collects the effects that they cause. */
 function folded<Effect>(state: ClaimsState, effects: readonly Effect[], carry: (state: ClaimsState, effect: Effect) => Step): Step {
 	return effects.reduce<Step>((step, effect) => {
 		const next = carry(step.state, effect);
@@ -135,7 +136,7 @@
 	send: (effect, state, now) => sent(state, effect.message, now),
 };
 
-/** The effects of another instance's message. It gets the answer, also to a copy of what this instance claimed itself. */
+/** Handlers for a message of another instance: the answer goes to that instance, also if this instance is the claimant of the copied record. */
 const peerEffects: typeof holderEffects = {
 	...holderEffects,
 	answer: (effect, state) => ({state, effects: [{kind: 'answer', answer: effect.answer}]}),
@@ -168,7 +169,7 @@
 	if (event.now < state.claimsFrom) {
 		const decision: ClaimDecision = {
 			kind: 'refuse',
-			failure: failure(FailureKind.claimUnavailable, 'this instance does not know all holders of earlier claims yet', {retryAfterMilliseconds: Math.ceil(state.claimsFrom - event.now)}),
+			failure: failure(FailureKind.claimUnavailable, 'this instance does not have all holders of earlier claims yet', {retryAfterMilliseconds: Math.ceil(state.claimsFrom - event.now)}),
 			outcome: Outcome.unknown,
 		};
 		return {state, effects: [{kind: 'decide', sequence, decision}]};
@@ -224,17 +225,17 @@
 	swept: whenSwept,
 };
 
-/** The next state of an instance's claims and what the edge does. */
+/** Returns the next state of an instance's claims and the effects to carry out. */
 export function stepClaims(state: ClaimsState, event: ClaimsEvent): Step {
 	return dispatch(handlers, event, state);
 }
 
-/** The view that this instance tells to one that starts; undefined while rosters may be missing. */
+/** Returns the view to send to an instance that starts; undefined while rosters may be missing. */
 export function claimsView(state: ClaimsState, now: MonotonicTime): ClaimsView | undefined {
 	return now < state.claimsFrom ? undefined : viewOf(state.rosters);
 }
 
-/** The instances that have not told whether their records are copied, where claims wait for it. */
+/** Returns the instances whose copy reports are still needed to forget an earlier roster. */
 export function awaitedReports(state: ClaimsState): readonly ClaimSeat[] {
 	return unsettledSeats(state.rosters);
 }
--- a/packages/routing/src/deadline.ts
+++ b/packages/routing/src/deadline.ts
@@ -1,5 +1,6 @@
 /**
- * The deadline of a request: the contract's longest, or the shorter one that its caller asks for.
+ * Deadline of a request: the longest one that the contract allows, or a shorter one
+ * from the caller's `dogwooddeck-deadline` header.
  */
 import {type ServiceContract} from '@dogwooddeck/model/contract';
 import {HeaderName} from '@dogwooddeck/model/headers';
@@ -8,7 +9,7 @@
 
 const wholeMilliseconds = /^\d{1,9}$/v;
 
-/** Reads the deadline of a request that came at `now`. A field that is no whole number of milliseconds counts as absent. */
+/** Returns the deadline of a request received at `now`. A header value that is no whole number of milliseconds counts as absent. */
 export function deadlineOf(contract: ServiceContract, head: RequestHead, now: MonotonicTime): MonotonicTime {
 	const asked = head.headers[HeaderName.deadline];
 	const longest = contract.longestDeadlineMilliseconds;
--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -1,62 +1,60 @@
 /**
- * The lookup table from what was seen of an attempt to what is known of it,
- * whether the request may be sent again, and what the caller is told.
+ * Lookup table from what was observed of an attempt to its outcome, to whether the
+ * request may be retried, and to the response that the caller gets.
  */
 import {FailureKind} from '@dogwooddeck/model/failure';
 import {Outcome} from '@dogwooddeck/model/outcome';
 
-/** What can be seen of one attempt. The first byte is that of the request, as it is handed to the socket. */
+/** How one attempt can end. The first byte is the first byte of the request that is written to the socket. */
 export const AttemptObservation = {
-	/** The upstream took no connection. */
+	/** The upstream refused the connection. */
 	refusedConnection: 'refused-connection',
-	/** The connection ended before the first byte. */
+	/** The connection closed before the first byte. */
 	closedBeforeFirstByte: 'closed-before-first-byte',
-	/** The right to route ended before the first byte. */
+	/** This instance lost the lease to route the key before the first byte. */
 	leaseLost: 'lease-lost',
 	/** The deadline passed before the first byte. */
 	deadlinePassedBeforeFirstByte: 'deadline-passed-before-first-byte',
-	/** The caller went away before the first byte. */
+	/** The caller disconnected before the first byte. */
 	cancelledBeforeFirstByte: 'cancelled-before-first-byte',
-	/** The request can't be put into an HTTP message; nothing was sent. */
+	/** The request can't be encoded as an HTTP message; nothing was sent. */
 	unsendable: 'unsendable',
-	/** The upstream answered with a status that the contract declares as not run. */
+	/** The upstream responded with a status that the contract declares to mean that the request did not run. */
 	shed: 'shed',
-	/** The connection ended after the first byte and before a whole head of an answer. */
+	/** The connection closed after the first byte and before a complete response head. */
 	closedAfterFirstByte: 'closed-after-first-byte',
 	/** The deadline passed after the first byte. */
 	deadlinePassedAfterFirstByte: 'deadline-passed-after-first-byte',
-	/** The caller went away after the first byte. */
+	/** The caller disconnected after the first byte. */
 	cancelledAfterFirstByte: 'cancelled-after-first-byte',
-	/** The answer came whole. */
+	/** The complete response was received. */
 	wholeAnswer: 'whole-answer',
-	/** The head of an answer came, and its body ended early. */
+	/** The response head was received, but the body was truncated. */
 	cutAnswer: 'cut-answer',
-	/** An answer came that belongs to another request, or that isn't the upstream's own. */
+	/** The response belongs to another request, or is not from the expected upstream. */
 	foreignAnswer: 'foreign-answer',
-	/** The answer has neither a length nor chunks, so nobody can tell whether it is whole. */
+	/** The response has neither a content length nor chunked encoding, so truncation can't be detected. */
 	unboundedAnswer: 'unbounded-answer',
 } as const;
 
-/** One of the things that can be seen. */
 export type AttemptObservation = (typeof AttemptObservation)[keyof typeof AttemptObservation];
 
-/** When a request may be sent again. */
+/** When a request may be retried. */
 export const Resend = {
 	never: 'never',
 	/** Only where the route is declared idempotent. */
 	idempotent: 'idempotent',
-	/** Always: it did not run. */
+	/** Always: the request did not run. */
 	always: 'always',
 } as const;
 
-/** One of the rules for sending again. */
 export type Resend = (typeof Resend)[keyof typeof Resend];
 
-/** What follows from a thing that was seen. */
+/** What follows from an observation. */
 export type ObservationRule = {
 	readonly outcome: Outcome;
 	readonly resend: Resend;
-	/** The status that the caller is told, where no answer was passed on. */
+	/** The HTTP status of the response to the caller, if no upstream response was forwarded. */
 	readonly status: number;
 	readonly kind: FailureKind;
 	readonly detail: string;
@@ -67,25 +65,25 @@
 const gatewayTimeout = 504;
 const badRequest = 400;
 
-/** The rule for each thing that can be seen. `not-run` stands only where no byte was handed over or the upstream said so. */
+/** The rule for each observation. The outcome is `not-run` only if no byte was written to the socket or the upstream said so. */
 export const observationRules: Readonly<Record<AttemptObservation, ObservationRule>> = {
 	[AttemptObservation.refusedConnection]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the upstream takes no connection',
 	},
 	[AttemptObservation.closedBeforeFirstByte]: {
-		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection ended before the request was sent',
+		outcome: Outcome.notRun, resend: Resend.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection closed before the request was sent',
 	},
 	[AttemptObservation.leaseLost]: {
-		outcome: Outcome.notRun, resend: Resend.always, status: serviceUnavailable, kind: FailureKind.noLease, detail: 'the lease over the key ended before the request was sent',
+		outcome: Outcome.notRun, resend: Resend.always, status: serviceUnavailable, kind: FailureKind.noLease, detail: 'the lease for the key was lost before the request was sent',
 	},
 	[AttemptObservation.deadlinePassedBeforeFirstByte]: {
 		outcome: Outcome.notRun, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the request was sent',
 	},
 	[AttemptObservation.cancelledBeforeFirstByte]: {
-		outcome: Outcome.notRun, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller went away before the request was sent',
+		outcome: Outcome.notRun, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller disconnected before the request was sent',
 	},
 	[AttemptObservation.unsendable]: {
-		outcome: Outcome.notRun, resend: Resend.never, status: badRequest, kind: FailureKind.malformed, detail: 'the request can\'t be sent on as it is',
+		outcome: Outcome.notRun, resend: Resend.never, status: badRequest, kind: FailureKind.malformed, detail: 'the request can\'t be encoded as an HTTP message',
 	},
 	[AttemptObservation.shed]: {
 		outcome: Outcome.notRun, resend: Resend.always, status: serviceUnavailable, kind: FailureKind.overloaded, detail: 'the upstream shed the request',
@@ -97,13 +95,13 @@
 		outcome: Outcome.unknown, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the answer',
 	},
 	[AttemptObservation.cancelledAfterFirstByte]: {
-		outcome: Outcome.unknown, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller went away before the answer',
+		outcome: Outcome.unknown, resend: Resend.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller disconnected before the answer',
 	},
 	[AttemptObservation.wholeAnswer]: {
-		outcome: Outcome.ran, resend: Resend.never, status: badGateway, kind: FailureKind.internal, detail: 'the answer came whole',
+		outcome: Outcome.ran, resend: Resend.never, status: badGateway, kind: FailureKind.internal, detail: 'the answer was received whole',
 	},
 	[AttemptObservation.cutAnswer]: {
-		outcome: Outcome.unknown, resend: Resend.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer ended early',
+		outcome: Outcome.unknown, resend: Resend.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer was truncated',
 	},
 	[AttemptObservation.foreignAnswer]: {
 		outcome: Outcome.unknown, resend: Resend.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer belongs to another request',
@@ -119,7 +117,7 @@
 	[Resend.always]: () => true,
 };
 
-/** Whether a request may be sent again after what was seen. */
+/** Whether a request may be retried after an observation. */
 export function maySendAgain(seen: AttemptObservation, idempotent: boolean): boolean {
 	return mayResend[observationRules[seen].resend](idempotent);
 }
@@ -139,7 +137,7 @@
 	[FailureKind.internal]: 500,
 };
 
-/** The status by which a caller is told a failure. */
+/** Returns the HTTP status for a failure; 503 for the kinds that the table does not list. */
 export function statusOf(kind: FailureKind): number {
 	return statuses[kind] ?? serviceUnavailable;
 }
--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -1,6 +1,6 @@
 /**
- * Which service a request is for, which key it names and how its route is
- * declared. The index is built once for each revision of the configuration.
+ * Matches a request to its service, key and declared route. The index is built once
+ * for each revision of the configuration.
  */
 import {Result} from 'true-myth';
 import {
@@ -8,15 +8,15 @@
 } from '@dogwooddeck/model/contract';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 
-/** What is read of a request before its body. Names of header fields are in lower case. */
+/** The head of a request. Names of header fields are in lower case. */
 export type RequestHead = {
 	readonly method: string;
-	/** The path and the query, as they came. */
+	/** The path and the query, as received. */
 	readonly path: string;
 	readonly headers: Readonly<Record<string, string | readonly string[] | undefined>>;
 };
 
-/** How a route is treated. */
+/** The properties that a contract declares for a route. */
 export type RouteTreatment = {
 	readonly idempotent: boolean;
 	readonly importance: Importance;
@@ -27,17 +27,17 @@
 	readonly treatment: RouteTreatment;
 };
 
-/** A service with its routes arranged by method. */
+/** A service with its routes grouped by method. */
 export type ServiceTarget = {
 	readonly contract: ServiceContract;
-	/** The length of the service's prefix, without a slash at its end. */
+	/** The length of the service's prefix, without a trailing slash. */
 	readonly prefixLength: number;
 	readonly routes: ReadonlyMap<string, readonly DeclaredRoute[]>;
 };
 
-/** All services, arranged for look-ups by path. */
+/** All services, indexed by path prefix. */
 export type TargetIndex = {
-	/** The lengths of all prefixes, longest first. */
+	/** The distinct lengths of all prefixes, longest first. */
 	readonly prefixLengths: readonly number[];
 	readonly targets: ReadonlyMap<string, ServiceTarget>;
 };
@@ -63,7 +63,7 @@
 	return {contract, prefixLength: contract.prefix.replace(/\/$/v, '').length, routes};
 }
 
-/** Arranges contracts for `matchService`. */
+/** Indexes contracts for `matchService`. */
 export function createTargetIndex(contracts: readonly ServiceContract[]): TargetIndex {
 	const targets = new Map(contracts.map(contract => [contract.prefix.replace(/\/$/v, ''), targetOf(contract)]));
 	const prefixLengths = [...new Set([...targets.keys()].map(prefix => prefix.length))].sort((one, other) => other - one);
@@ -75,7 +75,7 @@
 	return character === undefined || character === '/' || character === '?';
 }
 
-/** Finds the service with the longest prefix of the path that ends at a segment's end. */
+/** Finds the service with the longest prefix that matches whole segments of the path. */
 export function matchService(index: TargetIndex, path: string): ServiceTarget | undefined {
 	for (const length of index.prefixLengths) {
 		if (endsSegment(path, length)) {
@@ -89,7 +89,7 @@
 	return undefined;
 }
 
-/** The path after the service's prefix, in segments, without the query. */
+/** Returns the segments of the path after the service's prefix, without the query. */
 function remainder(target: ServiceTarget, path: string): readonly string[] {
 	const queryAt = path.indexOf('?');
 	const end = queryAt === -1 ? path.length : queryAt;
@@ -113,8 +113,8 @@
 }
 
 /**
- * An upstream may resolve dot segments, empty segments and encoded slashes in its
- * own way and then read another key than the router did, so none is taken.
+ * Rejects paths with dot segments, empty segments or encoded slashes: an upstream may
+ * normalize them differently and then read another key than the router did.
  */
 function keyInPath(source: KeySource & {readonly place: 'path'}, target: ServiceTarget, head: RequestHead): Result<string, Failure> {
 	const segments = remainder(target, head.path);
@@ -150,7 +150,7 @@
 	query: keyInQuery,
 };
 
-/** Reads the key of a request. Fails with `malformed` where it names none, more than one, or an ambiguous one. */
+/** Reads the key of a request. Fails with `malformed` if the request has no key, more than one, or an ambiguous one. */
 export function readKey(target: ServiceTarget, head: RequestHead): Result<string, Failure> {
 	const source = target.contract.key;
 	const reader = keyReaders[source.place] as KeyReader<KeySource['place']>;
@@ -161,7 +161,7 @@
 	return declared.length === segments.length && declared.every((segment, position) => segment === '*' || segment === segments[position]);
 }
 
-/** How the route of a request is declared. Undeclared routes are non-idempotent and of high importance. */
+/** Returns the declaration of a request's route. Undeclared routes are non-idempotent and of high importance. */
 export function routeOf(target: ServiceTarget, method: string, path: string): RouteTreatment {
 	const routes = target.routes.get(method);
 	if (routes === undefined) {
