--- a/packages/routing/test/claim-cases.ts
+++ b/packages/routing/test/claim-cases.ts
@@ -1,6 +1,6 @@
 /**
- * What the tests of claims share: names, random changes of seats, and what must
- * hold of all runs.
+ * Shared by the claim tests: instance names, random seat changes, and the assertion
+ * that no operation runs twice.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -8,14 +8,14 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {lifetimeMilliseconds, type Run, runsForMilliseconds} from './fake-claim-network.js';
 
-/** The instances of a fake network. */
+/** The names of the instances in a fake network. */
 export const names = ['a', 'b', 'c', 'd', 'e', 'f'] as const;
 /** The operations that callers send and resend. */
 export const operations = ['one', 'two'] as const;
-/** The seed of random cases. */
+/** The seed of the random cases. */
 export const seed = Number(process.env.TEST_SEED ?? 20_261_204);
 
-/** A second run is wrong unless the first is known not to have run, or is a lifetime ago. */
+/** Allows a second run only if the first ended with `not-run`, or is a lifetime ago. */
 export function assertNothingRanTwice(runs: readonly Run[]): void {
 	for (const [position, run] of runs.entries()) {
 		const earlier = runs.slice(0, position).filter(other => other.operation === run.operation && other.outcome !== Outcome.notRun);
@@ -25,10 +25,10 @@
 	}
 }
 
-/** One change of the seats, and which packets are lost after it. */
+/** One seat change, and which packets are lost after it. */
 export type Change = {readonly kind: 'restart' | 'unseat'; readonly name: string; readonly lossy: readonly boolean[]; readonly operation: string};
 
-/** Any change. */
+/** An arbitrary seat change. */
 export const change: fc.Arbitrary<Change> = fc.record({
 	kind: fc.constantFrom('restart', 'unseat'), name: fc.constantFrom(...names), lossy: fc.array(fc.boolean(), {minLength: 20, maxLength: 20}), operation: fc.constantFrom(...operations),
 });
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -1,6 +1,6 @@
 /**
- * Instances that claim operations over a network that loses, doubles, delays
- * and reorders messages, while instances are lost, return and learn of rosters late.
+ * Simulated instances that claim operations over a network that loses, duplicates, delays
+ * and reorders messages, while instances are lost, restart and apply rosters with delay.
  */
 import {type InstanceIdentity} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
@@ -18,7 +18,7 @@
 export const lifetimeMilliseconds = 60_000;
 export const runsForMilliseconds = 1500;
 
-/** One decision to run, and what came of it. */
+/** One decision to run, and its outcome. */
 export type Run = {
 	readonly operation: string;
 	readonly entry: string;
@@ -55,8 +55,8 @@
 	#reports: Array<{readonly to: InstanceIdentity; readonly report: CopyReport}> = [];
 
 	/**
-	 * `rostersAtStart`: how many of the newest rosters an instance that starts knows.
-	 * `looksForView`: whether it counts them as incomplete, and adopts the view of another one.
+	 * `rostersAtStart`: how many of the newest rosters an instance has when it starts.
+	 * `looksForView`: whether it treats them as incomplete, and adopts the view of another instance.
 	 */
 	constructor(hash: TextHash, rostersAtStart = Infinity, looksForView = false) {
 		this.#looksForView = looksForView;
@@ -68,12 +68,12 @@
 		}
 	}
 
-	/** The names of the instances that run, in order. */
+	/** The names of the running instances, sorted. */
 	get live(): string[] {
 		return [...this.#members.keys()].sort();
 	}
 
-	/** Cuts the instances of some zones off from the others; none: heals. */
+	/** Partitions the instances of some zones from the others; an empty list heals the partition. */
 	cut(zones: readonly string[]): void {
 		this.#inside = new Set(seats.filter(({zone}) => zones.includes(zone)).map(({name}) => name));
 	}
@@ -102,7 +102,7 @@
 		}
 	}
 
-	/** Delivers a packet; with `keep` it stays in the network, to come again. */
+	/** Delivers a packet; with `keep` it stays in the network and is delivered again later. */
 	deliver(position: number, keep = false): void {
 		const packet = this.packets[position];
 		if (packet === undefined) {
@@ -145,7 +145,7 @@
 		this.#members.delete(name);
 	}
 
-	/** Writes a roster with a later life of an instance, which starts; others learn of it later. */
+	/** Adds a roster with a new incarnation of an instance and starts it; the others apply the roster later. */
 	restart(name: string): void {
 		const newest = this.rosters[0]!;
 		const seat = seats.find(known => known.name === name)!;
@@ -154,7 +154,7 @@
 		this.#start(name, incarnation);
 	}
 
-	/** Writes a roster without an instance. */
+	/** Adds a roster without an instance. */
 	unseat(name: string): void {
 		const newest = this.rosters[0]!;
 		if (newest.seats.length > 2) {
@@ -162,7 +162,7 @@
 		}
 	}
 
-	/** An instance learns of the next roster that it lacks. */
+	/** Applies the next missing roster at an instance. */
 	learn(name: string): void {
 		const member = this.#members.get(name);
 		const next = this.rosters.findLast(roster => roster.index > (member?.applied ?? Number.POSITIVE_INFINITY));
@@ -172,7 +172,7 @@
 		}
 	}
 
-	/** Time passes: claims that were asked for too long are given up, runs that are over have ended, and everyone sweeps and asks for reports. */
+	/** Advances the clock: undecided claims past their time are given up, and every instance sweeps and requests reports. */
 	advance(milliseconds: number): void {
 		this.now += milliseconds;
 		for (const name of this.live) {
@@ -187,7 +187,7 @@
 		}
 	}
 
-	/** One instance asks all that it reaches whether their records are copied, as the sweep does. The answers come late: with the next time. */
+	/** Requests a copy report from every instance that one can reach, as the sweep does. The reports arrive later, by `tell`. */
 	ask(name: string): void {
 		const claims = this.#members.get(name)?.claims;
 		const asked = claims?.rosters[0]?.roster.index ?? 0;
@@ -197,7 +197,7 @@
 		}
 	}
 
-	/** The reports that were asked for arrive. */
+	/** Delivers the requested reports. */
 	tell(): void {
 		const reports = this.#reports;
 		this.#reports = [];
@@ -208,26 +208,26 @@
 		}
 	}
 
-	/** The instances that still wait for evidence of others, by what one knows. */
+	/** The names of the instances whose copy reports one instance still needs. */
 	awaited(name: string): readonly string[] {
 		return awaitedReports(this.#members.get(name)!.claims).map(seat => seat.name);
 	}
 
-	/** Delivers everything, in order. */
+	/** Delivers all packets in order. */
 	settle(): void {
 		while (this.packets.length > 0) {
 			this.deliver(0);
 		}
 	}
 
-	/** Each instance asks the seats that it reaches how far they are. */
+	/** Queries the reachable instances for their applied index, as the sweep does. */
 	#acknowledged(name: string): number {
 		const member = this.#members.get(name)!;
 		member.spread = this.#reached(name).reduce((spread, {claims, applied}) => recordApplied(spread, claims.self, applied), member.spread);
 		return acknowledgedBy(member.spread, member.claims.rosters[0]!.roster);
 	}
 
-	/** An instance that has just started takes over what another one knows. */
+	/** An instance that has just started adopts the view of another one. */
 	#adoptView(name: string): void {
 		const member = this.#members.get(name)!;
 		for (const other of this.#looksForView && !member.hasView ? this.#reached(name) : []) {
--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -40,7 +40,7 @@
 	return admission;
 }
 
-test('admission: a slot is given on, in order', () => {
+test('admission: a released slot goes to the next ticket in order', () => {
 	const admission = createAdmission({slots: 1, instances: 1, queueLength: 4});
 	const [first, second, third] = [ticketOf(), ticketOf(), ticketOf()];
 	assert.deepEqual([enter(admission, first), enter(admission, second), enter(admission, third)], [AdmissionDecision.admitted, AdmissionDecision.queued, AdmissionDecision.queued]);
@@ -50,19 +50,19 @@
 });
 
 const waits = [
-	{name: 'in time', deadline: 1000, expected: AdmissionDecision.queued},
-	{name: 'too late', deadline: 199, expected: 'overloaded'},
+	{name: 'before its deadline', deadline: 1000, expected: AdmissionDecision.queued},
+	{name: 'after its deadline', deadline: 199, expected: 'overloaded'},
 ];
 
 for (const {name, deadline, expected} of waits) {
-	test(`admission: work that would be done ${name}`, () => {
+	test(`admission: a request that is expected to finish ${name}`, () => {
 		const admission = learned(100);
 		enter(admission, ticketOf());
 		assert.equal(enter(admission, ticketOf(Importance.high, deadline)), expected);
 	});
 }
 
-test('admission: low importance has half of the queue and gives way', () => {
+test('admission: low importance may fill half of the queue and is evicted first', () => {
 	const admission = createAdmission({slots: 1, instances: 1, queueLength: 4});
 	enter(admission, ticketOf());
 	const low = [ticketOf(Importance.low), ticketOf(Importance.low), ticketOf(Importance.low)];
@@ -72,7 +72,7 @@
 	assert.deepEqual(low.map(ticket => ticket.state), ['refused', 'refused', 'new']);
 });
 
-test('admission: the limit goes from the share to all slots, and back under strain', () => {
+test('admission: the limit grows from the share to all slots, and shrinks to the share under overload', () => {
 	const admission = createAdmission({slots: 18, instances: 9, queueLength: 4});
 	const began = admission.limit;
 	for (let count = 0; count < 1000; count++) {
@@ -89,7 +89,7 @@
 	assert.deepEqual([began, grown, admission.limit], [2, 18, 2]);
 });
 
-test('admission: never more under way than the limit, and no ticket is forgotten', () => {
+test('admission: requests in flight never exceed the limit, and no ticket is lost', () => {
 	console.log(`admission: seed ${seed}`);
 	fc.assert(fc.property(fc.array(fc.tuple(fc.constantFrom('enter', 'finish', 'strain', 'leave'), fc.nat({max: 20})), {maxLength: 200}), actions => {
 		const admission = createAdmission({slots: 3, instances: 1, queueLength: 5});
@@ -112,7 +112,7 @@
 
 			assert.ok(admission.underWay <= Math.max(3, before));
 			assert.equal(admission.waiting, waiting.filter(ticket => ticket.state === 'new').length);
-			assert.ok(admission.waiting === 0 || admission.underWay >= admission.limit, 'work waits though a slot is free');
+			assert.ok(admission.waiting === 0 || admission.underWay >= admission.limit, 'a ticket waits although a slot is free');
 		}
 	}), {seed});
 });
@@ -125,7 +125,7 @@
 ];
 
 for (const {connections, instances} of budgets) {
-	test(`admission: ${connections} connections over ${instances} instances`, () => {
+	test(`admission: ${connections} connections shared by ${instances} instances`, () => {
 		const parts = Array.from({length: instances}, (_, position) => connectionsFor(connections, instances, position));
 		assert.equal(parts.reduce((sum, part) => sum + part, 0), connections);
 		assert.ok(Math.max(...parts) - Math.min(...parts) <= 1);
--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -31,7 +31,7 @@
 }
 
 const admitted: RequestEvent = {kind: 'admitted', now: 0};
-const noOwner = failure(FailureKind.noOwner, 'nobody owns the key', {retryAfterMilliseconds: 20});
+const noOwner = failure(FailureKind.noOwner, 'the key has no owner', {retryAfterMilliseconds: 20});
 const overloaded = failure(FailureKind.overloaded, 'full', {retryAfterMilliseconds: 20});
 
 function seen(what: AttemptObservation, more: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
@@ -44,31 +44,31 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a whole answer', idempotent: false, events: [admitted, seen(AttemptObservation.wholeAnswer)], expected: ['send', 'complete'],
+		name: 'a complete response', idempotent: false, events: [admitted, seen(AttemptObservation.wholeAnswer)], expected: ['send', 'complete'],
 	},
 	{
-		name: 'not-run is tried again', idempotent: false, events: [admitted, seen(AttemptObservation.shed), {kind: 'pause-over', now: 90}], expected: ['send', 'pause', 'admit'],
+		name: 'not-run is retried', idempotent: false, events: [admitted, seen(AttemptObservation.shed), {kind: 'pause-over', now: 90}], expected: ['send', 'pause', 'admit'],
 	},
 	{
-		name: 'unknown is not tried again', idempotent: false, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'refuse unknown'],
+		name: 'unknown is not retried', idempotent: false, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'refuse unknown'],
 	},
 	{
-		name: 'unknown is tried again where that is idempotent', idempotent: true, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'pause'],
+		name: 'unknown is retried on an idempotent route', idempotent: true, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'pause'],
 	},
 	{
-		name: 'no budget', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {budgetAllows: false})], expected: ['send', 'refuse not-run'],
+		name: 'the retry budget is spent', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {budgetAllows: false})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'Retry-After past the deadline', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {retryAfterMilliseconds: 5000})], expected: ['send', 'refuse not-run'],
+		name: 'Retry-After ends past the deadline', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {retryAfterMilliseconds: 5000})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'too late for a pause', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {now: 999.9, retryAfterMilliseconds: 1})], expected: ['send', 'refuse not-run'],
+		name: 'no time for a pause', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {now: 999.9, retryAfterMilliseconds: 1})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'the head was passed', idempotent: true, events: [admitted, seen(AttemptObservation.cutAnswer, {headPassed: true})], expected: ['send', 'break'],
+		name: 'the response head was forwarded', idempotent: true, events: [admitted, seen(AttemptObservation.cutAnswer, {headPassed: true})], expected: ['send', 'break'],
 	},
 	{
-		name: 'once unknown, never told not-run',
+		name: 'after an unknown outcome, not-run is never reported',
 		idempotent: true,
 		events: [
 			admitted,
@@ -79,16 +79,16 @@
 		expected: ['send', 'pause', 'admit', 'refuse unknown'],
 	},
 	{
-		name: 'no owner for now', idempotent: false, events: [{kind: 'refused', now: 0, failure: noOwner}, {kind: 'pause-over', now: 60}], expected: ['pause', 'admit'],
+		name: 'no owner at the moment', idempotent: false, events: [{kind: 'refused', now: 0, failure: noOwner}, {kind: 'pause-over', now: 60}], expected: ['pause', 'admit'],
 	},
 	{
-		name: 'overloaded is refused at once', idempotent: false, events: [{kind: 'refused', now: 0, failure: overloaded}], expected: ['refuse not-run'],
+		name: 'overloaded is refused immediately', idempotent: false, events: [{kind: 'refused', now: 0, failure: overloaded}], expected: ['refuse not-run'],
 	},
 	{
 		name: 'the deadline passes in the queue', idempotent: false, events: [{kind: 'deadline-passed', now: 1000}], expected: ['cancel', 'refuse not-run'],
 	},
 	{
-		name: 'the deadline while sending is the attempt\'s own',
+		name: 'the deadline while sending is handled by the attempt',
 		idempotent: false,
 		events: [
 			admitted,
@@ -98,13 +98,13 @@
 		expected: ['send', 'refuse unknown'],
 	},
 	{
-		name: 'the caller goes away', idempotent: false, events: [admitted, {kind: 'caller-gone', now: 5}, seen(AttemptObservation.cancelledAfterFirstByte)], expected: ['send', 'cancel'],
+		name: 'the caller disconnects', idempotent: false, events: [admitted, {kind: 'caller-gone', now: 5}, seen(AttemptObservation.cancelledAfterFirstByte)], expected: ['send', 'cancel'],
 	},
 	{
-		name: 'a lost lease needs no budget', idempotent: false, events: [admitted, seen(AttemptObservation.leaseLost, {budgetAllows: false})], expected: ['send', 'pause'],
+		name: 'a retry after a lost lease needs no budget', idempotent: false, events: [admitted, seen(AttemptObservation.leaseLost, {budgetAllows: false})], expected: ['send', 'pause'],
 	},
 	{
-		name: 'three attempts',
+		name: 'at most three attempts',
 		idempotent: true,
 		events: [
 			admitted,
@@ -134,7 +134,7 @@
 	fc.constant((now: number): RequestEvent => ({kind: 'deadline-passed', now})),
 );
 
-test('attempt: over any events, nothing non-idempotent is sent again after it may have run, nor told not-run, and no pause passes the deadline', () => {
+test('attempt: under any events, a non-idempotent request that may have run is neither retried nor reported as not-run, and no pause passes the deadline', () => {
 	console.log(`attempt: seed ${seed}`);
 	fc.assert(fc.property(fc.array(fc.tuple(anyEvent, fc.nat({max: 200})), {maxLength: 40}), fc.nat(), (events, jitter) => {
 		let state = {...begin(false), seed: jitter};
@@ -149,14 +149,14 @@
 			mayHaveRun ||= wasSending && event.kind === 'seen' && observationRules[event.seen].outcome !== Outcome.notRun;
 			for (const effect of step.effects) {
 				assert.ok(!(effect.kind === 'send' && mayHaveRun), 'sent again');
-				assert.ok(!(effect.kind === 'refuse' && effect.outcome === Outcome.notRun && mayHaveRun), 'told not-run');
+				assert.ok(!(effect.kind === 'refuse' && effect.outcome === Outcome.notRun && mayHaveRun), 'reported as not-run');
 				assert.ok(!(effect.kind === 'pause' && now + effect.milliseconds >= deadline), 'paused past the deadline');
 			}
 		}
 	}), {seed, numRuns: 2000});
 });
 
-test('budget: retries keep to the ratio of first attempts', () => {
+test('budget: retries stay within the ratio to first attempts', () => {
 	let budget = createRetryBudget(0.1);
 	let retries = 0;
 	for (let count = 0; count < 1000; count++) {
--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -19,16 +19,16 @@
 
 const reportCases: readonly ReportCase[] = [
 	{
-		name: 'asked by the newest roster, copied to its holders', asked: 9, copiedThrough: 9, unsettled: [],
+		name: 'requested by the newest roster, copied to its holders', asked: 9, copiedThrough: 9, unsettled: [],
 	},
 	{
-		name: 'asked before the newest roster was known', asked: 5, copiedThrough: 9, unsettled: ['a', 'b'],
+		name: 'requested before the newest roster was applied', asked: 5, copiedThrough: 9, unsettled: ['a', 'b'],
 	},
 	{
 		name: 'copied by an older roster', asked: 9, copiedThrough: 5, unsettled: ['a', 'b'],
 	},
 	{
-		name: 'copied by a roster that is not known yet', asked: 9, copiedThrough: 12, unsettled: ['a', 'b'],
+		name: 'copied by a roster that is not applied yet', asked: 9, copiedThrough: 12, unsettled: ['a', 'b'],
 	},
 	{
 		name: 'copies are missing', asked: 9, copiedThrough: 0, unsettled: ['a', 'b'],
@@ -42,7 +42,7 @@
 	});
 }
 
-test('claim rosters: the report of another life counts for nothing', () => {
+test('claim rosters: the report of another incarnation is ignored', () => {
 	const report = {seat: {...first, incarnation: 2}, asked: 9, copiedThrough: 9};
 	assert.equal(unsettledSeats(afterReport(known, report)).length, 2);
 });
@@ -66,7 +66,7 @@
 };
 
 for (const verdict of Object.values(ClaimVerdict)) {
-	test(`claim holder: a copy by an older roster is copied on, and one that is answered ${verdict} has ${verdict === ClaimVerdict.held ? '' : 'not '}arrived`, () => {
+	test(`claim holder: a copy by an older roster is copied to the newer holders, and the verdict ${verdict} does ${verdict === ClaimVerdict.held ? '' : 'not '}acknowledge it`, () => {
 		const holder = createHolder(first, {records: 9, answerBytes: 99}, hash, {index: 9, seats: [first, second]});
 		const {state, effects} = stepHolder(holder, {kind: 'message', now: 0, message: copy});
 		const sent = effects.flatMap(effect => effect.kind === 'send' ? [effect.message as ClaimRequest] : []);
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -1,6 +1,6 @@
 /**
- * More is lost than the claims tolerate: both holders of an operation are gone
- * before their copies arrived. Then nobody may run it again within a lifetime.
+ * Losses beyond what claims tolerate: both holders of an operation are lost before their
+ * copies arrive. Then no instance may run the operation again within a lifetime.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -88,7 +88,7 @@
 }
 
 for (const [wait, expected] of [[10_000, FailureKind.claimUnavailable], [60_000, 'run']] as const) {
-	test(`claims beyond copies: all instances are restarted at once, and a resend comes ${wait} ms later`, () => {
+	test(`claims beyond copies: all instances restart at once, and a resend follows ${wait} ms later`, () => {
 		const network = new FakeClaimNetwork(hash, 2, true);
 		runOnce(network, 'a', 'one');
 		for (const name of names) {
@@ -120,9 +120,9 @@
 type Loss = {
 	readonly name: string;
 	readonly kind: 'restart' | 'unseat';
-	/** Who learns of it only with a later one. */
+	/** The instances that apply the roster only together with a later one. */
 	readonly late: readonly string[];
-	/** Which packets are lost, and how often time passes afterwards. */
+	/** Which packets are lost, and the times by which the clock advances afterwards. */
 	readonly lost: readonly boolean[];
 	readonly waits: readonly number[];
 };
@@ -159,13 +159,13 @@
 type StartCase = {readonly name: string; readonly rostersAtStart: number; readonly looksForView: boolean};
 
 const startCases: readonly StartCase[] = [
-	{name: 'all rosters are known at start', rostersAtStart: Infinity, looksForView: false},
+	{name: 'all rosters are available at start', rostersAtStart: Infinity, looksForView: false},
 	{name: 'a view is adopted at start', rostersAtStart: Infinity, looksForView: true},
-	{name: 'two rosters are known at start', rostersAtStart: 2, looksForView: true},
+	{name: 'two rosters are available at start', rostersAtStart: 2, looksForView: true},
 ];
 
 for (const {name, rostersAtStart, looksForView} of startCases) {
-	test(`claims beyond copies: any losses, with copies lost in any way, run nothing twice; ${name}`, () => {
+	test(`claims beyond copies: no operation runs twice after any losses of instances and copies; ${name}`, () => {
 		let runs = 0;
 		let replays = 0;
 		fc.assert(fc.property(fc.array(loss, {minLength: 2, maxLength: 5}), losses => {
@@ -242,7 +242,7 @@
 	number: fc.nat({max: 20}),
 });
 
-test('claims beyond copies: whatever order seats, copies and reports come in, nothing runs twice', () => {
+test('claims beyond copies: no operation runs twice under any order of seat changes, copies and reports', () => {
 	let runs = 0;
 	fc.assert(fc.property(fc.array(move, {minLength: 20, maxLength: 80, size: 'max'}), fc.boolean(), (schedule, looksForView) => {
 		const network = new FakeClaimNetwork(hash, looksForView ? 2 : Infinity, looksForView);
@@ -269,7 +269,7 @@
 	assert.ok(runs >= 8000);
 });
 
-test('claims beyond copies: a planned stop after its report leaves nothing to refuse', () => {
+test('claims beyond copies: after a planned stop that waited for its report, nothing is refused', () => {
 	fc.assert(fc.property(fc.array(fc.constantFrom(...names), {minLength: 1, maxLength: 6}), stopped => {
 		const network = new FakeClaimNetwork(hash, 2, true);
 		for (const [position, name] of stopped.entries()) {
--- a/packages/routing/test/test-claims-in-cuts.ts
+++ b/packages/routing/test/test-claims-in-cuts.ts
@@ -1,6 +1,6 @@
 /**
- * Two sides of a cut that hold different seatings: the seats change on one side,
- * and the other, whose zones may hold their keys, learns of nothing.
+ * Claims during a network partition whose sides have different rosters: the seats change
+ * on one side, and the other side, whose zones may keep their keys, does not learn of it.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -18,7 +18,7 @@
 
 const sidesCases: readonly SidesCase[] = [
 	{name: 'regions lose each other', inside: ['noord-1', 'noord-2']},
-	{name: 'a zone is cut off', inside: ['noord-1']},
+	{name: 'a zone is partitioned', inside: ['noord-1']},
 ];
 
 const settlingMilliseconds = 20_000;
@@ -37,7 +37,7 @@
 	}
 }
 
-/** Seats change outside alone; the cut side learns of nothing. */
+/** Changes seats outside the partition alone; the inside does not learn of it. */
 function changeOutside(network: FakeClaimNetwork, {kind, name}: Change): void {
 	if (!network.isInside(name)) {
 		network.kill(name);
@@ -66,7 +66,7 @@
 }
 
 for (const {name, inside} of sidesCases) {
-	test(`claims: ${name}, the seats change on one side alone, and nothing runs on both`, () => {
+	test(`claims: ${name}, the seats change on one side alone, and no operation runs on both sides`, () => {
 		let ran = 0;
 		fc.assert(fc.property(fc.array(change, {minLength: 1, maxLength: 2}), fc.constantFrom(...names), fc.boolean(), (changes, entry, isBefore) => {
 			const network = new FakeClaimNetwork(hash);
@@ -87,7 +87,7 @@
 			assertNothingRanTwice(network.runs);
 			ran += network.runs.length;
 		}), {seed, numRuns: 500});
-		console.log(`claims: seed ${seed}, ${ran} runs on two sides of a cut`);
+		console.log(`claims: seed ${seed}, ${ran} runs on two sides of a partition`);
 		assert.ok(ran > 500);
 	});
 }
--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -76,14 +76,14 @@
 	number: fc.nat({max: 40_000}),
 });
 
-/** Not-run is said only of an operation that no send may have run. */
+/** Not-run is reported only if no send of the operation may have run. */
 function assertToldRightly(network: FakeClaimNetwork): void {
 	const newest = network.decisions.at(-1);
 	const isToldNotRun = newest?.decision.kind === 'refuse' && newest.decision.outcome === Outcome.notRun;
-	assert.ok(!isToldNotRun || network.runs.every(run => run.operation !== newest.operation || run.outcome === Outcome.notRun), 'told not-run');
+	assert.ok(!isToldNotRun || network.runs.every(run => run.operation !== newest.operation || run.outcome === Outcome.notRun), 'reported as not-run');
 }
 
-test('claims: over any schedule of losses, returns and late rosters nothing runs twice', () => {
+test('claims: no operation runs twice under any schedule of losses, restarts and delayed rosters', () => {
 	let ran = 0;
 	let refused = 0;
 	fc.assert(fc.property(fc.array(action, {minLength: 20, maxLength: 120, size: 'max'}), schedule => {
@@ -103,9 +103,9 @@
 
 type LossCase = {
 	readonly name: string;
-	/** What is lost after the first run began, or ended. */
+	/** The instances that are lost after the first run began, or ended. */
 	readonly lost: ReadonlyArray<'entry' | 'first holder' | 'second holder'>;
-	/** Whether the others learn of a roster without the lost ones, and records are copied. */
+	/** Whether the others apply a roster without the lost instances, and records are copied. */
 	readonly repaired: boolean;
 	readonly ends?: Outcome;
 	readonly expected: 'duplicate' | 'replay' | 'run' | FailureKind;
@@ -113,7 +113,7 @@
 
 const lossCases: readonly LossCase[] = [
 	{
-		name: 'a resend while the first runs', lost: [], repaired: false, expected: FailureKind.duplicate,
+		name: 'a resend while the operation runs', lost: [], repaired: false, expected: FailureKind.duplicate,
 	},
 	{
 		name: 'a resend after the end', lost: [], repaired: false, ends: Outcome.ran, expected: 'replay',
@@ -186,7 +186,7 @@
 	});
 }
 
-test('claims: a copy that was lost is sent again, so that the next loss loses nothing', () => {
+test('claims: a lost copy is resent, so that the record survives the loss of the other holder', () => {
 	const network = new FakeClaimNetwork(hash);
 	const [first, second] = holdersOf(network.rosters[0]!, operationText(operationOf('one')), hash);
 	const entry = names.find(candidate => candidate !== first?.name && candidate !== second?.name);
@@ -209,7 +209,7 @@
 	assert.equal(network.decisions.at(-1)!.decision.kind, 'replay');
 });
 
-/** Delivers everything but what is lost; a lost request is unreachable. */
+/** Loses the packets that `lossy` marks and delivers the others; a lost request is reported as unreachable. */
 function settleWithLosses(network: FakeClaimNetwork, lossy: readonly boolean[]): void {
 	for (const isLost of lossy) {
 		if (isLost) {
@@ -241,7 +241,7 @@
 	}
 }
 
-test('claims: one change of the seats at a time, each after the copies arrived, needs no earlier rosters', () => {
+test('claims: single seat changes, each after all copies arrived, need no earlier rosters', () => {
 	let replayed = 0;
 	fc.assert(fc.property(fc.array(change, {minLength: 2, maxLength: 12}), changes => {
 		const network = new FakeClaimNetwork(hash, 1);
@@ -259,11 +259,11 @@
 		assertNothingRanTwice(network.runs);
 		replayed += network.decisions.filter(({decision}) => decision.kind === 'replay').length;
 	}), {seed, numRuns: 500});
-	console.log(`claims: seed ${seed}, ${replayed} replays over changes of seats`);
+	console.log(`claims: seed ${seed}, ${replayed} replays across seat changes`);
 	assert.ok(replayed > 5000);
 });
 
-test('claims: one change of a seat keeps at least one holder of every operation', () => {
+test('claims: a single seat change keeps at least one holder of every operation', () => {
 	fc.assert(fc.property(fc.string(), fc.constantFrom(...names), fc.boolean(), (operationKey, name, isRestart) => {
 		const {seats} = new FakeClaimNetwork(hash).rosters[0]!;
 		const left = seats.filter(seat => seat.name !== name);
@@ -274,7 +274,7 @@
 	}), {seed, numRuns: 2000});
 });
 
-test('claims: the holders are in different zones and every instance finds the same', () => {
+test('claims: the holders are in different zones, and every instance computes the same ones', () => {
 	fc.assert(fc.property(fc.string(), operationKey => {
 		const network = new FakeClaimNetwork(hash);
 		const {seats} = network.rosters[0]!;
--- a/packages/routing/test/test-outcome.ts
+++ b/packages/routing/test/test-outcome.ts
@@ -58,6 +58,6 @@
 	});
 }
 
-test('outcome: the table of cases holds everything that can be seen', () => {
+test('outcome: the cases cover every observation', () => {
 	assert.deepEqual(cases.map(entry => entry.seen).sort(), Object.values(AttemptObservation).sort());
 });
--- a/packages/routing/test/test-target.ts
+++ b/packages/routing/test/test-target.ts
@@ -39,16 +39,16 @@
 		name: 'a path segment', head: headOf('/schedule/verge-7/today?x=1'), service: 'bermrand/schedule', key: 'verge-7',
 	},
 	{
-		name: 'percent-encoding names the same key', head: headOf('/schedule/verge%2D7'), service: 'bermrand/schedule', key: 'verge-7',
+		name: 'percent-encoding of the same key', head: headOf('/schedule/verge%2D7'), service: 'bermrand/schedule', key: 'verge-7',
 	},
 	{
-		name: 'broken percent-encoding', head: headOf('/schedule/%zz'), service: 'bermrand/schedule',
+		name: 'invalid percent-encoding', head: headOf('/schedule/%zz'), service: 'bermrand/schedule',
 	},
 	{
 		name: 'no segment', head: headOf('/schedule'), service: 'bermrand/schedule',
 	},
 	{
-		name: 'a slash alone', head: headOf('/schedule/'), service: 'bermrand/schedule',
+		name: 'the prefix with a slash', head: headOf('/schedule/'), service: 'bermrand/schedule',
 	},
 	{
 		name: 'dot segments', head: headOf('/schedule/a/../b'), service: 'bermrand/schedule',
@@ -60,22 +60,22 @@
 		name: 'empty segments', head: headOf('/schedule//a'), service: 'bermrand/schedule',
 	},
 	{
-		name: 'a prefix ends at a segment', head: headOf('/scheduled/a'), service: undefined,
+		name: 'a prefix matches whole segments only', head: headOf('/scheduled/a'), service: undefined,
 	},
 	{
 		name: 'the longest prefix wins', head: headOf('/schedule/booking/1', {'x-verge': 'v'}), service: 'bermrand/booking', key: 'v',
 	},
 	{
-		name: 'a header twice', head: headOf('/schedule/booking', {'x-verge': ['v', 'w']}), service: 'bermrand/booking',
+		name: 'a repeated header', head: headOf('/schedule/booking', {'x-verge': ['v', 'w']}), service: 'bermrand/booking',
 	},
 	{
-		name: 'a header that is missing', head: headOf('/schedule/booking'), service: 'bermrand/booking',
+		name: 'a missing header', head: headOf('/schedule/booking'), service: 'bermrand/booking',
 	},
 	{
 		name: 'a query parameter', head: headOf('/catalogue?a=1&hide=h%201'), service: 'valbrembo/catalogue', key: 'h 1',
 	},
 	{
-		name: 'a query parameter twice', head: headOf('/catalogue?hide=1&hide=2'), service: 'valbrembo/catalogue',
+		name: 'a repeated query parameter', head: headOf('/catalogue?hide=1&hide=2'), service: 'valbrembo/catalogue',
 	},
 ];
 
@@ -126,7 +126,7 @@
 ];
 
 for (const {asked, expected} of deadlineCases) {
-	test(`deadline: a caller asks for ${asked}`, () => {
+	test(`deadline: a caller requests ${asked}`, () => {
 		const contract = contractOf('s', '/s', {place: KeyLocation.path, segment: 0});
 		assert.equal(deadlineOf(contract, headOf('/s/a', {'dogwooddeck-deadline': asked}), 100), expected);
 	});
