--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -9,7 +9,7 @@
 	readonly ratio: number;
 	readonly balance: number;
 	/** The most retries that can accumulate. */
-	readonly largest: number;
+	readonly capacity: number;
 };
 
 /** An attempt that changes the budget. */
@@ -20,12 +20,12 @@
 
 /** Creates a full budget. */
 export function createRetryBudget(ratio: number, largest = largestBalance): RetryBudget {
-	return {ratio, balance: largest, largest};
+	return {ratio, balance: largest, capacity: largest};
 }
 
 /** Returns the budget with another capacity; a balance above it is lowered to it. */
 export function boundBudget(budget: RetryBudget, largest: number): RetryBudget {
-	return {...budget, largest, balance: Math.min(budget.balance, largest)};
+	return {...budget, capacity: largest, balance: Math.min(budget.balance, largest)};
 }
 
 /** Whether the budget covers one more retry. */
@@ -36,5 +36,5 @@
 /** Charges the budget for a retry, or credits it for a first attempt. */
 export function recordAttempt(budget: RetryBudget, event: RetryBudgetEvent): Transition<RetryBudget, never> {
 	const change = event.kind === 'retry' ? -1 : budget.ratio;
-	return {state: {...budget, balance: Math.min(budget.largest, budget.balance + change)}, effects: []};
+	return {state: {...budget, balance: Math.min(budget.capacity, budget.balance + change)}, effects: []};
 }
