--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -19,8 +19,8 @@
 const largestBalance = 10;
 
 /** Creates a full budget. */
-export function createRetryBudget(ratio: number, largest = largestBalance): RetryBudget {
-	return {ratio, balance: largest, capacity: largest};
+export function createRetryBudget(ratio: number, capacity = largestBalance): RetryBudget {
+	return {ratio, balance: capacity, capacity: capacity};
 }
 
 /** Returns the budget with another capacity; a balance above it is lowered to it. */
