--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -24,8 +24,8 @@
 }
 
 /** Returns the budget with another capacity; a balance above it is lowered to it. */
-export function boundBudget(budget: RetryBudget, largest: number): RetryBudget {
-	return {...budget, capacity: largest, balance: Math.min(budget.balance, largest)};
+export function boundBudget(budget: RetryBudget, capacity: number): RetryBudget {
+	return {...budget, capacity: capacity, balance: Math.min(budget.balance, capacity)};
 }
 
 /** Whether the budget covers one more retry. */
