--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -16,10 +16,10 @@
 export type RetryBudgetEvent = {readonly kind: 'first-attempt'} | {readonly kind: 'retry'};
 
 /** The retries that an idle service accumulates at most, so that its first failures can be retried. */
-const largestBalance = 10;
+const defaultCapacity = 10;
 
 /** Creates a full budget. */
-export function createRetryBudget(ratio: number, capacity = largestBalance): RetryBudget {
+export function createRetryBudget(ratio: number, capacity = defaultCapacity): RetryBudget {
 	return {ratio, balance: capacity, capacity: capacity};
 }
 
