--- a/packages/routing/src/deadline.ts
+++ b/packages/routing/src/deadline.ts
@@ -11,7 +11,7 @@
 
 /** Returns the deadline of a request received at `now`. A header value that is no whole number of milliseconds counts as absent. */
 export function deadlineOf(contract: ServiceContract, head: RequestHead, now: MonotonicTime): MonotonicTime {
-	const asked = head.headers[HeaderName.deadline];
+	const requested = head.headers[HeaderName.deadline];
 	const longest = contract.longestDeadlineMilliseconds;
-	return now + (typeof asked === 'string' && wholeMilliseconds.test(asked) ? Math.min(Number(asked), longest) : longest);
+	return now + (typeof requested === 'string' && wholeMilliseconds.test(requested) ? Math.min(Number(requested), longest) : longest);
 }
