--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -53,7 +53,7 @@
 /** What follows from an observation. */
 export type ObservationRule = {
 	readonly outcome: Outcome;
-	readonly resend: RetryRule;
+	readonly retryRule: RetryRule;
 	/** The HTTP status of the response to the caller, if no upstream response was forwarded. */
 	readonly status: number;
 	readonly kind: FailureKind;
@@ -68,46 +68,46 @@
 /** The rule for each observation. The outcome is `not-run` only if no byte was written to the socket or the upstream said so. */
 export const observationRules: Readonly<Record<AttemptObservation, ObservationRule>> = {
 	[AttemptObservation.refusedConnection]: {
-		outcome: Outcome.notRun, resend: RetryRule.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the upstream takes no connection',
+		outcome: Outcome.notRun, retryRule: RetryRule.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the upstream takes no connection',
 	},
 	[AttemptObservation.closedBeforeFirstByte]: {
-		outcome: Outcome.notRun, resend: RetryRule.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection closed before the request was sent',
+		outcome: Outcome.notRun, retryRule: RetryRule.always, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection closed before the request was sent',
 	},
 	[AttemptObservation.leaseLost]: {
-		outcome: Outcome.notRun, resend: RetryRule.always, status: serviceUnavailable, kind: FailureKind.noLease, detail: 'the lease for the key was lost before the request was sent',
+		outcome: Outcome.notRun, retryRule: RetryRule.always, status: serviceUnavailable, kind: FailureKind.noLease, detail: 'the lease for the key was lost before the request was sent',
 	},
 	[AttemptObservation.deadlinePassedBeforeFirstByte]: {
-		outcome: Outcome.notRun, resend: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the request was sent',
+		outcome: Outcome.notRun, retryRule: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the request was sent',
 	},
 	[AttemptObservation.cancelledBeforeFirstByte]: {
-		outcome: Outcome.notRun, resend: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller disconnected before the request was sent',
+		outcome: Outcome.notRun, retryRule: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller disconnected before the request was sent',
 	},
 	[AttemptObservation.unsendable]: {
-		outcome: Outcome.notRun, resend: RetryRule.never, status: badRequest, kind: FailureKind.malformed, detail: 'the request can\'t be encoded as an HTTP message',
+		outcome: Outcome.notRun, retryRule: RetryRule.never, status: badRequest, kind: FailureKind.malformed, detail: 'the request can\'t be encoded as an HTTP message',
 	},
 	[AttemptObservation.shed]: {
-		outcome: Outcome.notRun, resend: RetryRule.always, status: serviceUnavailable, kind: FailureKind.overloaded, detail: 'the upstream shed the request',
+		outcome: Outcome.notRun, retryRule: RetryRule.always, status: serviceUnavailable, kind: FailureKind.overloaded, detail: 'the upstream shed the request',
 	},
 	[AttemptObservation.closedAfterFirstByte]: {
-		outcome: Outcome.unknown, resend: RetryRule.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection ended before the answer',
+		outcome: Outcome.unknown, retryRule: RetryRule.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the connection ended before the answer',
 	},
 	[AttemptObservation.deadlinePassedAfterFirstByte]: {
-		outcome: Outcome.unknown, resend: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the answer',
+		outcome: Outcome.unknown, retryRule: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the deadline passed before the answer',
 	},
 	[AttemptObservation.cancelledAfterFirstByte]: {
-		outcome: Outcome.unknown, resend: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller disconnected before the answer',
+		outcome: Outcome.unknown, retryRule: RetryRule.never, status: gatewayTimeout, kind: FailureKind.deadlineExceeded, detail: 'the caller disconnected before the answer',
 	},
 	[AttemptObservation.wholeAnswer]: {
-		outcome: Outcome.ran, resend: RetryRule.never, status: badGateway, kind: FailureKind.internal, detail: 'the answer was received whole',
+		outcome: Outcome.ran, retryRule: RetryRule.never, status: badGateway, kind: FailureKind.internal, detail: 'the answer was received whole',
 	},
 	[AttemptObservation.cutAnswer]: {
-		outcome: Outcome.unknown, resend: RetryRule.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer was truncated',
+		outcome: Outcome.unknown, retryRule: RetryRule.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer was truncated',
 	},
 	[AttemptObservation.foreignAnswer]: {
-		outcome: Outcome.unknown, resend: RetryRule.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer belongs to another request',
+		outcome: Outcome.unknown, retryRule: RetryRule.idempotent, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer belongs to another request',
 	},
 	[AttemptObservation.unboundedAnswer]: {
-		outcome: Outcome.unknown, resend: RetryRule.never, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer has neither a length nor chunks',
+		outcome: Outcome.unknown, retryRule: RetryRule.never, status: badGateway, kind: FailureKind.upstreamFailed, detail: 'the answer has neither a length nor chunks',
 	},
 };
 
@@ -119,7 +119,7 @@
 
 /** Whether a request may be retried after an observation. */
 export function maySendAgain(seen: AttemptObservation, idempotent: boolean): boolean {
-	return mayResend[observationRules[seen].resend](idempotent);
+	return mayResend[observationRules[seen].retryRule](idempotent);
 }
 
 const statuses: Partial<Record<FailureKind, number>> = {
