--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -111,7 +111,7 @@
 	},
 };
 
-const mayResend: Readonly<Record<RetryRule, (idempotent: boolean) => boolean>> = {
+const retryChecks: Readonly<Record<RetryRule, (idempotent: boolean) => boolean>> = {
 	[RetryRule.never]: () => false,
 	[RetryRule.idempotent]: idempotent => idempotent,
 	[RetryRule.always]: () => true,
@@ -119,7 +119,7 @@
 
 /** Whether a request may be retried after an observation. */
 export function maySendAgain(seen: AttemptObservation, idempotent: boolean): boolean {
-	return mayResend[observationRules[seen].retryRule](idempotent);
+	return retryChecks[observationRules[seen].retryRule](idempotent);
 }
 
 const statuses: Partial<Record<FailureKind, number>> = {
