--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -118,8 +118,8 @@
 };
 
 /** Whether a request may be retried after an observation. */
-export function maySendAgain(seen: AttemptObservation, idempotent: boolean): boolean {
-	return retryChecks[observationRules[seen].retryRule](idempotent);
+export function maySendAgain(observation: AttemptObservation, idempotent: boolean): boolean {
+	return retryChecks[observationRules[observation].retryRule](idempotent);
 }
 
 const statuses: Partial<Record<FailureKind, number>> = {
