--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -122,7 +122,7 @@
 	return retryChecks[observationRules[observation].retryRule](idempotent);
 }
 
-const statuses: Partial<Record<FailureKind, number>> = {
+const statusByFailure: Partial<Record<FailureKind, number>> = {
 	[FailureKind.malformed]: badRequest,
 	[FailureKind.tooLarge]: 413,
 	[FailureKind.unauthenticated]: 401,
@@ -139,5 +139,5 @@
 
 /** Returns the HTTP status for a failure; 503 for the kinds that the table does not list. */
 export function statusOf(kind: FailureKind): number {
-	return statuses[kind] ?? serviceUnavailable;
+	return statusByFailure[kind] ?? serviceUnavailable;
 }
