--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -42,7 +42,7 @@
 	readonly targets: ReadonlyMap<string, ServiceTarget>;
 };
 
-const undeclared: RouteTreatment = {idempotent: false, importance: Importance.high};
+const undeclaredRoute: RouteTreatment = {idempotent: false, importance: Importance.high};
 const dotSegment = /^(?:\.|%2e){1,2}$/iv;
 const encodedSlash = /%(?:2f|5c)/iv;
 
@@ -165,9 +165,9 @@
 export function routeOf(target: ServiceTarget, method: string, path: string): RouteTreatment {
 	const routes = target.routes.get(method);
 	if (routes === undefined) {
-		return undeclared;
+		return undeclaredRoute;
 	}
 
 	const segments = remainder(target, path).filter(segment => segment !== '');
-	return routes.find(route => matches(route.segments, segments))?.treatment ?? undeclared;
+	return routes.find(route => matches(route.segments, segments))?.treatment ?? undeclaredRoute;
 }
