--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -50,14 +50,14 @@
 	return path.split('/').filter(segment => segment !== '');
 }
 
-function declaredRoute(route: RouteContract): DeclaredRoute {
+function createRoute(route: RouteContract): DeclaredRoute {
 	return {segments: segmentsOf(route.path), treatment: {idempotent: route.idempotent, importance: route.importance}};
 }
 
 function targetOf(contract: ServiceContract): ServiceTarget {
 	const routes = new Map<string, DeclaredRoute[]>();
 	for (const route of contract.routes) {
-		routes.set(route.method, [...(routes.get(route.method) ?? []), declaredRoute(route)]);
+		routes.set(route.method, [...(routes.get(route.method) ?? []), createRoute(route)]);
 	}
 
 	return {contract, prefixLength: contract.prefix.replace(/\/$/v, '').length, routes};
