--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -54,7 +54,7 @@
 	return {segments: segmentsOf(route.path), treatment: {idempotent: route.idempotent, importance: route.importance}};
 }
 
-function targetOf(contract: ServiceContract): ServiceTarget {
+function createTarget(contract: ServiceContract): ServiceTarget {
 	const routes = new Map<string, DeclaredRoute[]>();
 	for (const route of contract.routes) {
 		routes.set(route.method, [...(routes.get(route.method) ?? []), createRoute(route)]);
@@ -65,7 +65,7 @@
 
 /** Indexes contracts for `matchService`. */
 export function createTargetIndex(contracts: readonly ServiceContract[]): TargetIndex {
-	const targets = new Map(contracts.map(contract => [contract.prefix.replace(/\/$/v, ''), targetOf(contract)]));
+	const targets = new Map(contracts.map(contract => [contract.prefix.replace(/\/$/v, ''), createTarget(contract)]));
 	const prefixLengths = [...new Set([...targets.keys()].map(prefix => prefix.length))].sort((one, other) => other - one);
 	return {prefixLengths, targets};
 }
