--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -70,7 +70,7 @@
 	return {prefixLengths, targets};
 }
 
-function endsSegment(path: string, position: number): boolean {
+function isSegmentEnd(path: string, position: number): boolean {
 	const character = path[position];
 	return character === undefined || character === '/' || character === '?';
 }
@@ -78,7 +78,7 @@
 /** Finds the service with the longest prefix that matches whole segments of the path. */
 export function matchService(index: TargetIndex, path: string): ServiceTarget | undefined {
 	for (const length of index.prefixLengths) {
-		if (endsSegment(path, length)) {
+		if (isSegmentEnd(path, length)) {
 			const target = index.targets.get(path.slice(0, length));
 			if (target !== undefined) {
 				return target;
