--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -90,7 +90,7 @@
 }
 
 /** Returns the segments of the path after the service's prefix, without the query. */
-function remainder(target: ServiceTarget, path: string): readonly string[] {
+function segmentsAfterPrefix(target: ServiceTarget, path: string): readonly string[] {
 	const queryAt = path.indexOf('?');
 	const end = queryAt === -1 ? path.length : queryAt;
 	return path.slice(target.prefixLength + 1, end).split('/');
@@ -117,7 +117,7 @@
  * normalize them differently and then read another key than the router did.
  */
 function keyInPath(source: KeySource & {readonly place: 'path'}, target: ServiceTarget, head: RequestHead): Result<string, Failure> {
-	const segments = remainder(target, head.path);
+	const segments = segmentsAfterPrefix(target, head.path);
 	const ambiguous = segments.some((segment, position) => (segment === '' && position < segments.length - 1) || dotSegment.test(segment) || encodedSlash.test(segment));
 	return ambiguous ? malformed('the path holds empty segments, dot segments or encoded slashes') : decoded(segments[source.segment], 'path');
 }
@@ -168,6 +168,6 @@
 		return undeclaredRoute;
 	}
 
-	const segments = remainder(target, path).filter(segment => segment !== '');
+	const segments = segmentsAfterPrefix(target, path).filter(segment => segment !== '');
 	return routes.find(route => matches(route.segments, segments))?.treatment ?? undeclaredRoute;
 }
