--- a/packages/routing/src/target.ts
+++ b/packages/routing/src/target.ts
@@ -100,7 +100,7 @@
 	return Result.err(failure(FailureKind.malformed, detail));
 }
 
-function decoded(text: string | undefined, place: string): Result<string, Failure> {
+function decodeKey(text: string | undefined, place: string): Result<string, Failure> {
 	if (text === undefined || text === '') {
 		return malformed(`the request names no key in its ${place}`);
 	}
@@ -119,7 +119,7 @@
 function keyInPath(source: KeySource & {readonly place: 'path'}, target: ServiceTarget, head: RequestHead): Result<string, Failure> {
 	const segments = segmentsAfterPrefix(target, head.path);
 	const ambiguous = segments.some((segment, position) => (segment === '' && position < segments.length - 1) || dotSegment.test(segment) || encodedSlash.test(segment));
-	return ambiguous ? malformed('the path holds empty segments, dot segments or encoded slashes') : decoded(segments[source.segment], 'path');
+	return ambiguous ? malformed('the path holds empty segments, dot segments or encoded slashes') : decodeKey(segments[source.segment], 'path');
 }
 
 function keyInHeader(source: KeySource & {readonly place: 'header'}, _target: ServiceTarget, head: RequestHead): Result<string, Failure> {
