--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -98,13 +98,13 @@
 	return {state: {...state, phase: RequestPhase.endRequest}, effects};
 }
 
-function outcomeOf(state: RequestState, outcome: Outcome): Outcome {
+function combinedOutcome(state: RequestState, outcome: Outcome): Outcome {
 	return state.mayHaveRun && outcome === Outcome.notRun ? Outcome.unknown : outcome;
 }
 
 function refused(state: RequestState, why: Failure, outcome: Outcome, status = statusOf(why.kind)): Step {
 	return ended(state, [{
-		kind: 'refuse', status, outcome: outcomeOf(state, outcome), failure: why,
+		kind: 'refuse', status, outcome: combinedOutcome(state, outcome), failure: why,
 	}]);
 }
 
