--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -102,7 +102,7 @@
 	return state.mayHaveRun && outcome === Outcome.notRun ? Outcome.unknown : outcome;
 }
 
-function refused(state: RequestState, why: Failure, outcome: Outcome, status = statusOf(why.kind)): Step {
+function refuseRequest(state: RequestState, why: Failure, outcome: Outcome, status = statusOf(why.kind)): Step {
 	return ended(state, [{
 		kind: 'refuse', status, outcome: combinedOutcome(state, outcome), failure: why,
 	}]);
@@ -145,13 +145,13 @@
 
 	const {kind, retryAfterMilliseconds} = event.failure;
 	const pause = retryAfterMilliseconds === undefined || !awaited.has(kind) ? undefined : paused(state, event.now, retryAfterMilliseconds);
-	return pause ?? refused(state, event.failure, Outcome.notRun);
+	return pause ?? refuseRequest(state, event.failure, Outcome.notRun);
 }
 
 function tellsWhy(state: RequestState, event: Extract<RequestEvent, {kind: 'seen'}>): Step {
 	const rule = observationRules[event.seen];
 	const more = event.retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds: event.retryAfterMilliseconds};
-	return refused(state, failure(rule.kind, rule.detail, more), rule.outcome, rule.status);
+	return refuseRequest(state, failure(rule.kind, rule.detail, more), rule.outcome, rule.status);
 }
 
 function whenSeen(event: Extract<RequestEvent, {kind: 'seen'}>, before: RequestState): Step {
@@ -192,7 +192,7 @@
 		return {state, effects: []};
 	}
 
-	const step = refused(state, failure(FailureKind.deadlineExceeded, 'the deadline passed before the request was sent'), Outcome.notRun);
+	const step = refuseRequest(state, failure(FailureKind.deadlineExceeded, 'the deadline passed before the request was sent'), Outcome.notRun);
 	return {state: step.state, effects: [{kind: 'cancel'}, ...step.effects]};
 }
 
