--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -109,7 +109,7 @@
 }
 
 /** The refusals after which a request waits, since the key may get an owner and a lease again before the deadline. */
-const awaited: ReadonlySet<FailureKind> = new Set([FailureKind.noOwner, FailureKind.noLease]);
+const waitableFailures: ReadonlySet<FailureKind> = new Set([FailureKind.noOwner, FailureKind.noLease]);
 
 /** Exponential backoff with full jitter: uniform between 0 and a bound that doubles with each pause. */
 function backoff(state: RequestState): Milliseconds {
@@ -144,7 +144,7 @@
 	}
 
 	const {kind, retryAfterMilliseconds} = event.failure;
-	const pause = retryAfterMilliseconds === undefined || !awaited.has(kind) ? undefined : paused(state, event.now, retryAfterMilliseconds);
+	const pause = retryAfterMilliseconds === undefined || !waitableFailures.has(kind) ? undefined : paused(state, event.now, retryAfterMilliseconds);
 	return pause ?? refuseRequest(state, event.failure, Outcome.notRun);
 }
 
