--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -118,7 +118,7 @@
 }
 
 /** Pauses for the backoff, but at least for `atLeast`. Returns undefined if the pause would not end before the deadline. */
-function paused(state: RequestState, now: MonotonicTime, atLeast: Milliseconds): Step | undefined {
+function pauseBeforeRetry(state: RequestState, now: MonotonicTime, atLeast: Milliseconds): Step | undefined {
 	const milliseconds = Math.max(atLeast, backoff(state));
 	if (now + milliseconds >= state.deadline) {
 		return undefined;
@@ -144,7 +144,7 @@
 	}
 
 	const {kind, retryAfterMilliseconds} = event.failure;
-	const pause = retryAfterMilliseconds === undefined || !waitableFailures.has(kind) ? undefined : paused(state, event.now, retryAfterMilliseconds);
+	const pause = retryAfterMilliseconds === undefined || !waitableFailures.has(kind) ? undefined : pauseBeforeRetry(state, event.now, retryAfterMilliseconds);
 	return pause ?? refuseRequest(state, event.failure, Outcome.notRun);
 }
 
@@ -170,11 +170,11 @@
 
 	if (event.seen === AttemptObservation.leaseLost) {
 		const located = {...state, attempts: state.attempts - 1};
-		return paused(located, event.now, 0) ?? tellsWhy(located, event);
+		return pauseBeforeRetry(located, event.now, 0) ?? tellsWhy(located, event);
 	}
 
 	const again = event.budgetAllows && state.attempts < state.retry.attempts && maySendAgain(event.seen, state.idempotent);
-	const pause = again ? paused(state, event.now, event.retryAfterMilliseconds ?? 0) : undefined;
+	const pause = again ? pauseBeforeRetry(state, event.now, event.retryAfterMilliseconds ?? 0) : undefined;
 	return pause ?? tellsWhy(state, event);
 }
 
