--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -148,7 +148,7 @@
 	return pause ?? refuseRequest(state, event.failure, Outcome.notRun);
 }
 
-function tellsWhy(state: RequestState, event: Extract<RequestEvent, {kind: 'seen'}>): Step {
+function refuseByRule(state: RequestState, event: Extract<RequestEvent, {kind: 'seen'}>): Step {
 	const rule = observationRules[event.seen];
 	const more = event.retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds: event.retryAfterMilliseconds};
 	return refuseRequest(state, failure(rule.kind, rule.detail, more), rule.outcome, rule.status);
@@ -170,12 +170,12 @@
 
 	if (event.seen === AttemptObservation.leaseLost) {
 		const located = {...state, attempts: state.attempts - 1};
-		return pauseBeforeRetry(located, event.now, 0) ?? tellsWhy(located, event);
+		return pauseBeforeRetry(located, event.now, 0) ?? refuseByRule(located, event);
 	}
 
 	const again = event.budgetAllows && state.attempts < state.retry.attempts && maySendAgain(event.seen, state.idempotent);
 	const pause = again ? pauseBeforeRetry(state, event.now, event.retryAfterMilliseconds ?? 0) : undefined;
-	return pause ?? tellsWhy(state, event);
+	return pause ?? refuseByRule(state, event);
 }
 
 function whenPauseOver(_event: RequestEvent, state: RequestState): Step {
