--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -150,8 +150,8 @@
 
 function refuseByRule(state: RequestState, event: Extract<RequestEvent, {kind: 'seen'}>): Step {
 	const rule = observationRules[event.seen];
-	const more = event.retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds: event.retryAfterMilliseconds};
-	return refuseRequest(state, failure(rule.kind, rule.detail, more), rule.outcome, rule.status);
+	const details = event.retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds: event.retryAfterMilliseconds};
+	return refuseRequest(state, failure(rule.kind, rule.detail, details), rule.outcome, rule.status);
 }
 
 function whenSeen(event: Extract<RequestEvent, {kind: 'seen'}>, before: RequestState): Step {
