--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -169,8 +169,8 @@
 	}
 
 	if (event.seen === AttemptObservation.leaseLost) {
-		const located = {...state, attempts: state.attempts - 1};
-		return pauseBeforeRetry(located, event.now, 0) ?? refuseByRule(located, event);
+		const uncounted = {...state, attempts: state.attempts - 1};
+		return pauseBeforeRetry(uncounted, event.now, 0) ?? refuseByRule(uncounted, event);
 	}
 
 	const again = event.budgetAllows && state.attempts < state.retry.attempts && maySendAgain(event.seen, state.idempotent);
