--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -173,8 +173,8 @@
 		return pauseBeforeRetry(uncounted, event.now, 0) ?? refuseByRule(uncounted, event);
 	}
 
-	const again = event.budgetAllows && state.attempts < state.retry.attempts && maySendAgain(event.seen, state.idempotent);
-	const pause = again ? pauseBeforeRetry(state, event.now, event.retryAfterMilliseconds ?? 0) : undefined;
+	const isRetryAllowed = event.budgetAllows && state.attempts < state.retry.attempts && maySendAgain(event.seen, state.idempotent);
+	const pause = isRetryAllowed ? pauseBeforeRetry(state, event.now, event.retryAfterMilliseconds ?? 0) : undefined;
 	return pause ?? refuseByRule(state, event);
 }
 
