--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -44,7 +44,7 @@
 
 export type RequestCompletion = (typeof RequestCompletion)[keyof typeof RequestCompletion];
 
-const finishedBySeen: Partial<Record<AttemptObservation, RequestCompletion>> = {
+const completionByObservation: Partial<Record<AttemptObservation, RequestCompletion>> = {
 	[AttemptObservation.wholeAnswer]: RequestCompletion.answered,
 	[AttemptObservation.shed]: RequestCompletion.strained,
 	[AttemptObservation.deadlinePassedAfterFirstByte]: RequestCompletion.strained,
@@ -53,7 +53,7 @@
 
 /** Classifies the end of an attempt for admission. */
 export function completionOf(seen: AttemptObservation): RequestCompletion {
-	return finishedBySeen[seen] ?? RequestCompletion.neutral;
+	return completionByObservation[seen] ?? RequestCompletion.neutral;
 }
 
 /** The bounds of one upstream's admission. */
