--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -52,8 +52,8 @@
 };
 
 /** Classifies the end of an attempt for admission. */
-export function completionOf(seen: AttemptObservation): RequestCompletion {
-	return completionByObservation[seen] ?? RequestCompletion.neutral;
+export function completionOf(observation: AttemptObservation): RequestCompletion {
+	return completionByObservation[observation] ?? RequestCompletion.neutral;
 }
 
 /** The bounds of one upstream's admission. */
