--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -75,7 +75,7 @@
 	/** Admits or queues a ticket, or rejects it immediately with `overloaded`. */
 	enter(ticket: Ticket, now: MonotonicTime): Result<AdmissionDecision, Failure>;
 	/** Releases a slot and admits the next ticket. */
-	finish(how: RequestCompletion, latency: Milliseconds): void;
+	finish(completion: RequestCompletion, latency: Milliseconds): void;
 	/** Removes a waiting ticket. */
 	leave(ticket: Ticket): void;
 	/** Applies new bounds after a change of the contract or of the number of instances. */
