--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -134,9 +134,9 @@
 		return this.#hasRoomFor(ticket) ? this.#enqueue(ticket) : this.#refusal('the queue of the key\'s owner is full', wait);
 	}
 
-	finish(how: RequestCompletion, latency: Milliseconds): void {
+	finish(completion: RequestCompletion, latency: Milliseconds): void {
 		this.underWay--;
-		this.#learn(how, latency);
+		this.#learn(completion, latency);
 		this.#admitNext();
 	}
 
