--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -183,11 +183,11 @@
 		return Result.ok(AdmissionDecision.queued);
 	}
 
-	#learn(how: RequestCompletion, latency: Milliseconds): void {
-		if (how === RequestCompletion.answered) {
+	#learn(completion: RequestCompletion, latency: Milliseconds): void {
+		if (completion === RequestCompletion.answered) {
 			this.#latency += (latency - this.#latency) * latencyWeight;
 			this.#allowed = Math.min(Math.max(1, this.#bounds.slots), this.#allowed + (1 / this.#allowed));
-		} else if (how === RequestCompletion.strained) {
+		} else if (completion === RequestCompletion.strained) {
 			this.#allowed = Math.max(shareOf(this.#bounds), this.#allowed / 2);
 		}
 	}
