--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -90,8 +90,8 @@
  * instances together keep to the upstream's limit. May be 0.
  */
 export function connectionsFor(connections: number, instances: number, position: number): number {
-	const whole = Math.floor(connections / instances);
-	return position < connections % instances ? whole + 1 : whole;
+	const base = Math.floor(connections / instances);
+	return position < connections % instances ? base + 1 : base;
 }
 
 /** The lower bound of an instance's limit: its equal share of the slots, at least one. */
