--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -95,7 +95,7 @@
 }
 
 /** The lower bound of an instance's limit: its equal share of the slots, at least one. */
-function shareOf(bounds: AdmissionBounds): number {
+function minimumLimit(bounds: AdmissionBounds): number {
 	return Math.max(1, Math.floor(bounds.slots / bounds.instances));
 }
 
@@ -109,7 +109,7 @@
 
 	constructor(bounds: AdmissionBounds) {
 		this.#bounds = bounds;
-		this.#allowed = shareOf(bounds);
+		this.#allowed = minimumLimit(bounds);
 	}
 
 	get waiting(): number {
@@ -149,7 +149,7 @@
 
 	rebound(bounds: AdmissionBounds): void {
 		this.#bounds = bounds;
-		this.#allowed = Math.min(Math.max(this.#allowed, shareOf(bounds)), Math.max(1, bounds.slots));
+		this.#allowed = Math.min(Math.max(this.#allowed, minimumLimit(bounds)), Math.max(1, bounds.slots));
 		this.#admitNext();
 	}
 
@@ -188,7 +188,7 @@
 			this.#latency += (latency - this.#latency) * latencyWeight;
 			this.#allowed = Math.min(Math.max(1, this.#bounds.slots), this.#allowed + (1 / this.#allowed));
 		} else if (completion === RequestCompletion.strained) {
-			this.#allowed = Math.max(shareOf(this.#bounds), this.#allowed / 2);
+			this.#allowed = Math.max(minimumLimit(this.#bounds), this.#allowed / 2);
 		}
 	}
 
