--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -104,12 +104,12 @@
 	readonly #queue: Ticket[] = [];
 	#bounds: AdmissionBounds;
 	/** Grows by one slot for each round of complete responses and halves under overload; between the instance's share and all slots. */
-	#allowed: number;
+	#fractionalLimit: number;
 	#latency: Milliseconds = 0;
 
 	constructor(bounds: AdmissionBounds) {
 		this.#bounds = bounds;
-		this.#allowed = minimumLimit(bounds);
+		this.#fractionalLimit = minimumLimit(bounds);
 	}
 
 	get waiting(): number {
@@ -117,7 +117,7 @@
 	}
 
 	get limit(): number {
-		return Math.floor(this.#allowed);
+		return Math.floor(this.#fractionalLimit);
 	}
 
 	enter(ticket: Ticket, now: MonotonicTime): Result<AdmissionDecision, Failure> {
@@ -149,7 +149,7 @@
 
 	rebound(bounds: AdmissionBounds): void {
 		this.#bounds = bounds;
-		this.#allowed = Math.min(Math.max(this.#allowed, minimumLimit(bounds)), Math.max(1, bounds.slots));
+		this.#fractionalLimit = Math.min(Math.max(this.#fractionalLimit, minimumLimit(bounds)), Math.max(1, bounds.slots));
 		this.#admitNext();
 	}
 
@@ -186,9 +186,9 @@
 	#learn(completion: RequestCompletion, latency: Milliseconds): void {
 		if (completion === RequestCompletion.answered) {
 			this.#latency += (latency - this.#latency) * latencyWeight;
-			this.#allowed = Math.min(Math.max(1, this.#bounds.slots), this.#allowed + (1 / this.#allowed));
+			this.#fractionalLimit = Math.min(Math.max(1, this.#bounds.slots), this.#fractionalLimit + (1 / this.#fractionalLimit));
 		} else if (completion === RequestCompletion.strained) {
-			this.#allowed = Math.max(minimumLimit(this.#bounds), this.#allowed / 2);
+			this.#fractionalLimit = Math.max(minimumLimit(this.#bounds), this.#fractionalLimit / 2);
 		}
 	}
 
