--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -105,7 +105,7 @@
 	#bounds: AdmissionBounds;
 	/** Grows by one slot for each round of complete responses and halves under overload; between the instance's share and all slots. */
 	#fractionalLimit: number;
-	#latency: Milliseconds = 0;
+	#meanLatency: Milliseconds = 0;
 
 	constructor(bounds: AdmissionBounds) {
 		this.#bounds = bounds;
@@ -127,7 +127,7 @@
 		}
 
 		const wait = this.#expectedWait();
-		if (now + wait + this.#latency > ticket.deadline) {
+		if (now + wait + this.#meanLatency > ticket.deadline) {
 			return this.#refusal('the request can\'t finish before the deadline', wait);
 		}
 
@@ -154,7 +154,7 @@
 	}
 
 	#expectedWait(): Milliseconds {
-		return (this.#queue.length + 1) * this.#latency / this.limit;
+		return (this.#queue.length + 1) * this.#meanLatency / this.limit;
 	}
 
 	#refusal(detail: string, wait: Milliseconds): Result<AdmissionDecision, Failure> {
@@ -185,7 +185,7 @@
 
 	#learn(completion: RequestCompletion, latency: Milliseconds): void {
 		if (completion === RequestCompletion.answered) {
-			this.#latency += (latency - this.#latency) * latencyWeight;
+			this.#meanLatency += (latency - this.#meanLatency) * latencyWeight;
 			this.#fractionalLimit = Math.min(Math.max(1, this.#bounds.slots), this.#fractionalLimit + (1 / this.#fractionalLimit));
 		} else if (completion === RequestCompletion.strained) {
 			this.#fractionalLimit = Math.max(minimumLimit(this.#bounds), this.#fractionalLimit / 2);
