--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -82,7 +82,7 @@
 	rebound(bounds: AdmissionBounds): void;
 };
 
-const latencyWeight = 0.1;
+const latencySmoothingFactor = 0.1;
 const lowImportanceShare = 0.5;
 
 /**
@@ -185,7 +185,7 @@
 
 	#learn(completion: RequestCompletion, latency: Milliseconds): void {
 		if (completion === RequestCompletion.answered) {
-			this.#meanLatency += (latency - this.#meanLatency) * latencyWeight;
+			this.#meanLatency += (latency - this.#meanLatency) * latencySmoothingFactor;
 			this.#fractionalLimit = Math.min(Math.max(1, this.#bounds.slots), this.#fractionalLimit + (1 / this.#fractionalLimit));
 		} else if (completion === RequestCompletion.strained) {
 			this.#fractionalLimit = Math.max(minimumLimit(this.#bounds), this.#fractionalLimit / 2);
