--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -136,7 +136,7 @@
 
 	finish(completion: RequestCompletion, latency: Milliseconds): void {
 		this.underWay--;
-		this.#learn(completion, latency);
+		this.#adaptLimit(completion, latency);
 		this.#admitNext();
 	}
 
@@ -183,7 +183,7 @@
 		return Result.ok(AdmissionDecision.queued);
 	}
 
-	#learn(completion: RequestCompletion, latency: Milliseconds): void {
+	#adaptLimit(completion: RequestCompletion, latency: Milliseconds): void {
 		if (completion === RequestCompletion.answered) {
 			this.#meanLatency += (latency - this.#meanLatency) * latencySmoothingFactor;
 			this.#fractionalLimit = Math.min(Math.max(1, this.#bounds.slots), this.#fractionalLimit + (1 / this.#fractionalLimit));
