--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -168,10 +168,10 @@
 			return this.#queue.length < queueLength * lowImportanceShare;
 		}
 
-		return this.#queue.length < queueLength || this.#evictLow();
+		return this.#queue.length < queueLength || this.#evictLowImportance();
 	}
 
-	#evictLow(): boolean {
+	#evictLowImportance(): boolean {
 		const position = this.#queue.findLastIndex(waiting => waiting.importance === Importance.low);
 		const [evicted] = position === -1 ? [] : this.#queue.splice(position, 1);
 		evicted?.refused(failure(FailureKind.overloaded, 'evicted from the queue by a more important request', {retryAfterMilliseconds: Math.ceil(this.#expectedWait())}));
