--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -10,9 +10,9 @@
 export type AppliedIndexes = ReadonlyMap<string, LogIndex>;
 
 /** Records a reported index. The recorded index never decreases. */
-export function recordApplied(spread: AppliedIndexes, seat: InstanceIdentity, applied: LogIndex): AppliedIndexes {
+export function recordApplied(appliedIndexes: AppliedIndexes, seat: InstanceIdentity, applied: LogIndex): AppliedIndexes {
 	const key = incarnationKey(seat);
-	return new Map([...spread, [key, Math.max(applied, spread.get(key) ?? 0)]]);
+	return new Map([...appliedIndexes, [key, Math.max(applied, appliedIndexes.get(key) ?? 0)]]);
 }
 
 /** Returns the indexes of the seats of a roster alone. */
