--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -16,9 +16,9 @@
 }
 
 /** Returns the indexes of the seats of a roster alone. */
-export function appliedIndexesOf(spread: AppliedIndexes, roster: ClaimRoster): AppliedIndexes {
+export function appliedIndexesOf(appliedIndexes: AppliedIndexes, roster: ClaimRoster): AppliedIndexes {
 	const seated = new Set(roster.seats.map(seat => incarnationKey(seat)));
-	return new Map([...spread].filter(([key]) => seated.has(key)));
+	return new Map([...appliedIndexes].filter(([key]) => seated.has(key)));
 }
 
 /** Returns the seats of a roster that have not reported the entry that created it as applied. */
