--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -22,8 +22,8 @@
 }
 
 /** Returns the seats of a roster that have not reported the entry that created it as applied. */
-export function seatsBehind(spread: AppliedIndexes, roster: ClaimRoster): readonly ClaimSeat[] {
-	return roster.seats.filter(seat => (spread.get(incarnationKey(seat)) ?? 0) < roster.index);
+export function seatsBehind(appliedIndexes: AppliedIndexes, roster: ClaimRoster): readonly ClaimSeat[] {
+	return roster.seats.filter(seat => (appliedIndexes.get(incarnationKey(seat)) ?? 0) < roster.index);
 }
 
 /**
