--- a/packages/routing/src/claim-spread.ts
+++ b/packages/routing/src/claim-spread.ts
@@ -30,6 +30,6 @@
  * Returns the newest log entry that every seat of a roster has reported as applied. A
  * seat without any report counts as index 0, until it is no longer seated.
  */
-export function acknowledgedBy(spread: AppliedIndexes, roster: ClaimRoster): LogIndex {
-	return Math.min(roster.index, ...roster.seats.map(seat => spread.get(incarnationKey(seat)) ?? 0));
+export function acknowledgedBy(appliedIndexes: AppliedIndexes, roster: ClaimRoster): LogIndex {
+	return Math.min(roster.index, ...roster.seats.map(seat => appliedIndexes.get(incarnationKey(seat)) ?? 0));
 }
