--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -31,7 +31,7 @@
 export type ClaimCopy = {
 	readonly holder: InstanceIdentity;
 	/** When it is sent next. Infinite once the holder has acknowledged it. */
-	readonly sendAgainAt: MonotonicTime;
+	readonly resendAt: MonotonicTime;
 	/** The backoff after the next send; doubles with each send. */
 	readonly pause: Milliseconds;
 };
@@ -255,7 +255,7 @@
 }
 
 function hasArrived(copy: ClaimCopy): boolean {
-	return copy.sendAgainAt === Number.POSITIVE_INFINITY;
+	return copy.resendAt === Number.POSITIVE_INFINITY;
 }
 
 function newHolders(state: HolderState, record: ClaimRecord): InstanceIdentity[] {
@@ -278,8 +278,8 @@
 function copiesDue(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
 	const wanted = record.copies.filter(copy => hasArrived(copy) || isSeated(state, copy.holder));
-	const due = wanted.filter(copy => copy.sendAgainAt <= now);
-	keepCopies(state, text, record, wanted.map(copy => copy.sendAgainAt <= now ? {...copy, sendAgainAt: now + copy.pause, pause: copy.pause * 2} : copy));
+	const due = wanted.filter(copy => copy.resendAt <= now);
+	keepCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.pause, pause: copy.pause * 2} : copy));
 	return due.map(copy => ({kind: 'send', message: copyOf(state, record, copy.holder, now)}));
 }
 
@@ -308,7 +308,7 @@
 	const text = operationText(request.operation);
 	const record = state.records.get(text);
 	if (record !== undefined && sameToken(record.token, request.token) && verdict === ClaimVerdict.held) {
-		keepCopies(state, text, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, sendAgainAt: Number.POSITIVE_INFINITY} : copy));
+		keepCopies(state, text, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, resendAt: Number.POSITIVE_INFINITY} : copy));
 	}
 
 	return {state, effects: []};
