--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -33,7 +33,7 @@
 	/** When it is sent next. Infinite once the holder has acknowledged it. */
 	readonly resendAt: MonotonicTime;
 	/** The backoff after the next send; doubles with each send. */
-	readonly pause: Milliseconds;
+	readonly nextBackoff: Milliseconds;
 };
 
 /** The storage limits of a holder. */
@@ -279,7 +279,7 @@
 	const record = state.records.get(text)!;
 	const wanted = record.copies.filter(copy => hasArrived(copy) || isSeated(state, copy.holder));
 	const due = wanted.filter(copy => copy.resendAt <= now);
-	keepCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.pause, pause: copy.pause * 2} : copy));
+	keepCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
 	return due.map(copy => ({kind: 'send', message: copyOf(state, record, copy.holder, now)}));
 }
 
