--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -77,7 +77,7 @@
 
 type Step = Transition<HolderState, HolderEffect>;
 
-const firstCopyPause: Milliseconds = 1000;
+const initialCopyBackoff: Milliseconds = 1000;
 
 /** Creates a holder without records. */
 export function createHolder(self: InstanceIdentity, bounds: HolderBounds, hash: TextHash, roster: ClaimRoster): HolderState {
@@ -286,7 +286,7 @@
 /** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
 function copiesBegun(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
-	const copies = newHolders(state, record).map(holder => ({holder, sendAgainAt: now, pause: firstCopyPause}));
+	const copies = newHolders(state, record).map(holder => ({holder, sendAgainAt: now, pause: initialCopyBackoff}));
 	if (copies.length === 0 && !state.copying.has(text)) {
 		return [];
 	}
