--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -53,7 +53,7 @@
 	/** Records by `operationText`. Mutated in place, by this module alone, instead of copied, since it may hold the claims of hours. */
 	readonly records: Map<string, ClaimRecord>;
 	/** The `operationText` of the records with unacknowledged copies. Mutated in place, as `records` is. */
-	readonly copying: Set<string>;
+	readonly pendingCopies: Set<string>;
 	/** The newest roster that this instance has applied; copies are sent to its seats alone. */
 	readonly roster: ClaimRoster;
 	readonly hash: TextHash;
@@ -82,7 +82,7 @@
 /** Creates a holder without records. */
 export function createHolder(self: InstanceIdentity, bounds: HolderBounds, hash: TextHash, roster: ClaimRoster): HolderState {
 	return {
-		self, bounds, hash, roster, rosterIndex: roster.index, answerBytes: 0, records: new Map(), copying: new Set(),
+		self, bounds, hash, roster, rosterIndex: roster.index, answerBytes: 0, records: new Map(), pendingCopies: new Set(),
 	};
 }
 
@@ -145,7 +145,7 @@
 function remove(state: HolderState, text: string): HolderState {
 	const size = sizeOf(state.records.get(text));
 	state.records.delete(text);
-	state.copying.delete(text);
+	state.pendingCopies.delete(text);
 	return {...state, answerBytes: state.answerBytes - size};
 }
 
@@ -268,9 +268,9 @@
 function keepCopies(state: HolderState, text: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
 	state.records.set(text, {...record, copies});
 	if (copies.every(copy => hasArrived(copy))) {
-		state.copying.delete(text);
+		state.pendingCopies.delete(text);
 	} else {
-		state.copying.add(text);
+		state.pendingCopies.add(text);
 	}
 }
 
@@ -287,7 +287,7 @@
 function copiesBegun(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
 	const copies = newHolders(state, record).map(holder => ({holder, sendAgainAt: now, pause: initialCopyBackoff}));
-	if (copies.length === 0 && !state.copying.has(text)) {
+	if (copies.length === 0 && !state.pendingCopies.has(text)) {
 		return [];
 	}
 
@@ -316,12 +316,12 @@
 
 /** Returns the index of the roster whose holders have acknowledged copies of all records stored here; 0 while an acknowledgement is missing. */
 export function copiedThrough(state: HolderState): LogIndex {
-	return state.copying.size === 0 ? state.roster.index : 0;
+	return state.pendingCopies.size === 0 ? state.roster.index : 0;
 }
 
 function whenSwept(before: HolderState, now: MonotonicTime): Step {
 	const state = withoutExpired(before, now);
-	return {state, effects: [...state.copying].flatMap(text => copiesDue(state, text, now))};
+	return {state, effects: [...state.pendingCopies].flatMap(text => copiesDue(state, text, now))};
 }
 
 const handlers: HandlerTable<HolderEvent, [HolderState], Step> = {
