--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -96,7 +96,7 @@
 	return remainingMilliseconds > 0 ? {kind: 'running', remainingMilliseconds} : {kind: 'ended', outcome: Outcome.unknown};
 }
 
-function answered(state: HolderState, request: ClaimRequest, verdict: ClaimVerdict, status?: ClaimStatus): Step {
+function answerRequest(state: HolderState, request: ClaimRequest, verdict: ClaimVerdict, status?: ClaimStatus): Step {
 	const answer: ClaimAnswer = {
 		kind: 'claim-answer', token: request.token, holder: state.self, verdict, rosterIndex: state.rosterIndex, ...(status === undefined ? {} : {status}),
 	};
@@ -156,28 +156,28 @@
 
 function verdictOverRecord(state: HolderState, request: ClaimRequest, record: ClaimRecord, now: MonotonicTime): Step {
 	if (record.fingerprint !== request.fingerprint) {
-		return answered(state, request, ClaimVerdict.mismatch);
+		return answerRequest(state, request, ClaimVerdict.mismatch);
 	}
 
 	if (!sameToken(record.token, request.token)) {
-		return answered(state, request, ClaimVerdict.taken, statusOfRecord(record, now));
+		return answerRequest(state, request, ClaimVerdict.taken, statusOfRecord(record, now));
 	}
 
 	const isNews = record.ended === undefined && request.status.kind === 'ended';
-	return answered(isNews ? put(state, operationText(request.operation), recordOf(request, now)) : state, request, ClaimVerdict.held);
+	return answerRequest(isNews ? put(state, operationText(request.operation), recordOf(request, now)) : state, request, ClaimVerdict.held);
 }
 
 function recorded(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
 	if (request.purpose === ClaimPurpose.check) {
-		return answered(state, request, ClaimVerdict.free);
+		return answerRequest(state, request, ClaimVerdict.free);
 	}
 
 	if (state.records.size >= state.bounds.records) {
-		return answered(state, request, ClaimVerdict.full);
+		return answerRequest(state, request, ClaimVerdict.full);
 	}
 
 	const text = operationText(request.operation);
-	const kept = answered(put(state, text, recordOf(request, now)), request, ClaimVerdict.held);
+	const kept = answerRequest(put(state, text, recordOf(request, now)), request, ClaimVerdict.held);
 	return isLateCopy(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
 }
 
@@ -198,7 +198,7 @@
 	}
 
 	const isStale = request.rosterIndex < state.rosterIndex && request.purpose !== ClaimPurpose.copy;
-	return isStale ? answered(state, request, ClaimVerdict.staleRoster) : recorded(state, request, now);
+	return isStale ? answerRequest(state, request, ClaimVerdict.staleRoster) : recorded(state, request, now);
 }
 
 function whenEnded(message: ClaimEnded, state: HolderState): Step {
