--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -104,7 +104,7 @@
 }
 
 /** Answers with the incarnation that the request was addressed to, since the claimant waits for that one. */
-function notHeldHere(state: HolderState, request: ClaimRequest): Step {
+function answerNotHolder(state: HolderState, request: ClaimRequest): Step {
 	const answer: ClaimAnswer = {
 		kind: 'claim-answer', token: request.token, holder: request.holder, verdict: ClaimVerdict.notHolder, rosterIndex: state.rosterIndex,
 	};
@@ -188,7 +188,7 @@
 
 function whenRequested(request: ClaimRequest, before: HolderState, now: MonotonicTime): Step {
 	if (!sameInstance(request.holder, before.self)) {
-		return notHeldHere(before, request);
+		return answerNotHolder(before, request);
 	}
 
 	const state = request.rosterIndex > before.rosterIndex ? {...before, rosterIndex: request.rosterIndex} : before;
