--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -111,7 +111,7 @@
 	return {state, effects: [{kind: 'answer', answer}]};
 }
 
-function recordOf(request: ClaimRequest, now: MonotonicTime): ClaimRecord {
+function createRecord(request: ClaimRequest, now: MonotonicTime): ClaimRecord {
 	const {status} = request;
 	const runsUntil = status.kind === 'running' ? now + status.remainingMilliseconds : now;
 	const {kind: _kind, ...ended} = status.kind === 'ended' ? status : {kind: undefined};
@@ -164,7 +164,7 @@
 	}
 
 	const isNews = record.ended === undefined && request.status.kind === 'ended';
-	return answerRequest(isNews ? put(state, operationText(request.operation), recordOf(request, now)) : state, request, ClaimVerdict.held);
+	return answerRequest(isNews ? put(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
 }
 
 function recorded(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
@@ -177,7 +177,7 @@
 	}
 
 	const text = operationText(request.operation);
-	const kept = answerRequest(put(state, text, recordOf(request, now)), request, ClaimVerdict.held);
+	const kept = answerRequest(put(state, text, createRecord(request, now)), request, ClaimVerdict.held);
 	return isLateCopy(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
 }
 
