--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -126,7 +126,7 @@
 	};
 }
 
-function sizeOf(record: ClaimRecord | undefined): number {
+function answerSize(record: ClaimRecord | undefined): number {
 	return record?.ended?.answer?.body.length ?? 0;
 }
 
@@ -135,15 +135,15 @@
 }
 
 function put(state: HolderState, text: string, record: ClaimRecord): HolderState {
-	const before = sizeOf(state.records.get(text));
-	const fits = state.answerBytes - before + sizeOf(record) <= state.bounds.answerBytes;
+	const before = answerSize(state.records.get(text));
+	const fits = state.answerBytes - before + answerSize(record) <= state.bounds.answerBytes;
 	const kept = fits ? record : withoutAnswer(record);
 	state.records.set(text, kept);
-	return {...state, answerBytes: state.answerBytes - before + sizeOf(kept)};
+	return {...state, answerBytes: state.answerBytes - before + answerSize(kept)};
 }
 
 function remove(state: HolderState, text: string): HolderState {
-	const size = sizeOf(state.records.get(text));
+	const size = answerSize(state.records.get(text));
 	state.records.delete(text);
 	state.pendingCopies.delete(text);
 	return {...state, answerBytes: state.answerBytes - size};
