--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -134,7 +134,7 @@
 	return record.ended === undefined ? record : {...record, ended: {outcome: record.ended.outcome}};
 }
 
-function put(state: HolderState, text: string, record: ClaimRecord): HolderState {
+function storeRecord(state: HolderState, text: string, record: ClaimRecord): HolderState {
 	const before = answerSize(state.records.get(text));
 	const fits = state.answerBytes - before + answerSize(record) <= state.bounds.answerBytes;
 	const kept = fits ? record : withoutAnswer(record);
@@ -164,7 +164,7 @@
 	}
 
 	const isNews = record.ended === undefined && request.status.kind === 'ended';
-	return answerRequest(isNews ? put(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
+	return answerRequest(isNews ? storeRecord(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
 }
 
 function recorded(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
@@ -177,7 +177,7 @@
 	}
 
 	const text = operationText(request.operation);
-	const kept = answerRequest(put(state, text, createRecord(request, now)), request, ClaimVerdict.held);
+	const kept = answerRequest(storeRecord(state, text, createRecord(request, now)), request, ClaimVerdict.held);
 	return isLateCopy(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
 }
 
@@ -214,7 +214,7 @@
 	}
 
 	const ended = message.answer === undefined ? {outcome: message.outcome} : {outcome: message.outcome, answer: message.answer};
-	return {state: put(state, text, {...record, ended}), effects};
+	return {state: storeRecord(state, text, {...record, ended}), effects};
 }
 
 const messageHandlers: HandlerTable<ClaimRequest | ClaimEnded, [HolderState, MonotonicTime], Step> = {
