--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -142,7 +142,7 @@
 	return {...state, answerBytes: state.answerBytes - before + answerSize(kept)};
 }
 
-function remove(state: HolderState, text: string): HolderState {
+function removeRecord(state: HolderState, text: string): HolderState {
 	const size = answerSize(state.records.get(text));
 	state.records.delete(text);
 	state.pendingCopies.delete(text);
@@ -210,7 +210,7 @@
 
 	const effects = record.copies.map(copy => ({kind: 'send', message: {...message, holder: copy.holder}} as const));
 	if (message.outcome === Outcome.notRun) {
-		return {state: remove(state, text), effects};
+		return {state: removeRecord(state, text), effects};
 	}
 
 	const ended = message.answer === undefined ? {outcome: message.outcome} : {outcome: message.outcome, answer: message.answer};
@@ -230,7 +230,7 @@
 			return state;
 		}
 
-		state = remove(state, text);
+		state = removeRecord(state, text);
 	}
 
 	return state;
