--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -154,7 +154,7 @@
 	return record !== undefined && record.expiresAt > now ? record : undefined;
 }
 
-function verdictOverRecord(state: HolderState, request: ClaimRequest, record: ClaimRecord, now: MonotonicTime): Step {
+function answerFromRecord(state: HolderState, request: ClaimRequest, record: ClaimRecord, now: MonotonicTime): Step {
 	if (record.fingerprint !== request.fingerprint) {
 		return answerRequest(state, request, ClaimVerdict.mismatch);
 	}
@@ -194,7 +194,7 @@
 	const state = request.rosterIndex > before.rosterIndex ? {...before, rosterIndex: request.rosterIndex} : before;
 	const record = liveRecord(state, operationText(request.operation), now);
 	if (record !== undefined) {
-		return verdictOverRecord(state, request, record, now);
+		return answerFromRecord(state, request, record, now);
 	}
 
 	const isStale = request.rosterIndex < state.rosterIndex && request.purpose !== ClaimPurpose.copy;
