--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -167,7 +167,7 @@
 	return answerRequest(isNews ? storeRecord(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
 }
 
-function recorded(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
+function recordClaim(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
 	if (request.purpose === ClaimPurpose.check) {
 		return answerRequest(state, request, ClaimVerdict.free);
 	}
@@ -198,7 +198,7 @@
 	}
 
 	const isStale = request.rosterIndex < state.rosterIndex && request.purpose !== ClaimPurpose.copy;
-	return isStale ? answerRequest(state, request, ClaimVerdict.staleRoster) : recorded(state, request, now);
+	return isStale ? answerRequest(state, request, ClaimVerdict.staleRoster) : recordClaim(state, request, now);
 }
 
 function whenEnded(message: ClaimEnded, state: HolderState): Step {
