--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -178,11 +178,11 @@
 
 	const text = operationText(request.operation);
 	const kept = answerRequest(storeRecord(state, text, createRecord(request, now)), request, ClaimVerdict.held);
-	return isLateCopy(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
+	return isCopyByOlderRoster(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
 }
 
 /** Whether a copy was sent by an older roster than this instance has applied, so that it must be copied to the newer holders. */
-function isLateCopy(state: HolderState, request: ClaimRequest): boolean {
+function isCopyByOlderRoster(state: HolderState, request: ClaimRequest): boolean {
 	return request.purpose === ClaimPurpose.copy && request.rosterIndex < state.roster.index;
 }
 
