--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -236,7 +236,7 @@
 	return state;
 }
 
-function copyOf(state: HolderState, record: ClaimRecord, holder: InstanceIdentity, now: MonotonicTime): ClaimRequest {
+function createCopyRequest(state: HolderState, record: ClaimRecord, holder: InstanceIdentity, now: MonotonicTime): ClaimRequest {
 	return {
 		kind: 'claim-request',
 		purpose: ClaimPurpose.copy,
@@ -280,7 +280,7 @@
 	const wanted = record.copies.filter(copy => hasArrived(copy) || isSeated(state, copy.holder));
 	const due = wanted.filter(copy => copy.resendAt <= now);
 	keepCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
-	return due.map(copy => ({kind: 'send', message: copyOf(state, record, copy.holder, now)}));
+	return due.map(copy => ({kind: 'send', message: createCopyRequest(state, record, copy.holder, now)}));
 }
 
 /** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
