--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -254,7 +254,7 @@
 	return includesInstance(state.roster.seats, holder);
 }
 
-function hasArrived(copy: ClaimCopy): boolean {
+function isAcknowledged(copy: ClaimCopy): boolean {
 	return copy.resendAt === Number.POSITIVE_INFINITY;
 }
 
@@ -267,7 +267,7 @@
 /** Stores the copies of a record, and whether one of them is still unacknowledged. */
 function keepCopies(state: HolderState, text: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
 	state.records.set(text, {...record, copies});
-	if (copies.every(copy => hasArrived(copy))) {
+	if (copies.every(copy => isAcknowledged(copy))) {
 		state.pendingCopies.delete(text);
 	} else {
 		state.pendingCopies.add(text);
@@ -277,7 +277,7 @@
 /** Sends the due copies of a record, and drops unacknowledged ones to instances without a seat. */
 function copiesDue(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
-	const wanted = record.copies.filter(copy => hasArrived(copy) || isSeated(state, copy.holder));
+	const wanted = record.copies.filter(copy => isAcknowledged(copy) || isSeated(state, copy.holder));
 	const due = wanted.filter(copy => copy.resendAt <= now);
 	keepCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
 	return due.map(copy => ({kind: 'send', message: createCopyRequest(state, record, copy.holder, now)}));
