--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -258,7 +258,7 @@
 	return copy.resendAt === Number.POSITIVE_INFINITY;
 }
 
-function newHolders(state: HolderState, record: ClaimRecord): InstanceIdentity[] {
+function holdersWithoutCopy(state: HolderState, record: ClaimRecord): InstanceIdentity[] {
 	return holdersOf(state.roster, operationText(record.operation), state.hash)
 		.map(seat => ({name: seat.name, incarnation: seat.incarnation}))
 		.filter(seat => !sameInstance(seat, state.self) && !record.copies.some(copy => sameInstance(copy.holder, seat)));
@@ -286,7 +286,7 @@
 /** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
 function copiesBegun(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
-	const copies = newHolders(state, record).map(holder => ({holder, sendAgainAt: now, pause: initialCopyBackoff}));
+	const copies = holdersWithoutCopy(state, record).map(holder => ({holder, sendAgainAt: now, pause: initialCopyBackoff}));
 	if (copies.length === 0 && !state.pendingCopies.has(text)) {
 		return [];
 	}
