--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -265,7 +265,7 @@
 }
 
 /** Stores the copies of a record, and whether one of them is still unacknowledged. */
-function keepCopies(state: HolderState, text: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
+function storeCopies(state: HolderState, text: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
 	state.records.set(text, {...record, copies});
 	if (copies.every(copy => isAcknowledged(copy))) {
 		state.pendingCopies.delete(text);
@@ -279,7 +279,7 @@
 	const record = state.records.get(text)!;
 	const wanted = record.copies.filter(copy => isAcknowledged(copy) || isSeated(state, copy.holder));
 	const due = wanted.filter(copy => copy.resendAt <= now);
-	keepCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
+	storeCopies(state, text, record, wanted.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
 	return due.map(copy => ({kind: 'send', message: createCopyRequest(state, record, copy.holder, now)}));
 }
 
@@ -308,7 +308,7 @@
 	const text = operationText(request.operation);
 	const record = state.records.get(text);
 	if (record !== undefined && sameToken(record.token, request.token) && verdict === ClaimVerdict.held) {
-		keepCopies(state, text, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, resendAt: Number.POSITIVE_INFINITY} : copy));
+		storeCopies(state, text, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, resendAt: Number.POSITIVE_INFINITY} : copy));
 	}
 
 	return {state, effects: []};
