--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -275,7 +275,7 @@
 }
 
 /** Sends the due copies of a record, and drops unacknowledged ones to instances without a seat. */
-function copiesDue(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
+function sendDueCopies(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
 	const wanted = record.copies.filter(copy => isAcknowledged(copy) || isSeated(state, copy.holder));
 	const due = wanted.filter(copy => copy.resendAt <= now);
@@ -292,7 +292,7 @@
 	}
 
 	state.records.set(text, {...record, copies: [...record.copies, ...copies]});
-	return copiesDue(state, text, now);
+	return sendDueCopies(state, text, now);
 }
 
 /** Copies every unexpired record to the holders by the new roster, so that no record is lost with its last old holder. */
@@ -321,7 +321,7 @@
 
 function whenSwept(before: HolderState, now: MonotonicTime): Step {
 	const state = withoutExpired(before, now);
-	return {state, effects: [...state.pendingCopies].flatMap(text => copiesDue(state, text, now))};
+	return {state, effects: [...state.pendingCopies].flatMap(text => sendDueCopies(state, text, now))};
 }
 
 const handlers: HandlerTable<HolderEvent, [HolderState], Step> = {
