--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -178,7 +178,7 @@
 
 	const text = operationText(request.operation);
 	const kept = answerRequest(storeRecord(state, text, createRecord(request, now)), request, ClaimVerdict.held);
-	return isCopyByOlderRoster(state, request) ? {state: kept.state, effects: [...kept.effects, ...copiesBegun(kept.state, text, now)]} : kept;
+	return isCopyByOlderRoster(state, request) ? {state: kept.state, effects: [...kept.effects, ...startCopies(kept.state, text, now)]} : kept;
 }
 
 /** Whether a copy was sent by an older roster than this instance has applied, so that it must be copied to the newer holders. */
@@ -284,7 +284,7 @@
 }
 
 /** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
-function copiesBegun(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
+function startCopies(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(text)!;
 	const copies = holdersWithoutCopy(state, record).map(holder => ({holder, sendAgainAt: now, pause: initialCopyBackoff}));
 	if (copies.length === 0 && !state.pendingCopies.has(text)) {
@@ -300,7 +300,7 @@
 	const {now, roster} = event;
 	const state = {...before, rosterIndex: Math.max(before.rosterIndex, roster.index), roster};
 	const live = [...state.records].filter(([, {expiresAt}]) => expiresAt > now);
-	return {state, effects: live.flatMap(([text]) => copiesBegun(state, text, now))};
+	return {state, effects: live.flatMap(([text]) => startCopies(state, text, now))};
 }
 
 /** Only `held` acknowledges a copy: a record of another claim there may be removed again when that claim ends with `not-run`. */
