--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -135,11 +135,11 @@
 }
 
 function storeRecord(state: HolderState, text: string, record: ClaimRecord): HolderState {
-	const before = answerSize(state.records.get(text));
-	const fits = state.answerBytes - before + answerSize(record) <= state.bounds.answerBytes;
+	const previousSize = answerSize(state.records.get(text));
+	const fits = state.answerBytes - previousSize + answerSize(record) <= state.bounds.answerBytes;
 	const kept = fits ? record : withoutAnswer(record);
 	state.records.set(text, kept);
-	return {...state, answerBytes: state.answerBytes - before + answerSize(kept)};
+	return {...state, answerBytes: state.answerBytes - previousSize + answerSize(kept)};
 }
 
 function removeRecord(state: HolderState, text: string): HolderState {
