--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -137,9 +137,9 @@
 function storeRecord(state: HolderState, text: string, record: ClaimRecord): HolderState {
 	const previousSize = answerSize(state.records.get(text));
 	const fits = state.answerBytes - previousSize + answerSize(record) <= state.bounds.answerBytes;
-	const kept = fits ? record : withoutAnswer(record);
-	state.records.set(text, kept);
-	return {...state, answerBytes: state.answerBytes - previousSize + answerSize(kept)};
+	const stored = fits ? record : withoutAnswer(record);
+	state.records.set(text, stored);
+	return {...state, answerBytes: state.answerBytes - previousSize + answerSize(stored)};
 }
 
 function removeRecord(state: HolderState, text: string): HolderState {
