--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -163,8 +163,8 @@
 		return answerRequest(state, request, ClaimVerdict.taken, statusOfRecord(record, now));
 	}
 
-	const isNews = record.ended === undefined && request.status.kind === 'ended';
-	return answerRequest(isNews ? storeRecord(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
+	const addsEnd = record.ended === undefined && request.status.kind === 'ended';
+	return answerRequest(addsEnd ? storeRecord(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
 }
 
 function recordClaim(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
