--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -177,8 +177,8 @@
 	}
 
 	const text = operationText(request.operation);
-	const kept = answerRequest(storeRecord(state, text, createRecord(request, now)), request, ClaimVerdict.held);
-	return isCopyByOlderRoster(state, request) ? {state: kept.state, effects: [...kept.effects, ...startCopies(kept.state, text, now)]} : kept;
+	const step = answerRequest(storeRecord(state, text, createRecord(request, now)), request, ClaimVerdict.held);
+	return isCopyByOlderRoster(state, request) ? {state: step.state, effects: [...step.effects, ...startCopies(step.state, text, now)]} : step;
 }
 
 /** Whether a copy was sent by an older roster than this instance has applied, so that it must be copied to the newer holders. */
