--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -299,8 +299,8 @@
 function whenRoster(event: Extract<HolderEvent, {kind: 'roster'}>, before: HolderState): Step {
 	const {now, roster} = event;
 	const state = {...before, rosterIndex: Math.max(before.rosterIndex, roster.index), roster};
-	const live = [...state.records].filter(([, {expiresAt}]) => expiresAt > now);
-	return {state, effects: live.flatMap(([text]) => startCopies(state, text, now))};
+	const unexpired = [...state.records].filter(([, {expiresAt}]) => expiresAt > now);
+	return {state, effects: unexpired.flatMap(([text]) => startCopies(state, text, now))};
 }
 
 /** Only `held` acknowledges a copy: a record of another claim there may be removed again when that claim ends with `not-run`. */
