--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -134,11 +134,11 @@
 	return record.ended === undefined ? record : {...record, ended: {outcome: record.ended.outcome}};
 }
 
-function storeRecord(state: HolderState, text: string, record: ClaimRecord): HolderState {
-	const previousSize = answerSize(state.records.get(text));
+function storeRecord(state: HolderState, id: string, record: ClaimRecord): HolderState {
+	const previousSize = answerSize(state.records.get(id));
 	const fits = state.answerBytes - previousSize + answerSize(record) <= state.bounds.answerBytes;
 	const stored = fits ? record : withoutAnswer(record);
-	state.records.set(text, stored);
+	state.records.set(id, stored);
 	return {...state, answerBytes: state.answerBytes - previousSize + answerSize(stored)};
 }
 
