--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -142,10 +142,10 @@
 	return {...state, answerBytes: state.answerBytes - previousSize + answerSize(stored)};
 }
 
-function removeRecord(state: HolderState, text: string): HolderState {
-	const size = answerSize(state.records.get(text));
-	state.records.delete(text);
-	state.pendingCopies.delete(text);
+function removeRecord(state: HolderState, id: string): HolderState {
+	const size = answerSize(state.records.get(id));
+	state.records.delete(id);
+	state.pendingCopies.delete(id);
 	return {...state, answerBytes: state.answerBytes - size};
 }
 
