--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -149,8 +149,8 @@
 	return {...state, answerBytes: state.answerBytes - size};
 }
 
-function liveRecord(state: HolderState, text: string, now: MonotonicTime): ClaimRecord | undefined {
-	const record = state.records.get(text);
+function liveRecord(state: HolderState, id: string, now: MonotonicTime): ClaimRecord | undefined {
+	const record = state.records.get(id);
 	return record !== undefined && record.expiresAt > now ? record : undefined;
 }
 
