--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -176,9 +176,9 @@
 		return answerRequest(state, request, ClaimVerdict.full);
 	}
 
-	const text = operationText(request.operation);
-	const step = answerRequest(storeRecord(state, text, createRecord(request, now)), request, ClaimVerdict.held);
-	return isCopyByOlderRoster(state, request) ? {state: step.state, effects: [...step.effects, ...startCopies(step.state, text, now)]} : step;
+	const id = operationText(request.operation);
+	const step = answerRequest(storeRecord(state, id, createRecord(request, now)), request, ClaimVerdict.held);
+	return isCopyByOlderRoster(state, request) ? {state: step.state, effects: [...step.effects, ...startCopies(step.state, id, now)]} : step;
 }
 
 /** Whether a copy was sent by an older roster than this instance has applied, so that it must be copied to the newer holders. */
