--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -202,19 +202,19 @@
 }
 
 function whenEnded(message: ClaimEnded, state: HolderState): Step {
-	const text = operationText(message.operation);
-	const record = state.records.get(text);
+	const id = operationText(message.operation);
+	const record = state.records.get(id);
 	if (record === undefined || record.ended !== undefined || !sameToken(record.token, message.token)) {
 		return {state, effects: []};
 	}
 
 	const effects = record.copies.map(copy => ({kind: 'send', message: {...message, holder: copy.holder}} as const));
 	if (message.outcome === Outcome.notRun) {
-		return {state: removeRecord(state, text), effects};
+		return {state: removeRecord(state, id), effects};
 	}
 
 	const ended = message.answer === undefined ? {outcome: message.outcome} : {outcome: message.outcome, answer: message.answer};
-	return {state: storeRecord(state, text, {...record, ended}), effects};
+	return {state: storeRecord(state, id, {...record, ended}), effects};
 }
 
 const messageHandlers: HandlerTable<ClaimRequest | ClaimEnded, [HolderState, MonotonicTime], Step> = {
