--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -225,12 +225,12 @@
 /** Removes expired records. They are stored in the order of their claims, so the expired ones come first; a copy may be kept slightly longer. */
 function withoutExpired(before: HolderState, now: MonotonicTime): HolderState {
 	let state = before;
-	for (const [text, record] of before.records) {
+	for (const [id, record] of before.records) {
 		if (record.expiresAt > now) {
 			return state;
 		}
 
-		state = removeRecord(state, text);
+		state = removeRecord(state, id);
 	}
 
 	return state;
