--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -265,12 +265,12 @@
 }
 
 /** Stores the copies of a record, and whether one of them is still unacknowledged. */
-function storeCopies(state: HolderState, text: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
-	state.records.set(text, {...record, copies});
+function storeCopies(state: HolderState, id: string, record: ClaimRecord, copies: readonly ClaimCopy[]): void {
+	state.records.set(id, {...record, copies});
 	if (copies.every(copy => isAcknowledged(copy))) {
-		state.pendingCopies.delete(text);
+		state.pendingCopies.delete(id);
 	} else {
-		state.pendingCopies.add(text);
+		state.pendingCopies.add(id);
 	}
 }
 
