--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -275,11 +275,11 @@
 }
 
 /** Sends the due copies of a record, and drops unacknowledged ones to instances without a seat. */
-function sendDueCopies(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
-	const record = state.records.get(text)!;
+function sendDueCopies(state: HolderState, id: string, now: MonotonicTime): HolderEffect[] {
+	const record = state.records.get(id)!;
 	const kept = record.copies.filter(copy => isAcknowledged(copy) || isSeated(state, copy.holder));
 	const due = kept.filter(copy => copy.resendAt <= now);
-	storeCopies(state, text, record, kept.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
+	storeCopies(state, id, record, kept.map(copy => copy.resendAt <= now ? {...copy, resendAt: now + copy.nextBackoff, nextBackoff: copy.nextBackoff * 2} : copy));
 	return due.map(copy => ({kind: 'send', message: createCopyRequest(state, record, copy.holder, now)}));
 }
 
