--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -284,15 +284,15 @@
 }
 
 /** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
-function startCopies(state: HolderState, text: string, now: MonotonicTime): HolderEffect[] {
-	const record = state.records.get(text)!;
+function startCopies(state: HolderState, id: string, now: MonotonicTime): HolderEffect[] {
+	const record = state.records.get(id)!;
 	const copies = holdersWithoutCopy(state, record).map(holder => ({holder, sendAgainAt: now, pause: initialCopyBackoff}));
-	if (copies.length === 0 && !state.pendingCopies.has(text)) {
+	if (copies.length === 0 && !state.pendingCopies.has(id)) {
 		return [];
 	}
 
-	state.records.set(text, {...record, copies: [...record.copies, ...copies]});
-	return sendDueCopies(state, text, now);
+	state.records.set(id, {...record, copies: [...record.copies, ...copies]});
+	return sendDueCopies(state, id, now);
 }
 
 /** Copies every unexpired record to the holders by the new roster, so that no record is lost with its last old holder. */
