--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -300,7 +300,7 @@
 	const {now, roster} = event;
 	const state = {...before, rosterIndex: Math.max(before.rosterIndex, roster.index), roster};
 	const unexpired = [...state.records].filter(([, {expiresAt}]) => expiresAt > now);
-	return {state, effects: unexpired.flatMap(([text]) => startCopies(state, text, now))};
+	return {state, effects: unexpired.flatMap(([id]) => startCopies(state, id, now))};
 }
 
 /** Only `held` acknowledges a copy: a record of another claim there may be removed again when that claim ends with `not-run`. */
