--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -305,10 +305,10 @@
 
 /** Only `held` acknowledges a copy: a record of another claim there may be removed again when that claim ends with `not-run`. */
 function whenCopied({request, verdict}: Extract<HolderEvent, {kind: 'copied'}>, state: HolderState): Step {
-	const text = operationText(request.operation);
-	const record = state.records.get(text);
+	const id = operationText(request.operation);
+	const record = state.records.get(id);
 	if (record !== undefined && sameToken(record.token, request.token) && verdict === ClaimVerdict.held) {
-		storeCopies(state, text, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, resendAt: Number.POSITIVE_INFINITY} : copy));
+		storeCopies(state, id, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, resendAt: Number.POSITIVE_INFINITY} : copy));
 	}
 
 	return {state, effects: []};
