--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -321,7 +321,7 @@
 
 function whenSwept(before: HolderState, now: MonotonicTime): Step {
 	const state = withoutExpired(before, now);
-	return {state, effects: [...state.pendingCopies].flatMap(text => sendDueCopies(state, text, now))};
+	return {state, effects: [...state.pendingCopies].flatMap(id => sendDueCopies(state, id, now))};
 }
 
 const handlers: HandlerTable<HolderEvent, [HolderState], Step> = {
