--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -3,7 +3,7 @@
  * Every instance computes the same holders from the same roster.
  */
 import {includesInstance, type Milliseconds, sameInstance} from '@dogwooddeck/model/identifiers';
-import {type KnownRoster} from './claim-rosters.js';
+import {type TrackedRoster} from './claim-rosters.js';
 import {type ClaimRoster, type ClaimSeat} from './claim.js';
 import {type TextHash} from './text-hash.js';
 
@@ -40,7 +40,7 @@
 	return one.length === other.length && one.every((seat, position) => sameInstance(seat, other[position]!));
 }
 
-function isAsked(known: KnownRoster, group: readonly ClaimSeat[]): boolean {
+function isAsked(known: TrackedRoster, group: readonly ClaimSeat[]): boolean {
 	return group.every(seat => includesInstance(known.unsettled, seat));
 }
 
@@ -49,7 +49,7 @@
  * newest first. A group is left out if it equals one before it, or if one of its
  * members has reported that its records are copied.
  */
-export function claimHolders(rosters: readonly KnownRoster[], operation: string, hash: TextHash): ClaimHolders {
+export function claimHolders(rosters: readonly TrackedRoster[], operation: string, hash: TextHash): ClaimHolders {
 	const groups = rosters
 		.map((known, position) => ({known, position, group: holdersOf(known.roster, operation, hash)}))
 		.filter(({known, position, group}) => position === 0 || isAsked(known, group))
@@ -63,7 +63,7 @@
  * holders by an earlier roster have lost their seats; undefined if there is no such
  * roster.
  */
-export function refusedFor(rosters: readonly KnownRoster[], holders: ClaimHolders, remaining: (known: KnownRoster) => Milliseconds): Milliseconds | undefined {
+export function refusedFor(rosters: readonly TrackedRoster[], holders: ClaimHolders, remaining: (known: TrackedRoster) => Milliseconds): Milliseconds | undefined {
 	const seats = rosters[0]?.roster.seats ?? [];
 	const lost = holders.earlier.filter(group => !group.some(seat => includesInstance(seats, seat)));
 	const asked = rosters.slice(1).filter(known => lost.some(group => isAsked(known, group)));
--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -10,7 +10,7 @@
 import {type ClaimRoster, type ClaimSeat} from './claim.js';
 
 /** A roster, and which of its seats have not reported their records as copied. */
-export type KnownRoster = {
+export type TrackedRoster = {
 	readonly roster: ClaimRoster;
 	/** The seats that have not reported, since the roster was replaced, that their records are copied. */
 	readonly unsettled: readonly ClaimSeat[];
@@ -35,17 +35,17 @@
 };
 
 /** Starts to track a new roster. */
-export function knownRoster(roster: ClaimRoster): KnownRoster {
+export function knownRoster(roster: ClaimRoster): TrackedRoster {
 	return {roster, unsettled: roster.seats};
 }
 
 /** Whether an operation may have holders of which none has reported its records as copied. */
-function hasUnsettledHolders({roster, unsettled}: KnownRoster): boolean {
+function hasUnsettledHolders({roster, unsettled}: TrackedRoster): boolean {
 	const zones = (seats: readonly ClaimSeat[]) => new Set(seats.map(({zone}) => zone)).size;
 	return zones(unsettled) >= Math.min(2, zones(roster.seats)) && unsettled.length > 0;
 }
 
-function withoutSettled([newest, ...earlier]: readonly KnownRoster[]): readonly KnownRoster[] {
+function withoutSettled([newest, ...earlier]: readonly TrackedRoster[]): readonly TrackedRoster[] {
 	return newest === undefined ? [] : [newest, ...earlier.filter(known => hasUnsettledHolders(known))];
 }
 
@@ -54,7 +54,7 @@
  * after that roster was applied: an older report may miss records that were copied to
  * the instance afterwards, by holders that have reported since.
  */
-export function afterReport(rosters: readonly KnownRoster[], {seat, asked, copiedThrough}: CopyReport): readonly KnownRoster[] {
+export function afterReport(rosters: readonly TrackedRoster[], {seat, asked, copiedThrough}: CopyReport): readonly TrackedRoster[] {
 	const [newest, ...earlier] = rosters;
 	if (newest === undefined || newest.roster.seats.length === 0 || asked !== newest.roster.index || copiedThrough !== asked) {
 		return rosters;
@@ -65,7 +65,7 @@
 }
 
 /** Marks the rosters that every live instance has replaced, and forgets those marked a lifetime ago. */
-export function afterTime(rosters: readonly KnownRoster[], now: MonotonicTime, acknowledged: LogIndex, lifetimeMilliseconds: Milliseconds): readonly KnownRoster[] {
+export function afterTime(rosters: readonly TrackedRoster[], now: MonotonicTime, acknowledged: LogIndex, lifetimeMilliseconds: Milliseconds): readonly TrackedRoster[] {
 	const [newest, ...earlier] = rosters;
 	if (newest === undefined) {
 		return [];
@@ -79,23 +79,23 @@
 }
 
 /** Returns the seats of earlier rosters whose reports are missing. */
-export function unsettledSeats(rosters: readonly KnownRoster[]): readonly ClaimSeat[] {
+export function unsettledSeats(rosters: readonly TrackedRoster[]): readonly ClaimSeat[] {
 	const seats = rosters.slice(1).flatMap(known => known.unsettled);
 	return seats.filter((seat, position) => seats.findIndex(other => sameInstance(other, seat)) === position);
 }
 
 /** Returns the view to send to an instance that starts. */
-export function viewOf([newest, ...earlier]: readonly KnownRoster[]): ClaimsView | undefined {
+export function viewOf([newest, ...earlier]: readonly TrackedRoster[]): ClaimsView | undefined {
 	return newest === undefined ? undefined : {newest: newest.roster.index, earlier: earlier.map(({roster, unsettled}) => ({roster, unsettled}))};
 }
 
 /** Replaces the earlier rosters by the view of another instance if both have the same newest roster; returns undefined if not. */
-export function adopted(rosters: readonly KnownRoster[], view: ClaimsView): readonly KnownRoster[] | undefined {
+export function adopted(rosters: readonly TrackedRoster[], view: ClaimsView): readonly TrackedRoster[] | undefined {
 	const [newest] = rosters;
 	return newest?.roster.index === view.newest ? withoutSettled([newest, ...view.earlier]) : undefined;
 }
 
 /** Returns how long the holders by a roster must still be queried at most. */
-export function remainingOf(known: KnownRoster, now: MonotonicTime, lifetimeMilliseconds: Milliseconds): Milliseconds {
+export function remainingOf(known: TrackedRoster, now: MonotonicTime, lifetimeMilliseconds: Milliseconds): Milliseconds {
 	return lifetimeMilliseconds - (known.outOfUseSince === undefined ? 0 : now - known.outOfUseSince);
 }
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adopted, afterReport, afterTime, type ClaimsView, type CopyReport, knownRoster, type KnownRoster, remainingOf, unsettledSeats, viewOf,
+	adopted, afterReport, afterTime, type ClaimsView, type CopyReport, knownRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -44,7 +44,7 @@
 	readonly hash: TextHash;
 	readonly lifetimeMilliseconds: Milliseconds;
 	/** Newest first. */
-	readonly rosters: readonly KnownRoster[];
+	readonly rosters: readonly TrackedRoster[];
 	/** Until this time rosters may be missing, and no claim is requested. */
 	readonly claimsFrom: MonotonicTime;
 	readonly holder: HolderState;
