--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -35,7 +35,7 @@
 };
 
 /** Starts to track a new roster. */
-export function knownRoster(roster: ClaimRoster): TrackedRoster {
+export function trackRoster(roster: ClaimRoster): TrackedRoster {
 	return {roster, unsettled: roster.seats};
 }
 
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adopted, afterReport, afterTime, type ClaimsView, type CopyReport, knownRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
+	adopted, afterReport, afterTime, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -98,7 +98,7 @@
 		self: input.self,
 		hash: input.hash,
 		lifetimeMilliseconds: input.lifetimeMilliseconds,
-		rosters: input.rosters.map(roster => knownRoster(roster)),
+		rosters: input.rosters.map(roster => trackRoster(roster)),
 		claimsFrom: input.rostersComplete ? input.now : input.now + input.lifetimeMilliseconds,
 		holder: createHolder(input.self, input.bounds, input.hash, input.rosters[0] ?? {index: 0, seats: []}),
 		open: new Map(),
@@ -194,7 +194,7 @@
 		return {state: before, effects: []};
 	}
 
-	const state = {...before, rosters: [knownRoster(event.roster), ...before.rosters]};
+	const state = {...before, rosters: [trackRoster(event.roster), ...before.rosters]};
 	return heldHere(state, {
 		kind: 'roster', now: event.now, roster: event.roster,
 	}, event.now);
--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -5,7 +5,7 @@
 } from '@dogwooddeck/routing/claim';
 import {copiedThrough, createHolder, stepHolder} from '@dogwooddeck/routing/claim-holder';
 import {
-	adopted, afterReport, knownRoster, unsettledSeats,
+	adopted, afterReport, trackRoster, unsettledSeats,
 } from '@dogwooddeck/routing/claim-rosters';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 
@@ -13,7 +13,7 @@
 
 const [first, second, third] = [['a', 'noord-1'], ['b', 'noord-2'], ['c', 'zuid-1']].map(([name, zone]) => ({name: name!, zone: zone!, incarnation: 1})) as [ClaimSeat, ClaimSeat, ClaimSeat];
 const rosters: readonly ClaimRoster[] = [{index: 9, seats: [first, second, third]}, {index: 5, seats: [first, second]}];
-const known = rosters.map(roster => knownRoster(roster));
+const known = rosters.map(roster => trackRoster(roster));
 
 type ReportCase = {readonly name: string; readonly asked: number; readonly copiedThrough: number; readonly unsettled: readonly string[]};
 
