--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -54,7 +54,7 @@
  * after that roster was applied: an older report may miss records that were copied to
  * the instance afterwards, by holders that have reported since.
  */
-export function afterReport(rosters: readonly TrackedRoster[], {seat, asked, copiedThrough}: CopyReport): readonly TrackedRoster[] {
+export function applyReport(rosters: readonly TrackedRoster[], {seat, asked, copiedThrough}: CopyReport): readonly TrackedRoster[] {
 	const [newest, ...earlier] = rosters;
 	if (newest === undefined || newest.roster.seats.length === 0 || asked !== newest.roster.index || copiedThrough !== asked) {
 		return rosters;
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adopted, afterReport, afterTime, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
+	adopted, applyReport, afterTime, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -221,7 +221,7 @@
 	roster: whenRoster,
 	'rosters-missed': (event, state) => ({state: {...state, claimsFrom: event.now + state.lifetimeMilliseconds}, effects: []}),
 	'view-told': whenViewTold,
-	'copies-told': (event, state) => ({state: {...state, rosters: afterReport(state.rosters, event.report)}, effects: []}),
+	'copies-told': (event, state) => ({state: {...state, rosters: applyReport(state.rosters, event.report)}, effects: []}),
 	swept: whenSwept,
 };
 
--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -5,7 +5,7 @@
 } from '@dogwooddeck/routing/claim';
 import {copiedThrough, createHolder, stepHolder} from '@dogwooddeck/routing/claim-holder';
 import {
-	adopted, afterReport, trackRoster, unsettledSeats,
+	adopted, applyReport, trackRoster, unsettledSeats,
 } from '@dogwooddeck/routing/claim-rosters';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 
@@ -37,14 +37,14 @@
 
 for (const {name, unsettled, ...report} of reportCases) {
 	test(`claim rosters: a report, ${name}`, () => {
-		const left = unsettledSeats(afterReport(known, {seat: first, ...report}));
+		const left = unsettledSeats(applyReport(known, {seat: first, ...report}));
 		assert.deepEqual(left.map(seat => seat.name), unsettled);
 	});
 }
 
 test('claim rosters: the report of another incarnation is ignored', () => {
 	const report = {seat: {...first, incarnation: 2}, asked: 9, copiedThrough: 9};
-	assert.equal(unsettledSeats(afterReport(known, report)).length, 2);
+	assert.equal(unsettledSeats(applyReport(known, report)).length, 2);
 });
 
 for (const [newest, isAdopted] of [[9, true], [5, false], [12, false]] as const) {
