--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -65,7 +65,7 @@
 }
 
 /** Marks the rosters that every live instance has replaced, and forgets those marked a lifetime ago. */
-export function afterTime(rosters: readonly TrackedRoster[], now: MonotonicTime, acknowledged: LogIndex, lifetimeMilliseconds: Milliseconds): readonly TrackedRoster[] {
+export function expireRosters(rosters: readonly TrackedRoster[], now: MonotonicTime, acknowledged: LogIndex, lifetimeMilliseconds: Milliseconds): readonly TrackedRoster[] {
 	const [newest, ...earlier] = rosters;
 	if (newest === undefined) {
 		return [];
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adopted, applyReport, afterTime, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
+	adopted, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -206,7 +206,7 @@
 }
 
 function whenSwept(event: Extract<ClaimsEvent, {kind: 'swept'}>, before: ClaimsState): Step {
-	const rosters = afterTime(before.rosters, event.now, event.acknowledged, before.lifetimeMilliseconds);
+	const rosters = expireRosters(before.rosters, event.now, event.acknowledged, before.lifetimeMilliseconds);
 	return heldHere({...before, rosters}, {kind: 'swept', now: event.now}, event.now);
 }
 
