--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -85,7 +85,7 @@
 }
 
 /** Returns the view to send to an instance that starts. */
-export function viewOf([newest, ...earlier]: readonly TrackedRoster[]): ClaimsView | undefined {
+export function createView([newest, ...earlier]: readonly TrackedRoster[]): ClaimsView | undefined {
 	return newest === undefined ? undefined : {newest: newest.roster.index, earlier: earlier.map(({roster, unsettled}) => ({roster, unsettled}))};
 }
 
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adopted, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, viewOf,
+	adopted, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, createView,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -232,7 +232,7 @@
 
 /** Returns the view to send to an instance that starts; undefined while rosters may be missing. */
 export function claimsView(state: ClaimsState, now: MonotonicTime): ClaimsView | undefined {
-	return now < state.claimsFrom ? undefined : viewOf(state.rosters);
+	return now < state.claimsFrom ? undefined : createView(state.rosters);
 }
 
 /** Returns the instances whose copy reports are still needed to forget an earlier roster. */
