--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -90,7 +90,7 @@
 }
 
 /** Replaces the earlier rosters by the view of another instance if both have the same newest roster; returns undefined if not. */
-export function adopted(rosters: readonly TrackedRoster[], view: ClaimsView): readonly TrackedRoster[] | undefined {
+export function adoptView(rosters: readonly TrackedRoster[], view: ClaimsView): readonly TrackedRoster[] | undefined {
 	const [newest] = rosters;
 	return newest?.roster.index === view.newest ? withoutSettled([newest, ...view.earlier]) : undefined;
 }
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adopted, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, createView,
+	adoptView, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, createView,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -201,7 +201,7 @@
 }
 
 function whenViewTold(event: Extract<ClaimsEvent, {kind: 'view-told'}>, state: ClaimsState): Step {
-	const rosters = adopted(state.rosters, event.view);
+	const rosters = adoptView(state.rosters, event.view);
 	return {state: rosters === undefined ? state : {...state, rosters, claimsFrom: Math.min(state.claimsFrom, event.now)}, effects: []};
 }
 
--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -5,7 +5,7 @@
 } from '@dogwooddeck/routing/claim';
 import {copiedThrough, createHolder, stepHolder} from '@dogwooddeck/routing/claim-holder';
 import {
-	adopted, applyReport, trackRoster, unsettledSeats,
+	adoptView, applyReport, trackRoster, unsettledSeats,
 } from '@dogwooddeck/routing/claim-rosters';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 
@@ -49,7 +49,7 @@
 
 for (const [newest, isAdopted] of [[9, true], [5, false], [12, false]] as const) {
 	test(`claim rosters: a view made with roster ${newest} is ${isAdopted ? '' : 'not '}adopted with roster 9`, () => {
-		assert.equal(adopted(known, {newest, earlier: []}) !== undefined, isAdopted);
+		assert.equal(adoptView(known, {newest, earlier: []}) !== undefined, isAdopted);
 	});
 }
 
