--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -14,7 +14,7 @@
 } from './claim-holder.js';
 import {claimHolders, refusedFor} from './claim-holders.js';
 import {
-	adoptView, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingOf, unsettledSeats, createView,
+	adoptView, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingQueryTime, unsettledSeats, createView,
 } from './claim-rosters.js';
 import {
 	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
@@ -184,7 +184,7 @@
 		rosterIndex: state.rosters[0]?.roster.index ?? 0,
 		runsForMilliseconds: event.runsForMilliseconds,
 		lifetimeMilliseconds: state.lifetimeMilliseconds,
-		refusedForMilliseconds: refusedFor(state.rosters, holders, known => remainingOf(known, event.now, state.lifetimeMilliseconds)),
+		refusedForMilliseconds: refusedFor(state.rosters, holders, known => remainingQueryTime(known, event.now, state.lifetimeMilliseconds)),
 	});
 	return carriedOut(state, sequence, step, event.now);
 }
