--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -45,7 +45,7 @@
 	return zones(unsettled) >= Math.min(2, zones(roster.seats)) && unsettled.length > 0;
 }
 
-function withoutSettled([newest, ...earlier]: readonly TrackedRoster[]): readonly TrackedRoster[] {
+function withoutSettledRosters([newest, ...earlier]: readonly TrackedRoster[]): readonly TrackedRoster[] {
 	return newest === undefined ? [] : [newest, ...earlier.filter(known => hasUnsettledHolders(known))];
 }
 
@@ -61,7 +61,7 @@
 	}
 
 	const settled = earlier.map(known => ({...known, unsettled: known.unsettled.filter(other => !sameInstance(other, seat))}));
-	return withoutSettled([newest, ...settled]);
+	return withoutSettledRosters([newest, ...settled]);
 }
 
 /** Marks the rosters that every live instance has replaced, and forgets those marked a lifetime ago. */
@@ -92,7 +92,7 @@
 /** Replaces the earlier rosters by the view of another instance if both have the same newest roster; returns undefined if not. */
 export function adoptView(rosters: readonly TrackedRoster[], view: ClaimsView): readonly TrackedRoster[] | undefined {
 	const [newest] = rosters;
-	return newest?.roster.index === view.newest ? withoutSettled([newest, ...view.earlier]) : undefined;
+	return newest?.roster.index === view.newest ? withoutSettledRosters([newest, ...view.earlier]) : undefined;
 }
 
 /** Returns how long the holders by a roster must still be queried at most. */
