--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -46,7 +46,7 @@
 }
 
 function withoutSettledRosters([newest, ...earlier]: readonly TrackedRoster[]): readonly TrackedRoster[] {
-	return newest === undefined ? [] : [newest, ...earlier.filter(known => hasUnsettledHolders(known))];
+	return newest === undefined ? [] : [newest, ...earlier.filter(tracked => hasUnsettledHolders(tracked))];
 }
 
 /**
