--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -60,7 +60,7 @@
 		return rosters;
 	}
 
-	const settled = earlier.map(known => ({...known, unsettled: known.unsettled.filter(other => !sameInstance(other, seat))}));
+	const settled = earlier.map(tracked => ({...tracked, unsettled: tracked.unsettled.filter(other => !sameInstance(other, seat))}));
 	return withoutSettledRosters([newest, ...settled]);
 }
 
