--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -71,9 +71,9 @@
 		return [];
 	}
 
-	const marked = earlier.map((known, position) => {
+	const marked = earlier.map((tracked, position) => {
 		const replacedAt = position === 0 ? newest.roster.index : earlier[position - 1]!.roster.index;
-		return known.outOfUseSince === undefined && replacedAt <= acknowledged ? {...known, outOfUseSince: now} : known;
+		return tracked.outOfUseSince === undefined && replacedAt <= acknowledged ? {...tracked, outOfUseSince: now} : tracked;
 	});
 	return [newest, ...marked.filter(known => known.outOfUseSince === undefined || now - known.outOfUseSince < lifetimeMilliseconds)];
 }
