--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -75,7 +75,7 @@
 		const replacedAt = position === 0 ? newest.roster.index : earlier[position - 1]!.roster.index;
 		return tracked.outOfUseSince === undefined && replacedAt <= acknowledged ? {...tracked, outOfUseSince: now} : tracked;
 	});
-	return [newest, ...marked.filter(known => known.outOfUseSince === undefined || now - known.outOfUseSince < lifetimeMilliseconds)];
+	return [newest, ...marked.filter(tracked => tracked.outOfUseSince === undefined || now - tracked.outOfUseSince < lifetimeMilliseconds)];
 }
 
 /** Returns the seats of earlier rosters whose reports are missing. */
