--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -80,7 +80,7 @@
 
 /** Returns the seats of earlier rosters whose reports are missing. */
 export function unsettledSeats(rosters: readonly TrackedRoster[]): readonly ClaimSeat[] {
-	const seats = rosters.slice(1).flatMap(known => known.unsettled);
+	const seats = rosters.slice(1).flatMap(tracked => tracked.unsettled);
 	return seats.filter((seat, position) => seats.findIndex(other => sameInstance(other, seat)) === position);
 }
 
