--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -96,6 +96,6 @@
 }
 
 /** Returns how long the holders by a roster must still be queried at most. */
-export function remainingQueryTime(known: TrackedRoster, now: MonotonicTime, lifetimeMilliseconds: Milliseconds): Milliseconds {
-	return lifetimeMilliseconds - (known.outOfUseSince === undefined ? 0 : now - known.outOfUseSince);
+export function remainingQueryTime(tracked: TrackedRoster, now: MonotonicTime, lifetimeMilliseconds: Milliseconds): Milliseconds {
+	return lifetimeMilliseconds - (tracked.outOfUseSince === undefined ? 0 : now - tracked.outOfUseSince);
 }
