--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -40,8 +40,8 @@
 	return one.length === other.length && one.every((seat, position) => sameInstance(seat, other[position]!));
 }
 
-function isAsked(known: TrackedRoster, group: readonly ClaimSeat[]): boolean {
-	return group.every(seat => includesInstance(known.unsettled, seat));
+function isAsked(tracked: TrackedRoster, group: readonly ClaimSeat[]): boolean {
+	return group.every(seat => includesInstance(tracked.unsettled, seat));
 }
 
 /**
