--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -51,7 +51,7 @@
  */
 export function claimHolders(rosters: readonly TrackedRoster[], operation: string, hash: TextHash): ClaimHolders {
 	const groups = rosters
-		.map((known, position) => ({known, position, group: holdersOf(known.roster, operation, hash)}))
+		.map((tracked, position) => ({known: tracked, position, group: holdersOf(tracked.roster, operation, hash)}))
 		.filter(({known, position, group}) => position === 0 || isAsked(known, group))
 		.map(({group}) => group);
 	const different = groups.filter((group, position) => groups.findIndex(other => sameSeats(other, group)) === position);
