--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -52,7 +52,7 @@
 export function claimHolders(rosters: readonly TrackedRoster[], operation: string, hash: TextHash): ClaimHolders {
 	const groups = rosters
 		.map((tracked, position) => ({known: tracked, position, group: holdersOf(tracked.roster, operation, hash)}))
-		.filter(({known, position, group}) => position === 0 || isAsked(known, group))
+		.filter(({known: tracked, position, group}) => position === 0 || isAsked(tracked, group))
 		.map(({group}) => group);
 	const different = groups.filter((group, position) => groups.findIndex(other => sameSeats(other, group)) === position);
 	return {current: different[0] ?? [], earlier: different.slice(1)};
