--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -66,6 +66,6 @@
 export function refusedFor(rosters: readonly TrackedRoster[], holders: ClaimHolders, remaining: (tracked: TrackedRoster) => Milliseconds): Milliseconds | undefined {
 	const seats = rosters[0]?.roster.seats ?? [];
 	const lost = holders.earlier.filter(group => !group.some(seat => includesInstance(seats, seat)));
-	const queried = rosters.slice(1).filter(known => lost.some(group => isAsked(known, group)));
+	const queried = rosters.slice(1).filter(tracked => lost.some(group => isAsked(tracked, group)));
 	return queried.length === 0 ? undefined : Math.max(...queried.map(known => remaining(known)));
 }
