--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -67,5 +67,5 @@
 	const seats = rosters[0]?.roster.seats ?? [];
 	const lost = holders.earlier.filter(group => !group.some(seat => includesInstance(seats, seat)));
 	const queried = rosters.slice(1).filter(tracked => lost.some(group => isAsked(tracked, group)));
-	return queried.length === 0 ? undefined : Math.max(...queried.map(known => remaining(known)));
+	return queried.length === 0 ? undefined : Math.max(...queried.map(tracked => remaining(tracked)));
 }
