--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -184,7 +184,7 @@
 		rosterIndex: state.rosters[0]?.roster.index ?? 0,
 		runsForMilliseconds: event.runsForMilliseconds,
 		lifetimeMilliseconds: state.lifetimeMilliseconds,
-		refusedForMilliseconds: refusedFor(state.rosters, holders, known => remainingQueryTime(known, event.now, state.lifetimeMilliseconds)),
+		refusedForMilliseconds: refusedFor(state.rosters, holders, tracked => remainingQueryTime(tracked, event.now, state.lifetimeMilliseconds)),
 	});
 	return carriedOut(state, sequence, step, event.now);
 }
