--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -40,7 +40,7 @@
 	return one.length === other.length && one.every((seat, position) => sameInstance(seat, other[position]!));
 }
 
-function isAsked(tracked: TrackedRoster, group: readonly ClaimSeat[]): boolean {
+function mustBeQueried(tracked: TrackedRoster, group: readonly ClaimSeat[]): boolean {
 	return group.every(seat => includesInstance(tracked.unsettled, seat));
 }
 
@@ -52,7 +52,7 @@
 export function claimHolders(rosters: readonly TrackedRoster[], operation: string, hash: TextHash): ClaimHolders {
 	const groups = rosters
 		.map((tracked, position) => ({known: tracked, position, group: holdersOf(tracked.roster, operation, hash)}))
-		.filter(({known: tracked, position, group}) => position === 0 || isAsked(tracked, group))
+		.filter(({known: tracked, position, group}) => position === 0 || mustBeQueried(tracked, group))
 		.map(({group}) => group);
 	const different = groups.filter((group, position) => groups.findIndex(other => sameSeats(other, group)) === position);
 	return {current: different[0] ?? [], earlier: different.slice(1)};
@@ -66,6 +66,6 @@
 export function refusedFor(rosters: readonly TrackedRoster[], holders: ClaimHolders, remaining: (tracked: TrackedRoster) => Milliseconds): Milliseconds | undefined {
 	const seats = rosters[0]?.roster.seats ?? [];
 	const lost = holders.earlier.filter(group => !group.some(seat => includesInstance(seats, seat)));
-	const queried = rosters.slice(1).filter(tracked => lost.some(group => isAsked(tracked, group)));
+	const queried = rosters.slice(1).filter(tracked => lost.some(group => mustBeQueried(tracked, group)));
 	return queried.length === 0 ? undefined : Math.max(...queried.map(tracked => remaining(tracked)));
 }
