--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -17,7 +17,7 @@
 
 type ScoredSeat = {readonly seat: ClaimSeat; readonly score: number};
 
-function scored(seat: ClaimSeat, operation: string, hash: TextHash): ScoredSeat {
+function scoreSeat(seat: ClaimSeat, operation: string, hash: TextHash): ScoredSeat {
 	return {seat, score: hash(`${operation} ${seat.name} ${seat.incarnation}`)};
 }
 
@@ -30,7 +30,7 @@
  * highest one in another availability zone. With a single zone, only the first.
  */
 export function holdersOf(roster: ClaimRoster, operation: string, hash: TextHash): readonly ClaimSeat[] {
-	const seats = roster.seats.map(seat => scored(seat, operation, hash)).sort(byScore).map(entry => entry.seat);
+	const seats = roster.seats.map(seat => scoreSeat(seat, operation, hash)).sort(byScore).map(entry => entry.seat);
 	const [first] = seats;
 	const second = seats.find(seat => seat.zone !== first?.zone);
 	return [first, second].filter(seat => seat !== undefined);
