--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -63,7 +63,7 @@
  * holders by an earlier roster have lost their seats; undefined if there is no such
  * roster.
  */
-export function refusedFor(rosters: readonly TrackedRoster[], holders: ClaimHolders, remaining: (tracked: TrackedRoster) => Milliseconds): Milliseconds | undefined {
+export function refusalTime(rosters: readonly TrackedRoster[], holders: ClaimHolders, remaining: (tracked: TrackedRoster) => Milliseconds): Milliseconds | undefined {
 	const seats = rosters[0]?.roster.seats ?? [];
 	const lost = holders.earlier.filter(group => !group.some(seat => includesInstance(seats, seat)));
 	const queried = rosters.slice(1).filter(tracked => lost.some(group => mustBeQueried(tracked, group)));
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -12,7 +12,7 @@
 import {
 	createHolder, type HolderBounds, type HolderEffect, type HolderEvent, type HolderState, stepHolder,
 } from './claim-holder.js';
-import {claimHolders, refusedFor} from './claim-holders.js';
+import {claimHolders, refusalTime} from './claim-holders.js';
 import {
 	adoptView, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingQueryTime, unsettledSeats, createView,
 } from './claim-rosters.js';
@@ -184,7 +184,7 @@
 		rosterIndex: state.rosters[0]?.roster.index ?? 0,
 		runsForMilliseconds: event.runsForMilliseconds,
 		lifetimeMilliseconds: state.lifetimeMilliseconds,
-		refusedForMilliseconds: refusedFor(state.rosters, holders, tracked => remainingQueryTime(tracked, event.now, state.lifetimeMilliseconds)),
+		refusedForMilliseconds: refusalTime(state.rosters, holders, tracked => remainingQueryTime(tracked, event.now, state.lifetimeMilliseconds)),
 	});
 	return carriedOut(state, sequence, step, event.now);
 }
