--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -38,7 +38,7 @@
 	readonly runsForMilliseconds: Milliseconds;
 	readonly lifetimeMilliseconds: Milliseconds;
 	/** If all holders by an earlier roster are lost: how long the operation stays refused at most. */
-	readonly refusedForMilliseconds?: Milliseconds | undefined;
+	readonly refusalMilliseconds?: Milliseconds | undefined;
 };
 
 /** The state of one claim at its claimant. */
@@ -112,7 +112,7 @@
 
 /** Refuses the request with an unknown outcome: nothing is sent now, but an earlier send of the operation may have run. */
 function unavailable(state: ClaimantState, detail: string): Step {
-	const {refusedForMilliseconds} = state;
+	const {refusalMilliseconds: refusedForMilliseconds} = state;
 	const details = refusedForMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusedForMilliseconds)};
 	return endedUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
 }
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -184,7 +184,7 @@
 		rosterIndex: state.rosters[0]?.roster.index ?? 0,
 		runsForMilliseconds: event.runsForMilliseconds,
 		lifetimeMilliseconds: state.lifetimeMilliseconds,
-		refusedForMilliseconds: refusalTime(state.rosters, holders, tracked => remainingQueryTime(tracked, event.now, state.lifetimeMilliseconds)),
+		refusalMilliseconds: refusalTime(state.rosters, holders, tracked => remainingQueryTime(tracked, event.now, state.lifetimeMilliseconds)),
 	});
 	return carriedOut(state, sequence, step, event.now);
 }
