--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -68,7 +68,7 @@
 
 type Step = Transition<ClaimantState, ClaimantEffect>;
 
-function requestTo(input: ClaimInput, holder: InstanceIdentity): ClaimRequest {
+function createRequest(input: ClaimInput, holder: InstanceIdentity): ClaimRequest {
 	return {
 		kind: 'claim-request',
 		purpose: includesInstance(input.holders.current, holder) ? ClaimPurpose.hold : ClaimPurpose.check,
@@ -127,7 +127,7 @@
 		return unavailable(state, 'no two instances in different availability zones can hold the claim');
 	}
 
-	return {state, effects: waitingFor.map(holder => ({kind: 'ask', request: requestTo(input, holder)}))};
+	return {state, effects: waitingFor.map(holder => ({kind: 'ask', request: createRequest(input, holder)}))};
 }
 
 /** Decides to run once enough holders have confirmed, and to refuse once no answer is outstanding and too few have. */
