--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -82,7 +82,7 @@
 	};
 }
 
-function everybody(holders: ClaimHolders): readonly InstanceIdentity[] {
+function allHolders(holders: ClaimHolders): readonly InstanceIdentity[] {
 	const all = [...holders.current, ...holders.earlier.flat()];
 	return all.filter((seat, position) => all.findIndex(other => sameInstance(other, seat)) === position);
 }
@@ -119,7 +119,7 @@
 
 /** Creates a claim and queries every holder. Fails immediately if there are no two holders in different zones. */
 export function beginClaim(input: ClaimInput): Step {
-	const waitingFor = everybody(input.holders);
+	const waitingFor = allHolders(input.holders);
 	const state: ClaimantState = {
 		...input, phase: ClaimPhase.asking, waitingFor, confirmed: [],
 	};
