--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -93,7 +93,7 @@
 		&& holders.earlier.every(group => group.some(seat => includesInstance(seats, seat)));
 }
 
-function tellAll(state: ClaimantState, outcome: Outcome, answer?: StoredAnswer): ClaimantEffect[] {
+function reportEnd(state: ClaimantState, outcome: Outcome, answer?: StoredAnswer): ClaimantEffect[] {
 	return state.holders.current.map(holder => ({
 		kind: 'tell',
 		ended: {
@@ -106,7 +106,7 @@
 function endedUnsent(state: ClaimantState, decision: ClaimDecision): Step {
 	return {
 		state: {...state, phase: ClaimPhase.ended, waitingFor: []},
-		effects: [{kind: 'decide', decision}, ...tellAll(state, Outcome.notRun)],
+		effects: [{kind: 'decide', decision}, ...reportEnd(state, Outcome.notRun)],
 	};
 }
 
@@ -196,7 +196,7 @@
 		return {state, effects: []};
 	}
 
-	return {state: {...state, phase: ClaimPhase.ended}, effects: tellAll(state, event.outcome, event.answer)};
+	return {state: {...state, phase: ClaimPhase.ended}, effects: reportEnd(state, event.outcome, event.answer)};
 }
 
 const handlers: HandlerTable<ClaimantEvent, [ClaimantState], Step> = {
