--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -103,7 +103,7 @@
 }
 
 /** Ends a claim under which nothing was sent, and releases its records. */
-function endedUnsent(state: ClaimantState, decision: ClaimDecision): Step {
+function endUnsent(state: ClaimantState, decision: ClaimDecision): Step {
 	return {
 		state: {...state, phase: ClaimPhase.ended, waitingFor: []},
 		effects: [{kind: 'decide', decision}, ...reportEnd(state, Outcome.notRun)],
@@ -114,7 +114,7 @@
 function unavailable(state: ClaimantState, detail: string): Step {
 	const {refusalMilliseconds: refusedForMilliseconds} = state;
 	const details = refusedForMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusedForMilliseconds)};
-	return endedUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
+	return endUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
 }
 
 /** Creates a claim and queries every holder. Fails immediately if there are no two holders in different zones. */
@@ -158,14 +158,14 @@
 function takenBefore(state: ClaimantState, answer: ClaimAnswer): Step {
 	const status = answer.status ?? {kind: 'ended', outcome: Outcome.unknown};
 	const decide = statusDecisions[status.kind] as (status: ClaimStatus) => ClaimDecision;
-	return endedUnsent(state, decide(status));
+	return endUnsent(state, decide(status));
 }
 
 const verdictHandlers: Readonly<Record<ClaimVerdict, (state: ClaimantState, answer: ClaimAnswer) => Step>> = {
 	[ClaimVerdict.held]: confirmedBy,
 	[ClaimVerdict.free]: confirmedBy,
 	[ClaimVerdict.taken]: takenBefore,
-	[ClaimVerdict.mismatch]: state => endedUnsent(state, {
+	[ClaimVerdict.mismatch]: state => endUnsent(state, {
 		kind: 'refuse', failure: failure(FailureKind.conflict, 'the operation key was used for a different request'), outcome: Outcome.notRun,
 	}),
 	[ClaimVerdict.staleRoster]: state => settled(state),
