--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -111,7 +111,7 @@
 }
 
 /** Refuses the request with an unknown outcome: nothing is sent now, but an earlier send of the operation may have run. */
-function unavailable(state: ClaimantState, detail: string): Step {
+function refuseAsUnavailable(state: ClaimantState, detail: string): Step {
 	const {refusalMilliseconds: refusedForMilliseconds} = state;
 	const details = refusedForMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusedForMilliseconds)};
 	return endUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
@@ -124,7 +124,7 @@
 		...input, phase: ClaimPhase.asking, waitingFor, confirmed: [],
 	};
 	if (input.holders.current.length < 2) {
-		return unavailable(state, 'no two instances in different availability zones can hold the claim');
+		return refuseAsUnavailable(state, 'no two instances in different availability zones can hold the claim');
 	}
 
 	return {state, effects: waitingFor.map(holder => ({kind: 'ask', request: createRequest(input, holder)}))};
@@ -137,7 +137,7 @@
 	}
 
 	const possible = suffices(state.holders, [...state.confirmed, ...state.waitingFor]);
-	return possible || state.waitingFor.length > 0 ? {state, effects: []} : unavailable(state, 'too few of the claim\'s holders can be reached');
+	return possible || state.waitingFor.length > 0 ? {state, effects: []} : refuseAsUnavailable(state, 'too few of the claim\'s holders can be reached');
 }
 
 function confirmedBy(state: ClaimantState, answer: ClaimAnswer): Step {
@@ -202,7 +202,7 @@
 const handlers: HandlerTable<ClaimantEvent, [ClaimantState], Step> = {
 	answered: whenAnswered,
 	unreachable: whenUnreachable,
-	'given-up': (_event, state) => state.phase === ClaimPhase.asking ? unavailable(state, 'the claim was not recorded in time') : {state, effects: []},
+	'given-up': (_event, state) => state.phase === ClaimPhase.asking ? refuseAsUnavailable(state, 'the claim was not recorded in time') : {state, effects: []},
 	finished: whenFinished,
 };
 
