--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -131,7 +131,7 @@
 }
 
 /** Decides to run once enough holders have confirmed, and to refuse once no answer is outstanding and too few have. */
-function settled(state: ClaimantState): Step {
+function decideIfComplete(state: ClaimantState): Step {
 	if (suffices(state.holders, state.confirmed)) {
 		return {state: {...state, phase: ClaimPhase.held}, effects: [{kind: 'decide', decision: {kind: 'run'}}]};
 	}
@@ -141,7 +141,7 @@
 }
 
 function confirmedBy(state: ClaimantState, answer: ClaimAnswer): Step {
-	return settled({...state, confirmed: [...state.confirmed, answer.holder]});
+	return decideIfComplete({...state, confirmed: [...state.confirmed, answer.holder]});
 }
 
 const statusDecisions: {readonly [Kind in ClaimStatus['kind']]: (status: Extract<ClaimStatus, {readonly kind: Kind}>) => ClaimDecision} = {
@@ -168,9 +168,9 @@
 	[ClaimVerdict.mismatch]: state => endUnsent(state, {
 		kind: 'refuse', failure: failure(FailureKind.conflict, 'the operation key was used for a different request'), outcome: Outcome.notRun,
 	}),
-	[ClaimVerdict.staleRoster]: state => settled(state),
-	[ClaimVerdict.notHolder]: state => settled(state),
-	[ClaimVerdict.full]: state => settled(state),
+	[ClaimVerdict.staleRoster]: state => decideIfComplete(state),
+	[ClaimVerdict.notHolder]: state => decideIfComplete(state),
+	[ClaimVerdict.full]: state => decideIfComplete(state),
 };
 
 function whenAnswered(event: Extract<ClaimantEvent, {kind: 'answered'}>, state: ClaimantState): Step {
@@ -188,7 +188,7 @@
 		return {state, effects: []};
 	}
 
-	return settled({...state, waitingFor: state.waitingFor.filter(seat => !sameInstance(seat, event.holder))});
+	return decideIfComplete({...state, waitingFor: state.waitingFor.filter(seat => !sameInstance(seat, event.holder))});
 }
 
 function whenFinished(event: Extract<ClaimantEvent, {kind: 'finished'}>, state: ClaimantState): Step {
