--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -140,7 +140,7 @@
 	return possible || state.waitingFor.length > 0 ? {state, effects: []} : refuseAsUnavailable(state, 'too few of the claim\'s holders can be reached');
 }
 
-function confirmedBy(state: ClaimantState, answer: ClaimAnswer): Step {
+function recordConfirmation(state: ClaimantState, answer: ClaimAnswer): Step {
 	return decideIfComplete({...state, confirmed: [...state.confirmed, answer.holder]});
 }
 
@@ -162,8 +162,8 @@
 }
 
 const verdictHandlers: Readonly<Record<ClaimVerdict, (state: ClaimantState, answer: ClaimAnswer) => Step>> = {
-	[ClaimVerdict.held]: confirmedBy,
-	[ClaimVerdict.free]: confirmedBy,
+	[ClaimVerdict.held]: recordConfirmation,
+	[ClaimVerdict.free]: recordConfirmation,
 	[ClaimVerdict.taken]: takenBefore,
 	[ClaimVerdict.mismatch]: state => endUnsent(state, {
 		kind: 'refuse', failure: failure(FailureKind.conflict, 'the operation key was used for a different request'), outcome: Outcome.notRun,
