--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -155,7 +155,7 @@
 		: {kind: 'replay', answer: status.answer},
 };
 
-function takenBefore(state: ClaimantState, answer: ClaimAnswer): Step {
+function refuseOrReplay(state: ClaimantState, answer: ClaimAnswer): Step {
 	const status = answer.status ?? {kind: 'ended', outcome: Outcome.unknown};
 	const decide = statusDecisions[status.kind] as (status: ClaimStatus) => ClaimDecision;
 	return endUnsent(state, decide(status));
@@ -164,7 +164,7 @@
 const verdictHandlers: Readonly<Record<ClaimVerdict, (state: ClaimantState, answer: ClaimAnswer) => Step>> = {
 	[ClaimVerdict.held]: recordConfirmation,
 	[ClaimVerdict.free]: recordConfirmation,
-	[ClaimVerdict.taken]: takenBefore,
+	[ClaimVerdict.taken]: refuseOrReplay,
 	[ClaimVerdict.mismatch]: state => endUnsent(state, {
 		kind: 'refuse', failure: failure(FailureKind.conflict, 'the operation key was used for a different request'), outcome: Outcome.notRun,
 	}),
