--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -107,7 +107,7 @@
 }
 
 /** Applies effects in order and collects the effects that they cause. */
-function folded<Effect>(state: ClaimsState, effects: readonly Effect[], carry: (state: ClaimsState, effect: Effect) => Step): Step {
+function applyEffects<Effect>(state: ClaimsState, effects: readonly Effect[], carry: (state: ClaimsState, effect: Effect) => Step): Step {
 	return effects.reduce<Step>((step, effect) => {
 		const next = carry(step.state, effect);
 		return {state: next.state, effects: [...step.effects, ...next.effects]};
@@ -116,7 +116,7 @@
 
 function heldHere(before: ClaimsState, event: HolderEvent, now: MonotonicTime, table = holderEffects): Step {
 	const {state, effects} = stepHolder(before.holder, event);
-	return folded({...before, holder: state}, effects, (held, effect) => dispatch(table, effect, held, now));
+	return applyEffects({...before, holder: state}, effects, (held, effect) => dispatch(table, effect, held, now));
 }
 
 function sent(state: ClaimsState, message: ClaimRequest | ClaimEnded, now: MonotonicTime): Step {
@@ -155,7 +155,7 @@
 		state.open.set(sequence, step.state);
 	}
 
-	return folded(state, step.effects, (carried, effect) => dispatch(claimantEffects, effect, carried, now, sequence));
+	return applyEffects(state, step.effects, (carried, effect) => dispatch(claimantEffects, effect, carried, now, sequence));
 }
 
 function claimed(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
