--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -107,9 +107,9 @@
 }
 
 /** Applies effects in order and collects the effects that they cause. */
-function applyEffects<Effect>(state: ClaimsState, effects: readonly Effect[], carry: (state: ClaimsState, effect: Effect) => Step): Step {
+function applyEffects<Effect>(state: ClaimsState, effects: readonly Effect[], applyEffect: (state: ClaimsState, effect: Effect) => Step): Step {
 	return effects.reduce<Step>((step, effect) => {
-		const next = carry(step.state, effect);
+		const next = applyEffect(step.state, effect);
 		return {state: next.state, effects: [...step.effects, ...next.effects]};
 	}, {state, effects: []});
 }
