--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -114,14 +114,14 @@
 	}, {state, effects: []});
 }
 
-function heldHere(before: ClaimsState, event: HolderEvent, now: MonotonicTime, table = holderEffects): Step {
+function stepOwnHolder(before: ClaimsState, event: HolderEvent, now: MonotonicTime, table = holderEffects): Step {
 	const {state, effects} = stepHolder(before.holder, event);
 	return applyEffects({...before, holder: state}, effects, (held, effect) => dispatch(table, effect, held, now));
 }
 
 function sent(state: ClaimsState, message: ClaimRequest | ClaimEnded, now: MonotonicTime): Step {
 	return sameInstance(message.holder, state.self)
-		? heldHere(state, {kind: 'message', now, message}, now)
+		? stepOwnHolder(state, {kind: 'message', now, message}, now)
 		: {state, effects: [{kind: 'send', message}]};
 }
 
@@ -195,7 +195,7 @@
 	}
 
 	const state = {...before, rosters: [trackRoster(event.roster), ...before.rosters]};
-	return heldHere(state, {
+	return stepOwnHolder(state, {
 		kind: 'roster', now: event.now, roster: event.roster,
 	}, event.now);
 }
@@ -207,15 +207,15 @@
 
 function whenSwept(event: Extract<ClaimsEvent, {kind: 'swept'}>, before: ClaimsState): Step {
 	const rosters = expireRosters(before.rosters, event.now, event.acknowledged, before.lifetimeMilliseconds);
-	return heldHere({...before, rosters}, {kind: 'swept', now: event.now}, event.now);
+	return stepOwnHolder({...before, rosters}, {kind: 'swept', now: event.now}, event.now);
 }
 
 const handlers: HandlerTable<ClaimsEvent, [ClaimsState], Step> = {
 	begun: whenBegun,
-	message: (event, state) => heldHere(state, event, event.now, peerEffects),
+	message: (event, state) => stepOwnHolder(state, event, event.now, peerEffects),
 	answered: (event, state) => claimed(state, event.answer.token.sequence, event, event.now),
 	unreachable: (event, state) => claimed(state, event.request.token.sequence, {kind: 'unreachable', holder: event.request.holder}, event.now),
-	copied: (event, state) => heldHere(state, event, event.now),
+	copied: (event, state) => stepOwnHolder(state, event, event.now),
 	'given-up': (event, state) => claimed(state, event.sequence, {kind: 'given-up'}, event.now),
 	finished: (event, state) => claimed(state, event.sequence, event, event.now),
 	roster: whenRoster,
