--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -116,7 +116,7 @@
 
 function stepOwnHolder(before: ClaimsState, event: HolderEvent, now: MonotonicTime, table = holderEffects): Step {
 	const {state, effects} = stepHolder(before.holder, event);
-	return applyEffects({...before, holder: state}, effects, (held, effect) => dispatch(table, effect, held, now));
+	return applyEffects({...before, holder: state}, effects, (current, effect) => dispatch(table, effect, current, now));
 }
 
 function sent(state: ClaimsState, message: ClaimRequest | ClaimEnded, now: MonotonicTime): Step {
