--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -155,7 +155,7 @@
 		state.open.set(sequence, step.state);
 	}
 
-	return applyEffects(state, step.effects, (carried, effect) => dispatch(claimantEffects, effect, carried, now, sequence));
+	return applyEffects(state, step.effects, (current, effect) => dispatch(claimantEffects, effect, current, now, sequence));
 }
 
 function claimed(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
