--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -119,7 +119,7 @@
 	return applyEffects({...before, holder: state}, effects, (current, effect) => dispatch(table, effect, current, now));
 }
 
-function sent(state: ClaimsState, message: ClaimRequest | ClaimEnded, now: MonotonicTime): Step {
+function sendMessage(state: ClaimsState, message: ClaimRequest | ClaimEnded, now: MonotonicTime): Step {
 	return sameInstance(message.holder, state.self)
 		? stepOwnHolder(state, {kind: 'message', now, message}, now)
 		: {state, effects: [{kind: 'send', message}]};
@@ -133,7 +133,7 @@
 
 const holderEffects: HandlerTable<HolderEffect, [ClaimsState, MonotonicTime], Step> = {
 	answer: (effect, state, now) => answeredTo(state, effect.answer, now),
-	send: (effect, state, now) => sent(state, effect.message, now),
+	send: (effect, state, now) => sendMessage(state, effect.message, now),
 };
 
 /** Handlers for a message of another instance: the answer goes to that instance, also if this instance is the claimant of the copied record. */
@@ -143,8 +143,8 @@
 };
 
 const claimantEffects: HandlerTable<ClaimantEffect, [ClaimsState, MonotonicTime, number], Step> = {
-	ask: (effect, state, now) => sent(state, effect.request, now),
-	tell: (effect, state, now) => sent(state, effect.ended, now),
+	ask: (effect, state, now) => sendMessage(state, effect.request, now),
+	tell: (effect, state, now) => sendMessage(state, effect.ended, now),
 	decide: (effect, state, _now, sequence) => ({state, effects: [{kind: 'decide', sequence, decision: effect.decision}]}),
 };
 
