--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -125,14 +125,14 @@
 		: {state, effects: [{kind: 'send', message}]};
 }
 
-function answeredTo(state: ClaimsState, answer: ClaimAnswer, now: MonotonicTime): Step {
+function sendAnswer(state: ClaimsState, answer: ClaimAnswer, now: MonotonicTime): Step {
 	return sameInstance(answer.token.claimant, state.self)
 		? claimed(state, answer.token.sequence, {kind: 'answered', answer}, now)
 		: {state, effects: [{kind: 'answer', answer}]};
 }
 
 const holderEffects: HandlerTable<HolderEffect, [ClaimsState, MonotonicTime], Step> = {
-	answer: (effect, state, now) => answeredTo(state, effect.answer, now),
+	answer: (effect, state, now) => sendAnswer(state, effect.answer, now),
 	send: (effect, state, now) => sendMessage(state, effect.message, now),
 };
 
