--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -127,7 +127,7 @@
 
 function sendAnswer(state: ClaimsState, answer: ClaimAnswer, now: MonotonicTime): Step {
 	return sameInstance(answer.token.claimant, state.self)
-		? claimed(state, answer.token.sequence, {kind: 'answered', answer}, now)
+		? stepOpenClaim(state, answer.token.sequence, {kind: 'answered', answer}, now)
 		: {state, effects: [{kind: 'answer', answer}]};
 }
 
@@ -158,7 +158,7 @@
 	return applyEffects(state, step.effects, (current, effect) => dispatch(claimantEffects, effect, current, now, sequence));
 }
 
-function claimed(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
+function stepOpenClaim(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
 	const open = state.open.get(sequence);
 	return open === undefined ? {state, effects: []} : carriedOut(state, sequence, stepClaimant(open, event), now);
 }
@@ -213,11 +213,11 @@
 const handlers: HandlerTable<ClaimsEvent, [ClaimsState], Step> = {
 	begun: whenBegun,
 	message: (event, state) => stepOwnHolder(state, event, event.now, peerEffects),
-	answered: (event, state) => claimed(state, event.answer.token.sequence, event, event.now),
-	unreachable: (event, state) => claimed(state, event.request.token.sequence, {kind: 'unreachable', holder: event.request.holder}, event.now),
+	answered: (event, state) => stepOpenClaim(state, event.answer.token.sequence, event, event.now),
+	unreachable: (event, state) => stepOpenClaim(state, event.request.token.sequence, {kind: 'unreachable', holder: event.request.holder}, event.now),
 	copied: (event, state) => stepOwnHolder(state, event, event.now),
-	'given-up': (event, state) => claimed(state, event.sequence, {kind: 'given-up'}, event.now),
-	finished: (event, state) => claimed(state, event.sequence, event, event.now),
+	'given-up': (event, state) => stepOpenClaim(state, event.sequence, {kind: 'given-up'}, event.now),
+	finished: (event, state) => stepOpenClaim(state, event.sequence, event, event.now),
 	roster: whenRoster,
 	'rosters-missed': (event, state) => ({state: {...state, claimsFrom: event.now + state.lifetimeMilliseconds}, effects: []}),
 	'view-told': whenViewTold,
