--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -148,7 +148,7 @@
 	decide: (effect, state, _now, sequence) => ({state, effects: [{kind: 'decide', sequence, decision: effect.decision}]}),
 };
 
-function carriedOut(state: ClaimsState, sequence: number, step: Transition<ClaimantState, ClaimantEffect>, now: MonotonicTime): Step {
+function applyClaimantStep(state: ClaimsState, sequence: number, step: Transition<ClaimantState, ClaimantEffect>, now: MonotonicTime): Step {
 	if (step.state.phase === ClaimPhase.ended) {
 		state.open.delete(sequence);
 	} else {
@@ -160,7 +160,7 @@
 
 function stepOpenClaim(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
 	const open = state.open.get(sequence);
-	return open === undefined ? {state, effects: []} : carriedOut(state, sequence, stepClaimant(open, event), now);
+	return open === undefined ? {state, effects: []} : applyClaimantStep(state, sequence, stepClaimant(open, event), now);
 }
 
 function whenBegun(event: Extract<ClaimsEvent, {kind: 'begun'}>, before: ClaimsState): Step {
@@ -186,7 +186,7 @@
 		lifetimeMilliseconds: state.lifetimeMilliseconds,
 		refusalMilliseconds: refusalTime(state.rosters, holders, tracked => remainingQueryTime(tracked, event.now, state.lifetimeMilliseconds)),
 	});
-	return carriedOut(state, sequence, step, event.now);
+	return applyClaimantStep(state, sequence, step, event.now);
 }
 
 function whenRoster(event: Extract<ClaimsEvent, {kind: 'roster'}>, before: ClaimsState): Step {
