--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -159,8 +159,8 @@
 }
 
 function stepOpenClaim(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
-	const open = state.open.get(sequence);
-	return open === undefined ? {state, effects: []} : applyClaimantStep(state, sequence, stepClaimant(open, event), now);
+	const claim = state.open.get(sequence);
+	return claim === undefined ? {state, effects: []} : applyClaimantStep(state, sequence, stepClaimant(claim, event), now);
 }
 
 function whenBegun(event: Extract<ClaimsEvent, {kind: 'begun'}>, before: ClaimsState): Step {
