--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -49,7 +49,7 @@
 	readonly claimsFrom: MonotonicTime;
 	readonly holder: HolderState;
 	/** The claims that this instance requested, by sequence. Mutated in place, by this module alone and twice for each claim. */
-	readonly open: Map<number, ClaimantState>;
+	readonly openClaims: Map<number, ClaimantState>;
 	readonly sequence: number;
 };
 
@@ -101,7 +101,7 @@
 		rosters: input.rosters.map(roster => trackRoster(roster)),
 		claimsFrom: input.rostersComplete ? input.now : input.now + input.lifetimeMilliseconds,
 		holder: createHolder(input.self, input.bounds, input.hash, input.rosters[0] ?? {index: 0, seats: []}),
-		open: new Map(),
+		openClaims: new Map(),
 		sequence: 0,
 	};
 }
@@ -150,16 +150,16 @@
 
 function applyClaimantStep(state: ClaimsState, sequence: number, step: Transition<ClaimantState, ClaimantEffect>, now: MonotonicTime): Step {
 	if (step.state.phase === ClaimPhase.ended) {
-		state.open.delete(sequence);
+		state.openClaims.delete(sequence);
 	} else {
-		state.open.set(sequence, step.state);
+		state.openClaims.set(sequence, step.state);
 	}
 
 	return applyEffects(state, step.effects, (current, effect) => dispatch(claimantEffects, effect, current, now, sequence));
 }
 
 function stepOpenClaim(state: ClaimsState, sequence: number, event: ClaimantEvent, now: MonotonicTime): Step {
-	const claim = state.open.get(sequence);
+	const claim = state.openClaims.get(sequence);
 	return claim === undefined ? {state, effects: []} : applyClaimantStep(state, sequence, stepClaimant(claim, event), now);
 }
 
