--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -46,7 +46,7 @@
 	/** Newest first. */
 	readonly rosters: readonly TrackedRoster[];
 	/** Until this time rosters may be missing, and no claim is requested. */
-	readonly claimsFrom: MonotonicTime;
+	readonly claimsAllowedFrom: MonotonicTime;
 	readonly holder: HolderState;
 	/** The claims that this instance requested, by sequence. Mutated in place, by this module alone and twice for each claim. */
 	readonly openClaims: Map<number, ClaimantState>;
@@ -99,7 +99,7 @@
 		hash: input.hash,
 		lifetimeMilliseconds: input.lifetimeMilliseconds,
 		rosters: input.rosters.map(roster => trackRoster(roster)),
-		claimsFrom: input.rostersComplete ? input.now : input.now + input.lifetimeMilliseconds,
+		claimsAllowedFrom: input.rostersComplete ? input.now : input.now + input.lifetimeMilliseconds,
 		holder: createHolder(input.self, input.bounds, input.hash, input.rosters[0] ?? {index: 0, seats: []}),
 		openClaims: new Map(),
 		sequence: 0,
@@ -166,10 +166,10 @@
 function whenBegun(event: Extract<ClaimsEvent, {kind: 'begun'}>, before: ClaimsState): Step {
 	const sequence = before.sequence + 1;
 	const state = {...before, sequence};
-	if (event.now < state.claimsFrom) {
+	if (event.now < state.claimsAllowedFrom) {
 		const decision: ClaimDecision = {
 			kind: 'refuse',
-			failure: failure(FailureKind.claimUnavailable, 'this instance does not have all holders of earlier claims yet', {retryAfterMilliseconds: Math.ceil(state.claimsFrom - event.now)}),
+			failure: failure(FailureKind.claimUnavailable, 'this instance does not have all holders of earlier claims yet', {retryAfterMilliseconds: Math.ceil(state.claimsAllowedFrom - event.now)}),
 			outcome: Outcome.unknown,
 		};
 		return {state, effects: [{kind: 'decide', sequence, decision}]};
@@ -202,7 +202,7 @@
 
 function whenViewTold(event: Extract<ClaimsEvent, {kind: 'view-told'}>, state: ClaimsState): Step {
 	const rosters = adoptView(state.rosters, event.view);
-	return {state: rosters === undefined ? state : {...state, rosters, claimsFrom: Math.min(state.claimsFrom, event.now)}, effects: []};
+	return {state: rosters === undefined ? state : {...state, rosters, claimsAllowedFrom: Math.min(state.claimsAllowedFrom, event.now)}, effects: []};
 }
 
 function whenSwept(event: Extract<ClaimsEvent, {kind: 'swept'}>, before: ClaimsState): Step {
@@ -219,7 +219,7 @@
 	'given-up': (event, state) => stepOpenClaim(state, event.sequence, {kind: 'given-up'}, event.now),
 	finished: (event, state) => stepOpenClaim(state, event.sequence, event, event.now),
 	roster: whenRoster,
-	'rosters-missed': (event, state) => ({state: {...state, claimsFrom: event.now + state.lifetimeMilliseconds}, effects: []}),
+	'rosters-missed': (event, state) => ({state: {...state, claimsAllowedFrom: event.now + state.lifetimeMilliseconds}, effects: []}),
 	'view-told': whenViewTold,
 	'copies-told': (event, state) => ({state: {...state, rosters: applyReport(state.rosters, event.report)}, effects: []}),
 	swept: whenSwept,
@@ -232,7 +232,7 @@
 
 /** Returns the view to send to an instance that starts; undefined while rosters may be missing. */
 export function claimsView(state: ClaimsState, now: MonotonicTime): ClaimsView | undefined {
-	return now < state.claimsFrom ? undefined : createView(state.rosters);
+	return now < state.claimsAllowedFrom ? undefined : createView(state.rosters);
 }
 
 /** Returns the instances whose copy reports are still needed to forget an earlier roster. */
