--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -200,7 +200,7 @@
 	}, event.now);
 }
 
-function whenViewTold(event: Extract<ClaimsEvent, {kind: 'view-told'}>, state: ClaimsState): Step {
+function whenViewReceived(event: Extract<ClaimsEvent, {kind: 'view-told'}>, state: ClaimsState): Step {
 	const rosters = adoptView(state.rosters, event.view);
 	return {state: rosters === undefined ? state : {...state, rosters, claimsAllowedFrom: Math.min(state.claimsAllowedFrom, event.now)}, effects: []};
 }
@@ -220,7 +220,7 @@
 	finished: (event, state) => stepOpenClaim(state, event.sequence, event, event.now),
 	roster: whenRoster,
 	'rosters-missed': (event, state) => ({state: {...state, claimsAllowedFrom: event.now + state.lifetimeMilliseconds}, effects: []}),
-	'view-told': whenViewTold,
+	'view-told': whenViewReceived,
 	'copies-told': (event, state) => ({state: {...state, rosters: applyReport(state.rosters, event.report)}, effects: []}),
 	swept: whenSwept,
 };
