--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -34,7 +34,7 @@
 const noOwner = failure(FailureKind.noOwner, 'the key has no owner', {retryAfterMilliseconds: 20});
 const overloaded = failure(FailureKind.overloaded, 'full', {retryAfterMilliseconds: 20});
 
-function seen(what: AttemptObservation, more: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
+function observed(what: AttemptObservation, more: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
 	return {
 		kind: 'seen', now: 10, seen: what, headPassed: false, budgetAllows: true, ...more,
 	};
@@ -44,35 +44,35 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a complete response', idempotent: false, events: [admitted, seen(AttemptObservation.wholeAnswer)], expected: ['send', 'complete'],
+		name: 'a complete response', idempotent: false, events: [admitted, observed(AttemptObservation.wholeAnswer)], expected: ['send', 'complete'],
 	},
 	{
-		name: 'not-run is retried', idempotent: false, events: [admitted, seen(AttemptObservation.shed), {kind: 'pause-over', now: 90}], expected: ['send', 'pause', 'admit'],
+		name: 'not-run is retried', idempotent: false, events: [admitted, observed(AttemptObservation.shed), {kind: 'pause-over', now: 90}], expected: ['send', 'pause', 'admit'],
 	},
 	{
-		name: 'unknown is not retried', idempotent: false, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'refuse unknown'],
+		name: 'unknown is not retried', idempotent: false, events: [admitted, observed(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'refuse unknown'],
 	},
 	{
-		name: 'unknown is retried on an idempotent route', idempotent: true, events: [admitted, seen(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'pause'],
+		name: 'unknown is retried on an idempotent route', idempotent: true, events: [admitted, observed(AttemptObservation.closedAfterFirstByte)], expected: ['send', 'pause'],
 	},
 	{
-		name: 'the retry budget is spent', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {budgetAllows: false})], expected: ['send', 'refuse not-run'],
+		name: 'the retry budget is spent', idempotent: true, events: [admitted, observed(AttemptObservation.shed, {budgetAllows: false})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'Retry-After ends past the deadline', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {retryAfterMilliseconds: 5000})], expected: ['send', 'refuse not-run'],
+		name: 'Retry-After ends past the deadline', idempotent: true, events: [admitted, observed(AttemptObservation.shed, {retryAfterMilliseconds: 5000})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'no time for a pause', idempotent: true, events: [admitted, seen(AttemptObservation.shed, {now: 999.9, retryAfterMilliseconds: 1})], expected: ['send', 'refuse not-run'],
+		name: 'no time for a pause', idempotent: true, events: [admitted, observed(AttemptObservation.shed, {now: 999.9, retryAfterMilliseconds: 1})], expected: ['send', 'refuse not-run'],
 	},
 	{
-		name: 'the response head was forwarded', idempotent: true, events: [admitted, seen(AttemptObservation.cutAnswer, {headPassed: true})], expected: ['send', 'break'],
+		name: 'the response head was forwarded', idempotent: true, events: [admitted, observed(AttemptObservation.cutAnswer, {headPassed: true})], expected: ['send', 'break'],
 	},
 	{
 		name: 'after an unknown outcome, not-run is never reported',
 		idempotent: true,
 		events: [
 			admitted,
-			seen(AttemptObservation.closedAfterFirstByte),
+			observed(AttemptObservation.closedAfterFirstByte),
 			{kind: 'pause-over', now: 200},
 			{kind: 'refused', now: 200, failure: overloaded},
 		],
@@ -93,28 +93,28 @@
 		events: [
 			admitted,
 			{kind: 'deadline-passed', now: 1000},
-			seen(AttemptObservation.deadlinePassedAfterFirstByte, {now: 1000}),
+			observed(AttemptObservation.deadlinePassedAfterFirstByte, {now: 1000}),
 		],
 		expected: ['send', 'refuse unknown'],
 	},
 	{
-		name: 'the caller disconnects', idempotent: false, events: [admitted, {kind: 'caller-gone', now: 5}, seen(AttemptObservation.cancelledAfterFirstByte)], expected: ['send', 'cancel'],
+		name: 'the caller disconnects', idempotent: false, events: [admitted, {kind: 'caller-gone', now: 5}, observed(AttemptObservation.cancelledAfterFirstByte)], expected: ['send', 'cancel'],
 	},
 	{
-		name: 'a retry after a lost lease needs no budget', idempotent: false, events: [admitted, seen(AttemptObservation.leaseLost, {budgetAllows: false})], expected: ['send', 'pause'],
+		name: 'a retry after a lost lease needs no budget', idempotent: false, events: [admitted, observed(AttemptObservation.leaseLost, {budgetAllows: false})], expected: ['send', 'pause'],
 	},
 	{
 		name: 'at most three attempts',
 		idempotent: true,
 		events: [
 			admitted,
-			seen(AttemptObservation.shed),
+			observed(AttemptObservation.shed),
 			{kind: 'pause-over', now: 100},
 			{kind: 'admitted', now: 100},
-			seen(AttemptObservation.shed, {now: 110}),
+			observed(AttemptObservation.shed, {now: 110}),
 			{kind: 'pause-over', now: 300},
 			{kind: 'admitted', now: 300},
-			seen(AttemptObservation.shed, {now: 310}),
+			observed(AttemptObservation.shed, {now: 310}),
 		],
 		expected: ['send', 'pause', 'admit', 'send', 'pause', 'admit', 'send', 'refuse not-run'],
 	},
@@ -129,7 +129,7 @@
 const anyEvent: fc.Arbitrary<(now: number) => RequestEvent> = fc.oneof(
 	fc.constant((now: number): RequestEvent => ({kind: 'admitted', now})),
 	fc.constantFrom(noOwner, overloaded).map(why => (now: number): RequestEvent => ({kind: 'refused', now, failure: why})),
-	fc.constantFrom(...Object.values(AttemptObservation)).map(what => (now: number): RequestEvent => seen(what, {now})),
+	fc.constantFrom(...Object.values(AttemptObservation)).map(what => (now: number): RequestEvent => observed(what, {now})),
 	fc.constant((now: number): RequestEvent => ({kind: 'pause-over', now})),
 	fc.constant((now: number): RequestEvent => ({kind: 'deadline-passed', now})),
 );
