--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -129,7 +129,7 @@
 const anyEvent: fc.Arbitrary<(now: number) => RequestEvent> = fc.oneof(
 	fc.constant((now: number): RequestEvent => ({kind: 'admitted', now})),
 	fc.constantFrom(noOwner, overloaded).map(why => (now: number): RequestEvent => ({kind: 'refused', now, failure: why})),
-	fc.constantFrom(...Object.values(AttemptObservation)).map(what => (now: number): RequestEvent => observed(what, {now})),
+	fc.constantFrom(...Object.values(AttemptObservation)).map(observation => (now: number): RequestEvent => observed(observation, {now})),
 	fc.constant((now: number): RequestEvent => ({kind: 'pause-over', now})),
 	fc.constant((now: number): RequestEvent => ({kind: 'deadline-passed', now})),
 );
