--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -34,9 +34,9 @@
 const noOwner = failure(FailureKind.noOwner, 'the key has no owner', {retryAfterMilliseconds: 20});
 const overloaded = failure(FailureKind.overloaded, 'full', {retryAfterMilliseconds: 20});
 
-function observed(observation: AttemptObservation, more: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
+function observed(observation: AttemptObservation, overrides: Partial<Extract<RequestEvent, {kind: 'seen'}>> = {}): RequestEvent {
 	return {
-		kind: 'seen', now: 10, seen: observation, headPassed: false, budgetAllows: true, ...more,
+		kind: 'seen', now: 10, seen: observation, headPassed: false, budgetAllows: true, ...overrides,
 	};
 }
 
