--- a/packages/routing/test/test-attempt.ts
+++ b/packages/routing/test/test-attempt.ts
@@ -140,8 +140,8 @@
 		let state = {...begin(false), seed: jitter};
 		let mayHaveRun = false;
 		let now = 0;
-		for (const [eventAt, later] of events) {
-			now += later;
+		for (const [eventAt, elapsed] of events) {
+			now += elapsed;
 			const event = eventAt(now);
 			const wasSending = state.phase === 'sending';
 			const step = stepRequest(state, event);
