--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -30,7 +30,7 @@
 	return entered.isOk ? entered.value : entered.error.kind;
 }
 
-function learned(latency: number, slots = 1): Admission {
+function admissionWithLatency(latency: number, slots = 1): Admission {
 	const admission = createAdmission({slots, instances: 1, queueLength: 4});
 	for (let count = 0; count < 100; count++) {
 		enter(admission, ticketOf());
@@ -56,7 +56,7 @@
 
 for (const {name, deadline, expected} of waits) {
 	test(`admission: a request that is expected to finish ${name}`, () => {
-		const admission = learned(100);
+		const admission = admissionWithLatency(100);
 		enter(admission, ticketOf());
 		assert.equal(enter(admission, ticketOf(Importance.high, deadline)), expected);
 	});
