--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -74,7 +74,7 @@
 
 test('admission: the limit grows from the share to all slots, and shrinks to the share under overload', () => {
 	const admission = createAdmission({slots: 18, instances: 9, queueLength: 4});
-	const began = admission.limit;
+	const initial = admission.limit;
 	for (let count = 0; count < 1000; count++) {
 		enter(admission, ticketOf());
 		admission.finish(RequestCompletion.answered, 1);
@@ -86,7 +86,7 @@
 		admission.finish(RequestCompletion.strained, 1);
 	}
 
-	assert.deepEqual([began, grown, admission.limit], [2, 18, 2]);
+	assert.deepEqual([initial, grown, admission.limit], [2, 18, 2]);
 });
 
 test('admission: requests in flight never exceed the limit, and no ticket is lost', () => {
