--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -49,12 +49,12 @@
 	assert.deepEqual([second.state, third.state, admission.underWay], ['new', 'admitted', 1]);
 });
 
-const waits = [
+const deadlineCases = [
 	{name: 'before its deadline', deadline: 1000, expected: AdmissionDecision.queued},
 	{name: 'after its deadline', deadline: 199, expected: 'overloaded'},
 ];
 
-for (const {name, deadline, expected} of waits) {
+for (const {name, deadline, expected} of deadlineCases) {
 	test(`admission: a request that is expected to finish ${name}`, () => {
 		const admission = admissionWithLatency(100);
 		enter(admission, ticketOf());
