--- a/packages/routing/test/test-admission.ts
+++ b/packages/routing/test/test-admission.ts
@@ -117,14 +117,14 @@
 	}), {seed});
 });
 
-const budgets = [
+const connectionCases = [
 	{connections: 110, instances: 9},
 	{connections: 110, instances: 110},
 	{connections: 3, instances: 9},
 	{connections: 110, instances: 890},
 ];
 
-for (const {connections, instances} of budgets) {
+for (const {connections, instances} of connectionCases) {
 	test(`admission: ${connections} connections shared by ${instances} instances`, () => {
 		const parts = Array.from({length: instances}, (_, position) => connectionsFor(connections, instances, position));
 		assert.equal(parts.reduce((sum, part) => sum + part, 0), connections);
