--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -13,7 +13,7 @@
 
 const [first, second, third] = [['a', 'noord-1'], ['b', 'noord-2'], ['c', 'zuid-1']].map(([name, zone]) => ({name: name!, zone: zone!, incarnation: 1})) as [ClaimSeat, ClaimSeat, ClaimSeat];
 const rosters: readonly ClaimRoster[] = [{index: 9, seats: [first, second, third]}, {index: 5, seats: [first, second]}];
-const known = rosters.map(roster => trackRoster(roster));
+const tracked = rosters.map(roster => trackRoster(roster));
 
 type ReportCase = {readonly name: string; readonly asked: number; readonly copiedThrough: number; readonly unsettled: readonly string[]};
 
@@ -37,19 +37,19 @@
 
 for (const {name, unsettled, ...report} of reportCases) {
 	test(`claim rosters: a report, ${name}`, () => {
-		const left = unsettledSeats(applyReport(known, {seat: first, ...report}));
+		const left = unsettledSeats(applyReport(tracked, {seat: first, ...report}));
 		assert.deepEqual(left.map(seat => seat.name), unsettled);
 	});
 }
 
 test('claim rosters: the report of another incarnation is ignored', () => {
 	const report = {seat: {...first, incarnation: 2}, asked: 9, copiedThrough: 9};
-	assert.equal(unsettledSeats(applyReport(known, report)).length, 2);
+	assert.equal(unsettledSeats(applyReport(tracked, report)).length, 2);
 });
 
 for (const [newest, isAdopted] of [[9, true], [5, false], [12, false]] as const) {
 	test(`claim rosters: a view made with roster ${newest} is ${isAdopted ? '' : 'not '}adopted with roster 9`, () => {
-		assert.equal(adoptView(known, {newest, earlier: []}) !== undefined, isAdopted);
+		assert.equal(adoptView(tracked, {newest, earlier: []}) !== undefined, isAdopted);
 	});
 }
 
