--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -37,8 +37,8 @@
 
 for (const {name, unsettled, ...report} of reportCases) {
 	test(`claim rosters: a report, ${name}`, () => {
-		const left = unsettledSeats(applyReport(tracked, {seat: first, ...report}));
-		assert.deepEqual(left.map(seat => seat.name), unsettled);
+		const remaining = unsettledSeats(applyReport(tracked, {seat: first, ...report}));
+		assert.deepEqual(remaining.map(seat => seat.name), unsettled);
 	});
 }
 
