--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -77,7 +77,7 @@
 });
 
 /** Not-run is reported only if no send of the operation may have run. */
-function assertToldRightly(network: FakeClaimNetwork): void {
+function assertReportedOutcomes(network: FakeClaimNetwork): void {
 	const newest = network.decisions.at(-1);
 	const isToldNotRun = newest?.decision.kind === 'refuse' && newest.decision.outcome === Outcome.notRun;
 	assert.ok(!isToldNotRun || network.runs.every(run => run.operation !== newest.operation || run.outcome === Outcome.notRun), 'reported as not-run');
@@ -91,7 +91,7 @@
 		for (const next of schedule) {
 			actions[next.kind](network, next);
 			assertNothingRanTwice(network.runs);
-			assertToldRightly(network);
+			assertReportedOutcomes(network);
 		}
 
 		ran += network.runs.length;
