--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -79,8 +79,8 @@
 /** Not-run is reported only if no send of the operation may have run. */
 function assertReportedOutcomes(network: FakeClaimNetwork): void {
 	const newest = network.decisions.at(-1);
-	const isToldNotRun = newest?.decision.kind === 'refuse' && newest.decision.outcome === Outcome.notRun;
-	assert.ok(!isToldNotRun || network.runs.every(run => run.operation !== newest.operation || run.outcome === Outcome.notRun), 'reported as not-run');
+	const isReportedNotRun = newest?.decision.kind === 'refuse' && newest.decision.outcome === Outcome.notRun;
+	assert.ok(!isReportedNotRun || network.runs.every(run => run.operation !== newest.operation || run.outcome === Outcome.notRun), 'reported as not-run');
 }
 
 test('claims: no operation runs twice under any schedule of losses, restarts and delayed rosters', () => {
