--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -222,7 +222,7 @@
 	network.settle();
 }
 
-function changeOnce(network: FakeClaimNetwork, next: Change): void {
+function applyChange(network: FakeClaimNetwork, next: Change): void {
 	network.kill(next.name);
 	if (next.kind === 'restart') {
 		network.restart(next.name);
@@ -253,7 +253,7 @@
 				network.settle();
 			}
 
-			changeOnce(network, next);
+			applyChange(network, next);
 		}
 
 		assertNothingRanTwice(network.runs);
