--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -267,9 +267,9 @@
 	fc.assert(fc.property(fc.string(), fc.constantFrom(...names), fc.boolean(), (operationKey, name, isRestart) => {
 		const {seats} = new FakeClaimNetwork(hash).rosters[0]!;
 		const remaining = seats.filter(seat => seat.name !== name);
-		const gone = seats.find(seat => seat.name === name)!;
+		const removed = seats.find(seat => seat.name === name)!;
 		const before = holdersOf({index: 1, seats}, operationKey, hash);
-		const after = holdersOf({index: 2, seats: isRestart ? [...remaining, {...gone, incarnation: 2}] : remaining}, operationKey, hash);
+		const after = holdersOf({index: 2, seats: isRestart ? [...remaining, {...removed, incarnation: 2}] : remaining}, operationKey, hash);
 		assert.ok(before.some(seat => after.some(other => other.name === seat.name && other.incarnation === seat.incarnation)));
 	}), {seed, numRuns: 2000});
 });
