--- a/packages/routing/test/test-claims-in-cuts.ts
+++ b/packages/routing/test/test-claims-in-cuts.ts
@@ -68,9 +68,9 @@
 for (const {name, inside} of sidesCases) {
 	test(`claims: ${name}, the seats change on one side alone, and no operation runs on both sides`, () => {
 		let ran = 0;
-		fc.assert(fc.property(fc.array(change, {minLength: 1, maxLength: 2}), fc.constantFrom(...names), fc.boolean(), (changes, entry, isBefore) => {
+		fc.assert(fc.property(fc.array(change, {minLength: 1, maxLength: 2}), fc.constantFrom(...names), fc.boolean(), (changes, entry, beginsBeforePartition) => {
 			const network = new FakeClaimNetwork(hash);
-			if (isBefore) {
+			if (beginsBeforePartition) {
 				network.begin(entry, operations[0]);
 				network.settle();
 			}
