--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -143,7 +143,7 @@
 	}
 }
 
-function suffer(network: FakeClaimNetwork, {name, kind, late, lost, waits}: Loss): void {
+function applyLoss(network: FakeClaimNetwork, {name, kind, late, lost, waits}: Loss): void {
 	network.kill(name);
 	network[kind](name);
 	learnAll(network, late);
@@ -176,7 +176,7 @@
 					runOnce(network, network.live[0]!, `${operation} 0`);
 				}
 
-				suffer(network, next);
+				applyLoss(network, next);
 			}
 
 			learnAll(network);
