--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -156,15 +156,15 @@
 	}
 }
 
-type StartCase = {readonly name: string; readonly rostersAtStart: number; readonly looksForView: boolean};
+type StartCase = {readonly name: string; readonly rostersAtStart: number; readonly adoptsView: boolean};
 
 const startCases: readonly StartCase[] = [
-	{name: 'all rosters are available at start', rostersAtStart: Infinity, looksForView: false},
-	{name: 'a view is adopted at start', rostersAtStart: Infinity, looksForView: true},
-	{name: 'two rosters are available at start', rostersAtStart: 2, looksForView: true},
+	{name: 'all rosters are available at start', rostersAtStart: Infinity, adoptsView: false},
+	{name: 'a view is adopted at start', rostersAtStart: Infinity, adoptsView: true},
+	{name: 'two rosters are available at start', rostersAtStart: 2, adoptsView: true},
 ];
 
-for (const {name, rostersAtStart, looksForView} of startCases) {
+for (const {name, rostersAtStart, adoptsView: looksForView} of startCases) {
 	test(`claims beyond copies: no operation runs twice after any losses of instances and copies; ${name}`, () => {
 		let runs = 0;
 		let replays = 0;
