--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -164,12 +164,12 @@
 	{name: 'two rosters are available at start', rostersAtStart: 2, adoptsView: true},
 ];
 
-for (const {name, rostersAtStart, adoptsView: looksForView} of startCases) {
+for (const {name, rostersAtStart, adoptsView: adoptsView} of startCases) {
 	test(`claims beyond copies: no operation runs twice after any losses of instances and copies; ${name}`, () => {
 		let runs = 0;
 		let replays = 0;
 		fc.assert(fc.property(fc.array(loss, {minLength: 2, maxLength: 5}), losses => {
-			const network = new FakeClaimNetwork(hash, rostersAtStart, looksForView);
+			const network = new FakeClaimNetwork(hash, rostersAtStart, adoptsView);
 			for (const [position, next] of losses.entries()) {
 				for (const operation of operations) {
 					runOnce(network, network.live[0]!, `${operation} ${position}`);
