--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -244,8 +244,8 @@
 
 test('claims beyond copies: no operation runs twice under any order of seat changes, copies and reports', () => {
 	let runs = 0;
-	fc.assert(fc.property(fc.array(move, {minLength: 20, maxLength: 80, size: 'max'}), fc.boolean(), (schedule, looksForView) => {
-		const network = new FakeClaimNetwork(hash, looksForView ? 2 : Infinity, looksForView);
+	fc.assert(fc.property(fc.array(move, {minLength: 20, maxLength: 80, size: 'max'}), fc.boolean(), (schedule, adoptsView) => {
+		const network = new FakeClaimNetwork(hash, adoptsView ? 2 : Infinity, adoptsView);
 		for (const operation of operations) {
 			runOnce(network, 'a', operation);
 		}
