--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -51,7 +51,7 @@
 	#inside: ReadonlySet<string> = new Set();
 
 	readonly #rostersAtStart: number;
-	readonly #looksForView: boolean;
+	readonly #adoptsView: boolean;
 	#reports: Array<{readonly to: InstanceIdentity; readonly report: CopyReport}> = [];
 
 	/**
@@ -59,7 +59,7 @@
 	 * `looksForView`: whether it treats them as incomplete, and adopts the view of another instance.
 	 */
 	constructor(hash: TextHash, rostersAtStart = Infinity, looksForView = false) {
-		this.#looksForView = looksForView;
+		this.#adoptsView = looksForView;
 		this.#rostersAtStart = rostersAtStart;
 		this.#hash = hash;
 		this.rosters = [{index: 1, seats: seats.map(seat => ({...seat, incarnation: 1}))}];
@@ -230,7 +230,7 @@
 	/** An instance that has just started adopts the view of another one. */
 	#adoptView(name: string): void {
 		const member = this.#members.get(name)!;
-		for (const other of this.#looksForView && !member.hasView ? this.#reached(name) : []) {
+		for (const other of this.#adoptsView && !member.hasView ? this.#reached(name) : []) {
 			const view = other === member ? undefined : claimsView(other.claims, this.now);
 			if (!member.hasView && view?.newest === member.claims.rosters[0]!.roster.index) {
 				member.hasView = true;
@@ -263,7 +263,7 @@
 				bounds: {records: 1000, answerBytes: 10_000},
 				lifetimeMilliseconds,
 				rosters: this.rosters.slice(0, this.#rostersAtStart),
-				rostersComplete: !this.#looksForView || this.rosters.length <= this.#rostersAtStart,
+				rostersComplete: !this.#adoptsView || this.rosters.length <= this.#rostersAtStart,
 				now: this.now,
 			}),
 		});
