--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -58,8 +58,8 @@
 	 * `rostersAtStart`: how many of the newest rosters an instance has when it starts.
 	 * `looksForView`: whether it treats them as incomplete, and adopts the view of another instance.
 	 */
-	constructor(hash: TextHash, rostersAtStart = Infinity, looksForView = false) {
-		this.#adoptsView = looksForView;
+	constructor(hash: TextHash, rostersAtStart = Infinity, adoptsView = false) {
+		this.#adoptsView = adoptsView;
 		this.#rostersAtStart = rostersAtStart;
 		this.#hash = hash;
 		this.rosters = [{index: 1, seats: seats.map(seat => ({...seat, incarnation: 1}))}];
