--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -29,7 +29,7 @@
 };
 
 type Packet = {readonly from: InstanceIdentity; readonly to: InstanceIdentity; readonly content: ClaimRequest | ClaimEnded | ClaimAnswer; readonly copied?: ClaimRequest};
-type Member = {claims: ClaimsState; applied: number; hasView: boolean; spread: AppliedIndexes; readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>};
+type Member = {claims: ClaimsState; applied: number; hasView: boolean; appliedIndexes: AppliedIndexes; readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>};
 
 const seats = [
 	{name: 'a', zone: 'noord-1'},
@@ -223,8 +223,8 @@
 	/** Queries the reachable instances for their applied index, as the sweep does. */
 	#acknowledged(name: string): number {
 		const member = this.#members.get(name)!;
-		member.spread = this.#reached(name).reduce((spread, {claims, applied}) => recordApplied(spread, claims.self, applied), member.spread);
-		return acknowledgedBy(member.spread, member.claims.rosters[0]!.roster);
+		member.appliedIndexes = this.#reached(name).reduce((spread, {claims, applied}) => recordApplied(spread, claims.self, applied), member.appliedIndexes);
+		return acknowledgedBy(member.appliedIndexes, member.claims.rosters[0]!.roster);
 	}
 
 	/** An instance that has just started adopts the view of another one. */
@@ -255,7 +255,7 @@
 		this.#members.set(name, {
 			applied: this.rosters[0]!.index,
 			hasView: false,
-			spread: new Map(),
+			appliedIndexes: new Map(),
 			begun: new Map(),
 			claims: createClaims({
 				self: {name, incarnation},
