--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -28,7 +28,7 @@
 	readonly answer: StoredAnswer;
 };
 
-type Packet = {readonly from: InstanceIdentity; readonly to: InstanceIdentity; readonly content: ClaimRequest | ClaimEnded | ClaimAnswer; readonly copied?: ClaimRequest};
+type Packet = {readonly from: InstanceIdentity; readonly to: InstanceIdentity; readonly content: ClaimRequest | ClaimEnded | ClaimAnswer; readonly copyRequest?: ClaimRequest};
 type Member = {claims: ClaimsState; applied: number; hasView: boolean; appliedIndexes: AppliedIndexes; readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>};
 
 const seats = [
@@ -122,9 +122,9 @@
 
 		if (member === undefined) {
 			this.#unreachable(packet);
-		} else if (packet.content.kind === 'claim-answer' && packet.copied !== undefined) {
+		} else if (packet.content.kind === 'claim-answer' && packet.copyRequest !== undefined) {
 			this.#step(packet.to.name, {
-				kind: 'copied', now: this.now, request: packet.copied, verdict: packet.content.verdict,
+				kind: 'copied', now: this.now, request: packet.copyRequest, verdict: packet.content.verdict,
 			});
 		} else if (packet.content.kind === 'claim-answer') {
 			this.#step(packet.to.name, {kind: 'answered', now: this.now, answer: packet.content});
@@ -294,7 +294,7 @@
 		} else {
 			const isCopy = event.kind === 'message' && event.message.kind === 'claim-request' && event.message.purpose === ClaimPurpose.copy;
 			this.packets.push({
-				from: member.claims.self, to: from ?? effect.answer.token.claimant, content: effect.answer, ...(isCopy ? {copied: event.message} : {}),
+				from: member.claims.self, to: from ?? effect.answer.token.claimant, content: effect.answer, ...(isCopy ? {copyRequest: event.message} : {}),
 			});
 		}
 	}
