--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -148,7 +148,7 @@
 	/** Adds a roster with a new incarnation of an instance and starts it; the others apply the roster later. */
 	restart(name: string): void {
 		const newest = this.rosters[0]!;
-		const seat = seats.find(known => known.name === name)!;
+		const seat = seats.find(candidate => candidate.name === name)!;
 		const incarnation = 1 + Math.max(0, ...this.rosters.flatMap(roster => roster.seats).filter(other => other.name === name).map(other => other.incarnation));
 		this.rosters.unshift({index: newest.index + 1, seats: [...newest.seats.filter(other => other.name !== name), {...seat, incarnation}]});
 		this.#start(name, incarnation);
