--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -74,7 +74,7 @@
 	}
 
 	/** Partitions the instances of some zones from the others; an empty list heals the partition. */
-	cut(zones: readonly string[]): void {
+	partition(zones: readonly string[]): void {
 		this.#inside = new Set(seats.filter(({zone}) => zones.includes(zone)).map(({name}) => name));
 	}
 
--- a/packages/routing/test/test-claims-in-cuts.ts
+++ b/packages/routing/test/test-claims-in-cuts.ts
@@ -55,7 +55,7 @@
 }
 
 function healAndLearn(network: FakeClaimNetwork): void {
-	network.cut([]);
+	network.partition([]);
 	for (const _roster of network.rosters) {
 		for (const name of network.live) {
 			network.learn(name);
@@ -75,7 +75,7 @@
 				network.settle();
 			}
 
-			network.cut(inside);
+			network.partition(inside);
 			for (const next of changes) {
 				resendEverywhere(network);
 				changeOutside(network, next);
