--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -163,7 +163,7 @@
 	}
 
 	/** Applies the next missing roster at an instance. */
-	learn(name: string): void {
+	applyNextRoster(name: string): void {
 		const member = this.#members.get(name);
 		const next = this.rosters.findLast(roster => roster.index > (member?.applied ?? Number.POSITIVE_INFINITY));
 		if (member !== undefined && next !== undefined) {
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -55,7 +55,7 @@
 	network.kill(name);
 	network.unseat(name);
 	for (const other of network.live) {
-		network.learn(other);
+		network.applyNextRoster(other);
 	}
 
 	if (copiesArrive) {
@@ -101,7 +101,7 @@
 
 		for (const name of names) {
 			for (const _roster of network.rosters) {
-				network.learn(name);
+				network.applyNextRoster(name);
 			}
 		}
 
@@ -138,7 +138,7 @@
 function learnAll(network: FakeClaimNetwork, late: readonly string[] = []): void {
 	for (const name of network.live.filter(other => !late.includes(other))) {
 		for (const _roster of network.rosters) {
-			network.learn(name);
+			network.applyNextRoster(name);
 		}
 	}
 }
@@ -199,7 +199,7 @@
 
 const moves = {
 	learn(network: FakeClaimNetwork, name: string) {
-		network.learn(name);
+		network.applyNextRoster(name);
 	},
 	deliver(network: FakeClaimNetwork, _name: string, number: number) {
 		network.deliver(number % Math.max(1, network.packets.length));
--- a/packages/routing/test/test-claims-in-cuts.ts
+++ b/packages/routing/test/test-claims-in-cuts.ts
@@ -45,7 +45,7 @@
 	}
 
 	for (const other of network.live.filter(live => !network.isInside(live))) {
-		network.learn(other);
+		network.applyNextRoster(other);
 	}
 
 	network.settle();
@@ -58,7 +58,7 @@
 	network.partition([]);
 	for (const _roster of network.rosters) {
 		for (const name of network.live) {
-			network.learn(name);
+			network.applyNextRoster(name);
 		}
 	}
 
--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -45,7 +45,7 @@
 		network.unseat(action.name);
 	},
 	learn(network: FakeClaimNetwork, action: Action) {
-		network.learn(action.name);
+		network.applyNextRoster(action.name);
 	},
 	advance(network: FakeClaimNetwork, action: Action) {
 		network.advance(action.number);
@@ -152,7 +152,7 @@
 	if (repaired) {
 		network.unseat(name);
 		for (const other of network.live) {
-			network.learn(other);
+			network.applyNextRoster(other);
 		}
 
 		network.settle();
@@ -197,7 +197,7 @@
 	network.kill(first!.name);
 	network.unseat(first!.name);
 	for (const name of network.live) {
-		network.learn(name);
+		network.applyNextRoster(name);
 	}
 
 	network.packets = [];
@@ -231,7 +231,7 @@
 	}
 
 	for (const name of network.live) {
-		network.learn(name);
+		network.applyNextRoster(name);
 	}
 
 	settleWithLosses(network, next.lossy);
