--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -183,12 +183,12 @@
 
 		this.tell();
 		for (const name of this.live) {
-			this.ask(name);
+			this.requestReports(name);
 		}
 	}
 
 	/** Requests a copy report from every instance that one can reach, as the sweep does. The reports arrive later, by `tell`. */
-	ask(name: string): void {
+	requestReports(name: string): void {
 		const claims = this.#members.get(name)?.claims;
 		const asked = claims?.rosters[0]?.roster.index ?? 0;
 		for (const other of claims === undefined ? [] : this.#reached(name)) {
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -208,7 +208,7 @@
 		network.lose(number % Math.max(1, network.packets.length));
 	},
 	ask(network: FakeClaimNetwork, name: string) {
-		network.ask(name);
+		network.requestReports(name);
 	},
 	tell(network: FakeClaimNetwork) {
 		network.tell();
