--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -181,7 +181,7 @@
 			this.#adoptView(name);
 		}
 
-		this.tell();
+		this.deliverReports();
 		for (const name of this.live) {
 			this.requestReports(name);
 		}
@@ -198,7 +198,7 @@
 	}
 
 	/** Delivers the requested reports. */
-	tell(): void {
+	deliverReports(): void {
 		const reports = this.#reports;
 		this.#reports = [];
 		for (const {to, report} of reports) {
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -211,7 +211,7 @@
 		network.requestReports(name);
 	},
 	tell(network: FakeClaimNetwork) {
-		network.tell();
+		network.deliverReports();
 	},
 	advance(network: FakeClaimNetwork, _name: string, number: number) {
 		network.advance(number * 100);
