--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -281,11 +281,11 @@
 		const {state, effects} = stepClaims(member.claims, event);
 		member.claims = state;
 		for (const effect of effects) {
-			this.#carry(name, effect, event, from);
+			this.#applyEffect(name, effect, event, from);
 		}
 	}
 
-	#carry(name: string, effect: ClaimsEffect, event: ClaimsEvent, from: InstanceIdentity | undefined): void {
+	#applyEffect(name: string, effect: ClaimsEffect, event: ClaimsEvent, from: InstanceIdentity | undefined): void {
 		const member = this.#members.get(name)!;
 		if (effect.kind === 'decide') {
 			this.#decided(name, member, effect);
