--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -288,7 +288,7 @@
 	#applyEffect(name: string, effect: ClaimsEffect, event: ClaimsEvent, from: InstanceIdentity | undefined): void {
 		const member = this.#members.get(name)!;
 		if (effect.kind === 'decide') {
-			this.#decided(name, member, effect);
+			this.#recordDecision(name, member, effect);
 		} else if (effect.kind === 'send') {
 			this.packets.push({from: member.claims.self, to: effect.message.holder, content: effect.message});
 		} else {
@@ -299,7 +299,7 @@
 		}
 	}
 
-	#decided(name: string, member: Member, effect: Extract<ClaimsEffect, {kind: 'decide'}>): void {
+	#recordDecision(name: string, member: Member, effect: Extract<ClaimsEffect, {kind: 'decide'}>): void {
 		const claim = member.begun.get(effect.sequence)!;
 		claim.decided = true;
 		this.decisions.push({entry: name, operation: claim.operation, decision: effect.decision});
