--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -191,7 +191,7 @@
 	requestReports(name: string): void {
 		const claims = this.#members.get(name)?.claims;
 		const asked = claims?.rosters[0]?.roster.index ?? 0;
-		for (const other of claims === undefined ? [] : this.#reached(name)) {
+		for (const other of claims === undefined ? [] : this.#reachable(name)) {
 			const {self, holder} = other.claims;
 			this.#reports.push({to: claims!.self, report: {seat: self, asked, copiedThrough: copiedThrough(holder)}});
 		}
@@ -223,14 +223,14 @@
 	/** Queries the reachable instances for their applied index, as the sweep does. */
 	#acknowledged(name: string): number {
 		const member = this.#members.get(name)!;
-		member.appliedIndexes = this.#reached(name).reduce((spread, {claims, applied}) => recordApplied(spread, claims.self, applied), member.appliedIndexes);
+		member.appliedIndexes = this.#reachable(name).reduce((spread, {claims, applied}) => recordApplied(spread, claims.self, applied), member.appliedIndexes);
 		return acknowledgedBy(member.appliedIndexes, member.claims.rosters[0]!.roster);
 	}
 
 	/** An instance that has just started adopts the view of another one. */
 	#adoptView(name: string): void {
 		const member = this.#members.get(name)!;
-		for (const other of this.#adoptsView && !member.hasView ? this.#reached(name) : []) {
+		for (const other of this.#adoptsView && !member.hasView ? this.#reachable(name) : []) {
 			const view = other === member ? undefined : claimsView(other.claims, this.now);
 			if (!member.hasView && view?.newest === member.claims.rosters[0]!.roster.index) {
 				member.hasView = true;
@@ -239,7 +239,7 @@
 		}
 	}
 
-	#reached(name: string): Member[] {
+	#reachable(name: string): Member[] {
 		return [...this.#members].filter(([other]) => this.isInside(other) === this.isInside(name)).map(([, other]) => other);
 	}
 
