--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -176,7 +176,7 @@
 	advance(milliseconds: number): void {
 		this.now += milliseconds;
 		for (const name of this.live) {
-			this.#giveUpOld(name);
+			this.#giveUpExpired(name);
 			this.#step(name, {kind: 'swept', now: this.now, acknowledged: this.#acknowledged(name)});
 			this.#adoptView(name);
 		}
@@ -243,7 +243,7 @@
 		return [...this.#members].filter(([other]) => this.isInside(other) === this.isInside(name)).map(([, other]) => other);
 	}
 
-	#giveUpOld(name: string): void {
+	#giveUpExpired(name: string): void {
 		for (const [sequence, claim] of this.#members.get(name)!.begun) {
 			if (!claim.decided && this.now - claim.at >= runsForMilliseconds) {
 				this.#step(name, {kind: 'given-up', now: this.now, sequence});
