--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -20,12 +20,12 @@
 
 /** Creates a full budget. */
 export function createRetryBudget(ratio: number, capacity = defaultCapacity): RetryBudget {
-	return {ratio, balance: capacity, capacity: capacity};
+	return {ratio, balance: capacity, capacity};
 }
 
 /** Returns the budget with another capacity; a balance above it is lowered to it. */
 export function boundBudget(budget: RetryBudget, capacity: number): RetryBudget {
-	return {...budget, capacity: capacity, balance: Math.min(budget.balance, capacity)};
+	return {...budget, capacity, balance: Math.min(budget.balance, capacity)};
 }
 
 /** Whether the budget covers one more retry. */
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -164,7 +164,7 @@
 	{name: 'two rosters are available at start', rostersAtStart: 2, adoptsView: true},
 ];
 
-for (const {name, rostersAtStart, adoptsView: adoptsView} of startCases) {
+for (const {name, rostersAtStart, adoptsView} of startCases) {
 	test(`claims beyond copies: no operation runs twice after any losses of instances and copies; ${name}`, () => {
 		let runs = 0;
 		let replays = 0;
