--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -286,7 +286,7 @@
 /** Copies a record to the holders by the newest roster to which it was not yet copied from here. */
 function startCopies(state: HolderState, id: string, now: MonotonicTime): HolderEffect[] {
 	const record = state.records.get(id)!;
-	const copies = holdersWithoutCopy(state, record).map(holder => ({holder, resendAt: now, pause: initialCopyBackoff}));
+	const copies = holdersWithoutCopy(state, record).map(holder => ({holder, resendAt: now, nextBackoff: initialCopyBackoff}));
 	if (copies.length === 0 && !state.pendingCopies.has(id)) {
 		return [];
 	}
