--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -80,7 +80,7 @@
 const initialCopyBackoff: Milliseconds = 1000;
 
 /** Creates a holder without records. */
-export function createHolder(self: InstanceIdentity, bounds: HolderBounds, hash: TextHash, roster: ClaimRoster): HolderState {
+export function createHolderState(self: InstanceIdentity, bounds: HolderBounds, hash: TextHash, roster: ClaimRoster): HolderState {
 	return {
 		self, bounds, hash, roster, rosterIndex: roster.index, answerBytes: 0, records: new Map(), pendingCopies: new Set(),
 	};
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -10,7 +10,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	createHolder, type HolderBounds, type HolderEffect, type HolderEvent, type HolderState, stepHolder,
+	createHolderState, type HolderBounds, type HolderEffect, type HolderEvent, type HolderState, stepHolder,
 } from './claim-holder.js';
 import {claimHolders, refusalTime} from './claim-holders.js';
 import {
@@ -100,7 +100,7 @@
 		lifetimeMilliseconds: input.lifetimeMilliseconds,
 		rosters: input.rosters.map(roster => trackRoster(roster)),
 		claimsAllowedFrom: input.rostersComplete ? input.now : input.now + input.lifetimeMilliseconds,
-		holder: createHolder(input.self, input.bounds, input.hash, input.rosters[0] ?? {index: 0, seats: []}),
+		holder: createHolderState(input.self, input.bounds, input.hash, input.rosters[0] ?? {index: 0, seats: []}),
 		openClaims: new Map(),
 		sequence: 0,
 	};
--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -3,7 +3,7 @@
 import {
 	type ClaimRequest, type ClaimRoster, type ClaimSeat, ClaimVerdict,
 } from '@dogwooddeck/routing/claim';
-import {copiedThrough, createHolder, stepHolder} from '@dogwooddeck/routing/claim-holder';
+import {copiedThrough, createHolderState, stepHolder} from '@dogwooddeck/routing/claim-holder';
 import {
 	adoptView, applyReport, trackRoster, unsettledSeats,
 } from '@dogwooddeck/routing/claim-rosters';
@@ -67,7 +67,7 @@
 
 for (const verdict of Object.values(ClaimVerdict)) {
 	test(`claim holder: a copy by an older roster is copied to the newer holders, and the verdict ${verdict} does ${verdict === ClaimVerdict.held ? '' : 'not '}acknowledge it`, () => {
-		const holder = createHolder(first, {records: 9, answerBytes: 99}, hash, {index: 9, seats: [first, second]});
+		const holder = createHolderState(first, {records: 9, answerBytes: 99}, hash, {index: 9, seats: [first, second]});
 		const {state, effects} = stepHolder(holder, {kind: 'message', now: 0, message: copy});
 		const sent = effects.flatMap(effect => effect.kind === 'send' ? [effect.message as ClaimRequest] : []);
 		assert.deepEqual(sent.map(message => message.holder), [{name: 'b', incarnation: 1}]);
