--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -27,7 +27,7 @@
 export type ClaimPhase = (typeof ClaimPhase)[keyof typeof ClaimPhase];
 
 /** The initial values of a claim. */
-export type ClaimInput = {
+export type ClaimOptions = {
 	readonly operation: Operation;
 	readonly fingerprint: string;
 	readonly token: ClaimToken;
@@ -42,7 +42,7 @@
 };
 
 /** The state of one claim at its claimant. */
-export type ClaimantState = ClaimInput & {
+export type ClaimantState = ClaimOptions & {
 	readonly phase: ClaimPhase;
 	/** The holders that have not answered yet. */
 	readonly waitingFor: readonly InstanceIdentity[];
@@ -68,7 +68,7 @@
 
 type Step = Transition<ClaimantState, ClaimantEffect>;
 
-function createRequest(input: ClaimInput, holder: InstanceIdentity): ClaimRequest {
+function createRequest(input: ClaimOptions, holder: InstanceIdentity): ClaimRequest {
 	return {
 		kind: 'claim-request',
 		purpose: includesInstance(input.holders.current, holder) ? ClaimPurpose.hold : ClaimPurpose.check,
@@ -118,7 +118,7 @@
 }
 
 /** Creates a claim and queries every holder. Fails immediately if there are no two holders in different zones. */
-export function beginClaim(input: ClaimInput): Step {
+export function beginClaim(input: ClaimOptions): Step {
 	const waitingFor = allHolders(input.holders);
 	const state: ClaimantState = {
 		...input, phase: ClaimPhase.asking, waitingFor, confirmed: [],
