--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -68,17 +68,17 @@
 
 type Step = Transition<ClaimantState, ClaimantEffect>;
 
-function createRequest(input: ClaimOptions, holder: InstanceIdentity): ClaimRequest {
+function createRequest(options: ClaimOptions, holder: InstanceIdentity): ClaimRequest {
 	return {
 		kind: 'claim-request',
-		purpose: includesInstance(input.holders.current, holder) ? ClaimPurpose.hold : ClaimPurpose.check,
-		operation: input.operation,
-		fingerprint: input.fingerprint,
-		token: input.token,
+		purpose: includesInstance(options.holders.current, holder) ? ClaimPurpose.hold : ClaimPurpose.check,
+		operation: options.operation,
+		fingerprint: options.fingerprint,
+		token: options.token,
 		holder: {name: holder.name, incarnation: holder.incarnation},
-		rosterIndex: input.rosterIndex,
-		status: {kind: 'running', remainingMilliseconds: input.runsForMilliseconds},
-		lifetimeMilliseconds: input.lifetimeMilliseconds,
+		rosterIndex: options.rosterIndex,
+		status: {kind: 'running', remainingMilliseconds: options.runsForMilliseconds},
+		lifetimeMilliseconds: options.lifetimeMilliseconds,
 	};
 }
 
