--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -118,16 +118,16 @@
 }
 
 /** Creates a claim and queries every holder. Fails immediately if there are no two holders in different zones. */
-export function beginClaim(input: ClaimOptions): Step {
-	const waitingFor = allHolders(input.holders);
+export function beginClaim(options: ClaimOptions): Step {
+	const waitingFor = allHolders(options.holders);
 	const state: ClaimantState = {
-		...input, phase: ClaimPhase.asking, waitingFor, confirmed: [],
+		...options, phase: ClaimPhase.asking, waitingFor, confirmed: [],
 	};
-	if (input.holders.current.length < 2) {
+	if (options.holders.current.length < 2) {
 		return refuseAsUnavailable(state, 'no two instances in different availability zones can hold the claim');
 	}
 
-	return {state, effects: waitingFor.map(holder => ({kind: 'ask', request: createRequest(input, holder)}))};
+	return {state, effects: waitingFor.map(holder => ({kind: 'ask', request: createRequest(options, holder)}))};
 }
 
 /** Decides to run once enough holders have confirmed, and to refuse once no answer is outstanding and too few have. */
