--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -80,13 +80,13 @@
 type Step = Transition<RequestState, RequestEffect>;
 
 /** Creates the state of a request whose head was read, and starts its admission. */
-export function beginRequest(input: Pick<RequestState, 'idempotent' | 'deadline' | 'retry' | 'seed'>): Step {
+export function beginRequest(options: Pick<RequestState, 'idempotent' | 'deadline' | 'retry' | 'seed'>): Step {
 	const state: RequestState = {
 		phase: RequestPhase.admitting,
-		idempotent: input.idempotent,
-		deadline: input.deadline,
-		retry: input.retry,
-		seed: input.seed,
+		idempotent: options.idempotent,
+		deadline: options.deadline,
+		retry: options.retry,
+		seed: options.seed,
 		attempts: 0,
 		pauses: 0,
 		mayHaveRun: false,
