--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -93,14 +93,14 @@
 type Step = Transition<ClaimsState, ClaimsEffect>;
 
 /** Creates the claims of an instance that has just started. */
-export function createClaims(input: ClaimsInput): ClaimsState {
+export function createClaims(options: ClaimsInput): ClaimsState {
 	return {
-		self: input.self,
-		hash: input.hash,
-		lifetimeMilliseconds: input.lifetimeMilliseconds,
-		rosters: input.rosters.map(roster => trackRoster(roster)),
-		claimsAllowedFrom: input.rostersComplete ? input.now : input.now + input.lifetimeMilliseconds,
-		holder: createHolderState(input.self, input.bounds, input.hash, input.rosters[0] ?? {index: 0, seats: []}),
+		self: options.self,
+		hash: options.hash,
+		lifetimeMilliseconds: options.lifetimeMilliseconds,
+		rosters: options.rosters.map(roster => trackRoster(roster)),
+		claimsAllowedFrom: options.rostersComplete ? options.now : options.now + options.lifetimeMilliseconds,
+		holder: createHolderState(options.self, options.bounds, options.hash, options.rosters[0] ?? {index: 0, seats: []}),
 		openClaims: new Map(),
 		sequence: 0,
 	};
