--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -25,7 +25,7 @@
 import {type TextHash} from './text-hash.js';
 
 /** The initial values of an instance's claims. */
-export type ClaimsInput = {
+export type ClaimsOptions = {
 	readonly self: InstanceIdentity;
 	readonly hash: TextHash;
 	readonly bounds: HolderBounds;
@@ -93,7 +93,7 @@
 type Step = Transition<ClaimsState, ClaimsEffect>;
 
 /** Creates the claims of an instance that has just started. */
-export function createClaims(options: ClaimsInput): ClaimsState {
+export function createClaims(options: ClaimsOptions): ClaimsState {
 	return {
 		self: options.self,
 		hash: options.hash,
--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -11,7 +11,7 @@
 import {copiedThrough} from '@dogwooddeck/routing/claim-holder';
 import {type ClaimsView} from '@dogwooddeck/routing/claim-rosters';
 import {
-	awaitedReports, type ClaimsEffect, type ClaimsEvent, type ClaimsInput, type ClaimsState, claimsView, createClaims, stepClaims,
+	awaitedReports, type ClaimsEffect, type ClaimsEvent, type ClaimsOptions, type ClaimsState, claimsView, createClaims, stepClaims,
 } from '@dogwooddeck/routing/claims';
 import {type Result} from 'true-myth';
 import {type OpenClaim} from './request-path.js';
@@ -85,7 +85,7 @@
 	#state: ClaimsState;
 	#answer: ClaimAnswer | undefined;
 
-	constructor(input: ClaimsInput, carrier: ClaimCarrier, now: () => MonotonicTime) {
+	constructor(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime) {
 		this.#state = createClaims(input);
 		this.#carrier = carrier;
 		this.#now = now;
@@ -161,6 +161,6 @@
 }
 
 /** Opens the claims of an instance that has just started. */
-export function createClaimCoordinator(input: ClaimsInput, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimCoordinator {
+export function createClaimCoordinator(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimCoordinator {
 	return new CarriedClaims(input, carrier, now);
 }
