--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -149,7 +149,7 @@
 		const report = await peers.report(seat);
 		if (report !== undefined) {
 			spread = recordApplied(spread, seat, report.applied);
-			desk.learn({kind: 'copies-told', report: {seat, asked, copiedThrough: report.copiedThrough}});
+			desk.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: asked, copiedThrough: report.copiedThrough}});
 		}
 	}
 
@@ -175,7 +175,7 @@
 		}
 
 		const standing = desk.standing();
-		desk.learn({kind: 'copies-told', report: {seat: self, asked: standing.newest, copiedThrough: standing.copiedThrough}});
+		desk.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: standing.newest, copiedThrough: standing.copiedThrough}});
 		return acknowledgedBy(spread, newest);
 	}
 
--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -29,7 +29,7 @@
 export type CopyReport = {
 	readonly seat: InstanceIdentity;
 	/** The index of the requester's newest roster when it requested the report. */
-	readonly asked: LogIndex;
+	readonly requesterRosterIndex: LogIndex;
 	/** The index of the roster whose holders have acknowledged copies of all its records; 0 while an acknowledgement is missing. */
 	readonly copiedThrough: LogIndex;
 };
@@ -54,7 +54,7 @@
  * after that roster was applied: an older report may miss records that were copied to
  * the instance afterwards, by holders that have reported since.
  */
-export function applyReport(rosters: readonly TrackedRoster[], {seat, asked, copiedThrough}: CopyReport): readonly TrackedRoster[] {
+export function applyReport(rosters: readonly TrackedRoster[], {seat, requesterRosterIndex: asked, copiedThrough}: CopyReport): readonly TrackedRoster[] {
 	const [newest, ...earlier] = rosters;
 	if (newest === undefined || newest.roster.seats.length === 0 || asked !== newest.roster.index || copiedThrough !== asked) {
 		return rosters;
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -193,7 +193,7 @@
 		const asked = claims?.rosters[0]?.roster.index ?? 0;
 		for (const other of claims === undefined ? [] : this.#reachable(name)) {
 			const {self, holder} = other.claims;
-			this.#reports.push({to: claims!.self, report: {seat: self, asked, copiedThrough: copiedThrough(holder)}});
+			this.#reports.push({to: claims!.self, report: {seat: self, requesterRosterIndex: asked, copiedThrough: copiedThrough(holder)}});
 		}
 	}
 
