--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -15,23 +15,23 @@
 const rosters: readonly ClaimRoster[] = [{index: 9, seats: [first, second, third]}, {index: 5, seats: [first, second]}];
 const tracked = rosters.map(roster => trackRoster(roster));
 
-type ReportCase = {readonly name: string; readonly asked: number; readonly copiedThrough: number; readonly unsettled: readonly string[]};
+type ReportCase = {readonly name: string; readonly requesterRosterIndex: number; readonly copiedThrough: number; readonly unsettled: readonly string[]};
 
 const reportCases: readonly ReportCase[] = [
 	{
-		name: 'requested by the newest roster, copied to its holders', asked: 9, copiedThrough: 9, unsettled: [],
+		name: 'requested by the newest roster, copied to its holders', requesterRosterIndex: 9, copiedThrough: 9, unsettled: [],
 	},
 	{
-		name: 'requested before the newest roster was applied', asked: 5, copiedThrough: 9, unsettled: ['a', 'b'],
+		name: 'requested before the newest roster was applied', requesterRosterIndex: 5, copiedThrough: 9, unsettled: ['a', 'b'],
 	},
 	{
-		name: 'copied by an older roster', asked: 9, copiedThrough: 5, unsettled: ['a', 'b'],
+		name: 'copied by an older roster', requesterRosterIndex: 9, copiedThrough: 5, unsettled: ['a', 'b'],
 	},
 	{
-		name: 'copied by a roster that is not applied yet', asked: 9, copiedThrough: 12, unsettled: ['a', 'b'],
+		name: 'copied by a roster that is not applied yet', requesterRosterIndex: 9, copiedThrough: 12, unsettled: ['a', 'b'],
 	},
 	{
-		name: 'copies are missing', asked: 9, copiedThrough: 0, unsettled: ['a', 'b'],
+		name: 'copies are missing', requesterRosterIndex: 9, copiedThrough: 0, unsettled: ['a', 'b'],
 	},
 ];
 
