--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -190,10 +190,10 @@
 	/** Requests a copy report from every instance that one can reach, as the sweep does. The reports arrive later, by `tell`. */
 	requestReports(name: string): void {
 		const claims = this.#members.get(name)?.claims;
-		const asked = claims?.rosters[0]?.roster.index ?? 0;
+		const requesterRosterIndex = claims?.rosters[0]?.roster.index ?? 0;
 		for (const other of claims === undefined ? [] : this.#reachable(name)) {
 			const {self, holder} = other.claims;
-			this.#reports.push({to: claims!.self, report: {seat: self, requesterRosterIndex: asked, copiedThrough: copiedThrough(holder)}});
+			this.#reports.push({to: claims!.self, report: {seat: self, requesterRosterIndex: requesterRosterIndex, copiedThrough: copiedThrough(holder)}});
 		}
 	}
 
