--- a/packages/routing/test/test-claim-rosters.ts
+++ b/packages/routing/test/test-claim-rosters.ts
@@ -43,7 +43,7 @@
 }
 
 test('claim rosters: the report of another incarnation is ignored', () => {
-	const report = {seat: {...first, incarnation: 2}, asked: 9, copiedThrough: 9};
+	const report = {seat: {...first, incarnation: 2}, requesterRosterIndex: 9, copiedThrough: 9};
 	assert.equal(unsettledSeats(applyReport(tracked, report)).length, 2);
 });
 
