--- a/packages/routing/test/test-target.ts
+++ b/packages/routing/test/test-target.ts
@@ -125,9 +125,9 @@
 	{asked: '-1', expected: 1600},
 ];
 
-for (const {asked, expected} of deadlineCases) {
-	test(`deadline: a caller requests ${asked}`, () => {
+for (const {asked: requested, expected} of deadlineCases) {
+	test(`deadline: a caller requests ${requested}`, () => {
 		const contract = contractOf('s', '/s', {place: KeyLocation.path, segment: 0});
-		assert.equal(deadlineOf(contract, headOf('/s/a', {'dogwooddeck-deadline': asked}), 100), expected);
+		assert.equal(deadlineOf(contract, headOf('/s/a', {'dogwooddeck-deadline': requested}), 100), expected);
 	});
 }
