--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -10,7 +10,7 @@
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {holdersOf} from './claim-holders.js';
 import {
-	type ClaimAnswer, type ClaimEnded, ClaimPurpose, type ClaimRequest, type ClaimRoster, type ClaimStatus, type ClaimToken, ClaimVerdict, type Operation, operationText, sameToken, type StoredAnswer,
+	type ClaimAnswer, type ClaimEnded, ClaimPurpose, type ClaimRequest, type ClaimRoster, type ClaimStatus, type ClaimToken, ClaimVerdict, type Operation, operationId, sameToken, type StoredAnswer,
 } from './claim.js';
 import {type TextHash} from './text-hash.js';
 
@@ -164,7 +164,7 @@
 	}
 
 	const addsEnd = record.ended === undefined && request.status.kind === 'ended';
-	return answerRequest(addsEnd ? storeRecord(state, operationText(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
+	return answerRequest(addsEnd ? storeRecord(state, operationId(request.operation), createRecord(request, now)) : state, request, ClaimVerdict.held);
 }
 
 function recordClaim(state: HolderState, request: ClaimRequest, now: MonotonicTime): Step {
@@ -176,7 +176,7 @@
 		return answerRequest(state, request, ClaimVerdict.full);
 	}
 
-	const id = operationText(request.operation);
+	const id = operationId(request.operation);
 	const step = answerRequest(storeRecord(state, id, createRecord(request, now)), request, ClaimVerdict.held);
 	return isCopyByOlderRoster(state, request) ? {state: step.state, effects: [...step.effects, ...startCopies(step.state, id, now)]} : step;
 }
@@ -192,7 +192,7 @@
 	}
 
 	const state = request.rosterIndex > before.rosterIndex ? {...before, rosterIndex: request.rosterIndex} : before;
-	const record = liveRecord(state, operationText(request.operation), now);
+	const record = liveRecord(state, operationId(request.operation), now);
 	if (record !== undefined) {
 		return answerFromRecord(state, request, record, now);
 	}
@@ -202,7 +202,7 @@
 }
 
 function whenEnded(message: ClaimEnded, state: HolderState): Step {
-	const id = operationText(message.operation);
+	const id = operationId(message.operation);
 	const record = state.records.get(id);
 	if (record === undefined || record.ended !== undefined || !sameToken(record.token, message.token)) {
 		return {state, effects: []};
@@ -259,7 +259,7 @@
 }
 
 function holdersWithoutCopy(state: HolderState, record: ClaimRecord): InstanceIdentity[] {
-	return holdersOf(state.roster, operationText(record.operation), state.hash)
+	return holdersOf(state.roster, operationId(record.operation), state.hash)
 		.map(seat => ({name: seat.name, incarnation: seat.incarnation}))
 		.filter(seat => !sameInstance(seat, state.self) && !record.copies.some(copy => sameInstance(copy.holder, seat)));
 }
@@ -305,7 +305,7 @@
 
 /** Only `held` acknowledges a copy: a record of another claim there may be removed again when that claim ends with `not-run`. */
 function whenCopied({request, verdict}: Extract<HolderEvent, {kind: 'copied'}>, state: HolderState): Step {
-	const id = operationText(request.operation);
+	const id = operationId(request.operation);
 	const record = state.records.get(id);
 	if (record !== undefined && sameToken(record.token, request.token) && verdict === ClaimVerdict.held) {
 		storeCopies(state, id, record, record.copies.map(copy => sameInstance(copy.holder, request.holder) ? {...copy, resendAt: Number.POSITIVE_INFINITY} : copy));
--- a/packages/routing/src/claim.ts
+++ b/packages/routing/src/claim.ts
@@ -140,6 +140,6 @@
 }
 
 /** Returns a string key for an operation, different for different operations. */
-export function operationText(operation: Operation): string {
+export function operationId(operation: Operation): string {
 	return JSON.stringify([operation.service, operation.key, operation.operationKey]);
 }
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -17,7 +17,7 @@
 	adoptView, applyReport, expireRosters, type ClaimsView, type CopyReport, trackRoster, type TrackedRoster, remainingQueryTime, unsettledSeats, createView,
 } from './claim-rosters.js';
 import {
-	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationText, type StoredAnswer,
+	type ClaimAnswer, type ClaimDecision, type ClaimEnded, type ClaimRequest, type ClaimRoster, type ClaimSeat, type ClaimVerdict, type Operation, operationId, type StoredAnswer,
 } from './claim.js';
 import {
 	beginClaim, type ClaimantEffect, type ClaimantEvent, type ClaimantState, ClaimPhase, stepClaimant,
@@ -175,7 +175,7 @@
 		return {state, effects: [{kind: 'decide', sequence, decision}]};
 	}
 
-	const holders = claimHolders(state.rosters, operationText(event.operation), state.hash);
+	const holders = claimHolders(state.rosters, operationId(event.operation), state.hash);
 	const step = beginClaim({
 		operation: event.operation,
 		fingerprint: event.fingerprint,
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -11,7 +11,7 @@
 	assertNothingRanTwice, names, operations, seed,
 } from './claim-cases.js';
 import {FakeClaimNetwork, operationOf} from './fake-claim-network.js';
-import {operationText} from '@dogwooddeck/routing/claim';
+import {operationId} from '@dogwooddeck/routing/claim';
 import {holdersOf} from '@dogwooddeck/routing/claim-holders';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 
@@ -68,7 +68,7 @@
 for (const {name, copiesArrive, waits, expected} of lossCases) {
 	test(`claims beyond copies: ${name}`, () => {
 		const network = new FakeClaimNetwork(hash);
-		const holders = holdersOf(network.rosters[0]!, operationText(operationOf('one')), hash).map(seat => seat.name);
+		const holders = holdersOf(network.rosters[0]!, operationId(operationOf('one')), hash).map(seat => seat.name);
 		const entry = names.find(candidate => !holders.includes(candidate))!;
 		runOnce(network, entry, 'one');
 		for (const holder of holders) {
--- a/packages/routing/test/test-claims.ts
+++ b/packages/routing/test/test-claims.ts
@@ -7,7 +7,7 @@
 	assertNothingRanTwice, type Change, change, names, operations, seed,
 } from './claim-cases.js';
 import {FakeClaimNetwork, operationOf} from './fake-claim-network.js';
-import {operationText} from '@dogwooddeck/routing/claim';
+import {operationId} from '@dogwooddeck/routing/claim';
 import {holdersOf} from '@dogwooddeck/routing/claim-holders';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 
@@ -162,7 +162,7 @@
 for (const {name, lost, repaired, ends, expected} of lossCases) {
 	test(`claims: ${name}`, () => {
 		const network = new FakeClaimNetwork(hash);
-		const [first, second] = holdersOf(network.rosters[0]!, operationText(operationOf('one')), hash);
+		const [first, second] = holdersOf(network.rosters[0]!, operationId(operationOf('one')), hash);
 		const [entry, other] = names.filter(candidate => candidate !== first?.name && candidate !== second?.name);
 		const places = {entry: entry!, 'first holder': first!.name, 'second holder': second!.name};
 		network.begin(entry!, 'one');
@@ -188,7 +188,7 @@
 
 test('claims: a lost copy is resent, so that the record survives the loss of the other holder', () => {
 	const network = new FakeClaimNetwork(hash);
-	const [first, second] = holdersOf(network.rosters[0]!, operationText(operationOf('one')), hash);
+	const [first, second] = holdersOf(network.rosters[0]!, operationId(operationOf('one')), hash);
 	const entry = names.find(candidate => candidate !== first?.name && candidate !== second?.name);
 	network.begin(entry!, 'one');
 	network.settle();
--- a/packages/stand-in/test/test-claim-trials.ts
+++ b/packages/stand-in/test/test-claim-trials.ts
@@ -6,7 +6,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
 import {FailureKind} from '@dogwooddeck/model/failure';
-import {type ClaimSeat, operationText} from '@dogwooddeck/routing/claim';
+import {type ClaimSeat, operationId} from '@dogwooddeck/routing/claim';
 import {holdersOf} from '@dogwooddeck/routing/claim-holders';
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 import {request} from 'undici';
@@ -58,7 +58,7 @@
 
 async function holderNames(deployment: Deployment, {name, key}: Booking): Promise<readonly string[]> {
 	const {instances} = await deployment.read(deployment.instances[0]!, '/operator/members') as {readonly instances: readonly ClaimSeat[]};
-	const operation = operationText({service: 'bermrand/schedule', key, operationKey: name});
+	const operation = operationId({service: 'bermrand/schedule', key, operationKey: name});
 	return holdersOf({index: 0, seats: instances}, operation, hash).map(seat => seat.name);
 }
 
