--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -13,7 +13,7 @@
 import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {maySendAgain, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
+import {mayRetry, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 import {requestHeaders} from '@dogwooddeck/upstream-client/headers';
 import {
 	isForeign, isMisdirected, isNotRun, signalOf,
@@ -375,7 +375,7 @@
 			return;
 		}
 
-		if (!maySendAgain(seen, route.idempotent)) {
+		if (!mayRetry(seen, route.idempotent)) {
 			this.#refuse(Refusal.unknownOutcome);
 		} else if (this.#mayHaveRun >= route.maxAttempts || this.#tried.length >= tooManyAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -10,7 +10,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	maySendAgain, AttemptObservation, observationRules, statusOf,
+	mayRetry, AttemptObservation, observationRules, statusOf,
 } from './outcome.js';
 
 export const RequestPhase = {
@@ -173,7 +173,7 @@
 		return pauseBeforeRetry(uncounted, event.now, 0) ?? refuseByRule(uncounted, event);
 	}
 
-	const isRetryAllowed = event.budgetAllows && state.attempts < state.retry.attempts && maySendAgain(event.seen, state.idempotent);
+	const isRetryAllowed = event.budgetAllows && state.attempts < state.retry.attempts && mayRetry(event.seen, state.idempotent);
 	const pause = isRetryAllowed ? pauseBeforeRetry(state, event.now, event.retryAfterMilliseconds ?? 0) : undefined;
 	return pause ?? refuseByRule(state, event);
 }
--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -118,7 +118,7 @@
 };
 
 /** Whether a request may be retried after an observation. */
-export function maySendAgain(observation: AttemptObservation, idempotent: boolean): boolean {
+export function mayRetry(observation: AttemptObservation, idempotent: boolean): boolean {
 	return retryChecks[observationRules[observation].retryRule](idempotent);
 }
 
--- a/packages/routing/test/test-outcome.ts
+++ b/packages/routing/test/test-outcome.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Outcome} from '@dogwooddeck/model/outcome';
-import {maySendAgain, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
+import {mayRetry, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
 
 type Case = {readonly seen: AttemptObservation; readonly outcome: Outcome; readonly idempotentRetry: boolean; readonly otherRetry: boolean};
 
@@ -53,8 +53,8 @@
 for (const {seen, outcome, idempotentRetry: idempotentAgain, otherRetry: otherAgain} of cases) {
 	test(`outcome: ${seen}`, () => {
 		assert.equal(observationRules[seen].outcome, outcome);
-		assert.equal(maySendAgain(seen, true), idempotentAgain);
-		assert.equal(maySendAgain(seen, false), otherAgain);
+		assert.equal(mayRetry(seen, true), idempotentAgain);
+		assert.equal(mayRetry(seen, false), otherAgain);
 	});
 }
 
