--- a/packages/front/src/caller-server.ts
+++ b/packages/front/src/caller-server.ts
@@ -3,7 +3,7 @@
  * that a request meets no controller and no body parser on its way.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
-import {statusOf} from '@dogwooddeck/routing/outcome';
+import {httpStatusOf} from '@dogwooddeck/routing/outcome';
 import {outcomeOfRefusedHead, writeProblem} from '@dogwooddeck/upstream-client/problem';
 import {Module} from '@nestjs/common';
 import {type Result} from 'true-myth/result';
@@ -21,7 +21,7 @@
 /** Callers are told an outcome with every failure, in the form of the forwarder. */
 const refuse: Refuse = (reply, why) => {
 	reply.hijack();
-	writeProblem(reply.raw, why, statusOf(why.kind), outcomeOfRefusedHead(reply.request.headers));
+	writeProblem(reply.raw, why, httpStatusOf(why.kind), outcomeOfRefusedHead(reply.request.headers));
 };
 
 /** Starts the server. Fails with `unreachable` when the address can't be bound. */
--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -10,7 +10,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	mayRetry, AttemptObservation, observationRules, statusOf,
+	mayRetry, AttemptObservation, observationRules, httpStatusOf,
 } from './outcome.js';
 
 export const RequestPhase = {
@@ -102,7 +102,7 @@
 	return state.mayHaveRun && outcome === Outcome.notRun ? Outcome.unknown : outcome;
 }
 
-function refuseRequest(state: RequestState, why: Failure, outcome: Outcome, status = statusOf(why.kind)): Step {
+function refuseRequest(state: RequestState, why: Failure, outcome: Outcome, status = httpStatusOf(why.kind)): Step {
 	return ended(state, [{
 		kind: 'refuse', status, outcome: combinedOutcome(state, outcome), failure: why,
 	}]);
--- a/packages/routing/src/outcome.ts
+++ b/packages/routing/src/outcome.ts
@@ -138,6 +138,6 @@
 };
 
 /** Returns the HTTP status for a failure; 503 for the kinds that the table does not list. */
-export function statusOf(kind: FailureKind): number {
+export function httpStatusOf(kind: FailureKind): number {
 	return statusByFailure[kind] ?? serviceUnavailable;
 }
--- a/packages/upstream-client/src/forward.ts
+++ b/packages/upstream-client/src/forward.ts
@@ -4,7 +4,7 @@
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Failure, failure, FailureKind} from '@dogwooddeck/model/failure';
-import {statusOf} from '@dogwooddeck/routing/outcome';
+import {httpStatusOf} from '@dogwooddeck/routing/outcome';
 import {type Forwarder} from './forwarder.js';
 import {Forwarding} from './forwarding.js';
 import {outcomeOfRefusedHead, writeProblem} from './problem.js';
@@ -14,7 +14,7 @@
 const oldVersion = failure(FailureKind.malformed, 'HTTP/1.1 is needed');
 
 function refuseHead<Opened extends OpenedRequest, Owner extends RequestOwner>(path: RequestPath<Opened, Owner>, response: ServerResponse, why: Failure): void {
-	const status = statusOf(why.kind);
+	const status = httpStatusOf(why.kind);
 	const outcome = outcomeOfRefusedHead(response.req.headers);
 	writeProblem(response, why, status, outcome);
 	path.requestEnded(undefined, {
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -13,7 +13,7 @@
 	beginRequest, type RequestEffect, type RequestEvent, RequestPhase, type RequestState, stepRequest,
 } from '@dogwooddeck/routing/attempt';
 import {type ClaimDecision, type StoredAnswer} from '@dogwooddeck/routing/claim';
-import {type AttemptObservation, observationRules, statusOf} from '@dogwooddeck/routing/outcome';
+import {type AttemptObservation, observationRules, httpStatusOf} from '@dogwooddeck/routing/outcome';
 import {CallerAnswer} from './caller-answer.js';
 import {type SentRequest, type UpstreamClient} from './client.js';
 import {type Forwarder} from './forwarder.js';
@@ -170,7 +170,7 @@
 	}
 
 	/** Tells the caller why there is no answer. */
-	refuse(why: Failure, outcome: Outcome, status = statusOf(why.kind)): void {
+	refuse(why: Failure, outcome: Outcome, status = httpStatusOf(why.kind)): void {
 		if (!this.#over) {
 			this.#answer.refuse(why, status, outcome);
 			this.#finish(outcome, why);
