--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -12,7 +12,7 @@
 import {WaitingQueue} from '@dogwooddeck/gateway/waiting';
 import {type KeyRange, rangeOfKey, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {
-	allowsRetry, recordAttempt, boundBudget, createRetryBudget, type RetryBudget,
+	allowsRetry, recordAttempt, withCapacity, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
 import {type ConnectionTerms} from './connection.js';
 import {type EntrySettings} from './settings.js';
@@ -109,7 +109,7 @@
 
 		const savedRetries = Math.max(leastSavedRetries, this.#settings.retries.slack * slackShare / entryCount);
 		for (const service of this.#services.values()) {
-			service.budget = boundBudget(service.budget, savedRetries);
+			service.budget = withCapacity(service.budget, savedRetries);
 			service.upstreams = [...this.#upstreams.values()].filter(({record}) => record.service === service.name && record.state === UpstreamState.ready);
 		}
 	}
--- a/packages/routing/src/budget.ts
+++ b/packages/routing/src/budget.ts
@@ -24,7 +24,7 @@
 }
 
 /** Returns the budget with another capacity; a balance above it is lowered to it. */
-export function boundBudget(budget: RetryBudget, capacity: number): RetryBudget {
+export function withCapacity(budget: RetryBudget, capacity: number): RetryBudget {
 	return {...budget, capacity, balance: Math.min(budget.balance, capacity)};
 }
 
