--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -150,7 +150,7 @@
 	function admissionOf(address: string, slots: number): Admission {
 		const known = admissions.get(address);
 		if (known !== undefined) {
-			known.rebound(boundsOf(slots));
+			known.updateBounds(boundsOf(slots));
 			return known;
 		}
 
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -79,7 +79,7 @@
 	/** Removes a waiting ticket. */
 	leave(ticket: Ticket): void;
 	/** Applies new bounds after a change of the contract or of the number of instances. */
-	rebound(bounds: AdmissionBounds): void;
+	updateBounds(bounds: AdmissionBounds): void;
 };
 
 const latencySmoothingFactor = 0.1;
@@ -147,7 +147,7 @@
 		}
 	}
 
-	rebound(bounds: AdmissionBounds): void {
+	updateBounds(bounds: AdmissionBounds): void {
 		this.#bounds = bounds;
 		this.#fractionalLimit = Math.min(Math.max(this.#fractionalLimit, minimumLimit(bounds)), Math.max(1, bounds.slots));
 		this.#admitNext();
