--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -14,7 +14,7 @@
 import {type ClaimsView} from '@dogwooddeck/routing/claim-rosters';
 import {
 	acknowledgedBy, type AppliedIndexes, recordApplied, seatsBehind, appliedIndexesOf,
-} from '@dogwooddeck/routing/claim-spread';
+} from '@dogwooddeck/routing/applied-indexes';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 import {type ClaimCoordinator, createClaimCoordinator} from '@dogwooddeck/upstream-client/claim-coordinator';
 import {type PeerClients} from '@dogwooddeck/wire/client';
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -12,7 +12,7 @@
 } from '@dogwooddeck/routing/claims';
 import {copiedThrough} from '@dogwooddeck/routing/claim-holder';
 import {type CopyReport} from '@dogwooddeck/routing/claim-rosters';
-import {acknowledgedBy, type AppliedIndexes, recordApplied} from '@dogwooddeck/routing/claim-spread';
+import {acknowledgedBy, type AppliedIndexes, recordApplied} from '@dogwooddeck/routing/applied-indexes';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 
 export const lifetimeMilliseconds = 60_000;
