--- a/packages/routing/src/claim-holders.ts
+++ b/packages/routing/src/claim-holders.ts
@@ -51,8 +51,8 @@
  */
 export function claimHolders(rosters: readonly TrackedRoster[], operation: string, hash: TextHash): ClaimHolders {
 	const groups = rosters
-		.map((tracked, position) => ({tracked: tracked, position, group: holdersOf(tracked.roster, operation, hash)}))
-		.filter(({tracked: tracked, position, group}) => position === 0 || mustBeQueried(tracked, group))
+		.map((tracked, position) => ({tracked, position, group: holdersOf(tracked.roster, operation, hash)}))
+		.filter(({tracked, position, group}) => position === 0 || mustBeQueried(tracked, group))
 		.map(({group}) => group);
 	const different = groups.filter((group, position) => groups.findIndex(other => sameSeats(other, group)) === position);
 	return {current: different[0] ?? [], earlier: different.slice(1)};
--- a/packages/routing/src/claim-rosters.ts
+++ b/packages/routing/src/claim-rosters.ts
@@ -54,7 +54,7 @@
  * after that roster was applied: an older report may miss records that were copied to
  * the instance afterwards, by holders that have reported since.
  */
-export function applyReport(rosters: readonly TrackedRoster[], {seat, requesterRosterIndex: requesterRosterIndex, copiedThrough}: CopyReport): readonly TrackedRoster[] {
+export function applyReport(rosters: readonly TrackedRoster[], {seat, requesterRosterIndex, copiedThrough}: CopyReport): readonly TrackedRoster[] {
 	const [newest, ...earlier] = rosters;
 	if (newest === undefined || newest.roster.seats.length === 0 || requesterRosterIndex !== newest.roster.index || copiedThrough !== requesterRosterIndex) {
 		return rosters;
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -4,6 +4,7 @@
  */
 import {type InstanceIdentity} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
+import {acknowledgedBy, type AppliedIndexes, recordApplied} from '@dogwooddeck/routing/applied-indexes';
 import {
 	type Operation, type ClaimEnded, ClaimPurpose, type ClaimRequest, type ClaimAnswer, type ClaimDecision, type ClaimRoster, type StoredAnswer,
 } from '@dogwooddeck/routing/claim';
@@ -12,7 +13,6 @@
 } from '@dogwooddeck/routing/claims';
 import {copiedThrough} from '@dogwooddeck/routing/claim-holder';
 import {type CopyReport} from '@dogwooddeck/routing/claim-rosters';
-import {acknowledgedBy, type AppliedIndexes, recordApplied} from '@dogwooddeck/routing/applied-indexes';
 import {type TextHash} from '@dogwooddeck/routing/text-hash';
 
 export const lifetimeMilliseconds = 60_000;
@@ -193,7 +193,7 @@
 		const requesterRosterIndex = claims?.rosters[0]?.roster.index ?? 0;
 		for (const other of claims === undefined ? [] : this.#reachable(name)) {
 			const {self, holder} = other.claims;
-			this.#reports.push({to: claims!.self, report: {seat: self, requesterRosterIndex: requesterRosterIndex, copiedThrough: copiedThrough(holder)}});
+			this.#reports.push({to: claims!.self, report: {seat: self, requesterRosterIndex, copiedThrough: copiedThrough(holder)}});
 		}
 	}
 
