--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -16,7 +16,7 @@
 export type Ticket = {
 	readonly importance: Importance;
 	readonly deadline: MonotonicTime;
-	/** Called once when a queued ticket gets a slot, from within `finish` or `rebound`. */
+	/** Called once when a queued ticket gets a slot, from within `finish` or `updateBounds`. */
 	readonly admitted: () => void;
 	/** Called once when a more important ticket evicts this one from the queue. */
 	readonly refused: (why: Failure) => void;
--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -50,9 +50,9 @@
 	/** The newest roster that this instance has applied or a request has named; older ones are refused. */
 	readonly rosterIndex: LogIndex;
 	readonly answerBytes: number;
-	/** Records by `operationText`. Mutated in place, by this module alone, instead of copied, since it may hold the claims of hours. */
+	/** Records by `operationId`. Mutated in place, by this module alone, instead of copied, since it may hold the claims of hours. */
 	readonly records: Map<string, ClaimRecord>;
-	/** The `operationText` of the records with unacknowledged copies. Mutated in place, as `records` is. */
+	/** The `operationId` of the records with unacknowledged copies. Mutated in place, as `records` is. */
 	readonly pendingCopies: Set<string>;
 	/** The newest roster that this instance has applied; copies are sent to its seats alone. */
 	readonly roster: ClaimRoster;
--- a/packages/routing/src/claims.ts
+++ b/packages/routing/src/claims.ts
@@ -75,7 +75,7 @@
 	| {readonly kind: 'roster'; readonly now: MonotonicTime; readonly roster: ClaimRoster}
 	/** This instance missed rosters before the newest that it has. Nothing is claimed until a view is adopted or one lifetime has passed. */
 	| {readonly kind: 'rosters-missed'; readonly now: MonotonicTime}
-	/** Another instance sent the view that it was asked for. */
+	/** Another instance sent the view that this one requested. */
 	| {readonly kind: 'view-told'; readonly now: MonotonicTime; readonly view: ClaimsView}
 	/** An instance reported whether its records are copied. */
 	| {readonly kind: 'copies-told'; readonly now: MonotonicTime; readonly report: CopyReport}
--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -29,7 +29,13 @@
 };
 
 type Packet = {readonly from: InstanceIdentity; readonly to: InstanceIdentity; readonly content: ClaimRequest | ClaimEnded | ClaimAnswer; readonly copyRequest?: ClaimRequest};
-type Member = {claims: ClaimsState; applied: number; hasView: boolean; appliedIndexes: AppliedIndexes; readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>};
+type Member = {
+	claims: ClaimsState;
+	applied: number;
+	hasView: boolean;
+	appliedIndexes: AppliedIndexes;
+	readonly begun: Map<number, {readonly operation: string; readonly at: number; decided: boolean}>;
+};
 
 const seats = [
 	{name: 'a', zone: 'noord-1'},
@@ -56,7 +62,7 @@
 
 	/**
 	 * `rostersAtStart`: how many of the newest rosters an instance has when it starts.
-	 * `looksForView`: whether it treats them as incomplete, and adopts the view of another instance.
+	 * `adoptsView`: whether it treats them as incomplete, and adopts the view of another instance.
 	 */
 	constructor(hash: TextHash, rostersAtStart = Infinity, adoptsView = false) {
 		this.#adoptsView = adoptsView;
@@ -187,7 +193,7 @@
 		}
 	}
 
-	/** Requests a copy report from every instance that one can reach, as the sweep does. The reports arrive later, by `tell`. */
+	/** Requests a copy report from every instance that one can reach, as the sweep does. The reports arrive later, by `deliverReports`. */
 	requestReports(name: string): void {
 		const claims = this.#members.get(name)?.claims;
 		const requesterRosterIndex = claims?.rosters[0]?.roster.index ?? 0;
--- a/packages/routing/test/test-target.ts
+++ b/packages/routing/test/test-target.ts
@@ -118,14 +118,14 @@
 }
 
 const deadlineCases = [
-	{asked: undefined, expected: 1600},
-	{asked: '300', expected: 400},
-	{asked: '90000', expected: 1600},
-	{asked: 'soon', expected: 1600},
-	{asked: '-1', expected: 1600},
+	{requested: undefined, expected: 1600},
+	{requested: '300', expected: 400},
+	{requested: '90000', expected: 1600},
+	{requested: 'soon', expected: 1600},
+	{requested: '-1', expected: 1600},
 ];
 
-for (const {asked: requested, expected} of deadlineCases) {
+for (const {requested, expected} of deadlineCases) {
 	test(`deadline: a caller requests ${requested}`, () => {
 		const contract = contractOf('s', '/s', {place: KeyLocation.path, segment: 0});
 		assert.equal(deadlineOf(contract, headOf('/s/a', {'dogwooddeck-deadline': requested}), 100), expected);
