--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -21,7 +21,7 @@
 	/** Waits before the next admission. */
 	pausing: 'pausing',
 	/** The caller has its response, or is gone. */
-	endRequest: 'ended',
+	ended: 'ended',
 } as const;
 
 export type RequestPhase = (typeof RequestPhase)[keyof typeof RequestPhase];
@@ -95,7 +95,7 @@
 }
 
 function ended(state: RequestState, effects: readonly RequestEffect[]): Step {
-	return {state: {...state, phase: RequestPhase.endRequest}, effects};
+	return {state: {...state, phase: RequestPhase.ended}, effects};
 }
 
 function combinedOutcome(state: RequestState, outcome: Outcome): Outcome {
@@ -188,7 +188,7 @@
 
 /** An attempt in flight is ended by its own deadline, so that the outcome is taken from what was observed of it. */
 function whenDeadlinePassed(_event: RequestEvent, state: RequestState): Step {
-	if (state.phase === RequestPhase.sending || state.phase === RequestPhase.endRequest) {
+	if (state.phase === RequestPhase.sending || state.phase === RequestPhase.ended) {
 		return {state, effects: []};
 	}
 
@@ -197,7 +197,7 @@
 }
 
 function whenCallerGone(_event: RequestEvent, state: RequestState): Step {
-	return state.phase === RequestPhase.endRequest ? {state, effects: []} : ended(state, [{kind: 'cancel'}]);
+	return state.phase === RequestPhase.ended ? {state, effects: []} : ended(state, [{kind: 'cancel'}]);
 }
 
 const handlers: HandlerTable<RequestEvent, [RequestState], Step> = {
