--- a/packages/routing/src/attempt.ts
+++ b/packages/routing/src/attempt.ts
@@ -94,7 +94,7 @@
 	return {state, effects: [{kind: 'admit'}]};
 }
 
-function ended(state: RequestState, effects: readonly RequestEffect[]): Step {
+function endRequest(state: RequestState, effects: readonly RequestEffect[]): Step {
 	return {state: {...state, phase: RequestPhase.ended}, effects};
 }
 
@@ -103,7 +103,7 @@
 }
 
 function refuseRequest(state: RequestState, why: Failure, outcome: Outcome, status = httpStatusOf(why.kind)): Step {
-	return ended(state, [{
+	return endRequest(state, [{
 		kind: 'refuse', status, outcome: combinedOutcome(state, outcome), failure: why,
 	}]);
 }
@@ -160,12 +160,12 @@
 	}
 
 	if (event.seen === AttemptObservation.wholeAnswer) {
-		return ended(before, [{kind: 'complete'}]);
+		return endRequest(before, [{kind: 'complete'}]);
 	}
 
 	const state = {...before, mayHaveRun: before.mayHaveRun || observationRules[event.seen].outcome !== Outcome.notRun};
 	if (event.headPassed) {
-		return ended(state, [{kind: 'break'}]);
+		return endRequest(state, [{kind: 'break'}]);
 	}
 
 	if (event.seen === AttemptObservation.leaseLost) {
@@ -197,7 +197,7 @@
 }
 
 function whenCallerGone(_event: RequestEvent, state: RequestState): Step {
-	return state.phase === RequestPhase.ended ? {state, effects: []} : ended(state, [{kind: 'cancel'}]);
+	return state.phase === RequestPhase.ended ? {state, effects: []} : endRequest(state, [{kind: 'cancel'}]);
 }
 
 const handlers: HandlerTable<RequestEvent, [RequestState], Step> = {
