--- a/packages/routing/test/fake-claim-network.ts
+++ b/packages/routing/test/fake-claim-network.ts
@@ -215,7 +215,7 @@
 	}
 
 	/** The names of the instances whose copy reports one instance still needs. */
-	awaited(name: string): readonly string[] {
+	missingReports(name: string): readonly string[] {
 		return awaitedReports(this.#members.get(name)!.claims).map(seat => seat.name);
 	}
 
--- a/packages/routing/test/test-claims-beyond-copies.ts
+++ b/packages/routing/test/test-claims-beyond-copies.ts
@@ -279,7 +279,7 @@
 			network.settle();
 			network.advance(1000);
 			network.advance(1000);
-			assert.ok(network.live.every(other => network.awaited(other).length === 0), 'a report is missing');
+			assert.ok(network.live.every(other => network.missingReports(other).length === 0), 'a report is missing');
 			network.kill(name);
 			network.restart(name);
 			learnAll(network);
