--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -112,8 +112,8 @@
 
 /** Refuses the request with an unknown outcome: nothing is sent now, but an earlier send of the operation may have run. */
 function refuseAsUnavailable(state: ClaimantState, detail: string): Step {
-	const {refusalMilliseconds: refusedForMilliseconds} = state;
-	const details = refusedForMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusedForMilliseconds)};
+	const {refusalMilliseconds: refusalMilliseconds} = state;
+	const details = refusalMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusalMilliseconds)};
 	return endUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
 }
 
