--- a/packages/routing/src/claimant.ts
+++ b/packages/routing/src/claimant.ts
@@ -112,7 +112,7 @@
 
 /** Refuses the request with an unknown outcome: nothing is sent now, but an earlier send of the operation may have run. */
 function refuseAsUnavailable(state: ClaimantState, detail: string): Step {
-	const {refusalMilliseconds: refusalMilliseconds} = state;
+	const {refusalMilliseconds} = state;
 	const details = refusalMilliseconds === undefined ? {} : {retryAfterMilliseconds: Math.ceil(refusalMilliseconds)};
 	return endUnsent(state, {kind: 'refuse', failure: failure(FailureKind.claimUnavailable, detail, details), outcome: Outcome.unknown});
 }
