--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -58,7 +58,7 @@
 
 /** The bounds of one upstream's admission. */
 export type AdmissionBounds = {
-	/** The requests that the upstream processes concurrently. */
+	/** The most requests that the upstream processes concurrently, from all instances. */
 	readonly slots: number;
 	/** The instances that send to it, including this one. */
 	readonly instances: number;
--- a/packages/routing/src/claim-holder.ts
+++ b/packages/routing/src/claim-holder.ts
@@ -222,7 +222,7 @@
 	'claim-ended': whenEnded,
 };
 
-/** Removes expired records. They are stored in the order of their claims, so the expired ones come first; a copy may be kept slightly longer. */
+/** Removes expired records. Records are stored in the order of their claims, so the expired ones come first; a copy may be kept slightly longer. */
 function withoutExpired(before: HolderState, now: MonotonicTime): HolderState {
 	let state = before;
 	for (const [id, record] of before.records) {
