--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -1,10 +1,10 @@
 /**
- * The admission of requests under a limit, at one instance. The share of the
- * limit may change at any time; 0 is the share of an instance that holds none.
+ * Admits requests under a rate limit at one instance. The instance's share of
+ * the limit may change at any time; it is 0 for an instance that holds no share.
  *
- * Sliding: no stretch of `burst` intervals has more than `burst` times the share.
- * Fixed: a window has the share, and what earlier windows left of theirs, up to
- * `burst` times the share together.
+ * Sliding window: any period of `burst` intervals admits at most `burst` times the share.
+ * Fixed window: a window admits the share plus what earlier windows left unused,
+ * in total up to `burst` times the share.
  */
 import {WindowForm} from '@dogwooddeck/model/contract';
 import {type Milliseconds, type MonotonicTime, type WallTime} from '@dogwooddeck/model/identifiers';
@@ -12,28 +12,28 @@
 
 const slicesInWindow = 64;
 
-/** What was used in a slice of time, numbered from the start of the monotonic clock. */
+/** The use within one slice of a sliding window. Slices are numbered from the origin of the monotonic clock. */
 type Slice = {readonly number: number; readonly used: number};
 
 type FixedUse = {
-	/** The number of the window since 1970; it never goes back, even where the wall clock does. */
+	/** The number of the window, counted from the Unix epoch. Never decreases, even if the wall clock is set back. */
 	readonly number: number;
 	readonly used: number;
-	/** What was used in the window before this one. */
+	/** The use within the preceding window. */
 	readonly usedBefore: number;
 	readonly carried: number;
-	/** The least share that was seen in the window: what it may leave to the next. */
+	/** The smallest share during the window, which bounds the unused amount that it leaves to the next. */
 	readonly leastShare: number;
 };
 
-/** The use of a limit so far. */
+/** The recorded use of one limit. */
 export type BucketState = {
 	readonly limit: EffectiveLimit;
 	readonly slices: readonly Slice[];
 	readonly fixed: FixedUse;
 };
 
-/** Whether a request may go on, and if not, when to come again. */
+/** Whether a request is admitted, and if not, when it may be retried. */
 export type Admission = {
 	readonly state: BucketState;
 	readonly admitted: boolean;
@@ -41,7 +41,7 @@
 	readonly retryAfterMilliseconds: Milliseconds;
 };
 
-/** A bucket from which nothing was used. */
+/** Creates a bucket without recorded use. */
 export function createBucket(limit: EffectiveLimit): BucketState {
 	return {
 		limit, slices: [], fixed: {
@@ -54,7 +54,7 @@
 	return windowMilliseconds(limit) / slicesInWindow;
 }
 
-/** When a slice stops to count: a whole window after its end. */
+/** The time at which a slice stops counting: a whole window after its end. */
 function sliceEnd(limit: EffectiveLimit, slice: Slice): MonotonicTime {
 	return ((slice.number + 1) * sliceMilliseconds(limit)) + windowMilliseconds(limit);
 }
@@ -112,8 +112,8 @@
 }
 
 /**
- * Admits a request that costs so many counted things, or refuses it. A cost of 0
- * notes a change of the share, which a fixed window with a burst has to see.
+ * Admits or rejects a request that costs `cost` counted items. A cost of 0 records
+ * a change of the share, which a fixed window with a burst has to take into account.
  */
 export function admit(state: BucketState, nowWall: WallTime, nowMonotonic: MonotonicTime, cost: number, shareAmount: number): Admission {
 	return state.limit.window === WindowForm.sliding
@@ -132,9 +132,9 @@
 }
 
 /**
- * The share that accounts for what was used within the last window: what an
- * instance reports when its share shrinks. With fixed windows, one that ended
- * within the skew of the wall clocks counts as well.
+ * Returns the use within the last window, expressed as a share. An instance
+ * reports it when its share shrinks. A fixed window that ended within the skew
+ * of the wall clocks also counts.
  */
 export function usedShare(state: BucketState, nowWall: WallTime, nowMonotonic: MonotonicTime, skewMilliseconds: Milliseconds): number {
 	const used = state.limit.window === WindowForm.sliding ? usedSliding(state, nowMonotonic) : usedFixed(state, nowWall, skewMilliseconds);
--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -1,32 +1,34 @@
 /**
- * Divides one amount over holders in leased shares: control over the
- * availability zones, a zone's steward over its instances.
+ * Divides one amount among holders as leased shares: control among the
+ * availability zones, a zone's steward (its elected lease distributor) among
+ * the instances of the zone.
  *
- * What a holder may have used counts against the amount for as long as a window
- * remembers it. So a share that becomes smaller is handed on only when a window
- * has passed after the old one's end, or as far as the holder says that it didn't
- * use it: what holders may use within any window never sums to more than the amount.
+ * What a holder may have used counts against the amount for as long as it lies
+ * within a window. When a share shrinks, the difference is therefore granted to
+ * others only once a window has passed after the end of the old share, or as far
+ * as the holder reports that it didn't use it. The use that is possible within
+ * any window never sums to more than the amount.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 
-/** What is fixed for one division. Times include the drift of the holders' clocks. */
+/** The parameters of one division. Times include the drift of the holders' clocks. */
 export type DivisionOptions = {
-	/** How long a share holds. */
+	/** How long a share is valid. */
 	readonly shareMilliseconds: Milliseconds;
-	/** How long a window remembers what was used. */
+	/** How long past use counts in a window. */
 	readonly windowMilliseconds: Milliseconds;
-	/** Added to each share's end: the drift of monotonic clocks, and for fixed windows the skew of wall clocks. */
+	/** Added to the end of each share to cover the drift of monotonic clocks and, for fixed windows, the skew of wall clocks. */
 	readonly marginMilliseconds: Milliseconds;
-	/** The part of an equal share that every holder gets, wanted or not. */
+	/** The fraction of an equal share that every holder gets, whether it wants it or not. */
 	readonly floorRatio: number;
-	/** The part of an equal share that is kept for each expected holder that didn't ask yet. */
+	/** The fraction of an equal share that is reserved for each expected holder that has not requested a share yet. */
 	readonly reserveRatio: number;
-	/** What a holder gets, as a multiple of what it wanted. */
+	/** The most that a holder gets, as a multiple of what it wants. */
 	readonly headroomRatio: number;
 };
 
-/** A share that may be in force, or remembered by a window, until a time. */
+/** A share that may be in force, or whose use may count in a window, until a time. */
 type Commitment = {readonly amount: number; readonly until: MonotonicTime};
 
 type Holder = {
@@ -34,7 +36,7 @@
 	readonly wanted: number;
 	readonly heardAt: MonotonicTime;
 	readonly sequence: number;
-	/** From the greatest amount to the one that lasts longest. */
+	/** Ordered from the greatest amount to the latest end. */
 	readonly commitments: readonly Commitment[];
 };
 
@@ -42,35 +44,35 @@
 export type DivisionState = {
 	readonly options: DivisionOptions;
 	readonly amount: number;
-	/** The end of the right to divide: the divider's own share. Infinity for control. */
+	/** The end of the divider's own share, and so of its right to divide. Infinity for control. */
 	readonly validUntil: MonotonicTime;
-	/** Before this, shares of an earlier divider may be in force: holders keep at most what they hold. */
+	/** Until this time, shares of an earlier divider may be in force, and holders keep at most what they hold. */
 	readonly freeAt: MonotonicTime;
 	readonly holders: readonly Holder[];
 };
 
-/** What happens to a division. */
+/** The events that a division handles. */
 export type DivisionEvent =
 	| {
 		readonly kind: 'shareRequested';
 		readonly now: MonotonicTime;
-		/** One life of a holder: one that forgot what it used needs another name. */
+		/** One incarnation of a holder: a holder that lost the record of its use needs another name. */
 		readonly holder: string;
-		/** Grows with each request of the holder, which takes only the answer to its newest one. */
+		/** Increases with each request of the holder, which accepts only the answer to its latest request. */
 		readonly sequence: number;
-		/** In counted things an interval. */
+		/** In counted items per interval. */
 		readonly wanted: number;
-		/** The share that is in force at the holder; 0 where none is. */
+		/** The share that is in force at the holder; 0 if there is none. */
 		readonly held: number;
-		/** The greater of `held` and what was used within the last window, as a share; infinite where the holder can't tell. */
+		/** The greater of `held` and what was used within the last window, as a share; infinite if the holder doesn't know. */
 		readonly usable: number;
-		/** How many holders may ask, those that did among them. */
+		/** How many holders may request shares, including those that already did. */
 		readonly expected: number;
 	}
-	/** The amount, or the divider's own share, is another. */
+	/** The amount, or the end of the divider's own share, changed. */
 	| {readonly kind: 'amountChanged'; readonly now: MonotonicTime; readonly amount: number; readonly validUntil: MonotonicTime};
 
-/** The answer to a request, counted by the holder from when it sent the request. */
+/** The answer to a request. The holder counts the validity from when it sent the request. */
 export type DivisionEffect = {
 	readonly kind: 'shareGranted';
 	readonly holder: string;
@@ -82,14 +84,14 @@
 	return shareMilliseconds + windowMilliseconds + marginMilliseconds;
 }
 
-/** A division that knows of no shares, as after a change of the leader or steward. */
+/** Creates a division without a record of earlier shares, as after a change of the leader or steward. */
 export function createDivision(options: DivisionOptions, amount: number, validUntil: MonotonicTime, now: MonotonicTime): DivisionState {
 	return {
 		options, amount, validUntil, freeAt: now + memoryMilliseconds(options), holders: [],
 	};
 }
 
-/** A division of an amount that was never divided before: all of it is free. */
+/** Creates a division of an amount that was never divided before, so that all of it is available at once. */
 export function createFirstDivision(options: DivisionOptions, amount: number, validUntil: MonotonicTime, now: MonotonicTime): DivisionState {
 	return {...createDivision(options, amount, validUntil, now), freeAt: now};
 }
@@ -98,7 +100,7 @@
 	return holder.commitments.find(({until}) => until > now)?.amount ?? 0;
 }
 
-/** What no other holder may have used within a window. */
+/** The part of the amount that no other holder may have used within a window. */
 function freeFor(state: DivisionState, name: string, now: MonotonicTime): number {
 	const others = state.holders.filter(holder => holder.name !== name);
 	return Math.max(0, state.amount - others.reduce((sum, holder) => sum + committedTo(holder, now), 0));
@@ -108,7 +110,7 @@
 	return Math.max(options.floorRatio * amount / count, holder.wanted);
 }
 
-/** The part of each holder, in the order given, such that none gets more than it wants and all others get the same. */
+/** The max-min fair part of each holder, in the order given: no holder gets more than it wants, and all that get less than they want get the same. */
 function maxMinParts(amount: number, wanted: readonly number[]): readonly number[] {
 	const order = [...wanted.keys()].sort((one, other) => wanted[one]! - wanted[other]!);
 	const parts = [...wanted];
@@ -122,9 +124,9 @@
 }
 
 /**
- * The max-min fair part of the amount for a holder, and of what nobody wants a
- * part in proportion to it. Holders that are expected and didn't ask yet have a
- * small part as well, so that those who come first don't take all.
+ * The max-min fair part of the amount for a holder, plus a proportional part of
+ * what no holder wants. A small part is reserved for each expected holder that has
+ * not requested a share yet, so that the first to request don't get everything.
  */
 function fairShare(state: DivisionState, name: string, expected: number, now: MonotonicTime): number {
 	const {amount, options} = state;
@@ -138,12 +140,12 @@
 	return sum === 0 ? 0 : part * Math.min(options.headroomRatio, amount / sum);
 }
 
-/** A greater share that the holder no longer has counts only as far as it was used: any later window holds `now`. */
+/** Counts a greater share that the holder no longer has only as far as it was used: any later window that reaches back to it includes `now`. */
 function forgetUnused(holder: Holder, usable: number): Holder {
 	return {...holder, commitments: holder.commitments.map(({amount, until}) => ({amount: Math.min(amount, usable), until}))};
 }
 
-/** What a divider reports as `usable` to the one above it. */
+/** What a divider reports as `usable` to the divider above it. */
 export function usableUnder(state: DivisionState, now: MonotonicTime): number {
 	const handedOut = state.holders.reduce((sum, holder) => sum + committedTo(holder, now), 0);
 	return now < state.freeAt ? Infinity : Math.max(state.amount, handedOut);
@@ -167,7 +169,7 @@
 
 type ShareRequest = Extract<DivisionEvent, {readonly kind: 'shareRequested'}>;
 
-/** The holder with what its request says. */
+/** Returns the holder, updated by its request. */
 function noteRequest(state: DivisionState, request: ShareRequest): Holder {
 	const {holder: name, now, wanted, sequence, usable} = request;
 	const commitments = state.holders.find(holder => holder.name === name)?.commitments ?? [];
@@ -207,7 +209,7 @@
 	amountChanged: ({amount, validUntil}, state) => ({state: {...state, amount, validUntil}, effects: []}),
 };
 
-/** Takes one event in. */
+/** Applies one event to a division. */
 export function stepDivision(state: DivisionState, event: DivisionEvent): Transition<DivisionState, DivisionEffect> {
 	return dispatch(handlers, event, state);
 }
--- a/packages/limits/src/growth.ts
+++ b/packages/limits/src/growth.ts
@@ -1,9 +1,9 @@
-/** When a share that is spent is asked for anew at once, rather than at the next regular demand. */
+/** Decides whether an exhausted share is requested again at once, rather than with the next regular demand. */
 
-/** By how much the wanted costs have to grow, so that a limit which is truly spent makes few demands: their number grows by the logarithm. */
+/** The factor by which the wanted cost must grow. It keeps demands for an exhausted limit few: their number grows with the logarithm of the wanted cost. */
 const growthRatio = 2;
 
-/** What a share was given for, and what is wanted now, both in counted things an interval. */
+/** A share, what was wanted when it was granted and what is wanted now, all in counted items per interval. */
 export type ShareUse = {
 	readonly share: number;
 	/** The whole contracted amount. */
@@ -13,8 +13,8 @@
 };
 
 /**
- * Whether a share that is spent may be larger for the asking: it is less than the
- * whole, and much more is wanted than when it was given.
+ * Whether a new request may return a larger share: the share is less than the
+ * whole amount, and much more is wanted than when it was granted.
  */
 export function mayGrow({share, amount, answeredFor, wanted}: ShareUse): boolean {
 	return share < amount && wanted >= growthRatio * answeredFor;
--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -1,36 +1,37 @@
 /**
- * When a divider may hand out a part of a limit whose contract changed. A part
- * that grows while the rest of the limit shrinks grows by what other dividers
- * handed out before: it waits until their shares are remembered by no window.
+ * Determines when a divider may hand out its part of a limit whose contract
+ * changed. A part that grows while the rest of the limit shrinks grows by what
+ * other dividers handed out before: it waits until their shares no longer count
+ * in any window.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type LimitPart} from './reserve.js';
 
 /** A divider's part of a limit, for all callers. */
 export type PartState = {
-	/** What may be handed out before `growsAt`. */
+	/** The most that may be handed out before `growsAt`. */
 	readonly amountBefore: number;
 	readonly amount: number;
-	/** What belongs to other dividers. */
+	/** The part of the limit that belongs to other dividers. */
 	readonly rest: number;
 	readonly growsAt: MonotonicTime;
-	/** Before this, an earlier divider's shares may be in force: holders keep at most what they hold. */
+	/** Until this time, shares of an earlier divider may be in force, and holders keep at most what they hold. */
 	readonly freeAt: MonotonicTime;
 };
 
-/** The part as a divider sees it first. */
+/** Creates the state of a part that a divider divides for the first time. */
 export function createPart({limit, amount}: LimitPart, now: MonotonicTime, freeAt: MonotonicTime): PartState {
 	return {
 		amountBefore: amount, amount, rest: limit.amount - amount, growsAt: now, freeAt,
 	};
 }
 
-/** What may be handed out now. */
+/** Returns the amount that may be handed out now. */
 export function amountNow({amountBefore, amount, growsAt}: PartState, now: MonotonicTime): number {
 	return now < growsAt ? Math.min(amountBefore, amount) : amount;
 }
 
-/** The part under the contract of now; where it grows at the cost of other dividers, they have `settlingMilliseconds` to shrink theirs. */
+/** Updates the part to the current contract. If it grows at the expense of other dividers, they have `settlingMilliseconds` to shrink theirs. */
 export function changePart(state: PartState, {limit, amount}: LimitPart, now: MonotonicTime, settlingMilliseconds: Milliseconds): PartState {
 	const rest = limit.amount - amount;
 	if (amount === state.amount && rest === state.rest) {
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -1,8 +1,9 @@
 /**
- * Divides a divider's part of every limit over the instances that ask, one
- * division for each limit and caller: for control over all instances, for a
- * zone's steward over those of the zone. A new divider doesn't know what its
- * predecessor gave, but for services that came after a new leader of control.
+ * Divides a divider's part of every limit among the instances that request
+ * shares, with one division for each limit and caller. Control divides among all
+ * instances, a zone's steward (its elected lease distributor) among those of the
+ * zone. A new divider doesn't know what its predecessor granted, except that a
+ * leader of control knows that services added after its start had no shares.
  */
 import {type Milliseconds, type MonotonicTime, type ServiceName} from '@dogwooddeck/model/identifiers';
 import {type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
@@ -15,11 +16,11 @@
 import {type LimitPart} from './reserve.js';
 import {type EffectiveLimit, windowMilliseconds} from './unit.js';
 
-/** How long a share holds. In a cut, an instance may go on with control's shares for this long. */
+/** How long a share is valid. During a partition, an instance may continue to use control's shares for this long. */
 export const shareMilliseconds: Milliseconds = 15_000;
-/** Drift of monotonic clocks over a share, and skew of wall clocks for fixed windows. */
+/** Covers the drift of monotonic clocks while a share is valid and, for fixed windows, the skew of wall clocks. */
 const marginMilliseconds: Milliseconds = 1000;
-/** The time in which every instance that is not cut off has applied a change of the contract. */
+/** The time within which every instance that is not partitioned has applied a change of the contract. */
 const learningMilliseconds: Milliseconds = 5000;
 const floorRatio = 0.25;
 const reserveRatio = 0.1;
@@ -28,7 +29,7 @@
 /** All divisions of one leader or steward. */
 export type SharingState = {
 	readonly startedAt: MonotonicTime;
-	/** The services that an earlier leader may have divided limits of. Absent: others may have divided any limit just before it is asked for first. */
+	/** The services whose limits an earlier leader may have divided. Absent: other dividers may have divided any limit until just before its first demand. */
 	readonly servicesBefore?: readonly ServiceName[];
 	/** By `partKey`. */
 	readonly parts: Readonly<Record<string, PartState>>;
@@ -36,14 +37,14 @@
 	readonly divisions: Readonly<Record<string, DivisionState>>;
 };
 
-/** The sharing of a leader that begins now. */
+/** Creates the state of a leader that starts now. */
 export function createSharing(now: MonotonicTime, servicesBefore: readonly ServiceName[]): SharingState {
 	return {
 		startedAt: now, servicesBefore, parts: {}, divisions: {},
 	};
 }
 
-/** The sharing of a zone's steward that begins now. What it divides may have been control's before. */
+/** Creates the state of a zone's steward that starts now. What it divides may have been part of control's before. */
 export function createZoneSharing(now: MonotonicTime): SharingState {
 	return {startedAt: now, parts: {}, divisions: {}};
 }
@@ -64,12 +65,12 @@
 	};
 }
 
-/** How long a share may count after it was given. */
+/** How long a share may count after it was granted. */
 function memoryMilliseconds(limit: EffectiveLimit): Milliseconds {
 	return shareMilliseconds + windowMilliseconds(limit) + marginMilliseconds;
 }
 
-/** When nobody else's shares of a limit that is asked for first are remembered any more. */
+/** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
 function firstFreeAt({startedAt, servicesBefore}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
 	if (servicesBefore === undefined) {
 		return now + memoryMilliseconds(limit) + learningMilliseconds;
@@ -105,15 +106,15 @@
 export type NamedPart = LimitName & {readonly part: LimitPart};
 
 /**
- * Sees every part under a changed contract, also those of limits that nobody
- * asks for: a part that was smaller in between has to wait before it grows.
+ * Updates all parts to a changed contract, including those of limits without
+ * demands: a part that was smaller in between has to wait before it grows.
  */
 export function noteParts(state: SharingState, parts: readonly NamedPart[], now: MonotonicTime): SharingState {
 	const noted = parts.map(({part, ...name}) => [partKey(name), partOf(state, name, part, now)] as const);
 	return {...state, parts: {...state.parts, ...Object.fromEntries(noted)}};
 }
 
-/** Answers one demand. The sum of the shares in force never exceeds the part; some of it is kept for those of the `instances` that didn't ask yet. */
+/** Answers one demand. The shares in force never sum to more than the part; some of it is reserved for those of the `instances` that have not sent a demand yet. */
 export function shareOut(
 	state: SharingState,
 	demand: LimitDemand,
@@ -139,14 +140,14 @@
 	};
 }
 
-/** Drops the divisions that nobody holds a share of any more. */
+/** Drops the divisions in which no holder has a share any more. */
 export function sweepSharing(state: SharingState, now: MonotonicTime): SharingState {
 	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({heardAt}) =>
 		now < heardAt + options.shareMilliseconds + options.windowMilliseconds + options.marginMilliseconds));
 	return kept.length === Object.keys(state.divisions).length ? state : {...state, divisions: Object.fromEntries(kept)};
 }
 
-/** Answers demands in their order, but for those whose limit the contract doesn't have. */
+/** Answers demands in order, except those whose limit is not in the contract. */
 export function shareOutAll(
 	state: SharingState,
 	demanded: ReadonlyArray<{readonly demand: LimitDemand; readonly part: LimitPart | undefined}>,
--- a/packages/limits/src/unit.ts
+++ b/packages/limits/src/unit.ts
@@ -1,5 +1,5 @@
 /**
- * What a limit that is quoted in a declared legacy unit comes to.
+ * Converts limits that are quoted in declared legacy units to counted items.
  */
 import {
 	Rounding, WindowForm, type ContractedLimit, type CountedQuantity, type LegacyUnit, type LimitScope,
@@ -8,9 +8,9 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** A limit in whole counted things. */
+/** A limit in whole counted items. */
 export type EffectiveLimit = {
-	/** Counted things an interval. */
+	/** Counted items per interval. */
 	readonly amount: number;
 	readonly intervalMilliseconds: Milliseconds;
 	readonly window: WindowForm;
@@ -28,19 +28,19 @@
 
 function problemOf(limit: ContractedLimit, unit: LegacyUnit): string | undefined {
 	const problems: ReadonlyArray<readonly [boolean, string]> = [
-		[!(limit.amount >= 0 && Number.isFinite(limit.amount)), 'The amount has to be a number that is not negative.'],
-		[!(unit.countedPerUnit > 0 && Number.isFinite(unit.countedPerUnit)), 'The unit has to count more than 0.'],
-		[!(unit.intervalMilliseconds > 0 && Number.isFinite(unit.intervalMilliseconds)), 'The interval of the unit has to be longer than 0 ms.'],
-		[!(unit.burst >= 1 && Number.isFinite(unit.burst)), 'The burst of the unit has to be at least 1.'],
+		[!(limit.amount >= 0 && Number.isFinite(limit.amount)), 'The amount must be a finite number of at least 0.'],
+		[!(unit.countedPerUnit > 0 && Number.isFinite(unit.countedPerUnit)), 'The unit must count more than 0.'],
+		[!(unit.intervalMilliseconds > 0 && Number.isFinite(unit.intervalMilliseconds)), 'The interval of the unit must be longer than 0 ms.'],
+		[!(unit.burst >= 1 && Number.isFinite(unit.burst)), 'The burst of the unit must be at least 1.'],
 	];
 	return problems.find(([applies]) => applies)?.[1];
 }
 
-/** The limit in counted things. Fails with `unitUndeclared` where the unit is unknown, and `settingsInvalid` where a number makes no sense. */
+/** Returns the limit in counted items. Fails with `unitUndeclared` if the unit is not declared, and with `settingsInvalid` if a number is out of range. */
 export function effectiveLimit(limit: ContractedLimit, units: readonly LegacyUnit[]): Result<EffectiveLimit, Failure> {
 	const unit = units.find(({name}) => name === limit.unit);
 	if (unit === undefined) {
-		return err(failure(FailureKind.unitUndeclared, `The limit ${limit.name} is quoted in ${limit.unit}, which nobody declared.`));
+		return err(failure(FailureKind.unitUndeclared, `The limit ${limit.name} is quoted in ${limit.unit}, which is not a declared unit.`));
 	}
 
 	const problem = problemOf(limit, unit);
@@ -55,7 +55,7 @@
 	});
 }
 
-/** How long what was used counts against a limit. A sliding burst is spread over that many intervals. */
+/** How long past use counts against a limit. In a sliding window, a burst is spread over `burst` intervals. */
 export function windowMilliseconds(limit: EffectiveLimit): Milliseconds {
 	return limit.window === WindowForm.sliding ? limit.intervalMilliseconds * limit.burst : limit.intervalMilliseconds;
 }
--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -1,6 +1,7 @@
 /**
- * Limits over two levels of divisions under loss, delay, lost holders and
- * changes of the divider: no window ever has more than the contract.
+ * Simulates a limit divided on two levels (control among zones, stewards among
+ * instances) with lost and delayed answers, lost holders, partitioned zones and
+ * replaced dividers. Checks that no window ever admits more than the contract.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -18,7 +19,7 @@
 
 const stepMilliseconds = 20;
 const renewMilliseconds = 500;
-/** By how much the wall clocks of instances may differ. */
+/** The maximum difference between the wall clocks of instances. */
 const skewMilliseconds = 200;
 const zones = 3;
 const instancesInZone = 3;
@@ -43,7 +44,7 @@
 	};
 }
 
-/** A generator of numbers from 0 up to 1, by fast-check's seed. */
+/** Returns a generator of pseudorandom numbers in [0, 1), seeded by fast-check. */
 function randomOf(seed: number): () => number {
 	let state = (seed * 2_654_435_761) % 4_294_967_296;
 	return () => {
@@ -82,7 +83,7 @@
 		this.#buckets = this.#shares.map(() => createBucket(limit));
 	}
 
-	/** One step; `rates` are requests an interval at each instance. */
+	/** Advances the simulation by one step. `rates` are the requests per interval at each instance. */
 	step(rates: readonly number[]): void {
 		this.now += stepMilliseconds;
 		for (const {take} of this.#answers.filter(({at}) => at <= this.now)) {
@@ -131,7 +132,7 @@
 		return sequence;
 	}
 
-	/** An answer may be lost or late; only the one to the newest request is taken. */
+	/** Delivers an answer with a delay, or loses it. Only the answer to the latest request is accepted. */
 	#later(holder: string, take: () => unknown): void {
 		const sequence = this.#sequences.get(holder);
 		if (this.#passes()) {
@@ -287,7 +288,7 @@
 	}
 });
 
-/** Shares of the load that could have been admitted and was, over 2 minutes whose busiest instance changes each 30 s. */
+/** The admitted fractions of the load that could have been admitted, over 2 minutes in which the busiest instance changes every 30 s. */
 function usable(limit: EffectiveLimit, load: number): {readonly divided: number; readonly equal: number} {
 	const deployment = new Deployment(limit, 7, {
 		loss: 0, lostHolder: 0, newDivider: 0, cutZone: 0, delay: 5,
--- a/packages/limits/test/test-growth.ts
+++ b/packages/limits/test/test-growth.ts
@@ -1,20 +1,21 @@
+/** Tests when an exhausted share is requested again at once. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {mayGrow, type ShareUse} from '@dogwooddeck/limits/growth';
 
 const cases: ReadonlyArray<{readonly name: string; readonly use: ShareUse; readonly expected: boolean}> = [
 	{
-		name: 'a first share, given for one request, is spent by a burst', expected: true, use: {
+		name: 'a first share, granted for one request, is exhausted by a burst', expected: true, use: {
 			share: 75, amount: 600, answeredFor: 1, wanted: 76,
 		},
 	},
 	{
-		name: 'what is wanted is hardly more than what the share was given for', expected: false, use: {
+		name: 'hardly more is wanted than when the share was granted', expected: false, use: {
 			share: 75, amount: 600, answeredFor: 76, wanted: 80,
 		},
 	},
 	{
-		name: 'no share is larger than the whole', expected: false, use: {
+		name: 'no share is larger than the whole amount', expected: false, use: {
 			share: 600, amount: 600, answeredFor: 1, wanted: 601,
 		},
 	},
@@ -31,7 +32,7 @@
 	});
 }
 
-test('growth of a share: a spent limit is asked for by the logarithm of what is wanted', () => {
+test('growth of a share: demands for an exhausted limit grow with the logarithm of what is wanted', () => {
 	let answeredFor = 1;
 	let asked = 0;
 	for (let wanted = 1; wanted <= 100_000; wanted++) {
--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -1,4 +1,4 @@
-/** The split of a limit into parts, when a part may grow, and what a reserve costs. */
+/** Tests the split of a limit into parts and when a part may grow, and measures what a reserve costs. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
@@ -60,10 +60,10 @@
 		name: 'a zone that is listed twice', amount: 100, cutReserve: 0.5, listed: ['noord-a', 'noord-a'], zone: 50, control: 50,
 	},
 	{
-		name: 'each instance has the whole', amount: 100, cutReserve: 0.5, scope: LimitScope.instance, zone: 0, control: 100,
+		name: 'each instance has the whole limit', amount: 100, cutReserve: 0.5, scope: LimitScope.instance, zone: 0, control: 100,
 	},
 	{
-		name: 'a contract that says nothing', amount: 100, zone: 0, control: 100,
+		name: 'a contract without a reserve', amount: 100, zone: 0, control: 100,
 	},
 ];
 
@@ -80,23 +80,23 @@
 
 const growths: ReadonlyArray<{readonly name: string; readonly part: LimitPart; readonly at: number; readonly expected: number}> = [
 	{
-		name: 'at the cost of others waits', part: {limit: limitOf(100), amount: 100}, at: 1999, expected: 80,
+		name: 'that grows at the expense of others waits', part: {limit: limitOf(100), amount: 100}, at: 1999, expected: 80,
 	},
 	{
-		name: 'at the cost of others, after the wait', part: {limit: limitOf(100), amount: 100}, at: 2000, expected: 100,
+		name: 'that grows at the expense of others has grown after the wait', part: {limit: limitOf(100), amount: 100}, at: 2000, expected: 100,
 	},
 	{
-		name: 'with the whole limit is free at once', part: {limit: limitOf(200), amount: 160}, at: 1000, expected: 160,
+		name: 'that grows with the whole limit grows at once', part: {limit: limitOf(200), amount: 160}, at: 1000, expected: 160,
 	},
 	{
-		name: 'that is none shrinks at once', part: {limit: limitOf(100), amount: 50}, at: 1000, expected: 50,
+		name: 'that shrinks does so at once', part: {limit: limitOf(100), amount: 50}, at: 1000, expected: 50,
 	},
 ];
 
 for (const {
 	name, part, at, expected,
 } of growths) {
-	test(`reserve: a growth ${name}`, () => {
+	test(`reserve: a part ${name}`, () => {
 		const first = createPart({limit: limitOf(100), amount: 80}, 0, 0);
 		assert.equal(amountNow(changePart(first, part, 1000, 1000), at), expected);
 	});
@@ -105,16 +105,16 @@
 const stepMilliseconds = 20;
 const demandMilliseconds = 500;
 const instances = 9;
-/** How long the busiest instance stays the same. */
+/** The interval at which the busiest instance changes. */
 const busiestMilliseconds = 30_000;
-/** A zone's steward divides nothing before. */
+/** Earlier, a zone's steward divides nothing. */
 const measuredFrom = 30_000;
 const measuredMilliseconds = 120_000;
 
 type Grant = {readonly amount: number; readonly until: number};
 type Place = {readonly zone: string; bucket: BucketState; wanted: number; readonly grants: Record<Divider, Grant>};
 
-/** Nine instances in three zones that use one limit, without faults but for a cut of one zone. */
+/** Simulates nine instances in three zones that use one limit. The only fault is the partition of one zone. */
 class Measure {
 	admitted = 0;
 	admittedInCut = 0;
@@ -191,7 +191,7 @@
 const possible = 900 * measuredMilliseconds / 1000;
 
 for (const cutReserve of [0, 0.1, defaultCutReserve, 0.5]) {
-	test(`reserve: what a reserve of ${cutReserve} costs, and what a cut zone can use`, context => {
+	test(`reserve: what a reserve of ${cutReserve} costs, and what a partitioned zone can use`, context => {
 		for (const load of [0.5, 0.9, 2]) {
 			const measure = new Measure(cutReserve);
 			measure.run(load, undefined);
@@ -202,7 +202,7 @@
 
 		const cut = new Measure(cutReserve);
 		cut.run(2, 'zuid-b');
-		context.diagnostic(`reserve ${cutReserve}, zone cut: the zone used ${(100 * cut.admittedInCut / possible).toFixed(1)}% of the limit, all zones ${(100 * cut.admitted / possible).toFixed(1)}%`);
+		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * cut.admittedInCut / possible).toFixed(1)}% of the limit, all zones ${(100 * cut.admitted / possible).toFixed(1)}%`);
 		assert.ok(cut.admittedInCut <= possible * cutReserve / 3 * 1.01);
 	});
 }
--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -1,3 +1,4 @@
+/** Tests how demands for one limit are answered, also by a new leader. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {CountedQuantity, LimitScope, WindowForm} from '@dogwooddeck/model/contract';
@@ -32,7 +33,7 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly state: SharingState; readonly asked: readonly Asked[]; readonly instances?: number; readonly expected: readonly number[]}> = [
 	{
-		name: 'the limit of a new service is free at once',
+		name: 'the limit of a new service is available at once',
 		state: createSharing(0, []),
 		asked: [{at: 1, demand: demand('one', 1, 40)}],
 		expected: [80],
@@ -44,7 +45,7 @@
 		expected: [80, 20],
 	},
 	{
-		name: 'those who come first leave a share to every instance that is expected',
+		name: 'the first holders leave a share to every expected instance',
 		state: createSharing(0, []),
 		asked: ['one', 'two', 'three', 'four'].map((name, position) => ({at: position, demand: demand(name, 1, 1)})),
 		instances: 4,
@@ -58,19 +59,19 @@
 		expected: [93],
 	},
 	{
-		name: 'a new leader gives nothing new of a service that an earlier one divided',
+		name: 'a new leader grants no new shares of a service that an earlier leader divided',
 		state: createSharing(0, ['team/service']),
 		asked: [{at: 1, demand: demand('one', 1, 40)}, {at: 2, demand: demand('two', 1, 40, 30)}],
 		expected: [0, 30],
 	},
 	{
-		name: 'a new leader divides once all earlier shares are forgotten',
+		name: 'a new leader divides once earlier shares no longer count',
 		state: createSharing(0, ['team/service']),
 		asked: [{at: memoryMilliseconds, demand: demand('one', 1, 40)}],
 		expected: [80],
 	},
 	{
-		name: 'a demand that comes late gets no share',
+		name: 'an outdated demand gets no share',
 		state: createSharing(0, []),
 		asked: [{at: 1, demand: demand('one', 2, 40)}, {at: 2, demand: demand('one', 1, 40)}],
 		expected: [80, -1],
--- a/packages/limits/test/test-unit.ts
+++ b/packages/limits/test/test-unit.ts
@@ -1,3 +1,4 @@
+/** Tests the conversion of legacy units, and admission by fixed and sliding windows. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
@@ -24,7 +25,7 @@
 		name: 'undeclared', amount: 2, unit: {}, quotedIn: 'bale', expected: 'unit-undeclared',
 	},
 	{
-		name: 'in another case', amount: 2, unit: {}, quotedIn: 'Batch', expected: 'unit-undeclared',
+		name: 'in another letter case', amount: 2, unit: {}, quotedIn: 'Batch', expected: 'unit-undeclared',
 	},
 	{
 		name: 'negative', amount: -1, unit: {}, expected: 'settings-invalid',
@@ -54,15 +55,15 @@
 	amount: 3, intervalMilliseconds: 1000, window: WindowForm.fixed, burst: 1, counts: CountedQuantity.requests, scope: LimitScope.deployment,
 };
 
-/** Requests as time, cost, share, and whether each is admitted. */
+/** A request: its time, cost and share, and whether it is admitted. */
 type Asked = readonly [number, number, number, boolean];
 
 const admissions: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly asked: readonly Asked[]}> = [
 	{name: 'a fixed window starts at whole intervals', limit, asked: [[900, 3, 3, true], [950, 1, 3, false], [1000, 3, 3, true], [1999, 1, 3, false]]},
-	{name: 'a wall clock that goes back opens no window again', limit, asked: [[2000, 3, 3, true], [1000, 1, 3, false], [2500, 1, 3, false]]},
-	{name: 'a share that shrinks counts what was used', limit, asked: [[100, 2, 3, true], [200, 1, 2, false], [300, 1, 3, true]]},
+	{name: 'a wall clock that is set back reopens no window', limit, asked: [[2000, 3, 3, true], [1000, 1, 3, false], [2500, 1, 3, false]]},
+	{name: 'a share that shrinks still counts earlier use', limit, asked: [[100, 2, 3, true], [200, 1, 2, false], [300, 1, 3, true]]},
 	{name: 'no share admits nothing', limit, asked: [[100, 1, 0, false]]},
-	{name: 'a fixed burst carries what was left', limit: {...limit, burst: 2}, asked: [[100, 1, 3, true], [1100, 5, 3, true], [1200, 1, 3, false], [2100, 4, 3, false], [2200, 3, 3, true]]},
+	{name: 'a fixed burst carries over what was unused', limit: {...limit, burst: 2}, asked: [[100, 1, 3, true], [1100, 5, 3, true], [1200, 1, 3, false], [2100, 4, 3, false], [2200, 3, 3, true]]},
 	{name: 'a sliding window has no edge', limit: {...limit, window: WindowForm.sliding}, asked: [[900, 3, 3, true], [1500, 1, 3, false], [1890, 1, 3, false], [1920, 3, 3, true]]},
 	{name: 'a sliding burst is spread over its intervals', limit: {...limit, window: WindowForm.sliding, burst: 2}, asked: [[100, 6, 3, true], [1900, 1, 3, false], [2200, 6, 3, true]]},
 ];
@@ -81,13 +82,13 @@
 
 const reports: ReadonlyArray<{readonly name: string; readonly window: WindowForm; readonly now: number; readonly skew: number; readonly expected: number}> = [
 	{
-		name: 'the window that goes on', window: WindowForm.fixed, now: 950, skew: 0, expected: 3,
+		name: 'the current window', window: WindowForm.fixed, now: 950, skew: 0, expected: 3,
 	},
 	{
-		name: 'a window that may go on elsewhere', window: WindowForm.fixed, now: 1050, skew: 100, expected: 3,
+		name: 'a window that may be current at another instance', window: WindowForm.fixed, now: 1050, skew: 100, expected: 3,
 	},
 	{
-		name: 'a window that has ended everywhere', window: WindowForm.fixed, now: 1200, skew: 100, expected: 1,
+		name: 'a window that has ended at every instance', window: WindowForm.fixed, now: 1200, skew: 100, expected: 1,
 	},
 	{
 		name: 'a sliding window', window: WindowForm.sliding, now: 1050, skew: 0, expected: 4,
@@ -98,7 +99,7 @@
 ];
 
 for (const {name, window, now, skew, expected} of reports) {
-	test(`bucket: what was used is reported for ${name}`, () => {
+	test(`bucket: use is reported for ${name}`, () => {
 		const used = admit(createBucket({...limit, window, amount: 9}), 900, 900, 3, 9).state;
 		const later = now < 1000 ? used : admit(used, 1020, 1020, 1, 9).state;
 		assert.equal(usedShare(later, now, now, skew), expected);
--- a/packages/limits/test/zipf-rates.ts
+++ b/packages/limits/test/zipf-rates.ts
@@ -1,10 +1,10 @@
-/** Load that is skewed over instances, for tests of shares. */
+/** Generates load that is skewed over instances, for tests of shares. */
 
 const exponent = 1.1;
-/** By how many instances the busiest moves with each change. */
+/** The number of positions by which the busiest instance moves with each change. */
 const stride = 4;
 
-/** Rates by Zipf's law over so many instances, `total` together, of which the busiest is another after each change. */
+/** Returns rates by Zipf's law that sum to `total`. The busiest instance differs after each change. */
 export function zipfRates(instances: number, total: number, changes: number): readonly number[] {
 	const weights = Array.from({length: instances}, (_, rank) => 1 / ((rank + 1) ** exponent));
 	const sum = weights.reduce((one, other) => one + other, 0);
