--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -1,6 +1,6 @@
 /**
- * Optional moves that bring the loads of upstreams nearer to each other,
- * within the budget and with hysteresis.
+ * Plans optional moves that even out the loads of upstreams, within the move
+ * budget and with hysteresis.
  */
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Slot} from '@dogwooddeck/model/identifiers';
@@ -15,11 +15,11 @@
 	readonly slot: Slot;
 	readonly from: Shelf;
 	readonly to: Shelf;
-	/** By how much the greater of the two scores goes down. */
+	/** By how much the greater of the two scores decreases. */
 	readonly gain: number;
 };
 
-/** The moves, and the budget that is left. */
+/** The planned moves, and the state with the remaining budget. */
 export type BalancePlan = {
 	readonly moves: readonly PlannedMove[];
 	readonly state: PlacementState;
@@ -73,7 +73,7 @@
 	return [...from.slots].filter(slot => work.movable.has(slot)).sort((one, other) => one - other);
 }
 
-/** A pinned key if one brings enough, and else, when slots may move, a slot. */
+/** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
 function chooseCandidate(work: Work, from: Shelf, maySlotsMove: boolean): Candidate | undefined {
 	const {book} = work;
 	const slots = movableOf(work, from);
@@ -101,7 +101,7 @@
 	return work.underWay < work.book.policy.movesAtOnce && work.tokens >= costOf(work.book, slot);
 }
 
-/** Moves what brings the most loaded upstream down, until it is low enough. Returns whether slots still have to move. */
+/** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
 function balance(work: Work, wasBalancing: boolean): boolean {
 	const {book} = work;
 	const {balanceTrigger, balanceTarget, pinTrigger, leastGain} = book.policy;
@@ -119,7 +119,7 @@
 	}
 }
 
-/** Moves pinned keys to the region that their requests come from, where there is room for them. */
+/** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
 function bringNearer(work: Work): void {
 	const {book} = work;
 	for (const from of book.shelves) {
@@ -135,7 +135,7 @@
 	}
 }
 
-/** Plans optional moves. The table must hold the outcome of all others. */
+/** Plans optional moves. The working plan must already contain the outcome of all others. */
 export function planBalance(input: PlacementInput, book: Book, state: PlacementState, taken: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
 	const work: Work = {
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -1,6 +1,7 @@
 /**
- * The working table of one plan: what each upstream owns and would own. It is
- * made for one call of the planner and updated in place, unlike its input.
+ * The mutable working copy on which a plan is computed: the slots that each
+ * upstream owns and would own, with its load and score. It is created for one
+ * call of the planner and updated in place, unlike the planner's input.
  */
 import {
 	type Assignment, AssignmentPhase, assignmentsInUse, type PinnedKey,
@@ -12,20 +13,20 @@
 import {type PlacementInput, type PlacementUpstream} from './input.js';
 import {type PlacementPolicy} from './policy.js';
 
-/** An upstream that may be granted slots, and what it owns. */
+/** An upstream that may be granted slots, with its slots and load. */
 export type Shelf = {
 	readonly identity: UpstreamIdentity;
 	readonly region: RegionName;
-	/** How much of a full share it may carry, from just above 0 to 1. */
+	/** The fraction of a full share that it may carry, above 0 and at most 1. */
 	readonly capacity: number;
 	readonly slots: Set<Slot>;
-	/** Requests a second. */
+	/** In requests per second. */
 	load: number;
-	/** Slots but for those of pinned keys. */
+	/** The number of slots, without those of pinned keys. */
 	count: number;
 };
 
-/** The working table. */
+/** The working copy that one plan is computed on. */
 export type Book = {
 	readonly policy: PlacementPolicy;
 	readonly shelves: readonly Shelf[];
@@ -33,25 +34,25 @@
 	readonly loadPerCapacity: number;
 	readonly countPerCapacity: number;
 	readonly input: PlacementInput;
-	/** Slots whose owner went away, which are vacant or in revocation. */
+	/** The number of slots whose owner was lost, leaves or may no longer own them, or that are vacant or being revoked. */
 	homeless: number;
 };
 
-/** Warm-up times after which a new upstream counts as warm whatever it carried. */
+/** The number of warm-up times after which a new upstream counts as warm, whatever load it carried. */
 const warmUpsAtMost = 4;
 
-/** The smoothed requests a second of a slot. */
+/** Returns the smoothed requests per second of a slot. */
 export function rateOf(input: PlacementInput, slot: Slot): number {
 	return input.loads.slots[slot] ?? 0;
 }
 
-/** Whether the record's upstream may own slots of the service. */
+/** Whether the upstream of a record may own slots of the service. */
 export function mayOwn(input: PlacementInput, record: UpstreamRecord): boolean {
 	const {zones} = input.contract.upstream;
 	return record.phase === UpstreamPhase.serving && (zones.length === 0 || zones.includes(record.zone));
 }
 
-/** The assignments that exist: those of the contract's slots and of pinned keys. */
+/** Returns the assignments in use: those of the contract's slots and of pinned keys. */
 export function liveAssignments({assignments, contract}: PlacementInput): readonly Assignment[] {
 	return assignmentsInUse(assignments, contract.slots);
 }
@@ -79,7 +80,7 @@
 	};
 }
 
-/** Opens the table: upstreams that may be granted slots, with what they own now. */
+/** Creates the working plan: the upstreams that may be granted slots, with the slots that they own now. */
 export function openBook(input: PlacementInput, policy: PlacementPolicy): Book {
 	const owners = input.upstreams
 		.filter(({record}) => mayOwn(input, record) && !input.unreachableZones.includes(record.zone))
@@ -101,21 +102,21 @@
 	return book;
 }
 
-/** Gives a slot to an upstream in the table. */
+/** Assigns a slot to an upstream in the working plan. */
 export function put(book: Book, shelf: Shelf, slot: Slot): void {
 	shelf.slots.add(slot);
 	shelf.load += rateOf(book.input, slot);
 	shelf.count += countOf(book, slot);
 }
 
-/** Takes a slot from an upstream in the table. */
+/** Removes a slot from an upstream in the working plan. */
 export function take(book: Book, shelf: Shelf, slot: Slot): void {
 	shelf.slots.delete(slot);
 	shelf.load -= rateOf(book.input, slot);
 	shelf.count -= countOf(book, slot);
 }
 
-/** Whether a slot is a pinned key's own. */
+/** Whether a slot belongs to a pinned key. */
 export function isPinned(book: Book, slot: Slot): boolean {
 	return slot >= book.contractSlots;
 }
@@ -125,19 +126,19 @@
 	return rateOf(book.input, pin.slot) < book.policy.unpinShare * book.loadPerCapacity;
 }
 
-/** The upstream for a slot without an owner: for a pinned key that cooled down its slot's owner, and else the cheapest. */
+/** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
 export function shelfFor(book: Book, slot: Slot): Shelf | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
 	const home = pin !== undefined && isCool(book, pin) ? book.shelves.find(shelf => shelf.slots.has(pin.home)) : undefined;
 	return home ?? cheapest(book, slot);
 }
 
-/** A pinned key counts for its load alone. */
+/** Returns what a slot adds to the slot count. A pinned key adds only its load. */
 export function countOf(book: Book, slot: Slot): number {
 	return isPinned(book, slot) ? 0 : 1;
 }
 
-/** What an upstream would have as a multiple of its fair share, with so much more load and so many more slots. */
+/** Returns the weighted load and slot count of an upstream as a multiple of its fair share, with `moreLoad` and `moreCount` added. */
 export function scoreOf(book: Book, shelf: Shelf, moreLoad = 0, moreCount = 0): number {
 	const countScore = (shelf.count + moreCount) / (shelf.capacity * book.countPerCapacity);
 	if (book.loadPerCapacity === 0) {
@@ -148,12 +149,12 @@
 	return (book.policy.loadWeight * loadScore) + ((1 - book.policy.loadWeight) * countScore);
 }
 
-/** The score of an upstream if it were given a slot as well. */
+/** Returns the score that an upstream would have with an additional slot. */
 export function scoreWith(book: Book, shelf: Shelf, slot: Slot): number {
 	return scoreOf(book, shelf, rateOf(book.input, slot), countOf(book, slot));
 }
 
-/** The part of a slot's requests that come in at other regions than `region`; 0 when nothing is known. */
+/** Returns the fraction of a slot's requests that arrive in regions other than `region`; 0 if no requests are recorded. */
 export function remoteShareOf(input: PlacementInput, slot: Slot, region: RegionName): number {
 	const rates = Object.entries(input.loads.origins).map(([origin, bySlot]) => ({origin, rate: bySlot[slot] ?? 0}));
 	const total = rates.reduce((sum, {rate}) => sum + rate, 0);
@@ -161,7 +162,7 @@
 	return total === 0 ? 0 : remote / total;
 }
 
-/** The upstream that costs least with a slot: the least loaded, but for the price of the link between regions. */
+/** Returns the upstream with the lowest cost for a slot: its score with the slot, plus the cost of requests from other regions. */
 export function cheapest(book: Book, slot: Slot, excluded?: Shelf): Shelf | undefined {
 	let best: Shelf | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
--- a/packages/placement/src/budget.ts
+++ b/packages/placement/src/budget.ts
@@ -1,5 +1,5 @@
 /**
- * The budget of optional moves: a token bucket for each service.
+ * The budget of optional moves: one token bucket per service.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type PlacementState} from './input.js';
@@ -7,13 +7,13 @@
 
 const millisecondsPerMinute = 60_000;
 
-/** A move of a slot without load costs this part of a token. */
+/** The cost, in tokens, of moving a slot without load. */
 export const idleMoveCost = 0.05;
 
-/** A move of a pinned key costs this part of a token: one key is without an owner for a moment, not a slot's. */
+/** The cost, in tokens, of moving a pinned key: only one key is briefly without an owner, not all keys of a slot. */
 export const pinnedMoveCost = 0.1;
 
-/** Adds the tokens of the time since the last plan, up to those of one minute. */
+/** Adds the tokens for the time since the last plan, up to those of one minute, and drops moves whose cooldown has ended. */
 export function refillBudget(state: PlacementState, policy: PlacementPolicy, now: MonotonicTime): PlacementState {
 	const elapsed = Math.max(0, now - state.refilledAt);
 	const tokens = Math.min(policy.movesPerMinute, state.tokens + (elapsed * policy.movesPerMinute / millisecondsPerMinute));
--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -1,35 +1,35 @@
 /**
- * Smooths what instances report about slots and keys to rates that placement
- * can decide on: exponentially decaying counts, so that a short burst moves
- * nothing and a lasting change shows within a few time constants.
+ * Smooths the load that instances report for slots and keys into rates for
+ * placement. Counts decay exponentially, so that a short burst causes no move
+ * and a lasting change shows within a few time constants.
  */
 import {type KeyLoad, type SlotLoad, type UpstreamEvidence} from '@dogwooddeck/model/evidence';
 import {
 	incarnationKey, type Milliseconds, type MonotonicTime, type RegionName, type ServiceName, type Slot,
 } from '@dogwooddeck/model/identifiers';
 
-/** Rates below this many requests a second are dropped. */
+/** Rates below this, in requests per second, are dropped. */
 export const smallestRate = 0.001;
-/** Hot keys that are kept for each service; the coolest are dropped. */
+/** The number of hot keys that are kept per service; those with the lowest rates are dropped. */
 export const keysKept = 64;
 
-/** Smoothed requests a second of one service. */
+/** The smoothed requests per second of one service. */
 export type LoadState = {
 	readonly service: ServiceName;
 	readonly timeConstantMilliseconds: Milliseconds;
 	readonly startedAt: MonotonicTime;
 	readonly updatedAt: MonotonicTime;
-	/** By slot, pinned keys' slots among them. */
+	/** By slot, including the slots of pinned keys. */
 	readonly slots: readonly number[];
 	/** By key. */
 	readonly keys: Readonly<Record<string, number>>;
-	/** By the region that requests came in at, then by slot. */
+	/** By the region in which requests arrived, then by slot. */
 	readonly origins: Readonly<Record<RegionName, readonly number[]>>;
-	/** Whole answers a second, by `lifeKey`. */
+	/** Complete answers per second, by `incarnationKey`. */
 	readonly answered: Readonly<Record<string, number>>;
 };
 
-/** Reports of instances of one region. */
+/** The loads reported by instances of one region. */
 export type LoadReport = {
 	readonly now: MonotonicTime;
 	readonly region: RegionName;
@@ -38,7 +38,7 @@
 	readonly evidence: readonly UpstreamEvidence[];
 };
 
-/** Smoothed requests a second, as placement takes them. */
+/** Smoothed requests per second, as the planner receives them. */
 export type LoadRates = {
 	readonly slots: Readonly<Record<Slot, number>>;
 	readonly keys: Readonly<Record<string, number>>;
@@ -53,7 +53,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** The smoothing of one service's reports, from now on. */
+/** Creates the state that smooths the reports of one service from `now` on. */
 export function createLoad(service: ServiceName, timeConstantMilliseconds: Milliseconds, now: MonotonicTime): LoadState {
 	return {
 		service, timeConstantMilliseconds, startedAt: now, updatedAt: now, slots: [], keys: {}, origins: {}, answered: {},
@@ -92,7 +92,7 @@
 	return entries.length <= keysKept ? rates : Object.fromEntries(entries.sort(([, one], [, other]) => other - one).slice(0, keysKept));
 }
 
-/** Takes in a report. Loads of other services are left out. */
+/** Adds a report. Loads of other services are ignored. */
 export function receiveLoad(state: LoadState, report: LoadReport): LoadState {
 	const elapsed = Math.max(0, report.now - state.updatedAt);
 	const factor = Math.exp(-elapsed / state.timeConstantMilliseconds);
@@ -119,7 +119,7 @@
 	return Object.fromEntries(Object.entries(rates).map(([name, rate]) => [name, rate * factor]));
 }
 
-/** The rates at `now`, corrected for the short time since the start. */
+/** Returns the rates at `now`, corrected for the short time since the start. */
 export function ratesOf(state: LoadState, now: MonotonicTime): LoadRates {
 	const age = Math.max(1, now - state.startedAt);
 	const factor = Math.exp(-Math.max(0, now - state.updatedAt) / state.timeConstantMilliseconds) / (1 - Math.exp(-age / state.timeConstantMilliseconds));
--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -1,6 +1,6 @@
 /**
- * Which hot keys are split out of their slots, so that they can move alone,
- * and which go back.
+ * Plans which hot keys are pinned, that is split out of their slots so that they
+ * can move alone, and which return to their slots.
  */
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {sameUpstream, type Slot, type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
@@ -13,7 +13,7 @@
 	MoveReason, type PlannedMove, type PlannedPin, type PlannedUnpin,
 } from './proposal.js';
 
-/** What is planned for hot keys. */
+/** The planned changes of pinned keys. */
 export type PinPlan = {
 	readonly pins: readonly PlannedPin[];
 	readonly unpins: readonly PlannedUnpin[];
@@ -21,8 +21,9 @@
 };
 
 /**
- * The input with loads in which a pinned key's slot has at least the key's own
- * rate. Just after the split, its smoothed rate is still counted at its home.
+ * Returns the input with loads in which the slot of a pinned key has at least the
+ * key's own rate, as far as its home slot's rate covers it. Just after the split,
+ * the key's smoothed rate is still counted in its home slot.
  */
 export function withPinnedRates(input: PlacementInput): PlacementInput {
 	const hot = new Map(input.hotKeys.map(({key, rate}) => [key, rate]));
@@ -64,7 +65,7 @@
 		.map(({key, home}) => ({key, home}));
 }
 
-/** Plans pins, and the way back for pinned keys that are no longer hot: first to their slot's owner, then into the slot. */
+/** Plans pins, and the return of pinned keys that are no longer hot: first to the owner of their home slot, then into that slot. */
 export function planPins(input: PlacementInput, book: Book, policy: PlacementPolicy, taken: ReadonlySet<Slot>): PinPlan {
 	const owners = ownersBySlot(input);
 	const unpins: PlannedUnpin[] = [];
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -1,6 +1,6 @@
 /**
- * Which upstream should own which slot, and when a move is worth it. The plan
- * is a function of its input alone, so that the same input gives the same plan.
+ * Plans which upstream should own which slot, and which moves are worth their
+ * cost. The plan is a function of its input alone: equal inputs give equal plans.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {planBalance} from './balance.js';
@@ -12,14 +12,14 @@
 import {type PlacementPlan} from './proposal.js';
 import {grantVacant, planForcedMoves} from './recovery.js';
 
-/** Placement of a leader that begins now. */
+/** Creates the placement state of a leader that starts now. */
 export function createPlacement(now: MonotonicTime): PlacementState {
 	return {
 		tokens: 0, refilledAt: now, isBalancing: false, movedAt: {},
 	};
 }
 
-/** The policy that an input asks for. */
+/** Returns the policy of an input: its own, or the one for the contract's weight. */
 export function policyOf(input: PlacementInput): PlacementPolicy {
 	return input.policy ?? placementPolicies[input.contract.weigh];
 }
@@ -30,7 +30,7 @@
 	return flappingShare > policy.stormShare || homelessShare > policy.stormShare;
 }
 
-/** Plans grants for vacant slots, moves away from upstreams that go, and what brings loads nearer to each other. */
+/** Plans grants of vacant slots, moves off upstreams that are lost, leaving or no longer allowed to own slots, and optional moves that even out loads. */
 export function planPlacement(given: PlacementInput): PlacementPlan {
 	const input = given.assignments.pinned.length === 0 ? given : withPinnedRates(given);
 	const policy = policyOf(input);
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -1,48 +1,48 @@
 /**
- * The numbers that placement decides by, one set for each of a contract's weights.
+ * The parameters of placement, one set for each weight that a contract may choose.
  */
 import {MovePreference} from '@dogwooddeck/model/contract';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** The numbers of one policy. Scores are multiples of an upstream's fair share. */
+/** The parameters of one policy. Scores are multiples of an upstream's fair share. */
 export type PlacementPolicy = {
 	/** Pinned keys move when an upstream's score is above this. */
 	readonly pinTrigger: number;
 	/** Optional moves of slots begin when an upstream's score is above this. */
 	readonly balanceTrigger: number;
-	/** Optional moves of slots go on until no score is above this. */
+	/** Optional moves of slots continue until no score is above this. */
 	readonly balanceTarget: number;
-	/** A move must bring the greater of the two scores down by at least this much. */
+	/** The least amount by which a move must reduce the greater of the two scores. */
 	readonly leastGain: number;
-	/** The part of the score that comes from load; the rest comes from the number of slots. */
+	/** The weight of load in the score, from 0 to 1; the rest is the weight of the number of slots. */
 	readonly loadWeight: number;
-	/** What a slot of average load costs in score when all its requests come from another region. */
+	/** The cost, in score, of a slot of average load when all its requests come from another region. */
 	readonly remoteWeight: number;
-	/** Optional moves that a service may make in a minute. */
+	/** The number of optional moves that a service may make per minute. */
 	readonly movesPerMinute: number;
-	/** Optional moves that may be under way at one time. */
+	/** The number of optional moves that may be in progress at once. */
 	readonly movesAtOnce: number;
-	/** A slot or pinned key that was moved without need stays at least this long. */
+	/** The least time for which a slot or pinned key stays after an optional move. */
 	readonly cooldownMilliseconds: Milliseconds;
-	/** Optional moves stop when more than this share of the upstreams flaps or warms up after a loss. */
+	/** Optional moves stop while more than this share of the upstreams flaps, or of the slots has no owner. */
 	readonly stormShare: number;
-	/** A key with more than this part of an upstream's fair share of load may be pinned. */
+	/** A key with more than this fraction of an upstream's fair share of load may be pinned. */
 	readonly pinShare: number;
-	/** A pinned key goes nearer to its requests when the part that comes from another region goes down by this much. */
+	/** A pinned key moves closer to its requests when this reduces the fraction from other regions by at least this much. */
 	readonly localityGain: number;
-	/** A pinned key with less than this part goes back to its slot. */
+	/** A pinned key with less than this fraction of an upstream's fair share of load returns to its slot. */
 	readonly unpinShare: number;
-	/** The number of pinned keys of one service. */
+	/** The maximum number of pinned keys of one service. */
 	readonly mostPinned: number;
 	/** The time over which loads are smoothed. */
 	readonly smoothingMilliseconds: Milliseconds;
-	/** The share that a new upstream may take at once. */
+	/** The fraction of a full share that a new upstream may carry at once. */
 	readonly coldShare: number;
-	/** A new upstream may take this multiple of the load that it has shown to carry. */
+	/** A new upstream may carry, on top of `coldShare`, this multiple of the load that it has carried so far. */
 	readonly coldGrowth: number;
 };
 
-/** The policies by the contract's weight. */
+/** The policy for each weight of a contract. */
 export const placementPolicies: Readonly<Record<MovePreference, PlacementPolicy>> = {
 	[MovePreference.availability]: {
 		pinTrigger: 1.1,
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -1,6 +1,6 @@
 /**
- * What must be done whatever it costs: slots without an owner get one, and
- * owners that go away are relieved of theirs.
+ * Plans the moves and grants that no budget bounds: slots without an owner are
+ * granted to one, and owners that are lost, leaving or no longer allowed lose theirs.
  */
 import {type Assignment, AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
@@ -14,7 +14,7 @@
 const reasonByPhase: Readonly<Record<UpstreamPhase, MoveReason>> = {
 	[UpstreamPhase.lost]: MoveReason.lost,
 	[UpstreamPhase.leaving]: MoveReason.leaving,
-	// A serving owner is relieved only when its zone may no longer own keys.
+	// A serving owner loses its slots only if its zone may no longer own keys.
 	[UpstreamPhase.serving]: MoveReason.zone,
 };
 
@@ -34,7 +34,7 @@
 	return mayOwn(input, record) ? undefined : reasonByPhase[record.phase];
 }
 
-/** Moves of all slots whose owner is lost, leaving, or in a zone that may not own keys. No budget bounds them. */
+/** Moves of all slots whose owner is lost, leaving, or in a zone that may not own keys. They are not limited by the budget. */
 export function planForcedMoves(input: PlacementInput, book: Book): readonly PlannedMove[] {
 	const records = new Map(input.upstreams.map(({record}) => [ownerKey(identityOf(record)), record]));
 	const moves: PlannedMove[] = [];
@@ -67,8 +67,8 @@
 }
 
 /**
- * Grants of all vacant slots. Slots in revocation are placed in the table as
- * well, so that what follows counts them where they will be.
+ * Plans grants of all vacant slots. Slots that are being revoked are also assigned
+ * in the working plan, so that later steps count them at their next owner.
  */
 export function grantVacant(input: PlacementInput, book: Book): readonly PlannedGrant[] {
 	const grants: PlannedGrant[] = [];
--- a/packages/placement/test/test-hash.ts
+++ b/packages/placement/test/test-hash.ts
@@ -1,3 +1,4 @@
+/** Tests that keys map to fixed slots. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createSlotHash} from '@dogwooddeck/placement/hash';
--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -1,3 +1,4 @@
+/** Checks invariants of plans for random inputs. */
 import assert from 'node:assert/strict';
 import process from 'node:process';
 import {test} from 'node:test';
@@ -70,7 +71,7 @@
 	state: {...createPlacement(100_000), tokens: given.tokens},
 }));
 
-/** The same, but nobody goes away, so that optional moves are planned. */
+/** Inputs in which no upstream is lost or leaves, so that optional moves are planned. */
 const calmInput: fc.Arbitrary<PlacementInput> = fc.record({
 	input: someInput,
 	owners: fc.array(fc.integer({min: 0, max: 3}), {minLength: slots + 2, maxLength: slots + 2}),
@@ -94,7 +95,7 @@
 	unreachableZones: [],
 }));
 
-/** The same, and one upstream of several is lost. */
+/** Like `calmInput`, but the first of the upstreams is lost. */
 const lossInput: fc.Arbitrary<PlacementInput> = calmInput.map(input => ({...input, upstreams: input.upstreams.slice(1)}));
 
 function mayBeGranted(input: PlacementInput, owner: {readonly service: string; readonly name: string; readonly incarnation: number}): boolean {
@@ -122,7 +123,7 @@
 	return {...input, assignments: {...input.assignments, assignments}};
 }
 
-/** The greatest score once moves are done: what the policy weighs load and slots to, as a multiple of the mean. */
+/** The greatest score after the moves: load and slots weighted by the policy, as a multiple of the mean. */
 function greatestScore(input: PlacementInput, moves: PlacementPlan['moves']): number {
 	const to = new Map(moves.map(move => [move.slot, move.to]));
 	const {loadWeight} = policyOf(input);
@@ -145,14 +146,14 @@
 
 const invariants: readonly Invariant[] = [
 	{
-		name: 'every vacant slot is granted when somebody can take it',
+		name: 'every vacant slot is granted if an upstream may own it',
 		check(input, plan) {
 			const canAnybody = input.upstreams.some(({record}) => mayBeGranted(input, record));
 			assert.deepEqual(plan.grants.map(({slot}) => slot).sort((one, other) => one - other), canAnybody ? slotsIn(input, AssignmentPhase.vacant) : []);
 		},
 	},
 	{
-		name: 'nothing goes to an upstream that is lost, leaving, out of reach or in the wrong zone',
+		name: 'no slot goes to an upstream that is lost, leaving, unreachable or in a zone that may not own keys',
 		check(input, plan) {
 			const targets = [...plan.grants.map(({owner}) => owner), ...plan.moves.flatMap(({to}) => (to === undefined ? [] : [to]))];
 			assert.ok(targets.every(target => mayBeGranted(input, target)));
@@ -189,7 +190,7 @@
 		},
 	},
 	{
-		name: 'moves for balance bring the greatest score down',
+		name: 'balancing moves reduce the greatest score',
 		check(input, plan) {
 			const settled = grantAll(input, plan);
 			const others = plan.moves.filter(({reason}) => reason !== MoveReason.balance && reason !== MoveReason.locality);
@@ -200,7 +201,7 @@
 		},
 	},
 	{
-		name: 'nothing optional happens in a storm',
+		name: 'nothing optional is planned while many upstreams flap',
 		check(input) {
 			const stormy = planPlacement({...input, flapping: 8});
 			assert.ok(stormy.moves.every(({reason}) => forcedReasons.has(reason)));
@@ -214,7 +215,7 @@
 		},
 	},
 	{
-		name: 'the input is left as it was',
+		name: 'the input is not changed',
 		check(input) {
 			const copy = structuredClone(input);
 			planPlacement(input);
--- a/packages/placement/test/test-plan.ts
+++ b/packages/placement/test/test-plan.ts
@@ -1,3 +1,4 @@
+/** Tests the plans for small, fixed inputs. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type Assignment, AssignmentPhase} from '@dogwooddeck/model/assignment';
@@ -68,36 +69,36 @@
 };
 
 const cases: readonly PlanCase[] = [
-	{name: 'nobody can take vacant slots', given: input(vacant(8), [])},
-	{name: 'vacant slots are spread', given: input(vacant(4), [upstream('a'), upstream('b')]), grants: ['0:a', '1:b', '2:a', '3:b']},
+	{name: 'vacant slots stay vacant without an upstream', given: input(vacant(8), [])},
+	{name: 'vacant slots are spread over upstreams', given: input(vacant(4), [upstream('a'), upstream('b')]), grants: ['0:a', '1:b', '2:a', '3:b']},
 	{
-		name: 'not to one that is lost or leaving',
+		name: 'no slot is granted to a lost or leaving upstream',
 		given: input(vacant(2), [upstream('a', {phase: UpstreamPhase.lost}), upstream('b', {phase: UpstreamPhase.leaving}), upstream('c')]),
 		grants: ['0:c', '1:c'],
 	},
-	{name: 'not to a zone out of reach', given: input(vacant(1), [upstream('a'), upstream('b', {zone: 'noord-2'})], {unreachableZones: ['noord-1']}), grants: ['0:b']},
-	{name: 'a balanced table stays', given: input(granted(split), [upstream('a'), upstream('b')])},
+	{name: 'no slot is granted in an unreachable zone', given: input(vacant(1), [upstream('a'), upstream('b', {zone: 'noord-2'})], {unreachableZones: ['noord-1']}), grants: ['0:b']},
+	{name: 'a balanced assignment stays', given: input(granted(split), [upstream('a'), upstream('b')])},
 	{
-		name: 'a lost owner is relieved at once',
+		name: 'the slots of a lost owner are moved at once',
 		given: input(granted(['a', 'b']), [upstream('a', {phase: UpstreamPhase.lost}), upstream('b')]),
 		moves: [[0, 'b', MoveReason.lost]],
 	},
 	{
-		name: 'an owner of an older incarnation is gone',
+		name: 'an owner of an older incarnation is lost',
 		given: input(granted(['a', 'b']), [upstream('a', {incarnation: 2}), upstream('b')]),
 		moves: [[0, 'a', MoveReason.lost]],
 	},
 	{
-		name: 'a leaving owner is relieved even when nobody else is there',
+		name: 'the slots of a leaving owner are revoked even without another upstream',
 		given: input(granted(['a']), [upstream('a', {phase: UpstreamPhase.leaving})]),
 		moves: [[0, undefined, MoveReason.leaving]],
 	},
 	{
-		name: 'an owner that nobody can reach keeps its slots',
+		name: 'an owner in an unreachable zone keeps its slots',
 		given: input(granted(['a', 'b']), [upstream('a'), upstream('b', {zone: 'noord-2'})], {unreachableZones: ['noord-1']}),
 	},
 	{
-		name: 'load is moved off the busiest',
+		name: 'load is moved off the busiest upstream',
 		given: input(granted(split), [upstream('a'), upstream('b')], {loads: busyA}),
 		moves: [[0, 'b', MoveReason.balance]],
 	},
@@ -107,22 +108,22 @@
 		moves: [[0, 'b', MoveReason.balance], [1, 'c', MoveReason.balance], [2, 'd', MoveReason.balance], [3, 'b', MoveReason.balance]],
 	},
 	{
-		name: 'a cool pinned key of a lost owner is moved once, to its slot\'s owner',
+		name: 'a pinned key that is no longer hot is moved off a lost owner once, to the owner of its home slot',
 		given: input([], [upstream('a', {phase: UpstreamPhase.lost}), upstream('b'), upstream('c')], {
 			assignments: {service, assignments: granted(['b', 'c', 'b', 'c', 'b', 'c', 'b', 'c', 'a']), pinned: [{key: 'verge-1', home: 1, slot: 8}]},
 			loads: evenLoads,
 		}),
 		moves: [[8, 'c', MoveReason.lost]],
 	},
-	{name: 'nothing optional without budget', given: input(granted(split), [upstream('a'), upstream('b')], {loads: busyA, state: createPlacement(60_000)})},
-	{name: 'nothing optional in a storm', given: input(granted(split), [upstream('a'), upstream('b')], {loads: busyA, flapping: 1})},
+	{name: 'no optional moves without budget', given: input(granted(split), [upstream('a'), upstream('b')], {loads: busyA, state: createPlacement(60_000)})},
+	{name: 'no optional moves while many upstreams flap', given: input(granted(split), [upstream('a'), upstream('b')], {loads: busyA, flapping: 1})},
 	{
 		name: 'a hot key is split out of its slot',
 		given: input(granted(split), [upstream('a'), upstream('b')], {loads: hotOnA, hotKeys: [{key: 'verge-1', home: 0, rate: 50}], state: createPlacement(60_000)}),
 		pins: ['verge-1'],
 	},
 	{
-		name: 'a pinned key that cooled down goes back',
+		name: 'a pinned key that is no longer hot returns to its slot',
 		given: input([], [upstream('a'), upstream('b')], {
 			assignments: {service, assignments: granted([...split, 'a']), pinned: [{key: 'verge-1', home: 0, slot: 8}]},
 			loads: {...noRates, slots: {0: 10, 4: 10}},
