--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {
-	type Book, cheapest, countOf, isPinned, put, rateOf, remoteShareOf, scoreOf, scoreWith, type Shelf, take,
+	type Book, cheapest, countOf, isPinned, put, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, take,
 } from './book.js';
 import {idleMoveCost, pinnedMoveCost} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
@@ -13,8 +13,8 @@
 
 type Candidate = {
 	readonly slot: Slot;
-	readonly from: Shelf;
-	readonly to: Shelf;
+	readonly from: OwnerLoad;
+	readonly to: OwnerLoad;
 	/** By how much the greater of the two scores decreases. */
 	readonly gain: number;
 };
@@ -25,20 +25,20 @@
 	readonly state: PlacementState;
 };
 
-function mostLoaded(book: Book): Shelf | undefined {
-	return book.shelves.reduce<Shelf | undefined>((most, shelf) => (most === undefined || scoreOf(book, shelf) > scoreOf(book, most) ? shelf : most), undefined);
+function mostLoaded(book: Book): OwnerLoad | undefined {
+	return book.shelves.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(book, shelf) > scoreOf(book, most) ? shelf : most), undefined);
 }
 
 function grantedSlots(input: PlacementInput): ReadonlySet<Slot> {
 	return new Set(input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.granted).map(({slot}) => slot));
 }
 
-function gainOf(book: Book, from: Shelf, to: Shelf, slot: Slot): number {
+function gainOf(book: Book, from: OwnerLoad, to: OwnerLoad, slot: Slot): number {
 	const after = Math.max(scoreOf(book, from, -rateOf(book.input, slot), -countOf(book, slot)), scoreWith(book, to, slot));
 	return scoreOf(book, from) - after;
 }
 
-function bestCandidate(book: Book, from: Shelf, slots: readonly Slot[]): Candidate | undefined {
+function bestCandidate(book: Book, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
 	let best: Candidate | undefined;
 	for (const slot of slots) {
 		const to = cheapest(book, slot, from);
@@ -69,12 +69,12 @@
 	underWay: number;
 };
 
-function movableOf(work: Work, from: Shelf): readonly Slot[] {
+function movableOf(work: Work, from: OwnerLoad): readonly Slot[] {
 	return [...from.slots].filter(slot => work.movable.has(slot)).sort((one, other) => one - other);
 }
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
-function chooseCandidate(work: Work, from: Shelf, maySlotsMove: boolean): Candidate | undefined {
+function chooseCandidate(work: Work, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
 	const {book} = work;
 	const slots = movableOf(work, from);
 	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -14,7 +14,7 @@
 import {type PlacementPolicy} from './policy.js';
 
 /** An upstream that may be granted slots, with its slots and load. */
-export type Shelf = {
+export type OwnerLoad = {
 	readonly identity: UpstreamIdentity;
 	readonly region: RegionName;
 	/** The fraction of a full share that it may carry, above 0 and at most 1. */
@@ -29,7 +29,7 @@
 /** The working copy that one plan is computed on. */
 export type Book = {
 	readonly policy: PlacementPolicy;
-	readonly shelves: readonly Shelf[];
+	readonly shelves: readonly OwnerLoad[];
 	readonly contractSlots: number;
 	readonly loadPerCapacity: number;
 	readonly countPerCapacity: number;
@@ -69,7 +69,7 @@
 	return Math.min(1, byTime, policy.coldShare + (policy.coldGrowth * carried));
 }
 
-function toShelf(input: PlacementInput, policy: PlacementPolicy, upstream: PlacementUpstream, fairLoad: number): Shelf {
+function toShelf(input: PlacementInput, policy: PlacementPolicy, upstream: PlacementUpstream, fairLoad: number): OwnerLoad {
 	return {
 		identity: identityOf(upstream.record),
 		region: upstream.record.region,
@@ -103,14 +103,14 @@
 }
 
 /** Assigns a slot to an upstream in the working plan. */
-export function put(book: Book, shelf: Shelf, slot: Slot): void {
+export function put(book: Book, shelf: OwnerLoad, slot: Slot): void {
 	shelf.slots.add(slot);
 	shelf.load += rateOf(book.input, slot);
 	shelf.count += countOf(book, slot);
 }
 
 /** Removes a slot from an upstream in the working plan. */
-export function take(book: Book, shelf: Shelf, slot: Slot): void {
+export function take(book: Book, shelf: OwnerLoad, slot: Slot): void {
 	shelf.slots.delete(slot);
 	shelf.load -= rateOf(book.input, slot);
 	shelf.count -= countOf(book, slot);
@@ -127,7 +127,7 @@
 }
 
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
-export function shelfFor(book: Book, slot: Slot): Shelf | undefined {
+export function shelfFor(book: Book, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
 	const home = pin !== undefined && isCool(book, pin) ? book.shelves.find(shelf => shelf.slots.has(pin.home)) : undefined;
 	return home ?? cheapest(book, slot);
@@ -139,7 +139,7 @@
 }
 
 /** Returns the weighted load and slot count of an upstream as a multiple of its fair share, with `moreLoad` and `moreCount` added. */
-export function scoreOf(book: Book, shelf: Shelf, moreLoad = 0, moreCount = 0): number {
+export function scoreOf(book: Book, shelf: OwnerLoad, moreLoad = 0, moreCount = 0): number {
 	const countScore = (shelf.count + moreCount) / (shelf.capacity * book.countPerCapacity);
 	if (book.loadPerCapacity === 0) {
 		return countScore;
@@ -150,7 +150,7 @@
 }
 
 /** Returns the score that an upstream would have with an additional slot. */
-export function scoreWith(book: Book, shelf: Shelf, slot: Slot): number {
+export function scoreWith(book: Book, shelf: OwnerLoad, slot: Slot): number {
 	return scoreOf(book, shelf, rateOf(book.input, slot), countOf(book, slot));
 }
 
@@ -163,8 +163,8 @@
 }
 
 /** Returns the upstream with the lowest cost for a slot: its score with the slot, plus the cost of requests from other regions. */
-export function cheapest(book: Book, slot: Slot, excluded?: Shelf): Shelf | undefined {
-	let best: Shelf | undefined;
+export function cheapest(book: Book, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
+	let best: OwnerLoad | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	const remote = new Map<RegionName, number>();
 	for (const shelf of book.shelves) {
--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {sameUpstream, type Slot, type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {
-	type Book, isCool, remoteShareOf, scoreOf, type Shelf,
+	type Book, isCool, remoteShareOf, scoreOf, type OwnerLoad,
 } from './book.js';
 import {type HotKey, type PlacementInput} from './input.js';
 import {type PlacementPolicy} from './policy.js';
@@ -44,7 +44,7 @@
 		assignment.phase === AssignmentPhase.granted ? [[assignment.slot, assignment.owner]] : []));
 }
 
-function isWorthPinning(book: Book, policy: PlacementPolicy, shelf: Shelf | undefined, hot: HotKey): boolean {
+function isWorthPinning(book: Book, policy: PlacementPolicy, shelf: OwnerLoad | undefined, hot: HotKey): boolean {
 	if (shelf === undefined || hot.rate <= policy.pinShare * book.loadPerCapacity) {
 		return false;
 	}
