--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {
-	type Book, cheapest, countOf, isPinned, put, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, take,
+	type WorkingPlan, cheapest, countOf, isPinned, put, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, take,
 } from './book.js';
 import {idleMoveCost, pinnedMoveCost} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
@@ -25,7 +25,7 @@
 	readonly state: PlacementState;
 };
 
-function mostLoaded(book: Book): OwnerLoad | undefined {
+function mostLoaded(book: WorkingPlan): OwnerLoad | undefined {
 	return book.shelves.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(book, shelf) > scoreOf(book, most) ? shelf : most), undefined);
 }
 
@@ -33,12 +33,12 @@
 	return new Set(input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.granted).map(({slot}) => slot));
 }
 
-function gainOf(book: Book, from: OwnerLoad, to: OwnerLoad, slot: Slot): number {
+function gainOf(book: WorkingPlan, from: OwnerLoad, to: OwnerLoad, slot: Slot): number {
 	const after = Math.max(scoreOf(book, from, -rateOf(book.input, slot), -countOf(book, slot)), scoreWith(book, to, slot));
 	return scoreOf(book, from) - after;
 }
 
-function bestCandidate(book: Book, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
+function bestCandidate(book: WorkingPlan, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
 	let best: Candidate | undefined;
 	for (const slot of slots) {
 		const to = cheapest(book, slot, from);
@@ -53,7 +53,7 @@
 	return best;
 }
 
-function costOf(book: Book, slot: Slot): number {
+function costOf(book: WorkingPlan, slot: Slot): number {
 	if (rateOf(book.input, slot) === 0) {
 		return idleMoveCost;
 	}
@@ -62,7 +62,7 @@
 }
 
 type Work = {
-	readonly book: Book;
+	readonly book: WorkingPlan;
 	readonly movable: Set<Slot>;
 	readonly moves: PlannedMove[];
 	tokens: number;
@@ -136,7 +136,7 @@
 }
 
 /** Plans optional moves. The working plan must already contain the outcome of all others. */
-export function planBalance(input: PlacementInput, book: Book, state: PlacementState, taken: ReadonlySet<Slot>): BalancePlan {
+export function planBalance(input: PlacementInput, book: WorkingPlan, state: PlacementState, taken: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
 	const work: Work = {
 		book,
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -27,7 +27,7 @@
 };
 
 /** The working copy that one plan is computed on. */
-export type Book = {
+export type WorkingPlan = {
 	readonly policy: PlacementPolicy;
 	readonly shelves: readonly OwnerLoad[];
 	readonly contractSlots: number;
@@ -81,14 +81,14 @@
 }
 
 /** Creates the working plan: the upstreams that may be granted slots, with the slots that they own now. */
-export function openBook(input: PlacementInput, policy: PlacementPolicy): Book {
+export function openBook(input: PlacementInput, policy: PlacementPolicy): WorkingPlan {
 	const owners = input.upstreams
 		.filter(({record}) => mayOwn(input, record) && !input.unreachableZones.includes(record.zone))
 		.toSorted((one, other) => (one.record.name < other.record.name ? -1 : 1));
 	const total = Object.values(input.loads.slots).reduce((sum, rate) => sum + rate, 0);
 	const shelves = owners.map(upstream => toShelf(input, policy, upstream, total / owners.length));
 	const capacity = Math.max(0.01, shelves.reduce((sum, shelf) => sum + shelf.capacity, 0));
-	const book: Book = {
+	const book: WorkingPlan = {
 		policy, shelves, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
 	};
 	const byName = new Map(shelves.map(shelf => [shelf.identity.name, shelf]));
@@ -103,43 +103,43 @@
 }
 
 /** Assigns a slot to an upstream in the working plan. */
-export function put(book: Book, shelf: OwnerLoad, slot: Slot): void {
+export function put(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
 	shelf.slots.add(slot);
 	shelf.load += rateOf(book.input, slot);
 	shelf.count += countOf(book, slot);
 }
 
 /** Removes a slot from an upstream in the working plan. */
-export function take(book: Book, shelf: OwnerLoad, slot: Slot): void {
+export function take(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
 	shelf.slots.delete(slot);
 	shelf.load -= rateOf(book.input, slot);
 	shelf.count -= countOf(book, slot);
 }
 
 /** Whether a slot belongs to a pinned key. */
-export function isPinned(book: Book, slot: Slot): boolean {
+export function isPinned(book: WorkingPlan, slot: Slot): boolean {
 	return slot >= book.contractSlots;
 }
 
 /** Whether a pinned key is no longer hot and should go back to its slot. */
-export function isCool(book: Book, pin: PinnedKey): boolean {
+export function isCool(book: WorkingPlan, pin: PinnedKey): boolean {
 	return rateOf(book.input, pin.slot) < book.policy.unpinShare * book.loadPerCapacity;
 }
 
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
-export function shelfFor(book: Book, slot: Slot): OwnerLoad | undefined {
+export function shelfFor(book: WorkingPlan, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
 	const home = pin !== undefined && isCool(book, pin) ? book.shelves.find(shelf => shelf.slots.has(pin.home)) : undefined;
 	return home ?? cheapest(book, slot);
 }
 
 /** Returns what a slot adds to the slot count. A pinned key adds only its load. */
-export function countOf(book: Book, slot: Slot): number {
+export function countOf(book: WorkingPlan, slot: Slot): number {
 	return isPinned(book, slot) ? 0 : 1;
 }
 
 /** Returns the weighted load and slot count of an upstream as a multiple of its fair share, with `moreLoad` and `moreCount` added. */
-export function scoreOf(book: Book, shelf: OwnerLoad, moreLoad = 0, moreCount = 0): number {
+export function scoreOf(book: WorkingPlan, shelf: OwnerLoad, moreLoad = 0, moreCount = 0): number {
 	const countScore = (shelf.count + moreCount) / (shelf.capacity * book.countPerCapacity);
 	if (book.loadPerCapacity === 0) {
 		return countScore;
@@ -150,7 +150,7 @@
 }
 
 /** Returns the score that an upstream would have with an additional slot. */
-export function scoreWith(book: Book, shelf: OwnerLoad, slot: Slot): number {
+export function scoreWith(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): number {
 	return scoreOf(book, shelf, rateOf(book.input, slot), countOf(book, slot));
 }
 
@@ -163,7 +163,7 @@
 }
 
 /** Returns the upstream with the lowest cost for a slot: its score with the slot, plus the cost of requests from other regions. */
-export function cheapest(book: Book, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
+export function cheapest(book: WorkingPlan, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
 	let best: OwnerLoad | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	const remote = new Map<RegionName, number>();
--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {sameUpstream, type Slot, type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {
-	type Book, isCool, remoteShareOf, scoreOf, type OwnerLoad,
+	type WorkingPlan, isCool, remoteShareOf, scoreOf, type OwnerLoad,
 } from './book.js';
 import {type HotKey, type PlacementInput} from './input.js';
 import {type PlacementPolicy} from './policy.js';
@@ -44,7 +44,7 @@
 		assignment.phase === AssignmentPhase.granted ? [[assignment.slot, assignment.owner]] : []));
 }
 
-function isWorthPinning(book: Book, policy: PlacementPolicy, shelf: OwnerLoad | undefined, hot: HotKey): boolean {
+function isWorthPinning(book: WorkingPlan, policy: PlacementPolicy, shelf: OwnerLoad | undefined, hot: HotKey): boolean {
 	if (shelf === undefined || hot.rate <= policy.pinShare * book.loadPerCapacity) {
 		return false;
 	}
@@ -53,7 +53,7 @@
 	return isFarAway || scoreOf(book, shelf) > policy.pinTrigger;
 }
 
-function choosePins(input: PlacementInput, book: Book, policy: PlacementPolicy): readonly PlannedPin[] {
+function choosePins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): readonly PlannedPin[] {
 	const room = policy.mostPinned - input.assignments.pinned.length;
 	const pinned = new Set(input.assignments.pinned.map(pin => pin.key));
 	const owners = ownersBySlot(input);
@@ -66,7 +66,7 @@
 }
 
 /** Plans pins, and the return of pinned keys that are no longer hot: first to the owner of their home slot, then into that slot. */
-export function planPins(input: PlacementInput, book: Book, policy: PlacementPolicy, taken: ReadonlySet<Slot>): PinPlan {
+export function planPins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy, taken: ReadonlySet<Slot>): PinPlan {
 	const owners = ownersBySlot(input);
 	const unpins: PlannedUnpin[] = [];
 	const moves: PlannedMove[] = [];
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -4,7 +4,7 @@
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {planBalance} from './balance.js';
-import {type Book, openBook} from './book.js';
+import {type WorkingPlan, openBook} from './book.js';
 import {refillBudget} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
 import {planPins, withPinnedRates} from './pins.js';
@@ -24,7 +24,7 @@
 	return input.policy ?? placementPolicies[input.contract.weigh];
 }
 
-function isStorm(input: PlacementInput, book: Book, policy: PlacementPolicy): boolean {
+function isStorm(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): boolean {
 	const flappingShare = input.flapping / Math.max(1, book.shelves.length);
 	const homelessShare = book.homeless / Math.max(1, input.contract.slots);
 	return flappingShare > policy.stormShare || homelessShare > policy.stormShare;
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -6,7 +6,7 @@
 import {type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {
-	type Book, liveAssignments, mayOwn, put, rateOf, shelfFor,
+	type WorkingPlan, liveAssignments, mayOwn, put, rateOf, shelfFor,
 } from './book.js';
 import {type PlacementInput} from './input.js';
 import {MoveReason, type PlannedGrant, type PlannedMove} from './proposal.js';
@@ -35,7 +35,7 @@
 }
 
 /** Moves of all slots whose owner is lost, leaving, or in a zone that may not own keys. They are not limited by the budget. */
-export function planForcedMoves(input: PlacementInput, book: Book): readonly PlannedMove[] {
+export function planForcedMoves(input: PlacementInput, book: WorkingPlan): readonly PlannedMove[] {
 	const records = new Map(input.upstreams.map(({record}) => [ownerKey(identityOf(record)), record]));
 	const moves: PlannedMove[] = [];
 	for (const assignment of liveAssignments(input).toSorted(byLoad(input))) {
@@ -56,7 +56,7 @@
 	return moves;
 }
 
-function place(book: Book, assignment: Assignment): UpstreamIdentity | undefined {
+function place(book: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
 	const shelf = shelfFor(book, assignment.slot);
 	if (shelf !== undefined) {
 		put(book, shelf, assignment.slot);
@@ -70,7 +70,7 @@
  * Plans grants of all vacant slots. Slots that are being revoked are also assigned
  * in the working plan, so that later steps count them at their next owner.
  */
-export function grantVacant(input: PlacementInput, book: Book): readonly PlannedGrant[] {
+export function grantVacant(input: PlacementInput, book: WorkingPlan): readonly PlannedGrant[] {
 	const grants: PlannedGrant[] = [];
 	const waiting = liveAssignments(input).filter(({phase}) => phase !== AssignmentPhase.granted);
 	for (const assignment of waiting.toSorted(byLoad(input))) {
