--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -82,11 +82,11 @@
 
 /** Creates the working plan: the upstreams that may be granted slots, with the slots that they own now. */
 export function openBook(input: PlacementInput, policy: PlacementPolicy): WorkingPlan {
-	const owners = input.upstreams
+	const candidates = input.upstreams
 		.filter(({record}) => mayOwn(input, record) && !input.unreachableZones.includes(record.zone))
 		.toSorted((one, other) => (one.record.name < other.record.name ? -1 : 1));
 	const total = Object.values(input.loads.slots).reduce((sum, rate) => sum + rate, 0);
-	const shelves = owners.map(upstream => toShelf(input, policy, upstream, total / owners.length));
+	const shelves = candidates.map(upstream => toShelf(input, policy, upstream, total / candidates.length));
 	const capacity = Math.max(0.01, shelves.reduce((sum, shelf) => sum + shelf.capacity, 0));
 	const book: WorkingPlan = {
 		policy, shelves, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
