--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -26,7 +26,7 @@
 };
 
 function mostLoaded(book: WorkingPlan): OwnerLoad | undefined {
-	return book.shelves.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(book, shelf) > scoreOf(book, most) ? shelf : most), undefined);
+	return book.owners.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(book, shelf) > scoreOf(book, most) ? shelf : most), undefined);
 }
 
 function grantedSlots(input: PlacementInput): ReadonlySet<Slot> {
@@ -122,7 +122,7 @@
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
 function bringNearer(work: Work): void {
 	const {book} = work;
-	for (const from of book.shelves) {
+	for (const from of book.owners) {
 		for (const slot of movableOf(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
 			const to = cheapest(book, slot, from);
 			const gain = to === undefined ? 0 : remoteShareOf(book.input, slot, from.region) - remoteShareOf(book.input, slot, to.region);
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -29,7 +29,7 @@
 /** The working copy that one plan is computed on. */
 export type WorkingPlan = {
 	readonly policy: PlacementPolicy;
-	readonly shelves: readonly OwnerLoad[];
+	readonly owners: readonly OwnerLoad[];
 	readonly contractSlots: number;
 	readonly loadPerCapacity: number;
 	readonly countPerCapacity: number;
@@ -89,7 +89,7 @@
 	const shelves = candidates.map(upstream => toShelf(input, policy, upstream, total / candidates.length));
 	const capacity = Math.max(0.01, shelves.reduce((sum, shelf) => sum + shelf.capacity, 0));
 	const book: WorkingPlan = {
-		policy, shelves, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
+		policy, owners: shelves, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
 	};
 	const byName = new Map(shelves.map(shelf => [shelf.identity.name, shelf]));
 	for (const assignment of liveAssignments(input)) {
@@ -129,7 +129,7 @@
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
 export function shelfFor(book: WorkingPlan, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
-	const home = pin !== undefined && isCool(book, pin) ? book.shelves.find(shelf => shelf.slots.has(pin.home)) : undefined;
+	const home = pin !== undefined && isCool(book, pin) ? book.owners.find(shelf => shelf.slots.has(pin.home)) : undefined;
 	return home ?? cheapest(book, slot);
 }
 
@@ -167,7 +167,7 @@
 	let best: OwnerLoad | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	const remote = new Map<RegionName, number>();
-	for (const shelf of book.shelves) {
+	for (const shelf of book.owners) {
 		const share = remote.get(shelf.region) ?? remoteShareOf(book.input, slot, shelf.region);
 		remote.set(shelf.region, share);
 		const cost = scoreWith(book, shelf, slot) + (book.policy.remoteWeight * share);
--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -60,7 +60,7 @@
 	return input.hotKeys
 		.filter(hot => !pinned.has(hot.key) && owners.has(hot.home))
 		.toSorted((one, other) => (other.rate - one.rate) || (one.key < other.key ? -1 : 1))
-		.filter(hot => isWorthPinning(book, policy, book.shelves.find(shelf => shelf.slots.has(hot.home)), hot))
+		.filter(hot => isWorthPinning(book, policy, book.owners.find(shelf => shelf.slots.has(hot.home)), hot))
 		.slice(0, Math.max(0, room))
 		.map(({key, home}) => ({key, home}));
 }
@@ -79,7 +79,7 @@
 
 		if (sameUpstream(owner, homeOwner)) {
 			unpins.push({key: pin.key, slot: pin.slot});
-		} else if (book.shelves.some(shelf => sameUpstream(shelf.identity, homeOwner))) {
+		} else if (book.owners.some(shelf => sameUpstream(shelf.identity, homeOwner))) {
 			moves.push({
 				slot: pin.slot, from: owner, to: homeOwner, reason: MoveReason.unpin,
 			});
