--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -86,12 +86,12 @@
 		.filter(({record}) => mayOwn(input, record) && !input.unreachableZones.includes(record.zone))
 		.toSorted((one, other) => (one.record.name < other.record.name ? -1 : 1));
 	const total = Object.values(input.loads.slots).reduce((sum, rate) => sum + rate, 0);
-	const shelves = candidates.map(upstream => toShelf(input, policy, upstream, total / candidates.length));
-	const capacity = Math.max(0.01, shelves.reduce((sum, shelf) => sum + shelf.capacity, 0));
+	const owners = candidates.map(upstream => toShelf(input, policy, upstream, total / candidates.length));
+	const capacity = Math.max(0.01, owners.reduce((sum, shelf) => sum + shelf.capacity, 0));
 	const book: WorkingPlan = {
-		policy, owners: shelves, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
+		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
 	};
-	const byName = new Map(shelves.map(shelf => [shelf.identity.name, shelf]));
+	const byName = new Map(owners.map(shelf => [shelf.identity.name, shelf]));
 	for (const assignment of liveAssignments(input)) {
 		const shelf = assignment.phase === AssignmentPhase.granted ? byName.get(assignment.owner.name) : undefined;
 		if (shelf !== undefined && assignment.phase === AssignmentPhase.granted && sameUpstream(shelf.identity, assignment.owner)) {
