--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -35,7 +35,7 @@
 	readonly countPerCapacity: number;
 	readonly input: PlacementInput;
 	/** The number of slots whose owner was lost, leaves or may no longer own them, or that are vacant or being revoked. */
-	homeless: number;
+	unownedSlots: number;
 };
 
 /** The number of warm-up times after which a new upstream counts as warm, whatever load it carried. */
@@ -89,7 +89,7 @@
 	const owners = candidates.map(upstream => toShelf(input, policy, upstream, total / candidates.length));
 	const capacity = Math.max(0.01, owners.reduce((sum, shelf) => sum + shelf.capacity, 0));
 	const book: WorkingPlan = {
-		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, homeless: 0,
+		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
 	};
 	const byName = new Map(owners.map(shelf => [shelf.identity.name, shelf]));
 	for (const assignment of liveAssignments(input)) {
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -26,7 +26,7 @@
 
 function isStorm(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): boolean {
 	const flappingShare = input.flapping / Math.max(1, book.owners.length);
-	const homelessShare = book.homeless / Math.max(1, input.contract.slots);
+	const homelessShare = book.unownedSlots / Math.max(1, input.contract.slots);
 	return flappingShare > policy.stormShare || homelessShare > policy.stormShare;
 }
 
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -62,7 +62,7 @@
 		put(book, shelf, assignment.slot);
 	}
 
-	book.homeless++;
+	book.unownedSlots++;
 	return shelf?.identity;
 }
 
