--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -39,7 +39,7 @@
 };
 
 /** The number of warm-up times after which a new upstream counts as warm, whatever load it carried. */
-const warmUpsAtMost = 4;
+const maxWarmUpPeriods = 4;
 
 /** Returns the smoothed requests per second of a slot. */
 export function rateOf(input: PlacementInput, slot: Slot): number {
@@ -60,7 +60,7 @@
 function capacityOf(input: PlacementInput, policy: PlacementPolicy, upstream: PlacementUpstream, fairLoad: number): number {
 	const warmUp = input.contract.upstream.warmUpMilliseconds;
 	const age = upstream.joinedAt === undefined ? Number.POSITIVE_INFINITY : input.now - upstream.joinedAt;
-	if (age >= warmUp * warmUpsAtMost || fairLoad === 0) {
+	if (age >= warmUp * maxWarmUpPeriods || fairLoad === 0) {
 		return 1;
 	}
 
