--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -69,7 +69,7 @@
 	return Math.min(1, byTime, policy.coldShare + (policy.coldGrowth * carried));
 }
 
-function toShelf(input: PlacementInput, policy: PlacementPolicy, upstream: PlacementUpstream, fairLoad: number): OwnerLoad {
+function createOwnerLoad(input: PlacementInput, policy: PlacementPolicy, upstream: PlacementUpstream, fairLoad: number): OwnerLoad {
 	return {
 		identity: identityOf(upstream.record),
 		region: upstream.record.region,
@@ -86,7 +86,7 @@
 		.filter(({record}) => mayOwn(input, record) && !input.unreachableZones.includes(record.zone))
 		.toSorted((one, other) => (one.record.name < other.record.name ? -1 : 1));
 	const total = Object.values(input.loads.slots).reduce((sum, rate) => sum + rate, 0);
-	const owners = candidates.map(upstream => toShelf(input, policy, upstream, total / candidates.length));
+	const owners = candidates.map(upstream => createOwnerLoad(input, policy, upstream, total / candidates.length));
 	const capacity = Math.max(0.01, owners.reduce((sum, shelf) => sum + shelf.capacity, 0));
 	const book: WorkingPlan = {
 		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
