--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -81,7 +81,7 @@
 }
 
 /** Creates the working plan: the upstreams that may be granted slots, with the slots that they own now. */
-export function openBook(input: PlacementInput, policy: PlacementPolicy): WorkingPlan {
+export function createWorkingPlan(input: PlacementInput, policy: PlacementPolicy): WorkingPlan {
 	const candidates = input.upstreams
 		.filter(({record}) => mayOwn(input, record) && !input.unreachableZones.includes(record.zone))
 		.toSorted((one, other) => (one.record.name < other.record.name ? -1 : 1));
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -4,7 +4,7 @@
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {planBalance} from './balance.js';
-import {type WorkingPlan, openBook} from './book.js';
+import {type WorkingPlan, createWorkingPlan} from './book.js';
 import {refillBudget} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
 import {planPins, withPinnedRates} from './pins.js';
@@ -34,7 +34,7 @@
 export function planPlacement(given: PlacementInput): PlacementPlan {
 	const input = given.assignments.pinned.length === 0 ? given : withPinnedRates(given);
 	const policy = policyOf(input);
-	const book = openBook(input, policy);
+	const book = createWorkingPlan(input, policy);
 	const state = refillBudget(input.state, policy, input.now);
 	const forced = planForcedMoves(input, book);
 	const grants = grantVacant(input, book);
