--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -127,7 +127,7 @@
 }
 
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
-export function shelfFor(book: WorkingPlan, slot: Slot): OwnerLoad | undefined {
+export function ownerFor(book: WorkingPlan, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
 	const home = pin !== undefined && isCool(book, pin) ? book.owners.find(shelf => shelf.slots.has(pin.home)) : undefined;
 	return home ?? cheapest(book, slot);
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -6,7 +6,7 @@
 import {type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {
-	type WorkingPlan, liveAssignments, mayOwn, put, rateOf, shelfFor,
+	type WorkingPlan, liveAssignments, mayOwn, put, rateOf, ownerFor,
 } from './book.js';
 import {type PlacementInput} from './input.js';
 import {MoveReason, type PlannedGrant, type PlannedMove} from './proposal.js';
@@ -45,7 +45,7 @@
 
 		const reason = whyForced(input, records.get(ownerKey(assignment.owner)));
 		if (reason !== undefined) {
-			const shelf = shelfFor(book, assignment.slot);
+			const shelf = ownerFor(book, assignment.slot);
 			moves.push({
 				slot: assignment.slot, from: assignment.owner, reason, ...(shelf && {to: shelf.identity}),
 			});
@@ -57,7 +57,7 @@
 }
 
 function place(book: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
-	const shelf = shelfFor(book, assignment.slot);
+	const shelf = ownerFor(book, assignment.slot);
 	if (shelf !== undefined) {
 		put(book, shelf, assignment.slot);
 	}
