--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {
-	type WorkingPlan, cheapest, countOf, isPinned, put, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, take,
+	type WorkingPlan, cheapest, countOf, isPinned, assignSlot, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, take,
 } from './book.js';
 import {idleMoveCost, pinnedMoveCost} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
@@ -91,7 +91,7 @@
 	work.underWay += cost;
 	work.movable.delete(slot);
 	take(work.book, from, slot);
-	put(work.book, to, slot);
+	assignSlot(work.book, to, slot);
 	work.moves.push({
 		slot, from: from.identity, to: to.identity, reason,
 	});
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -95,7 +95,7 @@
 	for (const assignment of liveAssignments(input)) {
 		const shelf = assignment.phase === AssignmentPhase.granted ? byName.get(assignment.owner.name) : undefined;
 		if (shelf !== undefined && assignment.phase === AssignmentPhase.granted && sameUpstream(shelf.identity, assignment.owner)) {
-			put(book, shelf, assignment.slot);
+			assignSlot(book, shelf, assignment.slot);
 		}
 	}
 
@@ -103,7 +103,7 @@
 }
 
 /** Assigns a slot to an upstream in the working plan. */
-export function put(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
+export function assignSlot(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
 	shelf.slots.add(slot);
 	shelf.load += rateOf(book.input, slot);
 	shelf.count += countOf(book, slot);
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -6,7 +6,7 @@
 import {type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {
-	type WorkingPlan, liveAssignments, mayOwn, put, rateOf, ownerFor,
+	type WorkingPlan, liveAssignments, mayOwn, assignSlot, rateOf, ownerFor,
 } from './book.js';
 import {type PlacementInput} from './input.js';
 import {MoveReason, type PlannedGrant, type PlannedMove} from './proposal.js';
@@ -59,7 +59,7 @@
 function place(book: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
 	const shelf = ownerFor(book, assignment.slot);
 	if (shelf !== undefined) {
-		put(book, shelf, assignment.slot);
+		assignSlot(book, shelf, assignment.slot);
 	}
 
 	book.unownedSlots++;
