--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {
-	type WorkingPlan, cheapest, countOf, isPinned, assignSlot, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, take,
+	type WorkingPlan, cheapest, countOf, isPinned, assignSlot, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, unassignSlot,
 } from './book.js';
 import {idleMoveCost, pinnedMoveCost} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
@@ -90,7 +90,7 @@
 	work.tokens -= cost;
 	work.underWay += cost;
 	work.movable.delete(slot);
-	take(work.book, from, slot);
+	unassignSlot(work.book, from, slot);
 	assignSlot(work.book, to, slot);
 	work.moves.push({
 		slot, from: from.identity, to: to.identity, reason,
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -110,7 +110,7 @@
 }
 
 /** Removes a slot from an upstream in the working plan. */
-export function take(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
+export function unassignSlot(book: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
 	shelf.slots.delete(slot);
 	shelf.load -= rateOf(book.input, slot);
 	shelf.count -= countOf(book, slot);
