--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {
-	type WorkingPlan, cheapest, countOf, isPinned, assignSlot, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, unassignSlot,
+	type WorkingPlan, cheapestOwner, countOf, isPinned, assignSlot, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, unassignSlot,
 } from './book.js';
 import {idleMoveCost, pinnedMoveCost} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
@@ -41,7 +41,7 @@
 function bestCandidate(book: WorkingPlan, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
 	let best: Candidate | undefined;
 	for (const slot of slots) {
-		const to = cheapest(book, slot, from);
+		const to = cheapestOwner(book, slot, from);
 		const gain = to === undefined ? 0 : gainOf(book, from, to, slot);
 		if (to !== undefined && gain > (best?.gain ?? 0)) {
 			best = {
@@ -124,7 +124,7 @@
 	const {book} = work;
 	for (const from of book.owners) {
 		for (const slot of movableOf(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
-			const to = cheapest(book, slot, from);
+			const to = cheapestOwner(book, slot, from);
 			const gain = to === undefined ? 0 : remoteShareOf(book.input, slot, from.region) - remoteShareOf(book.input, slot, to.region);
 			if (to !== undefined && gain >= book.policy.localityGain && scoreWith(book, to, slot) <= book.policy.pinTrigger) {
 				carryOut(work, {
--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -130,7 +130,7 @@
 export function ownerFor(book: WorkingPlan, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
 	const home = pin !== undefined && isCool(book, pin) ? book.owners.find(shelf => shelf.slots.has(pin.home)) : undefined;
-	return home ?? cheapest(book, slot);
+	return home ?? cheapestOwner(book, slot);
 }
 
 /** Returns what a slot adds to the slot count. A pinned key adds only its load. */
@@ -163,7 +163,7 @@
 }
 
 /** Returns the upstream with the lowest cost for a slot: its score with the slot, plus the cost of requests from other regions. */
-export function cheapest(book: WorkingPlan, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
+export function cheapestOwner(book: WorkingPlan, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
 	let best: OwnerLoad | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	const remote = new Map<RegionName, number>();
