--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -122,14 +122,14 @@
 }
 
 /** Whether a pinned key is no longer hot and should go back to its slot. */
-export function isCool(book: WorkingPlan, pin: PinnedKey): boolean {
+export function isNoLongerHot(book: WorkingPlan, pin: PinnedKey): boolean {
 	return rateOf(book.input, pin.slot) < book.policy.unpinShare * book.loadPerCapacity;
 }
 
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
 export function ownerFor(book: WorkingPlan, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(book, slot) ? book.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
-	const home = pin !== undefined && isCool(book, pin) ? book.owners.find(shelf => shelf.slots.has(pin.home)) : undefined;
+	const home = pin !== undefined && isNoLongerHot(book, pin) ? book.owners.find(shelf => shelf.slots.has(pin.home)) : undefined;
 	return home ?? cheapestOwner(book, slot);
 }
 
--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -5,7 +5,7 @@
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {sameUpstream, type Slot, type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {
-	type WorkingPlan, isCool, remoteShareOf, scoreOf, type OwnerLoad,
+	type WorkingPlan, isNoLongerHot, remoteShareOf, scoreOf, type OwnerLoad,
 } from './book.js';
 import {type HotKey, type PlacementInput} from './input.js';
 import {type PlacementPolicy} from './policy.js';
@@ -70,7 +70,7 @@
 	const owners = ownersBySlot(input);
 	const unpins: PlannedUnpin[] = [];
 	const moves: PlannedMove[] = [];
-	for (const pin of input.assignments.pinned.filter(pin => isCool(book, pin) && !taken.has(pin.slot) && !taken.has(pin.home))) {
+	for (const pin of input.assignments.pinned.filter(pin => isNoLongerHot(book, pin) && !taken.has(pin.slot) && !taken.has(pin.home))) {
 		const owner = owners.get(pin.slot);
 		const homeOwner = owners.get(pin.home);
 		if (owner === undefined || homeOwner === undefined) {
