--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -61,7 +61,7 @@
 	return isPinned(book, slot) ? pinnedMoveCost : 1;
 }
 
-type Work = {
+type BalanceRun = {
 	readonly book: WorkingPlan;
 	readonly movable: Set<Slot>;
 	readonly moves: PlannedMove[];
@@ -69,12 +69,12 @@
 	underWay: number;
 };
 
-function movableOf(work: Work, from: OwnerLoad): readonly Slot[] {
+function movableOf(work: BalanceRun, from: OwnerLoad): readonly Slot[] {
 	return [...from.slots].filter(slot => work.movable.has(slot)).sort((one, other) => one - other);
 }
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
-function chooseCandidate(work: Work, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
+function chooseCandidate(work: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
 	const {book} = work;
 	const slots = movableOf(work, from);
 	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
@@ -85,7 +85,7 @@
 	return bestCandidate(book, from, slots.filter(slot => !isPinned(book, slot)));
 }
 
-function carryOut(work: Work, {slot, from, to}: Candidate, reason: MoveReason): void {
+function carryOut(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
 	const cost = costOf(work.book, slot);
 	work.tokens -= cost;
 	work.underWay += cost;
@@ -97,12 +97,12 @@
 	});
 }
 
-function isAffordable(work: Work, slot: Slot): boolean {
+function isAffordable(work: BalanceRun, slot: Slot): boolean {
 	return work.underWay < work.book.policy.movesAtOnce && work.tokens >= costOf(work.book, slot);
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
-function balance(work: Work, wasBalancing: boolean): boolean {
+function balance(work: BalanceRun, wasBalancing: boolean): boolean {
 	const {book} = work;
 	const {balanceTrigger, balanceTarget, pinTrigger, leastGain} = book.policy;
 	let isBalancing = wasBalancing;
@@ -120,7 +120,7 @@
 }
 
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
-function bringNearer(work: Work): void {
+function bringNearer(work: BalanceRun): void {
 	const {book} = work;
 	for (const from of book.owners) {
 		for (const slot of movableOf(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
@@ -138,7 +138,7 @@
 /** Plans optional moves. The working plan must already contain the outcome of all others. */
 export function planBalance(input: PlacementInput, book: WorkingPlan, state: PlacementState, taken: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
-	const work: Work = {
+	const work: BalanceRun = {
 		book,
 		movable: new Set([...grantedSlots(input)].filter(slot => !taken.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
