--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -62,7 +62,7 @@
 }
 
 type BalanceRun = {
-	readonly book: WorkingPlan;
+	readonly plan: WorkingPlan;
 	readonly movable: Set<Slot>;
 	readonly moves: PlannedMove[];
 	tokens: number;
@@ -75,7 +75,7 @@
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
 function chooseCandidate(work: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
-	const {book} = work;
+	const {plan: book} = work;
 	const slots = movableOf(work, from);
 	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
 	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= book.policy.leastGain)) {
@@ -86,24 +86,24 @@
 }
 
 function carryOut(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
-	const cost = costOf(work.book, slot);
+	const cost = costOf(work.plan, slot);
 	work.tokens -= cost;
 	work.underWay += cost;
 	work.movable.delete(slot);
-	unassignSlot(work.book, from, slot);
-	assignSlot(work.book, to, slot);
+	unassignSlot(work.plan, from, slot);
+	assignSlot(work.plan, to, slot);
 	work.moves.push({
 		slot, from: from.identity, to: to.identity, reason,
 	});
 }
 
 function isAffordable(work: BalanceRun, slot: Slot): boolean {
-	return work.underWay < work.book.policy.movesAtOnce && work.tokens >= costOf(work.book, slot);
+	return work.underWay < work.plan.policy.movesAtOnce && work.tokens >= costOf(work.plan, slot);
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
 function balance(work: BalanceRun, wasBalancing: boolean): boolean {
-	const {book} = work;
+	const {plan: book} = work;
 	const {balanceTrigger, balanceTarget, pinTrigger, leastGain} = book.policy;
 	let isBalancing = wasBalancing;
 	for (;;) {
@@ -121,7 +121,7 @@
 
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
 function bringNearer(work: BalanceRun): void {
-	const {book} = work;
+	const {plan: book} = work;
 	for (const from of book.owners) {
 		for (const slot of movableOf(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
 			const to = cheapestOwner(book, slot, from);
@@ -139,7 +139,7 @@
 export function planBalance(input: PlacementInput, book: WorkingPlan, state: PlacementState, taken: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
 	const work: BalanceRun = {
-		book,
+		plan: book,
 		movable: new Set([...grantedSlots(input)].filter(slot => !taken.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
