--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -66,7 +66,7 @@
 	readonly movable: Set<Slot>;
 	readonly moves: PlannedMove[];
 	tokens: number;
-	underWay: number;
+	costInProgress: number;
 };
 
 function movableOf(work: BalanceRun, from: OwnerLoad): readonly Slot[] {
@@ -88,7 +88,7 @@
 function carryOut(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
 	const cost = costOf(work.plan, slot);
 	work.tokens -= cost;
-	work.underWay += cost;
+	work.costInProgress += cost;
 	work.movable.delete(slot);
 	unassignSlot(work.plan, from, slot);
 	assignSlot(work.plan, to, slot);
@@ -98,7 +98,7 @@
 }
 
 function isAffordable(work: BalanceRun, slot: Slot): boolean {
-	return work.underWay < work.plan.policy.movesAtOnce && work.tokens >= costOf(work.plan, slot);
+	return work.costInProgress < work.plan.policy.movesAtOnce && work.tokens >= costOf(work.plan, slot);
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
@@ -143,7 +143,7 @@
 		movable: new Set([...grantedSlots(input)].filter(slot => !taken.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
-		underWay: revoking.reduce((sum, {slot}) => sum + costOf(book, slot), 0),
+		costInProgress: revoking.reduce((sum, {slot}) => sum + costOf(book, slot), 0),
 	};
 	const isBalancing = balance(work, state.isBalancing);
 	bringNearer(work);
