--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -69,14 +69,14 @@
 	costInProgress: number;
 };
 
-function movableOf(work: BalanceRun, from: OwnerLoad): readonly Slot[] {
+function movableSlots(work: BalanceRun, from: OwnerLoad): readonly Slot[] {
 	return [...from.slots].filter(slot => work.movable.has(slot)).sort((one, other) => one - other);
 }
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
 function chooseCandidate(work: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
 	const {plan: book} = work;
-	const slots = movableOf(work, from);
+	const slots = movableSlots(work, from);
 	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
 	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= book.policy.leastGain)) {
 		return pinned;
@@ -123,7 +123,7 @@
 function bringNearer(work: BalanceRun): void {
 	const {plan: book} = work;
 	for (const from of book.owners) {
-		for (const slot of movableOf(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
+		for (const slot of movableSlots(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
 			const to = cheapestOwner(book, slot, from);
 			const gain = to === undefined ? 0 : remoteShareOf(book.input, slot, from.region) - remoteShareOf(book.input, slot, to.region);
 			if (to !== undefined && gain >= book.policy.localityGain && scoreWith(book, to, slot) <= book.policy.pinTrigger) {
