--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -85,7 +85,7 @@
 	return bestCandidate(book, from, slots.filter(slot => !isPinned(book, slot)));
 }
 
-function carryOut(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
+function applyMove(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
 	const cost = costOf(work.plan, slot);
 	work.tokens -= cost;
 	work.costInProgress += cost;
@@ -115,7 +115,7 @@
 			return isBalancing;
 		}
 
-		carryOut(work, candidate, MoveReason.balance);
+		applyMove(work, candidate, MoveReason.balance);
 	}
 }
 
@@ -127,7 +127,7 @@
 			const to = cheapestOwner(book, slot, from);
 			const gain = to === undefined ? 0 : remoteShareOf(book.input, slot, from.region) - remoteShareOf(book.input, slot, to.region);
 			if (to !== undefined && gain >= book.policy.localityGain && scoreWith(book, to, slot) <= book.policy.pinTrigger) {
-				carryOut(work, {
+				applyMove(work, {
 					slot, from, to, gain,
 				}, MoveReason.locality);
 			}
