--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -120,7 +120,7 @@
 }
 
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
-function bringNearer(work: BalanceRun): void {
+function improveLocality(work: BalanceRun): void {
 	const {plan: book} = work;
 	for (const from of book.owners) {
 		for (const slot of movableSlots(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
@@ -146,7 +146,7 @@
 		costInProgress: revoking.reduce((sum, {slot}) => sum + costOf(book, slot), 0),
 	};
 	const isBalancing = balance(work, state.isBalancing);
-	bringNearer(work);
+	improveLocality(work);
 	const movedAt = {...state.movedAt, ...Object.fromEntries(work.moves.map(({slot}) => [slot, input.now]))};
 	return {
 		moves: work.moves, state: {
