--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -53,7 +53,7 @@
 	return best;
 }
 
-function costOf(book: WorkingPlan, slot: Slot): number {
+function moveCostOf(book: WorkingPlan, slot: Slot): number {
 	if (rateOf(book.input, slot) === 0) {
 		return idleMoveCost;
 	}
@@ -86,7 +86,7 @@
 }
 
 function applyMove(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
-	const cost = costOf(work.plan, slot);
+	const cost = moveCostOf(work.plan, slot);
 	work.tokens -= cost;
 	work.costInProgress += cost;
 	work.movable.delete(slot);
@@ -98,7 +98,7 @@
 }
 
 function isAffordable(work: BalanceRun, slot: Slot): boolean {
-	return work.costInProgress < work.plan.policy.movesAtOnce && work.tokens >= costOf(work.plan, slot);
+	return work.costInProgress < work.plan.policy.movesAtOnce && work.tokens >= moveCostOf(work.plan, slot);
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
@@ -143,7 +143,7 @@
 		movable: new Set([...grantedSlots(input)].filter(slot => !taken.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
-		costInProgress: revoking.reduce((sum, {slot}) => sum + costOf(book, slot), 0),
+		costInProgress: revoking.reduce((sum, {slot}) => sum + moveCostOf(book, slot), 0),
 	};
 	const isBalancing = balance(work, state.isBalancing);
 	improveLocality(work);
