--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -136,11 +136,11 @@
 }
 
 /** Plans optional moves. The working plan must already contain the outcome of all others. */
-export function planBalance(input: PlacementInput, book: WorkingPlan, state: PlacementState, taken: ReadonlySet<Slot>): BalancePlan {
+export function planBalance(input: PlacementInput, book: WorkingPlan, state: PlacementState, excludedSlots: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
 	const work: BalanceRun = {
 		plan: book,
-		movable: new Set([...grantedSlots(input)].filter(slot => !taken.has(slot) && !Object.hasOwn(state.movedAt, slot))),
+		movable: new Set([...grantedSlots(input)].filter(slot => !excludedSlots.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
 		costInProgress: revoking.reduce((sum, {slot}) => sum + moveCostOf(book, slot), 0),
