--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -66,11 +66,11 @@
 }
 
 /** Plans pins, and the return of pinned keys that are no longer hot: first to the owner of their home slot, then into that slot. */
-export function planPins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy, taken: ReadonlySet<Slot>): PinPlan {
+export function planPins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy, excludedSlots: ReadonlySet<Slot>): PinPlan {
 	const owners = ownersBySlot(input);
 	const unpins: PlannedUnpin[] = [];
 	const moves: PlannedMove[] = [];
-	for (const pin of input.assignments.pinned.filter(pin => isNoLongerHot(book, pin) && !taken.has(pin.slot) && !taken.has(pin.home))) {
+	for (const pin of input.assignments.pinned.filter(pin => isNoLongerHot(book, pin) && !excludedSlots.has(pin.slot) && !excludedSlots.has(pin.home))) {
 		const owner = owners.get(pin.slot);
 		const homeOwner = owners.get(pin.home);
 		if (owner === undefined || homeOwner === undefined) {
