--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -30,9 +30,9 @@
 	const rates: Record<Slot, number> = {};
 	for (const {key, home, slot} of input.assignments.pinned) {
 		const homeRate = rates[home] ?? input.loads.slots[home] ?? 0;
-		const seen = input.loads.slots[slot] ?? 0;
-		const missing = Math.min(homeRate, Math.max(0, (hot.get(key) ?? 0) - seen));
-		rates[slot] = seen + missing;
+		const slotRate = input.loads.slots[slot] ?? 0;
+		const missing = Math.min(homeRate, Math.max(0, (hot.get(key) ?? 0) - slotRate));
+		rates[slot] = slotRate + missing;
 		rates[home] = homeRate - missing;
 	}
 
