--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -26,12 +26,12 @@
  * the key's smoothed rate is still counted in its home slot.
  */
 export function withPinnedRates(input: PlacementInput): PlacementInput {
-	const hot = new Map(input.hotKeys.map(({key, rate}) => [key, rate]));
+	const hotRates = new Map(input.hotKeys.map(({key, rate}) => [key, rate]));
 	const rates: Record<Slot, number> = {};
 	for (const {key, home, slot} of input.assignments.pinned) {
 		const homeRate = rates[home] ?? input.loads.slots[home] ?? 0;
 		const slotRate = input.loads.slots[slot] ?? 0;
-		const missing = Math.min(homeRate, Math.max(0, (hot.get(key) ?? 0) - slotRate));
+		const missing = Math.min(homeRate, Math.max(0, (hotRates.get(key) ?? 0) - slotRate));
 		rates[slot] = slotRate + missing;
 		rates[home] = homeRate - missing;
 	}
