--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -24,7 +24,7 @@
 	return input.policy ?? placementPolicies[input.contract.weigh];
 }
 
-function isStorm(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): boolean {
+function isFailureBurst(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): boolean {
 	const flappingShare = input.flapping / Math.max(1, book.owners.length);
 	const homelessShare = book.unownedSlots / Math.max(1, input.contract.slots);
 	return flappingShare > policy.stormShare || homelessShare > policy.stormShare;
@@ -38,7 +38,7 @@
 	const state = refillBudget(input.state, policy, input.now);
 	const forced = planForcedMoves(input, book);
 	const grants = grantVacant(input, book);
-	if (isStorm(input, book, policy)) {
+	if (isFailureBurst(input, book, policy)) {
 		return {
 			grants, moves: forced, pins: [], unpins: [], state,
 		};
