--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -44,9 +44,9 @@
 		};
 	}
 
-	const {pins, unpins, moves: homing} = planPins(input, book, policy, new Set(forced.map(({slot}) => slot)));
-	const balance = planBalance(input, book, state, new Set([...forced, ...homing, ...unpins].map(({slot}) => slot)));
+	const {pins, unpins, moves: unpinMoves} = planPins(input, book, policy, new Set(forced.map(({slot}) => slot)));
+	const balance = planBalance(input, book, state, new Set([...forced, ...unpinMoves, ...unpins].map(({slot}) => slot)));
 	return {
-		grants, moves: [...forced, ...homing, ...balance.moves], pins, unpins, state: balance.state,
+		grants, moves: [...forced, ...unpinMoves, ...balance.moves], pins, unpins, state: balance.state,
 	};
 }
