--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -27,7 +27,7 @@
 function isFailureBurst(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): boolean {
 	const flappingShare = input.flapping / Math.max(1, book.owners.length);
 	const unownedShare = book.unownedSlots / Math.max(1, input.contract.slots);
-	return flappingShare > policy.stormShare || unownedShare > policy.stormShare;
+	return flappingShare > policy.failureBurstShare || unownedShare > policy.failureBurstShare;
 }
 
 /** Plans grants of vacant slots, moves off upstreams that are lost, leaving or no longer allowed to own slots, and optional moves that even out loads. */
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -25,7 +25,7 @@
 	/** The least time for which a slot or pinned key stays after an optional move. */
 	readonly cooldownMilliseconds: Milliseconds;
 	/** Optional moves stop while more than this share of the upstreams flaps, or of the slots has no owner. */
-	readonly stormShare: number;
+	readonly failureBurstShare: number;
 	/** A key with more than this fraction of an upstream's fair share of load may be pinned. */
 	readonly pinShare: number;
 	/** A pinned key moves closer to its requests when this reduces the fraction from other regions by at least this much. */
@@ -54,7 +54,7 @@
 		movesPerMinute: 12,
 		movesAtOnce: 4,
 		cooldownMilliseconds: 60_000,
-		stormShare: 0.25,
+		failureBurstShare: 0.25,
 		pinShare: 0.1,
 		localityGain: 0.4,
 		unpinShare: 0.03,
@@ -73,7 +73,7 @@
 		movesPerMinute: 4,
 		movesAtOnce: 2,
 		cooldownMilliseconds: 180_000,
-		stormShare: 0.15,
+		failureBurstShare: 0.15,
 		pinShare: 0.1,
 		localityGain: 0.4,
 		unpinShare: 0.03,
