--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -78,7 +78,7 @@
 	const {plan: book} = work;
 	const slots = movableSlots(work, from);
 	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
-	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= book.policy.leastGain)) {
+	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= book.policy.minimumGain)) {
 		return pinned;
 	}
 
@@ -104,7 +104,7 @@
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
 function balance(work: BalanceRun, wasBalancing: boolean): boolean {
 	const {plan: book} = work;
-	const {balanceTrigger, balanceTarget, pinTrigger, leastGain} = book.policy;
+	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain: leastGain} = book.policy;
 	let isBalancing = wasBalancing;
 	for (;;) {
 		const from = mostLoaded(book);
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -13,7 +13,7 @@
 	/** Optional moves of slots continue until no score is above this. */
 	readonly balanceTarget: number;
 	/** The least amount by which a move must reduce the greater of the two scores. */
-	readonly leastGain: number;
+	readonly minimumGain: number;
 	/** The weight of load in the score, from 0 to 1; the rest is the weight of the number of slots. */
 	readonly loadWeight: number;
 	/** The cost, in score, of a slot of average load when all its requests come from another region. */
@@ -48,7 +48,7 @@
 		pinTrigger: 1.1,
 		balanceTrigger: 1.4,
 		balanceTarget: 1.25,
-		leastGain: 0.03,
+		minimumGain: 0.03,
 		loadWeight: 0.65,
 		remoteWeight: 0.1,
 		movesPerMinute: 12,
@@ -67,7 +67,7 @@
 		pinTrigger: 1.15,
 		balanceTrigger: 2,
 		balanceTarget: 1.7,
-		leastGain: 0.05,
+		minimumGain: 0.05,
 		loadWeight: 0.65,
 		remoteWeight: 0.3,
 		movesPerMinute: 4,
