--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -98,7 +98,7 @@
 }
 
 function isAffordable(work: BalanceRun, slot: Slot): boolean {
-	return work.costInProgress < work.plan.policy.movesAtOnce && work.tokens >= moveCostOf(work.plan, slot);
+	return work.costInProgress < work.plan.policy.maxConcurrentMoves && work.tokens >= moveCostOf(work.plan, slot);
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -21,7 +21,7 @@
 	/** The number of optional moves that a service may make per minute. */
 	readonly movesPerMinute: number;
 	/** The number of optional moves that may be in progress at once. */
-	readonly movesAtOnce: number;
+	readonly maxConcurrentMoves: number;
 	/** The least time for which a slot or pinned key stays after an optional move. */
 	readonly cooldownMilliseconds: Milliseconds;
 	/** Optional moves stop while more than this share of the upstreams flaps, or of the slots has no owner. */
@@ -52,7 +52,7 @@
 		loadWeight: 0.65,
 		remoteWeight: 0.1,
 		movesPerMinute: 12,
-		movesAtOnce: 4,
+		maxConcurrentMoves: 4,
 		cooldownMilliseconds: 60_000,
 		failureBurstShare: 0.25,
 		pinShare: 0.1,
@@ -71,7 +71,7 @@
 		loadWeight: 0.65,
 		remoteWeight: 0.3,
 		movesPerMinute: 4,
-		movesAtOnce: 2,
+		maxConcurrentMoves: 2,
 		cooldownMilliseconds: 180_000,
 		failureBurstShare: 0.15,
 		pinShare: 0.1,
--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -185,7 +185,7 @@
 		check(input, plan) {
 			const slotMoves = plan.moves.filter(({reason, slot}) => reason === MoveReason.balance && slot < slots && (input.loads.slots[slot] ?? 0) > 0);
 			assert.ok(slotMoves.length <= input.state.tokens, `${slotMoves.length} moves with ${input.state.tokens} tokens`);
-			assert.ok(slotMoves.length <= policyOf(input).movesAtOnce);
+			assert.ok(slotMoves.length <= policyOf(input).maxConcurrentMoves);
 			assert.ok(plan.state.tokens >= 0);
 		},
 	},
