--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -54,7 +54,7 @@
 }
 
 function choosePins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): readonly PlannedPin[] {
-	const room = policy.mostPinned - input.assignments.pinned.length;
+	const room = policy.maxPinnedKeys - input.assignments.pinned.length;
 	const pinned = new Set(input.assignments.pinned.map(pin => pin.key));
 	const owners = ownersBySlot(input);
 	return input.hotKeys
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -33,7 +33,7 @@
 	/** A pinned key with less than this fraction of an upstream's fair share of load returns to its slot. */
 	readonly unpinShare: number;
 	/** The maximum number of pinned keys of one service. */
-	readonly mostPinned: number;
+	readonly maxPinnedKeys: number;
 	/** The time over which loads are smoothed. */
 	readonly smoothingMilliseconds: Milliseconds;
 	/** The fraction of a full share that a new upstream may carry at once. */
@@ -58,7 +58,7 @@
 		pinShare: 0.1,
 		localityGain: 0.4,
 		unpinShare: 0.03,
-		mostPinned: 32,
+		maxPinnedKeys: 32,
 		smoothingMilliseconds: 15_000,
 		coldShare: 0.5,
 		coldGrowth: 2,
@@ -77,7 +77,7 @@
 		pinShare: 0.1,
 		localityGain: 0.4,
 		unpinShare: 0.03,
-		mostPinned: 32,
+		maxPinnedKeys: 32,
 		smoothingMilliseconds: 30_000,
 		coldShare: 0.5,
 		coldGrowth: 2,
