--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -9,7 +9,7 @@
 } from '@dogwooddeck/model/identifiers';
 
 /** Rates below this, in requests per second, are dropped. */
-export const smallestRate = 0.001;
+export const minimumRate = 0.001;
 /** The number of hot keys that are kept per service; those with the lowest rates are dropped. */
 export const keysKept = 64;
 
@@ -61,7 +61,7 @@
 }
 
 function decay(rates: Readonly<Record<string, number>>, factor: number): Record<string, number> {
-	const kept = Object.entries(rates).map(([name, rate]) => [name, rate * factor] as const).filter(([, rate]) => rate >= smallestRate);
+	const kept = Object.entries(rates).map(([name, rate]) => [name, rate * factor] as const).filter(([, rate]) => rate >= minimumRate);
 	return Object.fromEntries(kept);
 }
 
@@ -75,7 +75,7 @@
 
 /** Decays the rates of slots and adds counts. */
 function addSlots(rates: readonly number[], loads: readonly SlotLoad[], factor: number, perCount: number): readonly number[] {
-	const next = rates.map(rate => (rate * factor < smallestRate ? 0 : rate * factor));
+	const next = rates.map(rate => (rate * factor < minimumRate ? 0 : rate * factor));
 	for (const {slot, requests} of loads) {
 		while (next.length <= slot) {
 			next.push(0);
