--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -11,7 +11,7 @@
 /** Rates below this, in requests per second, are dropped. */
 export const minimumRate = 0.001;
 /** The number of hot keys that are kept per service; those with the lowest rates are dropped. */
-export const keysKept = 64;
+export const maxHotKeys = 64;
 
 /** The smoothed requests per second of one service. */
 export type LoadState = {
@@ -89,7 +89,7 @@
 
 function hottest(rates: Record<string, number>): Record<string, number> {
 	const entries = Object.entries(rates);
-	return entries.length <= keysKept ? rates : Object.fromEntries(entries.sort(([, one], [, other]) => other - one).slice(0, keysKept));
+	return entries.length <= maxHotKeys ? rates : Object.fromEntries(entries.sort(([, one], [, other]) => other - one).slice(0, maxHotKeys));
 }
 
 /** Adds a report. Loads of other services are ignored. */
