--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -87,7 +87,7 @@
 	return next;
 }
 
-function hottest(rates: Record<string, number>): Record<string, number> {
+function hottestKeys(rates: Record<string, number>): Record<string, number> {
 	const entries = Object.entries(rates);
 	return entries.length <= maxHotKeys ? rates : Object.fromEntries(entries.sort(([, one], [, other]) => other - one).slice(0, maxHotKeys));
 }
@@ -106,7 +106,7 @@
 		...state,
 		updatedAt: Math.max(state.updatedAt, report.now),
 		slots: addSlots(state.slots, slotLoads, factor, perCount),
-		keys: hottest(add(decay(state.keys, factor), keyCounts, perCount)),
+		keys: hottestKeys(add(decay(state.keys, factor), keyCounts, perCount)),
 		origins: Object.fromEntries(Object.entries(origins).map(([region, rates]) => [
 			region,
 			addSlots(rates, region === report.region ? slotLoads : [], factor, perCount),
