--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -65,7 +65,7 @@
 	return Object.fromEntries(kept);
 }
 
-function add(rates: Record<string, number>, counts: ReadonlyArray<readonly [string, number]>, perCount: number): Record<string, number> {
+function addCounts(rates: Record<string, number>, counts: ReadonlyArray<readonly [string, number]>, perCount: number): Record<string, number> {
 	for (const [name, count] of counts) {
 		rates[name] = (Object.hasOwn(rates, name) ? rates[name]! : 0) + (count * perCount);
 	}
@@ -106,12 +106,12 @@
 		...state,
 		updatedAt: Math.max(state.updatedAt, report.now),
 		slots: addSlots(state.slots, slotLoads, factor, perCount),
-		keys: hottestKeys(add(decay(state.keys, factor), keyCounts, perCount)),
+		keys: hottestKeys(addCounts(decay(state.keys, factor), keyCounts, perCount)),
 		origins: Object.fromEntries(Object.entries(origins).map(([region, rates]) => [
 			region,
 			addSlots(rates, region === report.region ? slotLoads : [], factor, perCount),
 		])),
-		answered: add(decay(state.answered, factor), answers, perCount),
+		answered: addCounts(decay(state.answered, factor), answers, perCount),
 	};
 }
 
