--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -60,7 +60,7 @@
 	};
 }
 
-function decay(rates: Readonly<Record<string, number>>, factor: number): Record<string, number> {
+function decayRates(rates: Readonly<Record<string, number>>, factor: number): Record<string, number> {
 	const kept = Object.entries(rates).map(([name, rate]) => [name, rate * factor] as const).filter(([, rate]) => rate >= minimumRate);
 	return Object.fromEntries(kept);
 }
@@ -106,12 +106,12 @@
 		...state,
 		updatedAt: Math.max(state.updatedAt, report.now),
 		slots: addSlots(state.slots, slotLoads, factor, perCount),
-		keys: hottestKeys(addCounts(decay(state.keys, factor), keyCounts, perCount)),
+		keys: hottestKeys(addCounts(decayRates(state.keys, factor), keyCounts, perCount)),
 		origins: Object.fromEntries(Object.entries(origins).map(([region, rates]) => [
 			region,
 			addSlots(rates, region === report.region ? slotLoads : [], factor, perCount),
 		])),
-		answered: addCounts(decay(state.answered, factor), answers, perCount),
+		answered: addCounts(decayRates(state.answered, factor), answers, perCount),
 	};
 }
 
