--- a/packages/placement/src/load.ts
+++ b/packages/placement/src/load.ts
@@ -115,7 +115,7 @@
 	};
 }
 
-function scale(rates: Readonly<Record<string, number>>, factor: number): Record<string, number> {
+function scaleRates(rates: Readonly<Record<string, number>>, factor: number): Record<string, number> {
 	return Object.fromEntries(Object.entries(rates).map(([name, rate]) => [name, rate * factor]));
 }
 
@@ -125,8 +125,8 @@
 	const factor = Math.exp(-Math.max(0, now - state.updatedAt) / state.timeConstantMilliseconds) / (1 - Math.exp(-age / state.timeConstantMilliseconds));
 	return {
 		slots: state.slots.map(rate => rate * factor),
-		keys: scale(state.keys, factor),
+		keys: scaleRates(state.keys, factor),
 		origins: Object.fromEntries(Object.entries(state.origins).map(([region, rates]) => [region, rates.map(rate => rate * factor)])),
-		answered: scale(state.answered, factor),
+		answered: scaleRates(state.answered, factor),
 	};
 }
