--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -26,7 +26,7 @@
 	return (one, other) => (rateOf(input, other.slot) - rateOf(input, one.slot)) || (one.slot - other.slot);
 }
 
-function whyForced(input: PlacementInput, record: UpstreamRecord | undefined): MoveReason | undefined {
+function forcedMoveReason(input: PlacementInput, record: UpstreamRecord | undefined): MoveReason | undefined {
 	if (record === undefined) {
 		return MoveReason.lost;
 	}
@@ -43,7 +43,7 @@
 			continue;
 		}
 
-		const reason = whyForced(input, records.get(ownerKey(assignment.owner)));
+		const reason = forcedMoveReason(input, records.get(ownerKey(assignment.owner)));
 		if (reason !== undefined) {
 			const shelf = ownerFor(book, assignment.slot);
 			moves.push({
