--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -49,14 +49,14 @@
 			moves.push({
 				slot: assignment.slot, from: assignment.owner, reason, ...(shelf && {to: shelf.identity}),
 			});
-			place(book, assignment);
+			assignToOwner(book, assignment);
 		}
 	}
 
 	return moves;
 }
 
-function place(book: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
+function assignToOwner(book: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
 	const shelf = ownerFor(book, assignment.slot);
 	if (shelf !== undefined) {
 		assignSlot(book, shelf, assignment.slot);
@@ -74,7 +74,7 @@
 	const grants: PlannedGrant[] = [];
 	const waiting = liveAssignments(input).filter(({phase}) => phase !== AssignmentPhase.granted);
 	for (const assignment of waiting.toSorted(byLoad(input))) {
-		const owner = place(book, assignment);
+		const owner = assignToOwner(book, assignment);
 		if (assignment.phase === AssignmentPhase.vacant && owner !== undefined) {
 			grants.push({slot: assignment.slot, owner});
 		}
