--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -72,8 +72,8 @@
  */
 export function grantVacant(input: PlacementInput, book: WorkingPlan): readonly PlannedGrant[] {
 	const grants: PlannedGrant[] = [];
-	const waiting = liveAssignments(input).filter(({phase}) => phase !== AssignmentPhase.granted);
-	for (const assignment of waiting.toSorted(byLoad(input))) {
+	const unowned = liveAssignments(input).filter(({phase}) => phase !== AssignmentPhase.granted);
+	for (const assignment of unowned.toSorted(byLoad(input))) {
 		const owner = assignToOwner(book, assignment);
 		if (assignment.phase === AssignmentPhase.vacant && owner !== undefined) {
 			grants.push({slot: assignment.slot, owner});
