--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -25,8 +25,8 @@
 	readonly state: PlacementState;
 };
 
-function mostLoaded(book: WorkingPlan): OwnerLoad | undefined {
-	return book.owners.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(book, shelf) > scoreOf(book, most) ? shelf : most), undefined);
+function mostLoaded(plan: WorkingPlan): OwnerLoad | undefined {
+	return plan.owners.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(plan, shelf) > scoreOf(plan, most) ? shelf : most), undefined);
 }
 
 function grantedSlots(input: PlacementInput): ReadonlySet<Slot> {
