--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -26,7 +26,7 @@
 };
 
 function mostLoaded(plan: WorkingPlan): OwnerLoad | undefined {
-	return plan.owners.reduce<OwnerLoad | undefined>((most, shelf) => (most === undefined || scoreOf(plan, shelf) > scoreOf(plan, most) ? shelf : most), undefined);
+	return plan.owners.reduce<OwnerLoad | undefined>((most, owner) => (most === undefined || scoreOf(plan, owner) > scoreOf(plan, most) ? owner : most), undefined);
 }
 
 function grantedSlots(input: PlacementInput): ReadonlySet<Slot> {
