--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -33,9 +33,9 @@
 	return new Set(input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.granted).map(({slot}) => slot));
 }
 
-function gainOf(book: WorkingPlan, from: OwnerLoad, to: OwnerLoad, slot: Slot): number {
-	const after = Math.max(scoreOf(book, from, -rateOf(book.input, slot), -countOf(book, slot)), scoreWith(book, to, slot));
-	return scoreOf(book, from) - after;
+function gainOf(plan: WorkingPlan, from: OwnerLoad, to: OwnerLoad, slot: Slot): number {
+	const after = Math.max(scoreOf(plan, from, -rateOf(plan.input, slot), -countOf(plan, slot)), scoreWith(plan, to, slot));
+	return scoreOf(plan, from) - after;
 }
 
 function bestCandidate(book: WorkingPlan, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
