--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -38,11 +38,11 @@
 	return scoreOf(plan, from) - after;
 }
 
-function bestCandidate(book: WorkingPlan, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
+function bestCandidate(plan: WorkingPlan, from: OwnerLoad, slots: readonly Slot[]): Candidate | undefined {
 	let best: Candidate | undefined;
 	for (const slot of slots) {
-		const to = cheapestOwner(book, slot, from);
-		const gain = to === undefined ? 0 : gainOf(book, from, to, slot);
+		const to = cheapestOwner(plan, slot, from);
+		const gain = to === undefined ? 0 : gainOf(plan, from, to, slot);
 		if (to !== undefined && gain > (best?.gain ?? 0)) {
 			best = {
 				slot, from, to, gain,
