--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -53,12 +53,12 @@
 	return best;
 }
 
-function moveCostOf(book: WorkingPlan, slot: Slot): number {
-	if (rateOf(book.input, slot) === 0) {
+function moveCostOf(plan: WorkingPlan, slot: Slot): number {
+	if (rateOf(plan.input, slot) === 0) {
 		return idleMoveCost;
 	}
 
-	return isPinned(book, slot) ? pinnedMoveCost : 1;
+	return isPinned(plan, slot) ? pinnedMoveCost : 1;
 }
 
 type BalanceRun = {
