--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -69,8 +69,8 @@
 	costInProgress: number;
 };
 
-function movableSlots(work: BalanceRun, from: OwnerLoad): readonly Slot[] {
-	return [...from.slots].filter(slot => work.movable.has(slot)).sort((one, other) => one - other);
+function movableSlots(run: BalanceRun, from: OwnerLoad): readonly Slot[] {
+	return [...from.slots].filter(slot => run.movable.has(slot)).sort((one, other) => one - other);
 }
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
