--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -74,9 +74,9 @@
 }
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
-function chooseCandidate(work: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
-	const {plan: book} = work;
-	const slots = movableSlots(work, from);
+function chooseCandidate(run: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
+	const {plan: book} = run;
+	const slots = movableSlots(run, from);
 	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
 	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= book.policy.minimumGain)) {
 		return pinned;
