--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -75,14 +75,14 @@
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
 function chooseCandidate(run: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
-	const {plan: book} = run;
+	const {plan: plan} = run;
 	const slots = movableSlots(run, from);
-	const pinned = bestCandidate(book, from, slots.filter(slot => isPinned(book, slot)));
-	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= book.policy.minimumGain)) {
+	const pinned = bestCandidate(plan, from, slots.filter(slot => isPinned(plan, slot)));
+	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= plan.policy.minimumGain)) {
 		return pinned;
 	}
 
-	return bestCandidate(book, from, slots.filter(slot => !isPinned(book, slot)));
+	return bestCandidate(plan, from, slots.filter(slot => !isPinned(plan, slot)));
 }
 
 function applyMove(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
