--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -85,14 +85,14 @@
 	return bestCandidate(plan, from, slots.filter(slot => !isPinned(plan, slot)));
 }
 
-function applyMove(work: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
-	const cost = moveCostOf(work.plan, slot);
-	work.tokens -= cost;
-	work.costInProgress += cost;
-	work.movable.delete(slot);
-	unassignSlot(work.plan, from, slot);
-	assignSlot(work.plan, to, slot);
-	work.moves.push({
+function applyMove(run: BalanceRun, {slot, from, to}: Candidate, reason: MoveReason): void {
+	const cost = moveCostOf(run.plan, slot);
+	run.tokens -= cost;
+	run.costInProgress += cost;
+	run.movable.delete(slot);
+	unassignSlot(run.plan, from, slot);
+	assignSlot(run.plan, to, slot);
+	run.moves.push({
 		slot, from: from.identity, to: to.identity, reason,
 	});
 }
