--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -97,8 +97,8 @@
 	});
 }
 
-function isAffordable(work: BalanceRun, slot: Slot): boolean {
-	return work.costInProgress < work.plan.policy.maxConcurrentMoves && work.tokens >= moveCostOf(work.plan, slot);
+function isAffordable(run: BalanceRun, slot: Slot): boolean {
+	return run.costInProgress < run.plan.policy.maxConcurrentMoves && run.tokens >= moveCostOf(run.plan, slot);
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
