--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -102,20 +102,20 @@
 }
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
-function balance(work: BalanceRun, wasBalancing: boolean): boolean {
-	const {plan: book} = work;
+function balance(run: BalanceRun, wasBalancing: boolean): boolean {
+	const {plan: book} = run;
 	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain: leastGain} = book.policy;
 	let isBalancing = wasBalancing;
 	for (;;) {
 		const from = mostLoaded(book);
 		const score = from === undefined ? 0 : scoreOf(book, from);
 		isBalancing = score > (isBalancing ? balanceTarget : balanceTrigger);
-		const candidate = from !== undefined && score > pinTrigger ? chooseCandidate(work, from, isBalancing) : undefined;
-		if (candidate === undefined || candidate.gain < leastGain || !isAffordable(work, candidate.slot)) {
+		const candidate = from !== undefined && score > pinTrigger ? chooseCandidate(run, from, isBalancing) : undefined;
+		if (candidate === undefined || candidate.gain < leastGain || !isAffordable(run, candidate.slot)) {
 			return isBalancing;
 		}
 
-		applyMove(work, candidate, MoveReason.balance);
+		applyMove(run, candidate, MoveReason.balance);
 	}
 }
 
