--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -120,14 +120,14 @@
 }
 
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
-function improveLocality(work: BalanceRun): void {
-	const {plan: book} = work;
+function improveLocality(run: BalanceRun): void {
+	const {plan: book} = run;
 	for (const from of book.owners) {
-		for (const slot of movableSlots(work, from).filter(slot => isPinned(book, slot) && isAffordable(work, slot))) {
+		for (const slot of movableSlots(run, from).filter(slot => isPinned(book, slot) && isAffordable(run, slot))) {
 			const to = cheapestOwner(book, slot, from);
 			const gain = to === undefined ? 0 : remoteShareOf(book.input, slot, from.region) - remoteShareOf(book.input, slot, to.region);
 			if (to !== undefined && gain >= book.policy.localityGain && scoreWith(book, to, slot) <= book.policy.pinTrigger) {
-				applyMove(work, {
+				applyMove(run, {
 					slot, from, to, gain,
 				}, MoveReason.locality);
 			}
