--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -121,12 +121,12 @@
 
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
 function improveLocality(run: BalanceRun): void {
-	const {plan: book} = run;
-	for (const from of book.owners) {
-		for (const slot of movableSlots(run, from).filter(slot => isPinned(book, slot) && isAffordable(run, slot))) {
-			const to = cheapestOwner(book, slot, from);
-			const gain = to === undefined ? 0 : remoteShareOf(book.input, slot, from.region) - remoteShareOf(book.input, slot, to.region);
-			if (to !== undefined && gain >= book.policy.localityGain && scoreWith(book, to, slot) <= book.policy.pinTrigger) {
+	const {plan: plan} = run;
+	for (const from of plan.owners) {
+		for (const slot of movableSlots(run, from).filter(slot => isPinned(plan, slot) && isAffordable(run, slot))) {
+			const to = cheapestOwner(plan, slot, from);
+			const gain = to === undefined ? 0 : remoteShareOf(plan.input, slot, from.region) - remoteShareOf(plan.input, slot, to.region);
+			if (to !== undefined && gain >= plan.policy.localityGain && scoreWith(plan, to, slot) <= plan.policy.pinTrigger) {
 				applyMove(run, {
 					slot, from, to, gain,
 				}, MoveReason.locality);
