--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -136,14 +136,14 @@
 }
 
 /** Plans optional moves. The working plan must already contain the outcome of all others. */
-export function planBalance(input: PlacementInput, book: WorkingPlan, state: PlacementState, excludedSlots: ReadonlySet<Slot>): BalancePlan {
+export function planBalance(input: PlacementInput, plan: WorkingPlan, state: PlacementState, excludedSlots: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
 	const work: BalanceRun = {
-		plan: book,
+		plan: plan,
 		movable: new Set([...grantedSlots(input)].filter(slot => !excludedSlots.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
-		costInProgress: revoking.reduce((sum, {slot}) => sum + moveCostOf(book, slot), 0),
+		costInProgress: revoking.reduce((sum, {slot}) => sum + moveCostOf(plan, slot), 0),
 	};
 	const isBalancing = balance(work, state.isBalancing);
 	improveLocality(work);
