--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -138,19 +138,19 @@
 /** Plans optional moves. The working plan must already contain the outcome of all others. */
 export function planBalance(input: PlacementInput, plan: WorkingPlan, state: PlacementState, excludedSlots: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
-	const work: BalanceRun = {
+	const run: BalanceRun = {
 		plan: plan,
 		movable: new Set([...grantedSlots(input)].filter(slot => !excludedSlots.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
 		costInProgress: revoking.reduce((sum, {slot}) => sum + moveCostOf(plan, slot), 0),
 	};
-	const isBalancing = balance(work, state.isBalancing);
-	improveLocality(work);
-	const movedAt = {...state.movedAt, ...Object.fromEntries(work.moves.map(({slot}) => [slot, input.now]))};
+	const isBalancing = balance(run, state.isBalancing);
+	improveLocality(run);
+	const movedAt = {...state.movedAt, ...Object.fromEntries(run.moves.map(({slot}) => [slot, input.now]))};
 	return {
-		moves: work.moves, state: {
-			...state, tokens: work.tokens, isBalancing, movedAt,
+		moves: run.moves, state: {
+			...state, tokens: run.tokens, isBalancing, movedAt,
 		},
 	};
 }
