--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -87,7 +87,7 @@
 		.toSorted((one, other) => (one.record.name < other.record.name ? -1 : 1));
 	const total = Object.values(input.loads.slots).reduce((sum, rate) => sum + rate, 0);
 	const owners = candidates.map(upstream => createOwnerLoad(input, policy, upstream, total / candidates.length));
-	const capacity = Math.max(0.01, owners.reduce((sum, shelf) => sum + shelf.capacity, 0));
+	const capacity = Math.max(0.01, owners.reduce((sum, owner) => sum + owner.capacity, 0));
 	const book: WorkingPlan = {
 		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
 	};
