--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -88,18 +88,18 @@
 	const total = Object.values(input.loads.slots).reduce((sum, rate) => sum + rate, 0);
 	const owners = candidates.map(upstream => createOwnerLoad(input, policy, upstream, total / candidates.length));
 	const capacity = Math.max(0.01, owners.reduce((sum, owner) => sum + owner.capacity, 0));
-	const book: WorkingPlan = {
+	const plan: WorkingPlan = {
 		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
 	};
 	const byName = new Map(owners.map(shelf => [shelf.identity.name, shelf]));
 	for (const assignment of liveAssignments(input)) {
 		const shelf = assignment.phase === AssignmentPhase.granted ? byName.get(assignment.owner.name) : undefined;
 		if (shelf !== undefined && assignment.phase === AssignmentPhase.granted && sameUpstream(shelf.identity, assignment.owner)) {
-			assignSlot(book, shelf, assignment.slot);
+			assignSlot(plan, shelf, assignment.slot);
 		}
 	}
 
-	return book;
+	return plan;
 }
 
 /** Assigns a slot to an upstream in the working plan. */
