--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -91,7 +91,7 @@
 	const plan: WorkingPlan = {
 		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
 	};
-	const byName = new Map(owners.map(shelf => [shelf.identity.name, shelf]));
+	const byName = new Map(owners.map(owner => [owner.identity.name, owner]));
 	for (const assignment of liveAssignments(input)) {
 		const shelf = assignment.phase === AssignmentPhase.granted ? byName.get(assignment.owner.name) : undefined;
 		if (shelf !== undefined && assignment.phase === AssignmentPhase.granted && sameUpstream(shelf.identity, assignment.owner)) {
