--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -93,9 +93,9 @@
 	};
 	const byName = new Map(owners.map(owner => [owner.identity.name, owner]));
 	for (const assignment of liveAssignments(input)) {
-		const shelf = assignment.phase === AssignmentPhase.granted ? byName.get(assignment.owner.name) : undefined;
-		if (shelf !== undefined && assignment.phase === AssignmentPhase.granted && sameUpstream(shelf.identity, assignment.owner)) {
-			assignSlot(plan, shelf, assignment.slot);
+		const owner = assignment.phase === AssignmentPhase.granted ? byName.get(assignment.owner.name) : undefined;
+		if (owner !== undefined && assignment.phase === AssignmentPhase.granted && sameUpstream(owner.identity, assignment.owner)) {
+			assignSlot(plan, owner, assignment.slot);
 		}
 	}
 
