--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -103,10 +103,10 @@
 }
 
 /** Assigns a slot to an upstream in the working plan. */
-export function assignSlot(plan: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
-	shelf.slots.add(slot);
-	shelf.load += rateOf(plan.input, slot);
-	shelf.count += countOf(plan, slot);
+export function assignSlot(plan: WorkingPlan, owner: OwnerLoad, slot: Slot): void {
+	owner.slots.add(slot);
+	owner.load += rateOf(plan.input, slot);
+	owner.count += countOf(plan, slot);
 }
 
 /** Removes a slot from an upstream in the working plan. */
