--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -110,10 +110,10 @@
 }
 
 /** Removes a slot from an upstream in the working plan. */
-export function unassignSlot(plan: WorkingPlan, shelf: OwnerLoad, slot: Slot): void {
-	shelf.slots.delete(slot);
-	shelf.load -= rateOf(plan.input, slot);
-	shelf.count -= countOf(plan, slot);
+export function unassignSlot(plan: WorkingPlan, owner: OwnerLoad, slot: Slot): void {
+	owner.slots.delete(slot);
+	owner.load -= rateOf(plan.input, slot);
+	owner.count -= countOf(plan, slot);
 }
 
 /** Whether a slot belongs to a pinned key. */
