--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -117,8 +117,8 @@
 }
 
 /** Whether a slot belongs to a pinned key. */
-export function isPinned(book: WorkingPlan, slot: Slot): boolean {
-	return slot >= book.contractSlots;
+export function isPinned(plan: WorkingPlan, slot: Slot): boolean {
+	return slot >= plan.contractSlots;
 }
 
 /** Whether a pinned key is no longer hot and should go back to its slot. */
