--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -122,8 +122,8 @@
 }
 
 /** Whether a pinned key is no longer hot and should go back to its slot. */
-export function isNoLongerHot(book: WorkingPlan, pin: PinnedKey): boolean {
-	return rateOf(book.input, pin.slot) < book.policy.unpinShare * book.loadPerCapacity;
+export function isNoLongerHot(plan: WorkingPlan, pin: PinnedKey): boolean {
+	return rateOf(plan.input, pin.slot) < plan.policy.unpinShare * plan.loadPerCapacity;
 }
 
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
