--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -129,7 +129,7 @@
 /** Returns the upstream for a slot without an owner: the owner of the home slot for a pinned key that is no longer hot, and otherwise the cheapest upstream. */
 export function ownerFor(plan: WorkingPlan, slot: Slot): OwnerLoad | undefined {
 	const pin = isPinned(plan, slot) ? plan.input.assignments.pinned.find(pinned => pinned.slot === slot) : undefined;
-	const homeOwner = pin !== undefined && isNoLongerHot(plan, pin) ? plan.owners.find(shelf => shelf.slots.has(pin.home)) : undefined;
+	const homeOwner = pin !== undefined && isNoLongerHot(plan, pin) ? plan.owners.find(owner => owner.slots.has(pin.home)) : undefined;
 	return homeOwner ?? cheapestOwner(plan, slot);
 }
 
