--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -134,8 +134,8 @@
 }
 
 /** Returns what a slot adds to the slot count. A pinned key adds only its load. */
-export function countOf(book: WorkingPlan, slot: Slot): number {
-	return isPinned(book, slot) ? 0 : 1;
+export function countOf(plan: WorkingPlan, slot: Slot): number {
+	return isPinned(plan, slot) ? 0 : 1;
 }
 
 /** Returns the weighted load and slot count of an upstream as a multiple of its fair share, with `moreLoad` and `moreCount` added. */
