--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -139,14 +139,14 @@
 }
 
 /** Returns the weighted load and slot count of an upstream as a multiple of its fair share, with `moreLoad` and `moreCount` added. */
-export function scoreOf(book: WorkingPlan, shelf: OwnerLoad, moreLoad = 0, moreCount = 0): number {
-	const countScore = (shelf.count + moreCount) / (shelf.capacity * book.countPerCapacity);
-	if (book.loadPerCapacity === 0) {
+export function scoreOf(plan: WorkingPlan, shelf: OwnerLoad, moreLoad = 0, moreCount = 0): number {
+	const countScore = (shelf.count + moreCount) / (shelf.capacity * plan.countPerCapacity);
+	if (plan.loadPerCapacity === 0) {
 		return countScore;
 	}
 
-	const loadScore = (shelf.load + moreLoad) / (shelf.capacity * book.loadPerCapacity);
-	return (book.policy.loadWeight * loadScore) + ((1 - book.policy.loadWeight) * countScore);
+	const loadScore = (shelf.load + moreLoad) / (shelf.capacity * plan.loadPerCapacity);
+	return (plan.policy.loadWeight * loadScore) + ((1 - plan.policy.loadWeight) * countScore);
 }
 
 /** Returns the score that an upstream would have with an additional slot. */
