--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -139,13 +139,13 @@
 }
 
 /** Returns the weighted load and slot count of an upstream as a multiple of its fair share, with `moreLoad` and `moreCount` added. */
-export function scoreOf(plan: WorkingPlan, shelf: OwnerLoad, moreLoad = 0, moreCount = 0): number {
-	const countScore = (shelf.count + moreCount) / (shelf.capacity * plan.countPerCapacity);
+export function scoreOf(plan: WorkingPlan, owner: OwnerLoad, moreLoad = 0, moreCount = 0): number {
+	const countScore = (owner.count + moreCount) / (owner.capacity * plan.countPerCapacity);
 	if (plan.loadPerCapacity === 0) {
 		return countScore;
 	}
 
-	const loadScore = (shelf.load + moreLoad) / (shelf.capacity * plan.loadPerCapacity);
+	const loadScore = (owner.load + moreLoad) / (owner.capacity * plan.loadPerCapacity);
 	return (plan.policy.loadWeight * loadScore) + ((1 - plan.policy.loadWeight) * countScore);
 }
 
