--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -150,8 +150,8 @@
 }
 
 /** Returns the score that an upstream would have with an additional slot. */
-export function scoreWith(plan: WorkingPlan, shelf: OwnerLoad, slot: Slot): number {
-	return scoreOf(plan, shelf, rateOf(plan.input, slot), countOf(plan, slot));
+export function scoreWith(plan: WorkingPlan, owner: OwnerLoad, slot: Slot): number {
+	return scoreOf(plan, owner, rateOf(plan.input, slot), countOf(plan, slot));
 }
 
 /** Returns the fraction of a slot's requests that arrive in regions other than `region`; 0 if no requests are recorded. */
