--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -163,14 +163,14 @@
 }
 
 /** Returns the upstream with the lowest cost for a slot: its score with the slot, plus the cost of requests from other regions. */
-export function cheapestOwner(book: WorkingPlan, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
+export function cheapestOwner(plan: WorkingPlan, slot: Slot, excluded?: OwnerLoad): OwnerLoad | undefined {
 	let best: OwnerLoad | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	const remote = new Map<RegionName, number>();
-	for (const shelf of book.owners) {
-		const share = remote.get(shelf.region) ?? remoteShareOf(book.input, slot, shelf.region);
+	for (const shelf of plan.owners) {
+		const share = remote.get(shelf.region) ?? remoteShareOf(plan.input, slot, shelf.region);
 		remote.set(shelf.region, share);
-		const cost = scoreWith(book, shelf, slot) + (book.policy.remoteWeight * share);
+		const cost = scoreWith(plan, shelf, slot) + (plan.policy.remoteWeight * share);
 		if (shelf !== excluded && cost < bestCost) {
 			best = shelf;
 			bestCost = cost;
