--- a/packages/placement/src/book.ts
+++ b/packages/placement/src/book.ts
@@ -167,12 +167,12 @@
 	let best: OwnerLoad | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	const remote = new Map<RegionName, number>();
-	for (const shelf of plan.owners) {
-		const share = remote.get(shelf.region) ?? remoteShareOf(plan.input, slot, shelf.region);
-		remote.set(shelf.region, share);
-		const cost = scoreWith(plan, shelf, slot) + (plan.policy.remoteWeight * share);
-		if (shelf !== excluded && cost < bestCost) {
-			best = shelf;
+	for (const owner of plan.owners) {
+		const share = remote.get(owner.region) ?? remoteShareOf(plan.input, slot, owner.region);
+		remote.set(owner.region, share);
+		const cost = scoreWith(plan, owner, slot) + (plan.policy.remoteWeight * share);
+		if (owner !== excluded && cost < bestCost) {
+			best = owner;
 			bestCost = cost;
 		}
 	}
