--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -44,13 +44,13 @@
 		assignment.phase === AssignmentPhase.granted ? [[assignment.slot, assignment.owner]] : []));
 }
 
-function isWorthPinning(book: WorkingPlan, policy: PlacementPolicy, shelf: OwnerLoad | undefined, hot: HotKey): boolean {
-	if (shelf === undefined || hot.rate <= policy.pinShare * book.loadPerCapacity) {
+function isWorthPinning(plan: WorkingPlan, policy: PlacementPolicy, shelf: OwnerLoad | undefined, hot: HotKey): boolean {
+	if (shelf === undefined || hot.rate <= policy.pinShare * plan.loadPerCapacity) {
 		return false;
 	}
 
-	const isFarAway = remoteShareOf(book.input, hot.home, shelf.region) >= (1 + policy.localityGain) / 2;
-	return isFarAway || scoreOf(book, shelf) > policy.pinTrigger;
+	const isFarAway = remoteShareOf(plan.input, hot.home, shelf.region) >= (1 + policy.localityGain) / 2;
+	return isFarAway || scoreOf(plan, shelf) > policy.pinTrigger;
 }
 
 function choosePins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): readonly PlannedPin[] {
