--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -53,14 +53,14 @@
 	return isFarAway || scoreOf(plan, owner) > policy.pinTrigger;
 }
 
-function choosePins(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): readonly PlannedPin[] {
+function choosePins(input: PlacementInput, plan: WorkingPlan, policy: PlacementPolicy): readonly PlannedPin[] {
 	const room = policy.maxPinnedKeys - input.assignments.pinned.length;
 	const pinned = new Set(input.assignments.pinned.map(pin => pin.key));
 	const owners = ownersBySlot(input);
 	return input.hotKeys
 		.filter(hot => !pinned.has(hot.key) && owners.has(hot.home))
 		.toSorted((one, other) => (other.rate - one.rate) || (one.key < other.key ? -1 : 1))
-		.filter(hot => isWorthPinning(book, policy, book.owners.find(shelf => shelf.slots.has(hot.home)), hot))
+		.filter(hot => isWorthPinning(plan, policy, plan.owners.find(shelf => shelf.slots.has(hot.home)), hot))
 		.slice(0, Math.max(0, room))
 		.map(({key, home}) => ({key, home}));
 }
