--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -60,7 +60,7 @@
 	return input.hotKeys
 		.filter(hot => !pinned.has(hot.key) && owners.has(hot.home))
 		.toSorted((one, other) => (other.rate - one.rate) || (one.key < other.key ? -1 : 1))
-		.filter(hot => isWorthPinning(plan, policy, plan.owners.find(shelf => shelf.slots.has(hot.home)), hot))
+		.filter(hot => isWorthPinning(plan, policy, plan.owners.find(owner => owner.slots.has(hot.home)), hot))
 		.slice(0, Math.max(0, room))
 		.map(({key, home}) => ({key, home}));
 }
