--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -79,7 +79,7 @@
 
 		if (sameUpstream(owner, homeOwner)) {
 			unpins.push({key: pin.key, slot: pin.slot});
-		} else if (plan.owners.some(shelf => sameUpstream(shelf.identity, homeOwner))) {
+		} else if (plan.owners.some(candidate => sameUpstream(candidate.identity, homeOwner))) {
 			moves.push({
 				slot: pin.slot, from: owner, to: homeOwner, reason: MoveReason.unpin,
 			});
