--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -24,9 +24,9 @@
 	return input.policy ?? placementPolicies[input.contract.weigh];
 }
 
-function isFailureBurst(input: PlacementInput, book: WorkingPlan, policy: PlacementPolicy): boolean {
-	const flappingShare = input.flapping / Math.max(1, book.owners.length);
-	const unownedShare = book.unownedSlots / Math.max(1, input.contract.slots);
+function isFailureBurst(input: PlacementInput, plan: WorkingPlan, policy: PlacementPolicy): boolean {
+	const flappingShare = input.flapping / Math.max(1, plan.owners.length);
+	const unownedShare = plan.unownedSlots / Math.max(1, input.contract.slots);
 	return flappingShare > policy.failureBurstShare || unownedShare > policy.failureBurstShare;
 }
 
