--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -34,18 +34,18 @@
 export function planPlacement(given: PlacementInput): PlacementPlan {
 	const input = given.assignments.pinned.length === 0 ? given : withPinnedRates(given);
 	const policy = policyOf(input);
-	const book = createWorkingPlan(input, policy);
+	const workingPlan = createWorkingPlan(input, policy);
 	const state = refillBudget(input.state, policy, input.now);
-	const forced = planForcedMoves(input, book);
-	const grants = grantVacant(input, book);
-	if (isFailureBurst(input, book, policy)) {
+	const forced = planForcedMoves(input, workingPlan);
+	const grants = grantVacant(input, workingPlan);
+	if (isFailureBurst(input, workingPlan, policy)) {
 		return {
 			grants, moves: forced, pins: [], unpins: [], state,
 		};
 	}
 
-	const {pins, unpins, moves: unpinMoves} = planPins(input, book, policy, new Set(forced.map(({slot}) => slot)));
-	const balance = planBalance(input, book, state, new Set([...forced, ...unpinMoves, ...unpins].map(({slot}) => slot)));
+	const {pins, unpins, moves: unpinMoves} = planPins(input, workingPlan, policy, new Set(forced.map(({slot}) => slot)));
+	const balance = planBalance(input, workingPlan, state, new Set([...forced, ...unpinMoves, ...unpins].map(({slot}) => slot)));
 	return {
 		grants, moves: [...forced, ...unpinMoves, ...balance.moves], pins, unpins, state: balance.state,
 	};
