--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -35,7 +35,7 @@
 }
 
 /** Moves of all slots whose owner is lost, leaving, or in a zone that may not own keys. They are not limited by the budget. */
-export function planForcedMoves(input: PlacementInput, book: WorkingPlan): readonly PlannedMove[] {
+export function planForcedMoves(input: PlacementInput, plan: WorkingPlan): readonly PlannedMove[] {
 	const records = new Map(input.upstreams.map(({record}) => [ownerKey(identityOf(record)), record]));
 	const moves: PlannedMove[] = [];
 	for (const assignment of liveAssignments(input).toSorted(byLoad(input))) {
@@ -45,11 +45,11 @@
 
 		const reason = forcedMoveReason(input, records.get(ownerKey(assignment.owner)));
 		if (reason !== undefined) {
-			const shelf = ownerFor(book, assignment.slot);
+			const shelf = ownerFor(plan, assignment.slot);
 			moves.push({
 				slot: assignment.slot, from: assignment.owner, reason, ...(shelf && {to: shelf.identity}),
 			});
-			assignToOwner(book, assignment);
+			assignToOwner(plan, assignment);
 		}
 	}
 
