--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -45,9 +45,9 @@
 
 		const reason = forcedMoveReason(input, records.get(ownerKey(assignment.owner)));
 		if (reason !== undefined) {
-			const shelf = ownerFor(plan, assignment.slot);
+			const target = ownerFor(plan, assignment.slot);
 			moves.push({
-				slot: assignment.slot, from: assignment.owner, reason, ...(shelf && {to: shelf.identity}),
+				slot: assignment.slot, from: assignment.owner, reason, ...(target && {to: target.identity}),
 			});
 			assignToOwner(plan, assignment);
 		}
