--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -56,13 +56,13 @@
 	return moves;
 }
 
-function assignToOwner(book: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
-	const shelf = ownerFor(book, assignment.slot);
+function assignToOwner(plan: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
+	const shelf = ownerFor(plan, assignment.slot);
 	if (shelf !== undefined) {
-		assignSlot(book, shelf, assignment.slot);
+		assignSlot(plan, shelf, assignment.slot);
 	}
 
-	book.unownedSlots++;
+	plan.unownedSlots++;
 	return shelf?.identity;
 }
 
