--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -57,13 +57,13 @@
 }
 
 function assignToOwner(plan: WorkingPlan, assignment: Assignment): UpstreamIdentity | undefined {
-	const shelf = ownerFor(plan, assignment.slot);
-	if (shelf !== undefined) {
-		assignSlot(plan, shelf, assignment.slot);
+	const target = ownerFor(plan, assignment.slot);
+	if (target !== undefined) {
+		assignSlot(plan, target, assignment.slot);
 	}
 
 	plan.unownedSlots++;
-	return shelf?.identity;
+	return target?.identity;
 }
 
 /**
