--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -70,11 +70,11 @@
  * Plans grants of all vacant slots. Slots that are being revoked are also assigned
  * in the working plan, so that later steps count them at their next owner.
  */
-export function grantVacant(input: PlacementInput, book: WorkingPlan): readonly PlannedGrant[] {
+export function grantVacant(input: PlacementInput, plan: WorkingPlan): readonly PlannedGrant[] {
 	const grants: PlannedGrant[] = [];
 	const unowned = liveAssignments(input).filter(({phase}) => phase !== AssignmentPhase.granted);
 	for (const assignment of unowned.toSorted(byLoad(input))) {
-		const owner = assignToOwner(book, assignment);
+		const owner = assignToOwner(plan, assignment);
 		if (assignment.phase === AssignmentPhase.vacant && owner !== undefined) {
 			grants.push({slot: assignment.slot, owner});
 		}
