--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -18,7 +18,7 @@
 const zones = ['lombardia-1', 'lombardia-2', 'veneto-1'];
 const forcedReasons: ReadonlySet<MoveReason> = new Set([MoveReason.lost, MoveReason.leaving, MoveReason.zone]);
 
-const someUpstream: fc.Arbitrary<Omit<UpstreamRecord, 'name'>> = fc.record({
+const upstreamArbitrary: fc.Arbitrary<Omit<UpstreamRecord, 'name'>> = fc.record({
 	service: fc.constant(service),
 	incarnation: fc.integer({min: 1, max: 2}),
 	region: fc.constantFrom('lombardia', 'veneto'),
@@ -44,7 +44,7 @@
 }
 
 const someInput: fc.Arbitrary<PlacementInput> = fc.record({
-	upstreams: fc.array(someUpstream, {maxLength: 8}),
+	upstreams: fc.array(upstreamArbitrary, {maxLength: 8}),
 	weigh: fc.constantFrom(...Object.values(MovePreference)),
 	owned: fc.array(someOwnership, {minLength: slots, maxLength: slots}),
 	pinned: fc.array(someOwnership, {maxLength: 3}),
