--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -29,7 +29,7 @@
 
 type Ownership = {readonly phase: AssignmentPhase; readonly owner: number; readonly incarnation: number};
 
-const someOwnership: fc.Arbitrary<Ownership> = fc.record({
+const ownershipArbitrary: fc.Arbitrary<Ownership> = fc.record({
 	phase: fc.constantFrom(AssignmentPhase.vacant, AssignmentPhase.revoking, AssignmentPhase.granted, AssignmentPhase.granted, AssignmentPhase.granted),
 	owner: fc.integer({min: 0, max: 7}),
 	incarnation: fc.integer({min: 1, max: 2}),
@@ -46,8 +46,8 @@
 const someInput: fc.Arbitrary<PlacementInput> = fc.record({
 	upstreams: fc.array(upstreamArbitrary, {maxLength: 8}),
 	weigh: fc.constantFrom(...Object.values(MovePreference)),
-	owned: fc.array(someOwnership, {minLength: slots, maxLength: slots}),
-	pinned: fc.array(someOwnership, {maxLength: 3}),
+	owned: fc.array(ownershipArbitrary, {minLength: slots, maxLength: slots}),
+	pinned: fc.array(ownershipArbitrary, {maxLength: 3}),
 	rates: fc.array(fc.integer({min: 0, max: 200}), {minLength: slots + 3, maxLength: slots + 3}),
 	tokens: fc.integer({min: 0, max: 12}),
 	flapping: fc.integer({min: 0, max: 3}),
