--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -43,7 +43,7 @@
 		};
 }
 
-const someInput: fc.Arbitrary<PlacementInput> = fc.record({
+const inputArbitrary: fc.Arbitrary<PlacementInput> = fc.record({
 	upstreams: fc.array(upstreamArbitrary, {maxLength: 8}),
 	weigh: fc.constantFrom(...Object.values(MovePreference)),
 	owned: fc.array(ownershipArbitrary, {minLength: slots, maxLength: slots}),
@@ -73,7 +73,7 @@
 
 /** Inputs in which no upstream is lost or leaves, so that optional moves are planned. */
 const calmInput: fc.Arbitrary<PlacementInput> = fc.record({
-	input: someInput,
+	input: inputArbitrary,
 	owners: fc.array(fc.integer({min: 0, max: 3}), {minLength: slots + 2, maxLength: slots + 2}),
 	rates: fc.array(fc.oneof(fc.integer({min: 1, max: 20}), fc.integer({min: 50, max: 300})), {minLength: slots + 2, maxLength: slots + 2}),
 	regions: fc.array(fc.constantFrom('lombardia', 'veneto'), {minLength: 2, maxLength: 4}),
@@ -226,7 +226,7 @@
 
 for (const {name, check} of invariants) {
 	test(`${name} (seed ${seed})`, () => {
-		fc.assert(fc.property(fc.oneof(someInput, calmInput, lossInput), input => {
+		fc.assert(fc.property(fc.oneof(inputArbitrary, calmInput, lossInput), input => {
 			check(input, planPlacement(input));
 		}), {seed, numRuns: 600});
 	});
