--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -203,9 +203,9 @@
 	{
 		name: 'nothing optional is planned while many upstreams flap',
 		check(input) {
-			const stormy = planPlacement({...input, flapping: 8});
-			assert.ok(stormy.moves.every(({reason}) => forcedReasons.has(reason)));
-			assert.equal(stormy.pins.length + stormy.unpins.length, 0);
+			const planInBurst = planPlacement({...input, flapping: 8});
+			assert.ok(planInBurst.moves.every(({reason}) => forcedReasons.has(reason)));
+			assert.equal(planInBurst.pins.length + planInBurst.unpins.length, 0);
 		},
 	},
 	{
