--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -148,8 +148,8 @@
 	{
 		name: 'every vacant slot is granted if an upstream may own it',
 		check(input, plan) {
-			const canAnybody = input.upstreams.some(({record}) => mayBeGranted(input, record));
-			assert.deepEqual(plan.grants.map(({slot}) => slot).sort((one, other) => one - other), canAnybody ? slotsIn(input, AssignmentPhase.vacant) : []);
+			const isAnyAllowed = input.upstreams.some(({record}) => mayBeGranted(input, record));
+			assert.deepEqual(plan.grants.map(({slot}) => slot).sort((one, other) => one - other), isAnyAllowed ? slotsIn(input, AssignmentPhase.vacant) : []);
 		},
 	},
 	{
