--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -6,7 +6,7 @@
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {
 	type WorkingPlan, cheapestOwner, countOf, isPinned, assignSlot, rateOf, remoteShareOf, scoreOf, scoreWith, type OwnerLoad, unassignSlot,
-} from './book.js';
+} from './working-plan.js';
 import {idleMoveCost, pinnedMoveCost} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
 import {MoveReason, type PlannedMove} from './proposal.js';
--- a/packages/placement/src/pins.ts
+++ b/packages/placement/src/pins.ts
@@ -6,7 +6,7 @@
 import {sameUpstream, type Slot, type UpstreamIdentity} from '@dogwooddeck/model/identifiers';
 import {
 	type WorkingPlan, isNoLongerHot, remoteShareOf, scoreOf, type OwnerLoad,
-} from './book.js';
+} from './working-plan.js';
 import {type HotKey, type PlacementInput} from './input.js';
 import {type PlacementPolicy} from './policy.js';
 import {
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -4,7 +4,7 @@
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {planBalance} from './balance.js';
-import {type WorkingPlan, createWorkingPlan} from './book.js';
+import {type WorkingPlan, createWorkingPlan} from './working-plan.js';
 import {refillBudget} from './budget.js';
 import {type PlacementInput, type PlacementState} from './input.js';
 import {planPins, withPinnedRates} from './pins.js';
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -7,7 +7,7 @@
 import {identityOf, UpstreamPhase, type UpstreamRecord} from '@dogwooddeck/model/registry';
 import {
 	type WorkingPlan, liveAssignments, mayOwn, assignSlot, rateOf, ownerFor,
-} from './book.js';
+} from './working-plan.js';
 import {type PlacementInput} from './input.js';
 import {MoveReason, type PlannedGrant, type PlannedMove} from './proposal.js';
 
