--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -75,7 +75,7 @@
 
 /** Returns the best pinned key if its move gains enough or slots may not move, and otherwise the best slot. */
 function chooseCandidate(run: BalanceRun, from: OwnerLoad, maySlotsMove: boolean): Candidate | undefined {
-	const {plan: plan} = run;
+	const {plan} = run;
 	const slots = movableSlots(run, from);
 	const pinned = bestCandidate(plan, from, slots.filter(slot => isPinned(plan, slot)));
 	if (!maySlotsMove || (pinned !== undefined && pinned.gain >= plan.policy.minimumGain)) {
@@ -103,7 +103,7 @@
 
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
 function balance(run: BalanceRun, wasBalancing: boolean): boolean {
-	const {plan: plan} = run;
+	const {plan} = run;
 	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain: leastGain} = plan.policy;
 	let isBalancing = wasBalancing;
 	for (;;) {
@@ -121,7 +121,7 @@
 
 /** Moves pinned keys towards the region that their requests come from, if an upstream there has capacity for them. */
 function improveLocality(run: BalanceRun): void {
-	const {plan: plan} = run;
+	const {plan} = run;
 	for (const from of plan.owners) {
 		for (const slot of movableSlots(run, from).filter(slot => isPinned(plan, slot) && isAffordable(run, slot))) {
 			const to = cheapestOwner(plan, slot, from);
@@ -139,7 +139,7 @@
 export function planBalance(input: PlacementInput, plan: WorkingPlan, state: PlacementState, excludedSlots: ReadonlySet<Slot>): BalancePlan {
 	const revoking = input.assignments.assignments.filter(({phase}) => phase === AssignmentPhase.revoking);
 	const run: BalanceRun = {
-		plan: plan,
+		plan,
 		movable: new Set([...grantedSlots(input)].filter(slot => !excludedSlots.has(slot) && !Object.hasOwn(state.movedAt, slot))),
 		moves: [],
 		tokens: state.tokens,
--- a/packages/placement/src/working-plan.ts
+++ b/packages/placement/src/working-plan.ts
@@ -89,7 +89,7 @@
 	const owners = candidates.map(upstream => createOwnerLoad(input, policy, upstream, total / candidates.length));
 	const capacity = Math.max(0.01, owners.reduce((sum, owner) => sum + owner.capacity, 0));
 	const plan: WorkingPlan = {
-		policy, owners: owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
+		policy, owners, contractSlots: input.contract.slots, loadPerCapacity: total / capacity, countPerCapacity: input.contract.slots / capacity, input, unownedSlots: 0,
 	};
 	const byName = new Map(owners.map(owner => [owner.identity.name, owner]));
 	for (const assignment of liveAssignments(input)) {
