--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -10,7 +10,7 @@
 import {type Milliseconds, type MonotonicTime, type WallTime} from '@dogwooddeck/model/identifiers';
 import {windowMilliseconds, type EffectiveLimit} from './unit.js';
 
-const slicesInWindow = 64;
+const slicesPerWindow = 64;
 
 /** The use within one slice of a sliding window. Slices are numbered from the origin of the monotonic clock. */
 type Slice = {readonly number: number; readonly used: number};
@@ -51,7 +51,7 @@
 }
 
 function sliceMilliseconds(limit: EffectiveLimit): Milliseconds {
-	return windowMilliseconds(limit) / slicesInWindow;
+	return windowMilliseconds(limit) / slicesPerWindow;
 }
 
 /** The time at which a slice stops counting: a whole window after its end. */
