--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -15,7 +15,7 @@
 /** The use within one slice of a sliding window. Slices are numbered from the origin of the monotonic clock. */
 type Slice = {readonly number: number; readonly used: number};
 
-type FixedUse = {
+type FixedWindowUse = {
 	/** The number of the window, counted from the Unix epoch. Never decreases, even if the wall clock is set back. */
 	readonly number: number;
 	readonly used: number;
@@ -30,7 +30,7 @@
 export type BucketState = {
 	readonly limit: EffectiveLimit;
 	readonly slices: readonly Slice[];
-	readonly fixed: FixedUse;
+	readonly fixed: FixedWindowUse;
 };
 
 /** Whether a request is admitted, and if not, when it may be retried. */
@@ -89,7 +89,7 @@
 	return {state: {...state, slices}, admitted: false, retryAfterMilliseconds: Math.ceil(freeAt - now)};
 }
 
-function openWindow(state: BucketState, number: number, share: number): FixedUse {
+function openWindow(state: BucketState, number: number, share: number): FixedWindowUse {
 	const {limit, fixed} = state;
 	if (number <= fixed.number) {
 		return {...fixed, leastShare: Math.min(fixed.leastShare, share)};
