--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -20,7 +20,7 @@
 	readonly number: number;
 	readonly used: number;
 	/** The use within the preceding window. */
-	readonly usedBefore: number;
+	readonly usedInPreviousWindow: number;
 	readonly carried: number;
 	/** The smallest share during the window, which bounds the unused amount that it leaves to the next. */
 	readonly leastShare: number;
@@ -45,7 +45,7 @@
 export function createBucket(limit: EffectiveLimit): BucketState {
 	return {
 		limit, slices: [], fixed: {
-			number: -1, used: 0, usedBefore: 0, carried: 0, leastShare: 0,
+			number: -1, used: 0, usedInPreviousWindow: 0, carried: 0, leastShare: 0,
 		},
 	};
 }
@@ -97,7 +97,7 @@
 
 	const left = Math.max(0, fixed.carried + fixed.leastShare - fixed.used);
 	return {
-		number, used: 0, usedBefore: number === fixed.number + 1 ? fixed.used : 0, carried: Math.min(left, (limit.burst - 1) * share), leastShare: share,
+		number, used: 0, usedInPreviousWindow: number === fixed.number + 1 ? fixed.used : 0, carried: Math.min(left, (limit.burst - 1) * share), leastShare: share,
 	};
 }
 
@@ -128,7 +128,7 @@
 function usedFixed({limit, fixed}: BucketState, now: WallTime, skew: Milliseconds): number {
 	const earliest = Math.floor((now - skew) / limit.intervalMilliseconds);
 	const current = fixed.number >= earliest ? fixed.used : 0;
-	return fixed.number > earliest ? Math.max(current, fixed.usedBefore) : current;
+	return fixed.number > earliest ? Math.max(current, fixed.usedInPreviousWindow) : current;
 }
 
 /**
