--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -23,7 +23,7 @@
 	readonly usedInPreviousWindow: number;
 	readonly carried: number;
 	/** The smallest share during the window, which bounds the unused amount that it leaves to the next. */
-	readonly leastShare: number;
+	readonly minimumShare: number;
 };
 
 /** The recorded use of one limit. */
@@ -45,7 +45,7 @@
 export function createBucket(limit: EffectiveLimit): BucketState {
 	return {
 		limit, slices: [], fixed: {
-			number: -1, used: 0, usedInPreviousWindow: 0, carried: 0, leastShare: 0,
+			number: -1, used: 0, usedInPreviousWindow: 0, carried: 0, minimumShare: 0,
 		},
 	};
 }
@@ -92,12 +92,12 @@
 function openWindow(state: BucketState, number: number, share: number): FixedWindowUse {
 	const {limit, fixed} = state;
 	if (number <= fixed.number) {
-		return {...fixed, leastShare: Math.min(fixed.leastShare, share)};
+		return {...fixed, minimumShare: Math.min(fixed.minimumShare, share)};
 	}
 
-	const left = Math.max(0, fixed.carried + fixed.leastShare - fixed.used);
+	const left = Math.max(0, fixed.carried + fixed.minimumShare - fixed.used);
 	return {
-		number, used: 0, usedInPreviousWindow: number === fixed.number + 1 ? fixed.used : 0, carried: Math.min(left, (limit.burst - 1) * share), leastShare: share,
+		number, used: 0, usedInPreviousWindow: number === fixed.number + 1 ? fixed.used : 0, carried: Math.min(left, (limit.burst - 1) * share), minimumShare: share,
 	};
 }
 
