--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -55,7 +55,7 @@
 }
 
 /** The time at which a slice stops counting: a whole window after its end. */
-function sliceEnd(limit: EffectiveLimit, slice: Slice): MonotonicTime {
+function sliceExpiry(limit: EffectiveLimit, slice: Slice): MonotonicTime {
 	return ((slice.number + 1) * sliceMilliseconds(limit)) + windowMilliseconds(limit);
 }
 
@@ -65,7 +65,7 @@
 		freed += slice.used;
 		return freed >= missing;
 	});
-	return last === undefined ? undefined : sliceEnd(limit, last);
+	return last === undefined ? undefined : sliceExpiry(limit, last);
 }
 
 function addToSlices(slices: readonly Slice[], number: number, cost: number): readonly Slice[] {
@@ -77,7 +77,7 @@
 
 function admitSliding(state: BucketState, now: MonotonicTime, cost: number, share: number): Admission {
 	const {limit} = state;
-	const slices = state.slices.filter(slice => sliceEnd(limit, slice) > now);
+	const slices = state.slices.filter(slice => sliceExpiry(limit, slice) > now);
 	const used = slices.reduce((sum, slice) => sum + slice.used, 0);
 	const missing = used + cost - (share * limit.burst);
 	if (missing <= 0) {
@@ -122,7 +122,7 @@
 }
 
 function usedSliding({limit, slices}: BucketState, now: MonotonicTime): number {
-	return slices.filter(slice => sliceEnd(limit, slice) > now).reduce((sum, slice) => sum + slice.used, 0);
+	return slices.filter(slice => sliceExpiry(limit, slice) > now).reduce((sum, slice) => sum + slice.used, 0);
 }
 
 function usedFixed({limit, fixed}: BucketState, now: WallTime, skew: Milliseconds): number {
