--- a/packages/limits/src/bucket.ts
+++ b/packages/limits/src/bucket.ts
@@ -59,7 +59,7 @@
 	return ((slice.number + 1) * sliceMilliseconds(limit)) + windowMilliseconds(limit);
 }
 
-function waitForSlices(limit: EffectiveLimit, slices: readonly Slice[], missing: number): MonotonicTime | undefined {
+function capacityFreeAt(limit: EffectiveLimit, slices: readonly Slice[], missing: number): MonotonicTime | undefined {
 	let freed = 0;
 	const last = slices.find(slice => {
 		freed += slice.used;
@@ -85,7 +85,7 @@
 		return {state: {...state, slices: addToSlices(slices, number, cost)}, admitted: true, retryAfterMilliseconds: 0};
 	}
 
-	const freeAt = waitForSlices(limit, slices, missing) ?? now + windowMilliseconds(limit);
+	const freeAt = capacityFreeAt(limit, slices, missing) ?? now + windowMilliseconds(limit);
 	return {state: {...state, slices}, admitted: false, retryAfterMilliseconds: Math.ceil(freeAt - now)};
 }
 
