--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -34,7 +34,7 @@
 type Holder = {
 	readonly name: string;
 	readonly wanted: number;
-	readonly heardAt: MonotonicTime;
+	readonly lastContactAt: MonotonicTime;
 	readonly sequence: number;
 	/** Ordered from the greatest amount to the latest end. */
 	readonly commitments: readonly Commitment[];
@@ -130,7 +130,7 @@
  */
 function fairShare(state: DivisionState, name: string, expected: number, now: MonotonicTime): number {
 	const {amount, options} = state;
-	const present = state.holders.filter(({heardAt}) => heardAt + options.shareMilliseconds > now);
+	const present = state.holders.filter(({lastContactAt: heardAt}) => heardAt + options.shareMilliseconds > now);
 	const count = Math.max(present.length, expected);
 	const wanted = present.map(holder => wantedBy(state, holder, count));
 	const reserved = Array.from({length: count - present.length}, () => options.reserveRatio * amount / count);
@@ -164,7 +164,7 @@
 
 function forgetLost(state: DivisionState, now: MonotonicTime): DivisionState {
 	const {shareMilliseconds} = state.options;
-	return {...state, holders: state.holders.filter(holder => holder.heardAt + shareMilliseconds > now || committedTo(holder, now) > 0)};
+	return {...state, holders: state.holders.filter(holder => holder.lastContactAt + shareMilliseconds > now || committedTo(holder, now) > 0)};
 }
 
 type ShareRequest = Extract<DivisionEvent, {readonly kind: 'shareRequested'}>;
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -142,7 +142,7 @@
 
 /** Drops the divisions in which no holder has a share any more. */
 export function sweepSharing(state: SharingState, now: MonotonicTime): SharingState {
-	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({heardAt}) =>
+	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({lastContactAt: heardAt}) =>
 		now < heardAt + options.shareMilliseconds + options.windowMilliseconds + options.marginMilliseconds));
 	return kept.length === Object.keys(state.divisions).length ? state : {...state, divisions: Object.fromEntries(kept)};
 }
