--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -80,14 +80,14 @@
 	readonly validMilliseconds: Milliseconds;
 };
 
-function memoryMilliseconds({shareMilliseconds, windowMilliseconds, marginMilliseconds}: DivisionOptions): Milliseconds {
+function commitmentMilliseconds({shareMilliseconds, windowMilliseconds, marginMilliseconds}: DivisionOptions): Milliseconds {
 	return shareMilliseconds + windowMilliseconds + marginMilliseconds;
 }
 
 /** Creates a division without a record of earlier shares, as after a change of the leader or steward. */
 export function createDivision(options: DivisionOptions, amount: number, validUntil: MonotonicTime, now: MonotonicTime): DivisionState {
 	return {
-		options, amount, validUntil, freeAt: now + memoryMilliseconds(options), holders: [],
+		options, amount, validUntil, freeAt: now + commitmentMilliseconds(options), holders: [],
 	};
 }
 
