--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -141,7 +141,7 @@
 }
 
 /** Counts a greater share that the holder no longer has only as far as it was used: any later window that reaches back to it includes `now`. */
-function forgetUnused(holder: Holder, usable: number): Holder {
+function releaseUnused(holder: Holder, usable: number): Holder {
 	return {...holder, commitments: holder.commitments.map(({amount, until}) => ({amount: Math.min(amount, usable), until}))};
 }
 
@@ -176,7 +176,7 @@
 	const holder = {
 		name, wanted, sequence, heardAt: now, commitments,
 	};
-	return forgetUnused(holder, usable);
+	return releaseUnused(holder, usable);
 }
 
 function isOutdated(state: DivisionState, request: ShareRequest): boolean {
