--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -162,7 +162,7 @@
 	return {...state, holders: [...state.holders.filter(({name}) => name !== changed.name), changed]};
 }
 
-function forgetLost(state: DivisionState, now: MonotonicTime): DivisionState {
+function dropLostHolders(state: DivisionState, now: MonotonicTime): DivisionState {
 	const {shareMilliseconds} = state.options;
 	return {...state, holders: state.holders.filter(holder => holder.lastContactAt + shareMilliseconds > now || committedTo(holder, now) > 0)};
 }
@@ -190,7 +190,7 @@
 	}
 
 	const holder = noteRequest(state, request);
-	const noted = replaceHolder(forgetLost(state, now), holder);
+	const noted = replaceHolder(dropLostHolders(state, now), holder);
 	const asked = now < state.freeAt ? held : Math.ceil(fairShare(noted, holder.name, request.expected, now));
 	const amount = Math.floor(Math.min(asked, freeFor(noted, holder.name, now)));
 	const {shareMilliseconds, windowMilliseconds, marginMilliseconds} = state.options;
