--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -170,7 +170,7 @@
 type ShareRequest = Extract<DivisionEvent, {readonly kind: 'shareRequested'}>;
 
 /** Returns the holder, updated by its request. */
-function noteRequest(state: DivisionState, request: ShareRequest): Holder {
+function recordRequest(state: DivisionState, request: ShareRequest): Holder {
 	const {holder: name, now, wanted, sequence, usable} = request;
 	const commitments = state.holders.find(holder => holder.name === name)?.commitments ?? [];
 	const holder = {
@@ -189,7 +189,7 @@
 		return {state, effects: []};
 	}
 
-	const holder = noteRequest(state, request);
+	const holder = recordRequest(state, request);
 	const noted = replaceHolder(dropLostHolders(state, now), holder);
 	const asked = now < state.freeAt ? held : Math.ceil(fairShare(noted, holder.name, request.expected, now));
 	const amount = Math.floor(Math.min(asked, freeFor(noted, holder.name, now)));
