--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -190,14 +190,14 @@
 	}
 
 	const holder = recordRequest(state, request);
-	const noted = replaceHolder(dropLostHolders(state, now), holder);
-	const asked = now < state.freeAt ? held : Math.ceil(fairShare(noted, holder.name, request.expected, now));
-	const amount = Math.floor(Math.min(asked, freeFor(noted, holder.name, now)));
+	const updated = replaceHolder(dropLostHolders(state, now), holder);
+	const asked = now < state.freeAt ? held : Math.ceil(fairShare(updated, holder.name, request.expected, now));
+	const amount = Math.floor(Math.min(asked, freeFor(updated, holder.name, now)));
 	const {shareMilliseconds, windowMilliseconds, marginMilliseconds} = state.options;
 	const validMilliseconds = Math.max(0, Math.min(shareMilliseconds, state.validUntil - now));
 	const until = now + validMilliseconds + windowMilliseconds + marginMilliseconds;
 	return {
-		state: replaceHolder(noted, addCommitment(holder, {amount, until}, now)),
+		state: replaceHolder(updated, addCommitment(holder, {amount, until}, now)),
 		effects: [{
 			kind: 'shareGranted', holder: holder.name, amount, validMilliseconds,
 		}],
