--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -191,8 +191,8 @@
 
 	const holder = recordRequest(state, request);
 	const updated = replaceHolder(dropLostHolders(state, now), holder);
-	const asked = now < state.freeAt ? held : Math.ceil(fairShare(updated, holder.name, request.expected, now));
-	const amount = Math.floor(Math.min(asked, freeFor(updated, holder.name, now)));
+	const target = now < state.freeAt ? held : Math.ceil(fairShare(updated, holder.name, request.expected, now));
+	const amount = Math.floor(Math.min(target, freeFor(updated, holder.name, now)));
 	const {shareMilliseconds, windowMilliseconds, marginMilliseconds} = state.options;
 	const validMilliseconds = Math.max(0, Math.min(shareMilliseconds, state.validUntil - now));
 	const until = now + validMilliseconds + windowMilliseconds + marginMilliseconds;
