--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -146,7 +146,7 @@
 }
 
 /** What a divider reports as `usable` to the divider above it. */
-export function usableUnder(state: DivisionState, now: MonotonicTime): number {
+export function reportedUsable(state: DivisionState, now: MonotonicTime): number {
 	const handedOut = state.holders.reduce((sum, holder) => sum + committedTo(holder, now), 0);
 	return now < state.freeAt ? Infinity : Math.max(state.amount, handedOut);
 }
--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -13,7 +13,7 @@
 	admit, createBucket, usedShare, type BucketState,
 } from '@dogwooddeck/limits/bucket';
 import {
-	createDivision, createFirstDivision, stepDivision, usableUnder, type DivisionOptions, type DivisionState,
+	createDivision, createFirstDivision, stepDivision, reportedUsable, type DivisionOptions, type DivisionState,
 } from '@dogwooddeck/limits/division';
 import {windowMilliseconds, type EffectiveLimit} from '@dogwooddeck/limits/unit';
 
@@ -174,7 +174,7 @@
 		const holder = `z${zone}`;
 		const wanted = this.#wanted.slice(zone * instancesInZone, (zone + 1) * instancesInZone).reduce((sum, one) => sum + one, 0);
 		const {state, effects: [granted]} = stepDivision(this.#control, {
-			kind: 'shareRequested', now: this.now, holder, sequence: this.#nextSequence(holder), wanted, held, usable: usableUnder(this.#stewards[zone]!, this.now), expected: zones,
+			kind: 'shareRequested', now: this.now, holder, sequence: this.#nextSequence(holder), wanted, held, usable: reportedUsable(this.#stewards[zone]!, this.now), expected: zones,
 		});
 		this.#control = state;
 		this.#later(holder, () => {
