--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -101,7 +101,7 @@
 }
 
 /** The part of the amount that no other holder may have used within a window. */
-function freeFor(state: DivisionState, name: string, now: MonotonicTime): number {
+function availableTo(state: DivisionState, name: string, now: MonotonicTime): number {
 	const others = state.holders.filter(holder => holder.name !== name);
 	return Math.max(0, state.amount - others.reduce((sum, holder) => sum + committedTo(holder, now), 0));
 }
@@ -192,7 +192,7 @@
 	const holder = recordRequest(state, request);
 	const updated = replaceHolder(dropLostHolders(state, now), holder);
 	const target = now < state.freeAt ? held : Math.ceil(fairShare(updated, holder.name, request.expected, now));
-	const amount = Math.floor(Math.min(target, freeFor(updated, holder.name, now)));
+	const amount = Math.floor(Math.min(target, availableTo(updated, holder.name, now)));
 	const {shareMilliseconds, windowMilliseconds, marginMilliseconds} = state.options;
 	const validMilliseconds = Math.max(0, Math.min(shareMilliseconds, state.validUntil - now));
 	const until = now + validMilliseconds + windowMilliseconds + marginMilliseconds;
