--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -183,7 +183,7 @@
 	return state.holders.some(({name, sequence}) => name === request.holder && sequence >= request.sequence);
 }
 
-function grant(state: DivisionState, request: ShareRequest): Transition<DivisionState, DivisionEffect> {
+function grantShare(state: DivisionState, request: ShareRequest): Transition<DivisionState, DivisionEffect> {
 	const {now, held} = request;
 	if (isOutdated(state, request)) {
 		return {state, effects: []};
@@ -205,7 +205,7 @@
 }
 
 const handlers: HandlerTable<DivisionEvent, [DivisionState], Transition<DivisionState, DivisionEffect>> = {
-	shareRequested: (request, state) => grant(state, request),
+	shareRequested: (request, state) => grantShare(state, request),
 	amountChanged: ({amount, validUntil}, state) => ({state: {...state, amount, validUntil}, effects: []}),
 };
 
