--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -47,7 +47,7 @@
 	/** The end of the divider's own share, and so of its right to divide. Infinity for control. */
 	readonly validUntil: MonotonicTime;
 	/** Until this time, shares of an earlier divider may be in force, and holders keep at most what they hold. */
-	readonly freeAt: MonotonicTime;
+	readonly earlierSharesEndAt: MonotonicTime;
 	readonly holders: readonly Holder[];
 };
 
@@ -87,13 +87,13 @@
 /** Creates a division without a record of earlier shares, as after a change of the leader or steward. */
 export function createDivision(options: DivisionOptions, amount: number, validUntil: MonotonicTime, now: MonotonicTime): DivisionState {
 	return {
-		options, amount, validUntil, freeAt: now + commitmentMilliseconds(options), holders: [],
+		options, amount, validUntil, earlierSharesEndAt: now + commitmentMilliseconds(options), holders: [],
 	};
 }
 
 /** Creates a division of an amount that was never divided before, so that all of it is available at once. */
 export function createFirstDivision(options: DivisionOptions, amount: number, validUntil: MonotonicTime, now: MonotonicTime): DivisionState {
-	return {...createDivision(options, amount, validUntil, now), freeAt: now};
+	return {...createDivision(options, amount, validUntil, now), earlierSharesEndAt: now};
 }
 
 function committedTo(holder: Holder, now: MonotonicTime): number {
@@ -148,7 +148,7 @@
 /** What a divider reports as `usable` to the divider above it. */
 export function reportedUsable(state: DivisionState, now: MonotonicTime): number {
 	const handedOut = state.holders.reduce((sum, holder) => sum + committedTo(holder, now), 0);
-	return now < state.freeAt ? Infinity : Math.max(state.amount, handedOut);
+	return now < state.earlierSharesEndAt ? Infinity : Math.max(state.amount, handedOut);
 }
 
 function addCommitment(holder: Holder, added: Commitment, now: MonotonicTime): Holder {
@@ -191,7 +191,7 @@
 
 	const holder = recordRequest(state, request);
 	const updated = replaceHolder(dropLostHolders(state, now), holder);
-	const target = now < state.freeAt ? held : Math.ceil(fairShare(updated, holder.name, request.expected, now));
+	const target = now < state.earlierSharesEndAt ? held : Math.ceil(fairShare(updated, holder.name, request.expected, now));
 	const amount = Math.floor(Math.min(target, availableTo(updated, holder.name, now)));
 	const {shareMilliseconds, windowMilliseconds, marginMilliseconds} = state.options;
 	const validMilliseconds = Math.max(0, Math.min(shareMilliseconds, state.validUntil - now));
