--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -16,13 +16,13 @@
 	readonly rest: number;
 	readonly growsAt: MonotonicTime;
 	/** Until this time, shares of an earlier divider may be in force, and holders keep at most what they hold. */
-	readonly freeAt: MonotonicTime;
+	readonly earlierSharesEndAt: MonotonicTime;
 };
 
 /** Creates the state of a part that a divider divides for the first time. */
 export function createPart({limit, amount}: LimitPart, now: MonotonicTime, freeAt: MonotonicTime): PartState {
 	return {
-		amountBefore: amount, amount, rest: limit.amount - amount, growsAt: now, freeAt,
+		amountBefore: amount, amount, rest: limit.amount - amount, growsAt: now, earlierSharesEndAt: freeAt,
 	};
 }
 
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -98,7 +98,7 @@
 
 	const options = optionsOf(limit);
 	return known === undefined
-		? {...createFirstDivision(options, amount, Infinity, now), earlierSharesEndAt: part.freeAt}
+		? {...createFirstDivision(options, amount, Infinity, now), earlierSharesEndAt: part.earlierSharesEndAt}
 		: createDivision(options, amount, Infinity, now);
 }
 
