--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -20,9 +20,9 @@
 };
 
 /** Creates the state of a part that a divider divides for the first time. */
-export function createPart({limit, amount}: LimitPart, now: MonotonicTime, freeAt: MonotonicTime): PartState {
+export function createPart({limit, amount}: LimitPart, now: MonotonicTime, earlierSharesEndAt: MonotonicTime): PartState {
 	return {
-		amountBefore: amount, amount, rest: limit.amount - amount, growsAt: now, earlierSharesEndAt: freeAt,
+		amountBefore: amount, amount, rest: limit.amount - amount, growsAt: now, earlierSharesEndAt: earlierSharesEndAt,
 	};
 }
 
