--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -10,7 +10,7 @@
 /** A divider's part of a limit, for all callers. */
 export type PartState = {
 	/** The most that may be handed out before `growsAt`. */
-	readonly amountBefore: number;
+	readonly previousAmount: number;
 	readonly amount: number;
 	/** The part of the limit that belongs to other dividers. */
 	readonly rest: number;
@@ -22,12 +22,12 @@
 /** Creates the state of a part that a divider divides for the first time. */
 export function createPart({limit, amount}: LimitPart, now: MonotonicTime, earlierSharesEndAt: MonotonicTime): PartState {
 	return {
-		amountBefore: amount, amount, rest: limit.amount - amount, growsAt: now, earlierSharesEndAt: earlierSharesEndAt,
+		previousAmount: amount, amount, rest: limit.amount - amount, growsAt: now, earlierSharesEndAt: earlierSharesEndAt,
 	};
 }
 
 /** Returns the amount that may be handed out now. */
-export function amountNow({amountBefore, amount, growsAt}: PartState, now: MonotonicTime): number {
+export function amountNow({previousAmount: amountBefore, amount, growsAt}: PartState, now: MonotonicTime): number {
 	return now < growsAt ? Math.min(amountBefore, amount) : amount;
 }
 
@@ -42,6 +42,6 @@
 	const takesOver = amount > before && rest < state.rest;
 	const growsAt = takesOver ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
-		...state, amountBefore: before, amount, rest, growsAt,
+		...state, previousAmount: before, amount, rest, growsAt,
 	};
 }
