--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -13,7 +13,7 @@
 	readonly previousAmount: number;
 	readonly amount: number;
 	/** The part of the limit that belongs to other dividers. */
-	readonly rest: number;
+	readonly othersAmount: number;
 	readonly growsAt: MonotonicTime;
 	/** Until this time, shares of an earlier divider may be in force, and holders keep at most what they hold. */
 	readonly earlierSharesEndAt: MonotonicTime;
@@ -22,7 +22,7 @@
 /** Creates the state of a part that a divider divides for the first time. */
 export function createPart({limit, amount}: LimitPart, now: MonotonicTime, earlierSharesEndAt: MonotonicTime): PartState {
 	return {
-		previousAmount: amount, amount, rest: limit.amount - amount, growsAt: now, earlierSharesEndAt: earlierSharesEndAt,
+		previousAmount: amount, amount, othersAmount: limit.amount - amount, growsAt: now, earlierSharesEndAt: earlierSharesEndAt,
 	};
 }
 
@@ -34,14 +34,14 @@
 /** Updates the part to the current contract. If it grows at the expense of other dividers, they have `settlingMilliseconds` to shrink theirs. */
 export function changePart(state: PartState, {limit, amount}: LimitPart, now: MonotonicTime, settlingMilliseconds: Milliseconds): PartState {
 	const rest = limit.amount - amount;
-	if (amount === state.amount && rest === state.rest) {
+	if (amount === state.amount && rest === state.othersAmount) {
 		return state;
 	}
 
 	const before = amountNow(state, now);
-	const takesOver = amount > before && rest < state.rest;
+	const takesOver = amount > before && rest < state.othersAmount;
 	const growsAt = takesOver ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
-		...state, previousAmount: before, amount, rest, growsAt,
+		...state, previousAmount: before, amount, othersAmount: rest, growsAt,
 	};
 }
