--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -33,15 +33,15 @@
 
 /** Updates the part to the current contract. If it grows at the expense of other dividers, they have `settlingMilliseconds` to shrink theirs. */
 export function changePart(state: PartState, {limit, amount}: LimitPart, now: MonotonicTime, settlingMilliseconds: Milliseconds): PartState {
-	const rest = limit.amount - amount;
-	if (amount === state.amount && rest === state.othersAmount) {
+	const othersAmount = limit.amount - amount;
+	if (amount === state.amount && othersAmount === state.othersAmount) {
 		return state;
 	}
 
 	const before = amountNow(state, now);
-	const takesOver = amount > before && rest < state.othersAmount;
+	const takesOver = amount > before && othersAmount < state.othersAmount;
 	const growsAt = takesOver ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
-		...state, previousAmount: before, amount, othersAmount: rest, growsAt,
+		...state, previousAmount: before, amount, othersAmount: othersAmount, growsAt,
 	};
 }
