--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -27,7 +27,7 @@
 }
 
 /** Returns the amount that may be handed out now. */
-export function amountNow({previousAmount: amountBefore, amount, growsAt}: PartState, now: MonotonicTime): number {
+export function availableAmount({previousAmount: amountBefore, amount, growsAt}: PartState, now: MonotonicTime): number {
 	return now < growsAt ? Math.min(amountBefore, amount) : amount;
 }
 
@@ -38,7 +38,7 @@
 		return state;
 	}
 
-	const before = amountNow(state, now);
+	const before = availableAmount(state, now);
 	const takesOver = amount > before && othersAmount < state.othersAmount;
 	const growsAt = takesOver ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -11,7 +11,7 @@
 	createDivision, createFirstDivision, type DivisionOptions, type DivisionState, stepDivision,
 } from './division.js';
 import {
-	amountNow, changePart, createPart, type PartState,
+	availableAmount, changePart, createPart, type PartState,
 } from './part-change.js';
 import {type LimitPart} from './reserve.js';
 import {type EffectiveLimit, windowMilliseconds} from './unit.js';
@@ -87,7 +87,7 @@
 }
 
 function divisionOf(known: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
-	const amount = amountNow(part, now);
+	const amount = availableAmount(part, now);
 	if (known?.options.windowMilliseconds === windowMilliseconds(limit)) {
 		return known.amount === amount
 			? known
