--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -32,7 +32,7 @@
 }
 
 /** Updates the part to the current contract. If it grows at the expense of other dividers, they have `settlingMilliseconds` to shrink theirs. */
-export function changePart(state: PartState, {limit, amount}: LimitPart, now: MonotonicTime, settlingMilliseconds: Milliseconds): PartState {
+export function updatePart(state: PartState, {limit, amount}: LimitPart, now: MonotonicTime, settlingMilliseconds: Milliseconds): PartState {
 	const othersAmount = limit.amount - amount;
 	if (amount === state.amount && othersAmount === state.othersAmount) {
 		return state;
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -11,7 +11,7 @@
 	createDivision, createFirstDivision, type DivisionOptions, type DivisionState, stepDivision,
 } from './division.js';
 import {
-	availableAmount, changePart, createPart, type PartState,
+	availableAmount, updatePart, createPart, type PartState,
 } from './part-change.js';
 import {type LimitPart} from './reserve.js';
 import {type EffectiveLimit, windowMilliseconds} from './unit.js';
@@ -83,7 +83,7 @@
 	const known = state.parts[partKey(name)];
 	return known === undefined
 		? createPart(part, now, firstFreeAt(state, name, part.limit, now))
-		: changePart(known, part, now, memoryMilliseconds(part.limit) + learningMilliseconds);
+		: updatePart(known, part, now, memoryMilliseconds(part.limit) + learningMilliseconds);
 }
 
 function divisionOf(known: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -9,7 +9,7 @@
 import {
 	admit, createBucket, usedShare, type BucketState,
 } from '@dogwooddeck/limits/bucket';
-import {changePart, createPart, availableAmount} from '@dogwooddeck/limits/part-change';
+import {updatePart, createPart, availableAmount} from '@dogwooddeck/limits/part-change';
 import {controlPart, type LimitPart, zonePart} from '@dogwooddeck/limits/reserve';
 import {
 	createSharing, createZoneSharing, shareOut, type SharingState,
@@ -98,7 +98,7 @@
 } of growths) {
 	test(`reserve: a part ${name}`, () => {
 		const first = createPart({limit: limitOf(100), amount: 80}, 0, 0);
-		assert.equal(availableAmount(changePart(first, part, 1000, 1000), at), expected);
+		assert.equal(availableAmount(updatePart(first, part, 1000, 1000), at), expected);
 	});
 }
 
