--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -39,8 +39,8 @@
 	}
 
 	const before = availableAmount(state, now);
-	const takesOver = amount > before && othersAmount < state.othersAmount;
-	const growsAt = takesOver ? now + settlingMilliseconds : Math.max(state.growsAt, now);
+	const growsAtOthersExpense = amount > before && othersAmount < state.othersAmount;
+	const growsAt = growsAtOthersExpense ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
 		...state, previousAmount: before, amount, othersAmount: othersAmount, growsAt,
 	};
