--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -66,24 +66,24 @@
 }
 
 /** How long a share may count after it was granted. */
-function memoryMilliseconds(limit: EffectiveLimit): Milliseconds {
+function commitmentMilliseconds(limit: EffectiveLimit): Milliseconds {
 	return shareMilliseconds + windowMilliseconds(limit) + marginMilliseconds;
 }
 
 /** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
 function firstFreeAt({startedAt, servicesBefore}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
 	if (servicesBefore === undefined) {
-		return now + memoryMilliseconds(limit) + learningMilliseconds;
+		return now + commitmentMilliseconds(limit) + learningMilliseconds;
 	}
 
-	return servicesBefore.includes(service) ? startedAt + memoryMilliseconds(limit) : now;
+	return servicesBefore.includes(service) ? startedAt + commitmentMilliseconds(limit) : now;
 }
 
 function partOf(state: SharingState, name: LimitName, part: LimitPart, now: MonotonicTime): PartState {
 	const known = state.parts[partKey(name)];
 	return known === undefined
 		? createPart(part, now, firstFreeAt(state, name, part.limit, now))
-		: updatePart(known, part, now, memoryMilliseconds(part.limit) + learningMilliseconds);
+		: updatePart(known, part, now, commitmentMilliseconds(part.limit) + learningMilliseconds);
 }
 
 function divisionOf(known: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
