--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -21,7 +21,7 @@
 /** Covers the drift of monotonic clocks while a share is valid and, for fixed windows, the skew of wall clocks. */
 const marginMilliseconds: Milliseconds = 1000;
 /** The time within which every instance that is not partitioned has applied a change of the contract. */
-const learningMilliseconds: Milliseconds = 5000;
+const contractPropagationMilliseconds: Milliseconds = 5000;
 const floorRatio = 0.25;
 const reserveRatio = 0.1;
 const headroomRatio = 2;
@@ -73,7 +73,7 @@
 /** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
 function firstFreeAt({startedAt, servicesBefore}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
 	if (servicesBefore === undefined) {
-		return now + commitmentMilliseconds(limit) + learningMilliseconds;
+		return now + commitmentMilliseconds(limit) + contractPropagationMilliseconds;
 	}
 
 	return servicesBefore.includes(service) ? startedAt + commitmentMilliseconds(limit) : now;
@@ -83,7 +83,7 @@
 	const known = state.parts[partKey(name)];
 	return known === undefined
 		? createPart(part, now, firstFreeAt(state, name, part.limit, now))
-		: updatePart(known, part, now, commitmentMilliseconds(part.limit) + learningMilliseconds);
+		: updatePart(known, part, now, commitmentMilliseconds(part.limit) + contractPropagationMilliseconds);
 }
 
 function divisionOf(known: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
