--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -30,7 +30,7 @@
 export type SharingState = {
 	readonly startedAt: MonotonicTime;
 	/** The services whose limits an earlier leader may have divided. Absent: other dividers may have divided any limit until just before its first demand. */
-	readonly servicesBefore?: readonly ServiceName[];
+	readonly inheritedServices?: readonly ServiceName[];
 	/** By `partKey`. */
 	readonly parts: Readonly<Record<string, PartState>>;
 	/** By `sharingKey`. */
@@ -40,7 +40,7 @@
 /** Creates the state of a leader that starts now. */
 export function createSharing(now: MonotonicTime, servicesBefore: readonly ServiceName[]): SharingState {
 	return {
-		startedAt: now, servicesBefore, parts: {}, divisions: {},
+		startedAt: now, inheritedServices: servicesBefore, parts: {}, divisions: {},
 	};
 }
 
@@ -71,7 +71,7 @@
 }
 
 /** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
-function firstFreeAt({startedAt, servicesBefore}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
+function firstFreeAt({startedAt, inheritedServices: servicesBefore}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
 	if (servicesBefore === undefined) {
 		return now + commitmentMilliseconds(limit) + contractPropagationMilliseconds;
 	}
