--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -38,9 +38,9 @@
 };
 
 /** Creates the state of a leader that starts now. */
-export function createSharing(now: MonotonicTime, servicesBefore: readonly ServiceName[]): SharingState {
+export function createSharing(now: MonotonicTime, inheritedServices: readonly ServiceName[]): SharingState {
 	return {
-		startedAt: now, inheritedServices: servicesBefore, parts: {}, divisions: {},
+		startedAt: now, inheritedServices: inheritedServices, parts: {}, divisions: {},
 	};
 }
 
