--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -71,12 +71,12 @@
 }
 
 /** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
-function firstFreeAt({startedAt, inheritedServices: servicesBefore}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
-	if (servicesBefore === undefined) {
+function firstFreeAt({startedAt, inheritedServices: inheritedServices}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
+	if (inheritedServices === undefined) {
 		return now + commitmentMilliseconds(limit) + contractPropagationMilliseconds;
 	}
 
-	return servicesBefore.includes(service) ? startedAt + commitmentMilliseconds(limit) : now;
+	return inheritedServices.includes(service) ? startedAt + commitmentMilliseconds(limit) : now;
 }
 
 function partOf(state: SharingState, name: LimitName, part: LimitPart, now: MonotonicTime): PartState {
