--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -71,7 +71,7 @@
 }
 
 /** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
-function firstFreeAt({startedAt, inheritedServices: inheritedServices}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
+function endOfEarlierShares({startedAt, inheritedServices: inheritedServices}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
 	if (inheritedServices === undefined) {
 		return now + commitmentMilliseconds(limit) + contractPropagationMilliseconds;
 	}
@@ -82,7 +82,7 @@
 function partOf(state: SharingState, name: LimitName, part: LimitPart, now: MonotonicTime): PartState {
 	const known = state.parts[partKey(name)];
 	return known === undefined
-		? createPart(part, now, firstFreeAt(state, name, part.limit, now))
+		? createPart(part, now, endOfEarlierShares(state, name, part.limit, now))
 		: updatePart(known, part, now, commitmentMilliseconds(part.limit) + contractPropagationMilliseconds);
 }
 
