--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -80,10 +80,10 @@
 }
 
 function partOf(state: SharingState, name: LimitName, part: LimitPart, now: MonotonicTime): PartState {
-	const known = state.parts[partKey(name)];
-	return known === undefined
+	const recorded = state.parts[partKey(name)];
+	return recorded === undefined
 		? createPart(part, now, endOfEarlierShares(state, name, part.limit, now))
-		: updatePart(known, part, now, commitmentMilliseconds(part.limit) + contractPropagationMilliseconds);
+		: updatePart(recorded, part, now, commitmentMilliseconds(part.limit) + contractPropagationMilliseconds);
 }
 
 function divisionOf(known: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
