--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -86,18 +86,18 @@
 		: updatePart(recorded, part, now, commitmentMilliseconds(part.limit) + contractPropagationMilliseconds);
 }
 
-function divisionOf(known: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
+function divisionOf(recorded: DivisionState | undefined, limit: EffectiveLimit, part: PartState, now: MonotonicTime): DivisionState {
 	const amount = availableAmount(part, now);
-	if (known?.options.windowMilliseconds === windowMilliseconds(limit)) {
-		return known.amount === amount
-			? known
-			: stepDivision(known, {
+	if (recorded?.options.windowMilliseconds === windowMilliseconds(limit)) {
+		return recorded.amount === amount
+			? recorded
+			: stepDivision(recorded, {
 				kind: 'amountChanged', now, amount, validUntil: Infinity,
 			}).state;
 	}
 
 	const options = optionsOf(limit);
-	return known === undefined
+	return recorded === undefined
 		? {...createFirstDivision(options, amount, Infinity, now), earlierSharesEndAt: part.earlierSharesEndAt}
 		: createDivision(options, amount, Infinity, now);
 }
