--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -6,7 +6,7 @@
 import {type ControlState} from '@dogwooddeck/control/state';
 import {zonePart} from '@dogwooddeck/limits/reserve';
 import {
-	createZoneSharing, noteParts, shareOutAll, type SharingState,
+	createZoneSharing, updateParts, shareOutAll, type SharingState,
 } from '@dogwooddeck/limits/sharing';
 import {type MonotonicTime, type ZoneName} from '@dogwooddeck/model/identifiers';
 import {type Report} from '@dogwooddeck/model/lease';
@@ -37,7 +37,7 @@
 	function note(control: ControlState, now: MonotonicTime): void {
 		if (noted !== control.configuration) {
 			noted = control.configuration;
-			sharing = noteParts(sharing, allParts(control, partOf), now);
+			sharing = updateParts(sharing, allParts(control, partOf), now);
 		}
 	}
 
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -109,7 +109,7 @@
  * Updates all parts to a changed contract, including those of limits without
  * demands: a part that was smaller in between has to wait before it grows.
  */
-export function noteParts(state: SharingState, parts: readonly NamedPart[], now: MonotonicTime): SharingState {
+export function updateParts(state: SharingState, parts: readonly NamedPart[], now: MonotonicTime): SharingState {
 	const noted = parts.map(({part, ...name}) => [partKey(name), partOf(state, name, part, now)] as const);
 	return {...state, parts: {...state.parts, ...Object.fromEntries(noted)}};
 }
