--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -110,8 +110,8 @@
  * demands: a part that was smaller in between has to wait before it grows.
  */
 export function updateParts(state: SharingState, parts: readonly NamedPart[], now: MonotonicTime): SharingState {
-	const noted = parts.map(({part, ...name}) => [partKey(name), partOf(state, name, part, now)] as const);
-	return {...state, parts: {...state.parts, ...Object.fromEntries(noted)}};
+	const updated = parts.map(({part, ...name}) => [partKey(name), partOf(state, name, part, now)] as const);
+	return {...state, parts: {...state.parts, ...Object.fromEntries(updated)}};
 }
 
 /** Answers one demand. The shares in force never sum to more than the part; some of it is reserved for those of the `instances` that have not sent a demand yet. */
