--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -6,7 +6,7 @@
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {mock, test} from 'node:test';
-import {createSharing, shareOut, type SharingState} from '@dogwooddeck/limits/sharing';
+import {createSharing, grantLimitShare, type SharingState} from '@dogwooddeck/limits/sharing';
 import {effectiveLimit} from '@dogwooddeck/limits/unit';
 import {type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
@@ -178,7 +178,7 @@
 	}
 
 	#answer(limiter: Limiter, demand: LimitDemand): void {
-		const {state, share} = shareOut(this.#sharing, demand, {limit, amount}, instances, now);
+		const {state, share} = grantLimitShare(this.#sharing, demand, {limit, amount}, instances, now);
 		this.#sharing = state;
 		if (share !== undefined) {
 			this.#mail.send(now, () => {
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -115,7 +115,7 @@
 }
 
 /** Answers one demand. The shares in force never sum to more than the part; some of it is reserved for those of the `instances` that have not sent a demand yet. */
-export function shareOut(
+export function grantLimitShare(
 	state: SharingState,
 	demand: LimitDemand,
 	limitPart: LimitPart,
@@ -157,7 +157,7 @@
 	let next = sweepSharing(state, now);
 	const shares: LimitShare[] = [];
 	for (const {demand, part} of demanded) {
-		const answered = part === undefined ? undefined : shareOut(next, demand, part, instances, now);
+		const answered = part === undefined ? undefined : grantLimitShare(next, demand, part, instances, now);
 		next = answered?.state ?? next;
 		if (answered?.share !== undefined) {
 			shares.push(answered.share);
--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -12,7 +12,7 @@
 import {updatePart, createPart, availableAmount} from '@dogwooddeck/limits/part-change';
 import {controlPart, type LimitPart, zonePart} from '@dogwooddeck/limits/reserve';
 import {
-	createSharing, createZoneSharing, shareOut, type SharingState,
+	createSharing, createZoneSharing, grantLimitShare, type SharingState,
 } from '@dogwooddeck/limits/sharing';
 import {type EffectiveLimit} from '@dogwooddeck/limits/unit';
 
@@ -182,7 +182,7 @@
 			service: 'team/service', limit: 'limit', caller: '', divider, holder, sequence: now, held,
 			wanted: Math.max(1, place.wanted - reserved), usable: Math.max(held, usedShare(place.bucket, now, now, 0)),
 		};
-		const {state, share} = shareOut(this.#sharings.get(from.sharing)!, demand, from.part, from.count, now);
+		const {state, share} = grantLimitShare(this.#sharings.get(from.sharing)!, demand, from.part, from.count, now);
 		this.#sharings.set(from.sharing, state);
 		place.grants[divider] = {amount: share!.amount, until: now + share!.validMilliseconds};
 	}
--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -4,7 +4,7 @@
 import {CountedQuantity, LimitScope, WindowForm} from '@dogwooddeck/model/contract';
 import {Divider, type LimitDemand} from '@dogwooddeck/model/share';
 import {
-	createSharing, shareMilliseconds, shareOut, type SharingState,
+	createSharing, shareMilliseconds, grantLimitShare, type SharingState,
 } from '@dogwooddeck/limits/sharing';
 import {type EffectiveLimit} from '@dogwooddeck/limits/unit';
 
@@ -25,7 +25,7 @@
 function amounts(state: SharingState, asked: readonly Asked[], instances: number): readonly number[] {
 	let next = state;
 	return asked.map(({at, demand: one}) => {
-		const answered = shareOut(next, one, {limit, amount: limit.amount}, instances, at);
+		const answered = grantLimitShare(next, one, {limit, amount: limit.amount}, instances, at);
 		next = answered.state;
 		return answered.share?.amount ?? -1;
 	});
