--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -5,7 +5,7 @@
  */
 import {contractsOf} from '@dogwooddeck/configuration/tree';
 import {controlPart} from '@dogwooddeck/limits/reserve';
-import {createSharing, shareOutAll} from '@dogwooddeck/limits/sharing';
+import {createSharing, grantLimitShares} from '@dogwooddeck/limits/sharing';
 import {advanceWatch, createWatch} from '@dogwooddeck/membership/watch';
 import {
 	type InstanceIdentity, type Milliseconds, type MonotonicTime, type ServiceName,
@@ -92,7 +92,7 @@
 
 function answerDemands(state: LeaderState, {now, control, request}: EventOf<'delegationRequested'>) {
 	const demanded = request.report.demands.map(demand => ({demand, part: demandedPart(control, demand, controlPart)}));
-	return shareOutAll(state.sharing, demanded, seatedInstances(control.ownership).length, now);
+	return grantLimitShares(state.sharing, demanded, seatedInstances(control.ownership).length, now);
 }
 
 function hearAll(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['heard'] {
--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -6,7 +6,7 @@
 import {type ControlState} from '@dogwooddeck/control/state';
 import {zonePart} from '@dogwooddeck/limits/reserve';
 import {
-	createZoneSharing, updateParts, shareOutAll, type SharingState,
+	createZoneSharing, updateParts, grantLimitShares, type SharingState,
 } from '@dogwooddeck/limits/sharing';
 import {type MonotonicTime, type ZoneName} from '@dogwooddeck/model/identifiers';
 import {type Report} from '@dogwooddeck/model/lease';
@@ -48,7 +48,7 @@
 			const demanded = report.demands.filter(({divider}) => divider === Divider.zone)
 				.map(demand => ({demand, part: demandedPart(control, demand, partOf)}));
 			const members = control.ownership.rosters[zone]?.members.length ?? 0;
-			const answered = shareOutAll(sharing, demanded, members, now);
+			const answered = grantLimitShares(sharing, demanded, members, now);
 			sharing = answered.state;
 			const passedOn = report.demands.filter(({divider}) => divider === Divider.control);
 			return {report: {...report, demands: passedOn}, shares: answered.shares};
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -10,7 +10,7 @@
 import {demandedPart} from '@dogwooddeck/control/limit-part';
 import {type ControlState, emptyControl} from '@dogwooddeck/control/state';
 import {controlPart} from '@dogwooddeck/limits/reserve';
-import {createSharing, shareOutAll, type SharingState} from '@dogwooddeck/limits/sharing';
+import {createSharing, grantLimitShares, type SharingState} from '@dogwooddeck/limits/sharing';
 import {type LegacyUnit, type ServiceContract, WindowForm} from '@dogwooddeck/model/contract';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {emptyReport} from '@dogwooddeck/model/lease';
@@ -167,7 +167,7 @@
 		}
 
 		const part = demandedPart(this.#control(0), demand, controlPart);
-		const {state, shares} = shareOutAll(this.#sharing, [{demand, part}], members.length, now);
+		const {state, shares} = grantLimitShares(this.#sharing, [{demand, part}], members.length, now);
 		this.#sharing = state;
 		this.#answer(limiter, shares);
 	}
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -148,7 +148,7 @@
 }
 
 /** Answers demands in order, except those whose limit is not in the contract. */
-export function shareOutAll(
+export function grantLimitShares(
 	state: SharingState,
 	demanded: ReadonlyArray<{readonly demand: LimitDemand; readonly part: LimitPart | undefined}>,
 	instances: number,
