--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -141,7 +141,7 @@
 }
 
 /** Drops the divisions in which no holder has a share any more. */
-export function sweepSharing(state: SharingState, now: MonotonicTime): SharingState {
+export function dropExpiredDivisions(state: SharingState, now: MonotonicTime): SharingState {
 	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({lastContactAt: heardAt}) =>
 		now < heardAt + options.shareMilliseconds + options.windowMilliseconds + options.marginMilliseconds));
 	return kept.length === Object.keys(state.divisions).length ? state : {...state, divisions: Object.fromEntries(kept)};
@@ -154,7 +154,7 @@
 	instances: number,
 	now: MonotonicTime,
 ): {readonly state: SharingState; readonly shares: readonly LimitShare[]} {
-	let next = sweepSharing(state, now);
+	let next = dropExpiredDivisions(state, now);
 	const shares: LimitShare[] = [];
 	for (const {demand, part} of demanded) {
 		const answered = part === undefined ? undefined : grantLimitShare(next, demand, part, instances, now);
