--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -150,13 +150,13 @@
 /** Answers demands in order, except those whose limit is not in the contract. */
 export function grantLimitShares(
 	state: SharingState,
-	demanded: ReadonlyArray<{readonly demand: LimitDemand; readonly part: LimitPart | undefined}>,
+	demands: ReadonlyArray<{readonly demand: LimitDemand; readonly part: LimitPart | undefined}>,
 	instances: number,
 	now: MonotonicTime,
 ): {readonly state: SharingState; readonly shares: readonly LimitShare[]} {
 	let next = dropExpiredDivisions(state, now);
 	const shares: LimitShare[] = [];
-	for (const {demand, part} of demanded) {
+	for (const {demand, part} of demands) {
 		const answered = part === undefined ? undefined : grantLimitShare(next, demand, part, instances, now);
 		next = answered?.state ?? next;
 		if (answered?.share !== undefined) {
