--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -1,6 +1,6 @@
 /** What an instance asks control and its zone's steward for, and what it takes of their answers. */
 import {usedShare} from '@dogwooddeck/limits/bucket';
-import {mayGrow} from '@dogwooddeck/limits/growth';
+import {mayReceiveLargerShare} from '@dogwooddeck/limits/growth';
 import {LimitScope} from '@dogwooddeck/model/contract';
 import {
 	type Milliseconds, type MonotonicTime, type WallTime,
@@ -30,7 +30,7 @@
 /** Whether a spent share may be larger for the asking. */
 export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
-	return entry.effective.scope === LimitScope.deployment && mayGrow({
+	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
 		share: grantNow(grant, now), amount: grant.partAmount, answeredFor: grant.answeredFor, wanted: wantedOf(entry, divider, now),
 	});
 }
--- a/packages/limits/test/test-growth.ts
+++ b/packages/limits/test/test-growth.ts
@@ -1,7 +1,7 @@
 /** Tests when an exhausted share is requested again at once. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {mayGrow, type ShareUse} from '@dogwooddeck/limits/growth';
+import {mayReceiveLargerShare, type ShareUse} from '@dogwooddeck/limits/growth';
 
 const cases: ReadonlyArray<{readonly name: string; readonly use: ShareUse; readonly expected: boolean}> = [
 	{
@@ -28,7 +28,7 @@
 
 for (const {name, use, expected} of cases) {
 	test(`growth of a share: ${name}`, () => {
-		assert.equal(mayGrow(use), expected);
+		assert.equal(mayReceiveLargerShare(use), expected);
 	});
 }
 
@@ -36,7 +36,7 @@
 	let answeredFor = 1;
 	let asked = 0;
 	for (let wanted = 1; wanted <= 100_000; wanted++) {
-		if (mayGrow({
+		if (mayReceiveLargerShare({
 			share: 50, amount: 200, answeredFor, wanted,
 		})) {
 			asked += 1;
