--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -31,7 +31,7 @@
 export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
 	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
-		share: grantNow(grant, now), amount: grant.partAmount, answeredFor: grant.answeredFor, wanted: wantedOf(entry, divider, now),
+		share: grantNow(grant, now), amount: grant.partAmount, wantedAtGrant: grant.answeredFor, wanted: wantedOf(entry, divider, now),
 	});
 }
 
--- a/packages/limits/test/test-growth.ts
+++ b/packages/limits/test/test-growth.ts
@@ -6,22 +6,22 @@
 const cases: ReadonlyArray<{readonly name: string; readonly use: ShareUse; readonly expected: boolean}> = [
 	{
 		name: 'a first share, granted for one request, is exhausted by a burst', expected: true, use: {
-			share: 75, amount: 600, answeredFor: 1, wanted: 76,
+			share: 75, amount: 600, wantedAtGrant: 1, wanted: 76,
 		},
 	},
 	{
 		name: 'hardly more is wanted than when the share was granted', expected: false, use: {
-			share: 75, amount: 600, answeredFor: 76, wanted: 80,
+			share: 75, amount: 600, wantedAtGrant: 76, wanted: 80,
 		},
 	},
 	{
 		name: 'no share is larger than the whole amount', expected: false, use: {
-			share: 600, amount: 600, answeredFor: 1, wanted: 601,
+			share: 600, amount: 600, wantedAtGrant: 1, wanted: 601,
 		},
 	},
 	{
 		name: 'twice as much is wanted again', expected: true, use: {
-			share: 75, amount: 600, answeredFor: 76, wanted: 152,
+			share: 75, amount: 600, wantedAtGrant: 76, wanted: 152,
 		},
 	},
 ];
@@ -37,7 +37,7 @@
 	let asked = 0;
 	for (let wanted = 1; wanted <= 100_000; wanted++) {
 		if (mayReceiveLargerShare({
-			share: 50, amount: 200, answeredFor, wanted,
+			share: 50, amount: 200, wantedAtGrant: answeredFor, wanted,
 		})) {
 			asked += 1;
 			answeredFor = wanted;
