--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -71,7 +71,7 @@
 	readonly #sequences = new Map<string, number>();
 	readonly #cutUntil: number[] = Array.from({length: zones}, () => 0);
 	readonly #lives: number[] = Array.from({length: instances}, () => 0);
-	readonly #answers: Array<{readonly at: number; readonly take: () => unknown}> = [];
+	readonly #answers: Array<{readonly at: number; readonly accept: () => unknown}> = [];
 
 	constructor(limit: EffectiveLimit, seed: number, faults: Faults) {
 		this.#limit = limit;
@@ -86,7 +86,7 @@
 	/** Advances the simulation by one step. `rates` are the requests per interval at each instance. */
 	step(rates: readonly number[]): void {
 		this.now += stepMilliseconds;
-		for (const {take} of this.#answers.filter(({at}) => at <= this.now)) {
+		for (const {accept: take} of this.#answers.filter(({at}) => at <= this.now)) {
 			take();
 		}
 
@@ -138,7 +138,7 @@
 		if (this.#passes()) {
 			this.#answers.push({
 				at: this.now + (this.#random() * this.#faults.delay),
-				take: () => this.#sequences.get(holder) === sequence && take(),
+				accept: () => this.#sequences.get(holder) === sequence && take(),
 			});
 		}
 	}
