--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -133,12 +133,12 @@
 	}
 
 	/** Delivers an answer with a delay, or loses it. Only the answer to the latest request is accepted. */
-	#later(holder: string, take: () => unknown): void {
+	#later(holder: string, accept: () => unknown): void {
 		const sequence = this.#sequences.get(holder);
 		if (this.#passes()) {
 			this.#answers.push({
 				at: this.now + (this.#random() * this.#faults.delay),
-				accept: () => this.#sequences.get(holder) === sequence && take(),
+				accept: () => this.#sequences.get(holder) === sequence && accept(),
 			});
 		}
 	}
