--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -86,8 +86,8 @@
 	/** Advances the simulation by one step. `rates` are the requests per interval at each instance. */
 	step(rates: readonly number[]): void {
 		this.now += stepMilliseconds;
-		for (const {accept: take} of this.#answers.filter(({at}) => at <= this.now)) {
-			take();
+		for (const {accept: accept} of this.#answers.filter(({at}) => at <= this.now)) {
+			accept();
 		}
 
 		this.#answers.splice(0, this.#answers.length, ...this.#answers.filter(({at}) => at > this.now));
