--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -133,7 +133,7 @@
 	}
 
 	/** Delivers an answer with a delay, or loses it. Only the answer to the latest request is accepted. */
-	#later(holder: string, accept: () => unknown): void {
+	#deliverLater(holder: string, accept: () => unknown): void {
 		const sequence = this.#sequences.get(holder);
 		if (this.#passes()) {
 			this.#answers.push({
@@ -156,7 +156,7 @@
 			});
 			this.#stewards[zone] = state;
 			const life = this.#lives[instance];
-			this.#later(holder, () => {
+			this.#deliverLater(holder, () => {
 				if (life === this.#lives[instance]) {
 					this.#shares[instance] = {amount: granted!.amount, until: sentAt + granted!.validMilliseconds};
 				}
@@ -177,7 +177,7 @@
 			kind: 'shareRequested', now: this.now, holder, sequence: this.#nextSequence(holder), wanted, held, usable: reportedUsable(this.#stewards[zone]!, this.now), expected: zones,
 		});
 		this.#control = state;
-		this.#later(holder, () => {
+		this.#deliverLater(holder, () => {
 			const share = {amount: granted!.amount, until: sentAt + granted!.validMilliseconds};
 			this.#zoneShares[zone] = share;
 			this.#stewards[zone] = stepDivision(this.#stewards[zone]!, {
