--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -70,7 +70,7 @@
 	readonly #downUntil: number[] = Array.from({length: instances}, () => 0);
 	readonly #sequences = new Map<string, number>();
 	readonly #cutUntil: number[] = Array.from({length: zones}, () => 0);
-	readonly #lives: number[] = Array.from({length: instances}, () => 0);
+	readonly #incarnations: number[] = Array.from({length: instances}, () => 0);
 	readonly #answers: Array<{readonly at: number; readonly accept: () => unknown}> = [];
 
 	constructor(limit: EffectiveLimit, seed: number, faults: Faults) {
@@ -149,15 +149,15 @@
 		if (due && this.now >= this.#downUntil[instance]!) {
 			const sentAt = this.now;
 			const held = this.#inForce(this.#shares[instance]!);
-			const holder = `i${instance}/${this.#lives[instance]}`;
+			const holder = `i${instance}/${this.#incarnations[instance]}`;
 			const usable = Math.max(held, usedShare(this.#buckets[instance]!, this.now + this.#skews[instance]!, this.now, skewMilliseconds));
 			const {state, effects: [granted]} = stepDivision(this.#stewards[zone]!, {
 				kind: 'shareRequested', now: this.now, holder, sequence: this.#nextSequence(holder), wanted: this.#wanted[instance]!, held, usable, expected: instancesInZone,
 			});
 			this.#stewards[zone] = state;
-			const life = this.#lives[instance];
+			const life = this.#incarnations[instance];
 			this.#deliverLater(holder, () => {
-				if (life === this.#lives[instance]) {
+				if (life === this.#incarnations[instance]) {
 					this.#shares[instance] = {amount: granted!.amount, until: sentAt + granted!.validMilliseconds};
 				}
 			});
@@ -192,7 +192,7 @@
 			const instance = Math.floor(this.#random() * instances);
 			this.#downUntil[instance] = this.now + (this.#random() * 8000);
 			this.#shares[instance] = noShare;
-			this.#lives[instance]!++;
+			this.#incarnations[instance]!++;
 			this.#buckets[instance] = createBucket(this.#limit);
 		}
 
