--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -155,9 +155,9 @@
 				kind: 'shareRequested', now: this.now, holder, sequence: this.#nextSequence(holder), wanted: this.#wanted[instance]!, held, usable, expected: instancesInZone,
 			});
 			this.#stewards[zone] = state;
-			const life = this.#incarnations[instance];
+			const incarnation = this.#incarnations[instance];
 			this.#deliverLater(holder, () => {
-				if (life === this.#incarnations[instance]) {
+				if (incarnation === this.#incarnations[instance]) {
 					this.#shares[instance] = {amount: granted!.amount, until: sentAt + granted!.validMilliseconds};
 				}
 			});
