--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -69,7 +69,7 @@
 	readonly #skews: readonly number[];
 	readonly #downUntil: number[] = Array.from({length: instances}, () => 0);
 	readonly #sequences = new Map<string, number>();
-	readonly #cutUntil: number[] = Array.from({length: zones}, () => 0);
+	readonly #partitionedUntil: number[] = Array.from({length: zones}, () => 0);
 	readonly #incarnations: number[] = Array.from({length: instances}, () => 0);
 	readonly #answers: Array<{readonly at: number; readonly accept: () => unknown}> = [];
 
@@ -165,7 +165,7 @@
 	}
 
 	#renewZone(zone: number): void {
-		if (this.now < this.#cutUntil[zone]! || (this.now + (zone * 100)) % renewMilliseconds >= stepMilliseconds) {
+		if (this.now < this.#partitionedUntil[zone]! || (this.now + (zone * 100)) % renewMilliseconds >= stepMilliseconds) {
 			return;
 		}
 
@@ -197,7 +197,7 @@
 		}
 
 		if (this.#random() < this.#faults.cutZone) {
-			this.#cutUntil[Math.floor(this.#random() * zones)] = this.now + (this.#random() * 10_000);
+			this.#partitionedUntil[Math.floor(this.#random() * zones)] = this.now + (this.#random() * 10_000);
 		}
 
 		if (this.#random() < this.#faults.newDivider) {
