--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -91,7 +91,7 @@
 		}
 
 		this.#answers.splice(0, this.#answers.length, ...this.#answers.filter(({at}) => at > this.now));
-		this.#fail();
+		this.#injectFaults();
 		for (const [instance, rate] of rates.entries()) {
 			this.#serve(instance, rate);
 			this.#renew(instance);
@@ -186,7 +186,7 @@
 		});
 	}
 
-	#fail(): void {
+	#injectFaults(): void {
 		const options = optionsFor(this.#limit);
 		if (this.#random() < this.#faults.lostHolder) {
 			const instance = Math.floor(this.#random() * instances);
