--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -122,7 +122,7 @@
 		return until > this.now ? amount : 0;
 	}
 
-	#passes(): boolean {
+	#isDelivered(): boolean {
 		return this.#random() >= this.#faults.loss;
 	}
 
@@ -135,7 +135,7 @@
 	/** Delivers an answer with a delay, or loses it. Only the answer to the latest request is accepted. */
 	#deliverLater(holder: string, accept: () => unknown): void {
 		const sequence = this.#sequences.get(holder);
-		if (this.#passes()) {
+		if (this.#isDelivered()) {
 			this.#answers.push({
 				at: this.now + (this.#random() * this.#faults.delay),
 				accept: () => this.#sequences.get(holder) === sequence && accept(),
