--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -244,7 +244,7 @@
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 25);
 
-const hard: Faults = {
+const severeFaults: Faults = {
 	loss: 0.2, lostHolder: 0.005, newDivider: 0.002, cutZone: 0.003, delay: 300,
 };
 
@@ -261,7 +261,7 @@
 for (const {name, limit} of contracts) {
 	test(`division: no window has more than the contract: ${name} (seeds from ${seed})`, () => {
 		fc.assert(fc.property(fc.integer({min: 0}), deploymentSeed => {
-			const deployment = new Deployment(limit, deploymentSeed, hard);
+			const deployment = new Deployment(limit, deploymentSeed, severeFaults);
 			const random = randomOf(deploymentSeed + 1);
 			let rates = zipfRates(instances, limit.amount * 3, 0);
 			for (let step = 0; step < 3000; step++) {
