--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -28,7 +28,7 @@
 type Share = {readonly amount: number; readonly until: number};
 type Use = {readonly at: number; readonly wall: number; readonly cost: number};
 
-type Faults = {readonly loss: number; readonly lostHolder: number; readonly newDivider: number; readonly cutZone: number; readonly delay: number};
+type Faults = {readonly loss: number; readonly lostHolder: number; readonly newDivider: number; readonly partitionedZone: number; readonly delay: number};
 
 const noShare: Share = {amount: 0, until: 0};
 
@@ -196,7 +196,7 @@
 			this.#buckets[instance] = createBucket(this.#limit);
 		}
 
-		if (this.#random() < this.#faults.cutZone) {
+		if (this.#random() < this.#faults.partitionedZone) {
 			this.#partitionedUntil[Math.floor(this.#random() * zones)] = this.now + (this.#random() * 10_000);
 		}
 
@@ -245,7 +245,7 @@
 const runs = Number(process.env.RUNS ?? 25);
 
 const severeFaults: Faults = {
-	loss: 0.2, lostHolder: 0.005, newDivider: 0.002, cutZone: 0.003, delay: 300,
+	loss: 0.2, lostHolder: 0.005, newDivider: 0.002, partitionedZone: 0.003, delay: 300,
 };
 
 const contracts: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit}> = [
@@ -291,7 +291,7 @@
 /** The admitted fractions of the load that could have been admitted, over 2 minutes in which the busiest instance changes every 30 s. */
 function usable(limit: EffectiveLimit, load: number): {readonly divided: number; readonly equal: number} {
 	const deployment = new Deployment(limit, 7, {
-		loss: 0, lostHolder: 0, newDivider: 0, cutZone: 0, delay: 5,
+		loss: 0, lostHolder: 0, newDivider: 0, partitionedZone: 0, delay: 5,
 	});
 	let equal = 0;
 	const duration = 120_000;
