--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -289,7 +289,7 @@
 });
 
 /** The admitted fractions of the load that could have been admitted, over 2 minutes in which the busiest instance changes every 30 s. */
-function usable(limit: EffectiveLimit, load: number): {readonly divided: number; readonly equal: number} {
+function admittedFractions(limit: EffectiveLimit, load: number): {readonly divided: number; readonly equal: number} {
 	const deployment = new Deployment(limit, 7, {
 		loss: 0, lostHolder: 0, newDivider: 0, partitionedZone: 0, delay: 5,
 	});
@@ -322,7 +322,7 @@
 
 for (const {name, limit, load, least} of skews) {
 	test(`division: skewed load can use the contract: ${name}`, context => {
-		const {divided, equal} = usable(limit, load);
+		const {divided, equal} = admittedFractions(limit, load);
 		context.diagnostic(`${name}: equal shares ${(100 * equal).toFixed(1)}%, divided by demand ${(100 * divided).toFixed(1)}% of what could be admitted`);
 		assert.ok(divided >= least && divided > equal, `${divided}`);
 	});
