--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -305,7 +305,7 @@
 	return {divided: deployment.uses.length / possible, equal: equal / possible};
 }
 
-const skews: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly load: number; readonly least: number}> = [
+const skewedLoads: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly load: number; readonly least: number}> = [
 	{
 		name: 'sliding, 1 s, load 0.5', limit: limitOf(WindowForm.sliding, 1000, 1, 900), load: 0.5, least: 0.9,
 	},
@@ -320,7 +320,7 @@
 	},
 ];
 
-for (const {name, limit, load, least} of skews) {
+for (const {name, limit, load, least} of skewedLoads) {
 	test(`division: skewed load can use the contract: ${name}`, context => {
 		const {divided, equal} = admittedFractions(limit, load);
 		context.diagnostic(`${name}: equal shares ${(100 * equal).toFixed(1)}%, divided by demand ${(100 * divided).toFixed(1)}% of what could be admitted`);
