--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -239,7 +239,7 @@
 	return Math.max(0, ...sums.values());
 }
 
-const greatest = {[WindowForm.sliding]: greatestSliding, [WindowForm.fixed]: greatestFixed} as const;
+const greatestUse = {[WindowForm.sliding]: greatestSliding, [WindowForm.fixed]: greatestFixed} as const;
 
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 25);
@@ -270,7 +270,7 @@
 			}
 
 			assert.ok(deployment.uses.length > 0);
-			const used = greatest[limit.window](deployment.uses, windowMilliseconds(limit));
+			const used = greatestUse[limit.window](deployment.uses, windowMilliseconds(limit));
 			assert.ok(used <= limit.amount * limit.burst, `${used} in one window of ${limit.amount * limit.burst}`);
 		}), {seed, numRuns: runs, endOnFailure: true});
 	});
