--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -112,7 +112,7 @@
 const measuredMilliseconds = 120_000;
 
 type Grant = {readonly amount: number; readonly until: number};
-type Place = {readonly zone: string; bucket: BucketState; wanted: number; readonly grants: Record<Divider, Grant>};
+type SimulatedInstance = {readonly zone: string; bucket: BucketState; wanted: number; readonly grants: Record<Divider, Grant>};
 
 /** Simulates nine instances in three zones that use one limit. The only fault is the partition of one zone. */
 class Measure {
@@ -123,7 +123,7 @@
 	readonly #limit = limitOf(900);
 	readonly #cutReserve: number;
 	readonly #sharings = new Map<string, SharingState>([[Divider.control, createSharing(0, [])], ...zones.map(zone => [zone, createZoneSharing(0)] as const)]);
-	readonly #places: readonly Place[] = Array.from({length: instances}, (_, number) => ({
+	readonly #places: readonly SimulatedInstance[] = Array.from({length: instances}, (_, number) => ({
 		zone: zones[Math.floor(number / 3)]!, bucket: createBucket(this.#limit), wanted: 0, grants: {[Divider.control]: {amount: 0, until: 0}, [Divider.zone]: {amount: 0, until: 0}},
 	}));
 
@@ -145,11 +145,11 @@
 		}
 	}
 
-	#held({grants}: Place, divider: Divider, now: number): number {
+	#held({grants}: SimulatedInstance, divider: Divider, now: number): number {
 		return now < grants[divider].until ? grants[divider].amount : 0;
 	}
 
-	#serve(place: Place, rate: number, now: number): void {
+	#serve(place: SimulatedInstance, rate: number, now: number): void {
 		this.#carry += rate * stepMilliseconds / 1000;
 		const requests = Math.floor(this.#carry);
 		this.#carry -= requests;
@@ -166,7 +166,7 @@
 		}
 	}
 
-	#demand(place: Place, holder: string, now: number, cutZone: string | undefined): void {
+	#demand(place: SimulatedInstance, holder: string, now: number, cutZone: string | undefined): void {
 		const limit = {...contracted, cutReserve: this.#cutReserve};
 		const isCut = place.zone === cutZone && now >= measuredFrom - 20_000;
 		this.#ask(place, Divider.zone, {sharing: place.zone, part: zonePart(this.#contract, limit, this.#limit, place.zone), count: 3}, holder, now);
@@ -175,7 +175,7 @@
 		}
 	}
 
-	#ask(place: Place, divider: Divider, from: {readonly sharing: string; readonly part: LimitPart; readonly count: number}, holder: string, now: number): void {
+	#ask(place: SimulatedInstance, divider: Divider, from: {readonly sharing: string; readonly part: LimitPart; readonly count: number}, holder: string, now: number): void {
 		const held = this.#held(place, divider, now);
 		const reserved = divider === Divider.control ? this.#held(place, Divider.zone, now) : 0;
 		const demand: LimitDemand = {
