--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -123,7 +123,7 @@
 	readonly #limit = limitOf(900);
 	readonly #cutReserve: number;
 	readonly #sharings = new Map<string, SharingState>([[Divider.control, createSharing(0, [])], ...zones.map(zone => [zone, createZoneSharing(0)] as const)]);
-	readonly #places: readonly SimulatedInstance[] = Array.from({length: instances}, (_, number) => ({
+	readonly #instances: readonly SimulatedInstance[] = Array.from({length: instances}, (_, number) => ({
 		zone: zones[Math.floor(number / 3)]!, bucket: createBucket(this.#limit), wanted: 0, grants: {[Divider.control]: {amount: 0, until: 0}, [Divider.zone]: {amount: 0, until: 0}},
 	}));
 
@@ -136,7 +136,7 @@
 	run(load: number, cutZone: string | undefined): void {
 		for (let now = 1; now < measuredFrom + measuredMilliseconds; now += stepMilliseconds) {
 			for (const [number, rate] of zipfRates(instances, 900 * load, Math.floor(now / busiestMilliseconds)).entries()) {
-				const place = this.#places[number]!;
+				const place = this.#instances[number]!;
 				this.#serve(place, rate, now);
 				if ((now + (number * 60)) % demandMilliseconds < stepMilliseconds) {
 					this.#demand(place, `i${number}`, now, cutZone);
