--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -115,7 +115,7 @@
 type SimulatedInstance = {readonly zone: string; bucket: BucketState; wanted: number; readonly grants: Record<Divider, Grant>};
 
 /** Simulates nine instances in three zones that use one limit. The only fault is the partition of one zone. */
-class Measure {
+class ShareSimulation {
 	admitted = 0;
 	admittedInCut = 0;
 	offered = 0;
@@ -193,14 +193,14 @@
 for (const cutReserve of [0, 0.1, defaultCutReserve, 0.5]) {
 	test(`reserve: what a reserve of ${cutReserve} costs, and what a partitioned zone can use`, context => {
 		for (const load of [0.5, 0.9, 2]) {
-			const measure = new Measure(cutReserve);
+			const measure = new ShareSimulation(cutReserve);
 			measure.run(load, undefined);
 			const used = measure.admitted / Math.min(possible, measure.offered);
 			context.diagnostic(`reserve ${cutReserve}, load ${load}: ${(100 * used).toFixed(1)}% of what could be admitted`);
 			assert.ok(used > 0.6 && measure.admitted <= possible + 900, `${used}`);
 		}
 
-		const cut = new Measure(cutReserve);
+		const cut = new ShareSimulation(cutReserve);
 		cut.run(2, 'zuid-b');
 		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * cut.admittedInCut / possible).toFixed(1)}% of the limit, all zones ${(100 * cut.admitted / possible).toFixed(1)}%`);
 		assert.ok(cut.admittedInCut <= possible * cutReserve / 3 * 1.01);
