--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -169,13 +169,13 @@
 	#demand(place: SimulatedInstance, holder: string, now: number, cutZone: string | undefined): void {
 		const limit = {...contracted, cutReserve: this.#cutReserve};
 		const isCut = place.zone === cutZone && now >= measuredFrom - 20_000;
-		this.#ask(place, Divider.zone, {sharing: place.zone, part: zonePart(this.#contract, limit, this.#limit, place.zone), count: 3}, holder, now);
+		this.#requestShare(place, Divider.zone, {sharing: place.zone, part: zonePart(this.#contract, limit, this.#limit, place.zone), count: 3}, holder, now);
 		if (!isCut) {
-			this.#ask(place, Divider.control, {sharing: Divider.control, part: controlPart(this.#contract, limit, this.#limit), count: instances}, holder, now);
+			this.#requestShare(place, Divider.control, {sharing: Divider.control, part: controlPart(this.#contract, limit, this.#limit), count: instances}, holder, now);
 		}
 	}
 
-	#ask(place: SimulatedInstance, divider: Divider, from: {readonly sharing: string; readonly part: LimitPart; readonly count: number}, holder: string, now: number): void {
+	#requestShare(place: SimulatedInstance, divider: Divider, from: {readonly sharing: string; readonly part: LimitPart; readonly count: number}, holder: string, now: number): void {
 		const held = this.#held(place, divider, now);
 		const reserved = divider === Divider.control ? this.#held(place, Divider.zone, now) : 0;
 		const demand: LimitDemand = {
