--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -78,7 +78,7 @@
 	});
 }
 
-const growths: ReadonlyArray<{readonly name: string; readonly part: LimitPart; readonly at: number; readonly expected: number}> = [
+const partChanges: ReadonlyArray<{readonly name: string; readonly part: LimitPart; readonly at: number; readonly expected: number}> = [
 	{
 		name: 'that grows at the expense of others waits', part: {limit: limitOf(100), amount: 100}, at: 1999, expected: 80,
 	},
@@ -95,7 +95,7 @@
 
 for (const {
 	name, part, at, expected,
-} of growths) {
+} of partChanges) {
 	test(`reserve: a part ${name}`, () => {
 		const first = createPart({limit: limitOf(100), amount: 80}, 0, 0);
 		assert.equal(availableAmount(updatePart(first, part, 1000, 1000), at), expected);
