--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -117,7 +117,7 @@
 /** Simulates nine instances in three zones that use one limit. The only fault is the partition of one zone. */
 class ShareSimulation {
 	admitted = 0;
-	admittedInCut = 0;
+	admittedInPartition = 0;
 	offered = 0;
 	readonly #contract = contractWith(zones);
 	readonly #limit = limitOf(900);
@@ -162,7 +162,7 @@
 			const counts = now >= measuredFrom;
 			this.offered += counts ? 1 : 0;
 			this.admitted += counts && admitted ? 1 : 0;
-			this.admittedInCut += counts && admitted && place.zone === 'zuid-b' ? 1 : 0;
+			this.admittedInPartition += counts && admitted && place.zone === 'zuid-b' ? 1 : 0;
 		}
 	}
 
@@ -202,7 +202,7 @@
 
 		const cut = new ShareSimulation(cutReserve);
 		cut.run(2, 'zuid-b');
-		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * cut.admittedInCut / possible).toFixed(1)}% of the limit, all zones ${(100 * cut.admitted / possible).toFixed(1)}%`);
-		assert.ok(cut.admittedInCut <= possible * cutReserve / 3 * 1.01);
+		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * cut.admittedInPartition / possible).toFixed(1)}% of the limit, all zones ${(100 * cut.admitted / possible).toFixed(1)}%`);
+		assert.ok(cut.admittedInPartition <= possible * cutReserve / 3 * 1.01);
 	});
 }
