--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -168,9 +168,9 @@
 
 	#demand(place: SimulatedInstance, holder: string, now: number, cutZone: string | undefined): void {
 		const limit = {...contracted, cutReserve: this.#cutReserve};
-		const isCut = place.zone === cutZone && now >= measuredFrom - 20_000;
+		const isPartitioned = place.zone === cutZone && now >= measuredFrom - 20_000;
 		this.#requestShare(place, Divider.zone, {sharing: place.zone, part: zonePart(this.#contract, limit, this.#limit, place.zone), count: 3}, holder, now);
-		if (!isCut) {
+		if (!isPartitioned) {
 			this.#requestShare(place, Divider.control, {sharing: Divider.control, part: controlPart(this.#contract, limit, this.#limit), count: instances}, holder, now);
 		}
 	}
