--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -127,7 +127,7 @@
 		zone: zones[Math.floor(number / 3)]!, bucket: createBucket(this.#limit), wanted: 0, grants: {[Divider.control]: {amount: 0, until: 0}, [Divider.zone]: {amount: 0, until: 0}},
 	}));
 
-	#carry = 0;
+	#fractionalRequests = 0;
 
 	constructor(cutReserve: number) {
 		this.#cutReserve = cutReserve;
@@ -150,9 +150,9 @@
 	}
 
 	#serve(place: SimulatedInstance, rate: number, now: number): void {
-		this.#carry += rate * stepMilliseconds / 1000;
-		const requests = Math.floor(this.#carry);
-		this.#carry -= requests;
+		this.#fractionalRequests += rate * stepMilliseconds / 1000;
+		const requests = Math.floor(this.#fractionalRequests);
+		this.#fractionalRequests -= requests;
 		const decay = stepMilliseconds / demandMilliseconds;
 		place.wanted = (place.wanted * (1 - decay)) + (rate * decay);
 		const share = this.#held(place, Divider.control, now) + this.#held(place, Divider.zone, now);
