--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -193,11 +193,11 @@
 for (const cutReserve of [0, 0.1, defaultCutReserve, 0.5]) {
 	test(`reserve: what a reserve of ${cutReserve} costs, and what a partitioned zone can use`, context => {
 		for (const load of [0.5, 0.9, 2]) {
-			const measure = new ShareSimulation(cutReserve);
-			measure.run(load, undefined);
-			const used = measure.admitted / Math.min(possible, measure.offered);
+			const simulation = new ShareSimulation(cutReserve);
+			simulation.run(load, undefined);
+			const used = simulation.admitted / Math.min(possible, simulation.offered);
 			context.diagnostic(`reserve ${cutReserve}, load ${load}: ${(100 * used).toFixed(1)}% of what could be admitted`);
-			assert.ok(used > 0.6 && measure.admitted <= possible + 900, `${used}`);
+			assert.ok(used > 0.6 && simulation.admitted <= possible + 900, `${used}`);
 		}
 
 		const cut = new ShareSimulation(cutReserve);
