--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -200,9 +200,9 @@
 			assert.ok(used > 0.6 && simulation.admitted <= possible + 900, `${used}`);
 		}
 
-		const cut = new ShareSimulation(cutReserve);
-		cut.run(2, 'zuid-b');
-		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * cut.admittedInPartition / possible).toFixed(1)}% of the limit, all zones ${(100 * cut.admitted / possible).toFixed(1)}%`);
-		assert.ok(cut.admittedInPartition <= possible * cutReserve / 3 * 1.01);
+		const partitioned = new ShareSimulation(cutReserve);
+		partitioned.run(2, 'zuid-b');
+		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * partitioned.admittedInPartition / possible).toFixed(1)}% of the limit, all zones ${(100 * partitioned.admitted / possible).toFixed(1)}%`);
+		assert.ok(partitioned.admittedInPartition <= possible * cutReserve / 3 * 1.01);
 	});
 }
