--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -133,13 +133,13 @@
 		this.#cutReserve = cutReserve;
 	}
 
-	run(load: number, cutZone: string | undefined): void {
+	run(load: number, partitionedZone: string | undefined): void {
 		for (let now = 1; now < measuredFrom + measuredMilliseconds; now += stepMilliseconds) {
 			for (const [number, rate] of zipfRates(instances, 900 * load, Math.floor(now / busiestMilliseconds)).entries()) {
 				const place = this.#instances[number]!;
 				this.#serve(place, rate, now);
 				if ((now + (number * 60)) % demandMilliseconds < stepMilliseconds) {
-					this.#demand(place, `i${number}`, now, cutZone);
+					this.#demand(place, `i${number}`, now, partitionedZone);
 				}
 			}
 		}
