--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -136,10 +136,10 @@
 	run(load: number, partitionedZone: string | undefined): void {
 		for (let now = 1; now < measuredFrom + measuredMilliseconds; now += stepMilliseconds) {
 			for (const [number, rate] of zipfRates(instances, 900 * load, Math.floor(now / busiestMilliseconds)).entries()) {
-				const place = this.#instances[number]!;
-				this.#serve(place, rate, now);
+				const instance = this.#instances[number]!;
+				this.#serve(instance, rate, now);
 				if ((now + (number * 60)) % demandMilliseconds < stepMilliseconds) {
-					this.#demand(place, `i${number}`, now, partitionedZone);
+					this.#demand(instance, `i${number}`, now, partitionedZone);
 				}
 			}
 		}
