--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -149,20 +149,20 @@
 		return now < grants[divider].until ? grants[divider].amount : 0;
 	}
 
-	#serve(place: SimulatedInstance, rate: number, now: number): void {
+	#serve(instance: SimulatedInstance, rate: number, now: number): void {
 		this.#fractionalRequests += rate * stepMilliseconds / 1000;
 		const requests = Math.floor(this.#fractionalRequests);
 		this.#fractionalRequests -= requests;
 		const decay = stepMilliseconds / demandMilliseconds;
-		place.wanted = (place.wanted * (1 - decay)) + (rate * decay);
-		const share = this.#held(place, Divider.control, now) + this.#held(place, Divider.zone, now);
+		instance.wanted = (instance.wanted * (1 - decay)) + (rate * decay);
+		const share = this.#held(instance, Divider.control, now) + this.#held(instance, Divider.zone, now);
 		for (let request = 0; request < requests; request++) {
-			const {state, admitted} = admit(place.bucket, now, now, 1, share);
-			place.bucket = state;
+			const {state, admitted} = admit(instance.bucket, now, now, 1, share);
+			instance.bucket = state;
 			const counts = now >= measuredFrom;
 			this.offered += counts ? 1 : 0;
 			this.admitted += counts && admitted ? 1 : 0;
-			this.admittedInPartition += counts && admitted && place.zone === 'zuid-b' ? 1 : 0;
+			this.admittedInPartition += counts && admitted && instance.zone === 'zuid-b' ? 1 : 0;
 		}
 	}
 
