--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -166,12 +166,12 @@
 		}
 	}
 
-	#demand(place: SimulatedInstance, holder: string, now: number, cutZone: string | undefined): void {
+	#demand(instance: SimulatedInstance, holder: string, now: number, cutZone: string | undefined): void {
 		const limit = {...contracted, cutReserve: this.#cutReserve};
-		const isPartitioned = place.zone === cutZone && now >= measuredFrom - 20_000;
-		this.#requestShare(place, Divider.zone, {sharing: place.zone, part: zonePart(this.#contract, limit, this.#limit, place.zone), count: 3}, holder, now);
+		const isPartitioned = instance.zone === cutZone && now >= measuredFrom - 20_000;
+		this.#requestShare(instance, Divider.zone, {sharing: instance.zone, part: zonePart(this.#contract, limit, this.#limit, instance.zone), count: 3}, holder, now);
 		if (!isPartitioned) {
-			this.#requestShare(place, Divider.control, {sharing: Divider.control, part: controlPart(this.#contract, limit, this.#limit), count: instances}, holder, now);
+			this.#requestShare(instance, Divider.control, {sharing: Divider.control, part: controlPart(this.#contract, limit, this.#limit), count: instances}, holder, now);
 		}
 	}
 
