--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -166,9 +166,9 @@
 		}
 	}
 
-	#demand(instance: SimulatedInstance, holder: string, now: number, cutZone: string | undefined): void {
+	#demand(instance: SimulatedInstance, holder: string, now: number, partitionedZone: string | undefined): void {
 		const limit = {...contracted, cutReserve: this.#cutReserve};
-		const isPartitioned = instance.zone === cutZone && now >= measuredFrom - 20_000;
+		const isPartitioned = instance.zone === partitionedZone && now >= measuredFrom - 20_000;
 		this.#requestShare(instance, Divider.zone, {sharing: instance.zone, part: zonePart(this.#contract, limit, this.#limit, instance.zone), count: 3}, holder, now);
 		if (!isPartitioned) {
 			this.#requestShare(instance, Divider.control, {sharing: Divider.control, part: controlPart(this.#contract, limit, this.#limit), count: instances}, holder, now);
