--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -175,16 +175,16 @@
 		}
 	}
 
-	#requestShare(place: SimulatedInstance, divider: Divider, from: {readonly sharing: string; readonly part: LimitPart; readonly count: number}, holder: string, now: number): void {
-		const held = this.#held(place, divider, now);
-		const reserved = divider === Divider.control ? this.#held(place, Divider.zone, now) : 0;
+	#requestShare(instance: SimulatedInstance, divider: Divider, from: {readonly sharing: string; readonly part: LimitPart; readonly count: number}, holder: string, now: number): void {
+		const held = this.#held(instance, divider, now);
+		const reserved = divider === Divider.control ? this.#held(instance, Divider.zone, now) : 0;
 		const demand: LimitDemand = {
 			service: 'team/service', limit: 'limit', caller: '', divider, holder, sequence: now, held,
-			wanted: Math.max(1, place.wanted - reserved), usable: Math.max(held, usedShare(place.bucket, now, now, 0)),
+			wanted: Math.max(1, instance.wanted - reserved), usable: Math.max(held, usedShare(instance.bucket, now, now, 0)),
 		};
 		const {state, share} = grantLimitShare(this.#sharings.get(from.sharing)!, demand, from.part, from.count, now);
 		this.#sharings.set(from.sharing, state);
-		place.grants[divider] = {amount: share!.amount, until: now + share!.validMilliseconds};
+		instance.grants[divider] = {amount: share!.amount, until: now + share!.validMilliseconds};
 	}
 }
 
