--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -20,9 +20,9 @@
 	};
 }
 
-type Asked = {readonly at: number; readonly demand: LimitDemand};
+type TimedDemand = {readonly at: number; readonly demand: LimitDemand};
 
-function amounts(state: SharingState, asked: readonly Asked[], instances: number): readonly number[] {
+function amounts(state: SharingState, asked: readonly TimedDemand[], instances: number): readonly number[] {
 	let next = state;
 	return asked.map(({at, demand: one}) => {
 		const answered = grantLimitShare(next, one, {limit, amount: limit.amount}, instances, at);
@@ -31,7 +31,7 @@
 	});
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly state: SharingState; readonly asked: readonly Asked[]; readonly instances?: number; readonly expected: readonly number[]}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly state: SharingState; readonly asked: readonly TimedDemand[]; readonly instances?: number; readonly expected: readonly number[]}> = [
 	{
 		name: 'the limit of a new service is available at once',
 		state: createSharing(0, []),
