--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -12,7 +12,7 @@
 	amount: 100, intervalMilliseconds: 10_000, window: WindowForm.sliding, burst: 1, counts: CountedQuantity.requests, scope: LimitScope.deployment,
 };
 
-const memoryMilliseconds = shareMilliseconds + limit.intervalMilliseconds + 1000;
+const commitmentMilliseconds = shareMilliseconds + limit.intervalMilliseconds + 1000;
 
 function demand(holder: string, sequence: number, wanted: number, held = 0): LimitDemand {
 	return {
@@ -67,7 +67,7 @@
 	{
 		name: 'a new leader divides once earlier shares no longer count',
 		state: createSharing(0, ['team/service']),
-		asked: [{at: memoryMilliseconds, demand: demand('one', 1, 40)}],
+		asked: [{at: commitmentMilliseconds, demand: demand('one', 1, 40)}],
 		expected: [80],
 	},
 	{
