--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -31,55 +31,55 @@
 	});
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly state: SharingState; readonly asked: readonly TimedDemand[]; readonly instances?: number; readonly expected: readonly number[]}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly state: SharingState; readonly demands: readonly TimedDemand[]; readonly instances?: number; readonly expected: readonly number[]}> = [
 	{
 		name: 'the limit of a new service is available at once',
 		state: createSharing(0, []),
-		asked: [{at: 1, demand: demand('one', 1, 40)}],
+		demands: [{at: 1, demand: demand('one', 1, 40)}],
 		expected: [80],
 	},
 	{
 		name: 'the first holder leaves the rest to the next',
 		state: createSharing(0, []),
-		asked: [{at: 1, demand: demand('one', 1, 40)}, {at: 2, demand: demand('two', 1, 40)}],
+		demands: [{at: 1, demand: demand('one', 1, 40)}, {at: 2, demand: demand('two', 1, 40)}],
 		expected: [80, 20],
 	},
 	{
 		name: 'the first holders leave a share to every expected instance',
 		state: createSharing(0, []),
-		asked: ['one', 'two', 'three', 'four'].map((name, position) => ({at: position, demand: demand(name, 1, 1)})),
+		demands: ['one', 'two', 'three', 'four'].map((name, position) => ({at: position, demand: demand(name, 1, 1)})),
 		instances: 4,
 		expected: [13, 13, 13, 13],
 	},
 	{
 		name: 'one instance of four can use nearly all',
 		state: createSharing(0, []),
-		asked: [{at: 1, demand: demand('one', 1, 100)}],
+		demands: [{at: 1, demand: demand('one', 1, 100)}],
 		instances: 4,
 		expected: [93],
 	},
 	{
 		name: 'a new leader grants no new shares of a service that an earlier leader divided',
 		state: createSharing(0, ['team/service']),
-		asked: [{at: 1, demand: demand('one', 1, 40)}, {at: 2, demand: demand('two', 1, 40, 30)}],
+		demands: [{at: 1, demand: demand('one', 1, 40)}, {at: 2, demand: demand('two', 1, 40, 30)}],
 		expected: [0, 30],
 	},
 	{
 		name: 'a new leader divides once earlier shares no longer count',
 		state: createSharing(0, ['team/service']),
-		asked: [{at: commitmentMilliseconds, demand: demand('one', 1, 40)}],
+		demands: [{at: commitmentMilliseconds, demand: demand('one', 1, 40)}],
 		expected: [80],
 	},
 	{
 		name: 'an outdated demand gets no share',
 		state: createSharing(0, []),
-		asked: [{at: 1, demand: demand('one', 2, 40)}, {at: 2, demand: demand('one', 1, 40)}],
+		demands: [{at: 1, demand: demand('one', 2, 40)}, {at: 2, demand: demand('one', 1, 40)}],
 		expected: [80, -1],
 	},
 ];
 
 for (const {
-	name, state, asked, instances = 1, expected,
+	name, state, demands: asked, instances = 1, expected,
 } of cases) {
 	test(`sharing: ${name}`, () => {
 		assert.deepEqual(amounts(state, asked, instances), expected);
