--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -22,9 +22,9 @@
 
 type TimedDemand = {readonly at: number; readonly demand: LimitDemand};
 
-function amounts(state: SharingState, asked: readonly TimedDemand[], instances: number): readonly number[] {
+function amounts(state: SharingState, demands: readonly TimedDemand[], instances: number): readonly number[] {
 	let next = state;
-	return asked.map(({at, demand: one}) => {
+	return demands.map(({at, demand: one}) => {
 		const answered = grantLimitShare(next, one, {limit, amount: limit.amount}, instances, at);
 		next = answered.state;
 		return answered.share?.amount ?? -1;
