--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -79,9 +79,9 @@
 ];
 
 for (const {
-	name, state, demands: asked, instances = 1, expected,
+	name, state, demands: demands, instances = 1, expected,
 } of cases) {
 	test(`sharing: ${name}`, () => {
-		assert.deepEqual(amounts(state, asked, instances), expected);
+		assert.deepEqual(amounts(state, demands, instances), expected);
 	});
 }
