--- a/packages/limits/test/test-unit.ts
+++ b/packages/limits/test/test-unit.ts
@@ -56,9 +56,9 @@
 };
 
 /** A request: its time, cost and share, and whether it is admitted. */
-type Asked = readonly [number, number, number, boolean];
+type AdmissionRequest = readonly [number, number, number, boolean];
 
-const admissions: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly asked: readonly Asked[]}> = [
+const admissions: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly asked: readonly AdmissionRequest[]}> = [
 	{name: 'a fixed window starts at whole intervals', limit, asked: [[900, 3, 3, true], [950, 1, 3, false], [1000, 3, 3, true], [1999, 1, 3, false]]},
 	{name: 'a wall clock that is set back reopens no window', limit, asked: [[2000, 3, 3, true], [1000, 1, 3, false], [2500, 1, 3, false]]},
 	{name: 'a share that shrinks still counts earlier use', limit, asked: [[100, 2, 3, true], [200, 1, 2, false], [300, 1, 3, true]]},
