--- a/packages/limits/test/test-unit.ts
+++ b/packages/limits/test/test-unit.ts
@@ -58,17 +58,17 @@
 /** A request: its time, cost and share, and whether it is admitted. */
 type AdmissionRequest = readonly [number, number, number, boolean];
 
-const admissions: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly asked: readonly AdmissionRequest[]}> = [
-	{name: 'a fixed window starts at whole intervals', limit, asked: [[900, 3, 3, true], [950, 1, 3, false], [1000, 3, 3, true], [1999, 1, 3, false]]},
-	{name: 'a wall clock that is set back reopens no window', limit, asked: [[2000, 3, 3, true], [1000, 1, 3, false], [2500, 1, 3, false]]},
-	{name: 'a share that shrinks still counts earlier use', limit, asked: [[100, 2, 3, true], [200, 1, 2, false], [300, 1, 3, true]]},
-	{name: 'no share admits nothing', limit, asked: [[100, 1, 0, false]]},
-	{name: 'a fixed burst carries over what was unused', limit: {...limit, burst: 2}, asked: [[100, 1, 3, true], [1100, 5, 3, true], [1200, 1, 3, false], [2100, 4, 3, false], [2200, 3, 3, true]]},
-	{name: 'a sliding window has no edge', limit: {...limit, window: WindowForm.sliding}, asked: [[900, 3, 3, true], [1500, 1, 3, false], [1890, 1, 3, false], [1920, 3, 3, true]]},
-	{name: 'a sliding burst is spread over its intervals', limit: {...limit, window: WindowForm.sliding, burst: 2}, asked: [[100, 6, 3, true], [1900, 1, 3, false], [2200, 6, 3, true]]},
+const admissions: ReadonlyArray<{readonly name: string; readonly limit: EffectiveLimit; readonly requests: readonly AdmissionRequest[]}> = [
+	{name: 'a fixed window starts at whole intervals', limit, requests: [[900, 3, 3, true], [950, 1, 3, false], [1000, 3, 3, true], [1999, 1, 3, false]]},
+	{name: 'a wall clock that is set back reopens no window', limit, requests: [[2000, 3, 3, true], [1000, 1, 3, false], [2500, 1, 3, false]]},
+	{name: 'a share that shrinks still counts earlier use', limit, requests: [[100, 2, 3, true], [200, 1, 2, false], [300, 1, 3, true]]},
+	{name: 'no share admits nothing', limit, requests: [[100, 1, 0, false]]},
+	{name: 'a fixed burst carries over what was unused', limit: {...limit, burst: 2}, requests: [[100, 1, 3, true], [1100, 5, 3, true], [1200, 1, 3, false], [2100, 4, 3, false], [2200, 3, 3, true]]},
+	{name: 'a sliding window has no edge', limit: {...limit, window: WindowForm.sliding}, requests: [[900, 3, 3, true], [1500, 1, 3, false], [1890, 1, 3, false], [1920, 3, 3, true]]},
+	{name: 'a sliding burst is spread over its intervals', limit: {...limit, window: WindowForm.sliding, burst: 2}, requests: [[100, 6, 3, true], [1900, 1, 3, false], [2200, 6, 3, true]]},
 ];
 
-for (const {name, limit: held, asked} of admissions) {
+for (const {name, limit: held, requests: asked} of admissions) {
 	test(`bucket: ${name}`, () => {
 		let state = createBucket(held);
 		for (const [now, cost, share, expected] of asked) {
