--- a/packages/limits/test/test-growth.ts
+++ b/packages/limits/test/test-growth.ts
@@ -34,15 +34,15 @@
 
 test('growth of a share: demands for an exhausted limit grow with the logarithm of what is wanted', () => {
 	let answeredFor = 1;
-	let asked = 0;
+	let requestCount = 0;
 	for (let wanted = 1; wanted <= 100_000; wanted++) {
 		if (mayReceiveLargerShare({
 			share: 50, amount: 200, wantedAtGrant: answeredFor, wanted,
 		})) {
-			asked += 1;
+			requestCount += 1;
 			answeredFor = wanted;
 		}
 	}
 
-	assert.equal(asked, 16);
+	assert.equal(requestCount, 16);
 });
