--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -22,7 +22,7 @@
 /** Creates the state of a part that a divider divides for the first time. */
 export function createPart({limit, amount}: LimitPart, now: MonotonicTime, earlierSharesEndAt: MonotonicTime): PartState {
 	return {
-		previousAmount: amount, amount, othersAmount: limit.amount - amount, growsAt: now, earlierSharesEndAt: earlierSharesEndAt,
+		previousAmount: amount, amount, othersAmount: limit.amount - amount, growsAt: now, earlierSharesEndAt,
 	};
 }
 
@@ -42,6 +42,6 @@
 	const growsAtOthersExpense = amount > before && othersAmount < state.othersAmount;
 	const growsAt = growsAtOthersExpense ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
-		...state, previousAmount: before, amount, othersAmount: othersAmount, growsAt,
+		...state, previousAmount: before, amount, othersAmount, growsAt,
 	};
 }
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -40,7 +40,7 @@
 /** Creates the state of a leader that starts now. */
 export function createSharing(now: MonotonicTime, inheritedServices: readonly ServiceName[]): SharingState {
 	return {
-		startedAt: now, inheritedServices: inheritedServices, parts: {}, divisions: {},
+		startedAt: now, inheritedServices, parts: {}, divisions: {},
 	};
 }
 
@@ -71,7 +71,7 @@
 }
 
 /** The time from which shares that other dividers granted of a limit no longer count, computed at the limit's first demand. */
-function endOfEarlierShares({startedAt, inheritedServices: inheritedServices}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
+function endOfEarlierShares({startedAt, inheritedServices}: SharingState, {service}: LimitName, limit: EffectiveLimit, now: MonotonicTime): MonotonicTime {
 	if (inheritedServices === undefined) {
 		return now + commitmentMilliseconds(limit) + contractPropagationMilliseconds;
 	}
--- a/packages/limits/test/test-division.ts
+++ b/packages/limits/test/test-division.ts
@@ -86,7 +86,7 @@
 	/** Advances the simulation by one step. `rates` are the requests per interval at each instance. */
 	step(rates: readonly number[]): void {
 		this.now += stepMilliseconds;
-		for (const {accept: accept} of this.#answers.filter(({at}) => at <= this.now)) {
+		for (const {accept} of this.#answers.filter(({at}) => at <= this.now)) {
 			accept();
 		}
 
--- a/packages/limits/test/test-sharing.ts
+++ b/packages/limits/test/test-sharing.ts
@@ -79,7 +79,7 @@
 ];
 
 for (const {
-	name, state, demands: demands, instances = 1, expected,
+	name, state, demands, instances = 1, expected,
 } of cases) {
 	test(`sharing: ${name}`, () => {
 		assert.deepEqual(amounts(state, demands, instances), expected);
--- a/packages/limits/test/test-unit.ts
+++ b/packages/limits/test/test-unit.ts
@@ -68,7 +68,7 @@
 	{name: 'a sliding burst is spread over its intervals', limit: {...limit, window: WindowForm.sliding, burst: 2}, requests: [[100, 6, 3, true], [1900, 1, 3, false], [2200, 6, 3, true]]},
 ];
 
-for (const {name, limit: held, requests: requests} of admissions) {
+for (const {name, limit: held, requests} of admissions) {
 	test(`bucket: ${name}`, () => {
 		let state = createBucket(held);
 		for (const [now, cost, share, expected] of requests) {
