--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -174,7 +174,7 @@
 	const {holder: name, now, wanted, sequence, usable} = request;
 	const commitments = state.holders.find(holder => holder.name === name)?.commitments ?? [];
 	const holder = {
-		name, wanted, sequence, heardAt: now, commitments,
+		name, wanted, sequence, lastContactAt: now, commitments,
 	};
 	return releaseUnused(holder, usable);
 }
