--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -142,8 +142,8 @@
 
 /** Drops the divisions in which no holder has a share any more. */
 export function dropExpiredDivisions(state: SharingState, now: MonotonicTime): SharingState {
-	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({lastContactAt: heardAt}) =>
-		now < heardAt + options.shareMilliseconds + options.windowMilliseconds + options.marginMilliseconds));
+	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({lastContactAt: lastContactAt}) =>
+		now < lastContactAt + options.shareMilliseconds + options.windowMilliseconds + options.marginMilliseconds));
 	return kept.length === Object.keys(state.divisions).length ? state : {...state, divisions: Object.fromEntries(kept)};
 }
 
