--- a/packages/limits/test/test-growth.ts
+++ b/packages/limits/test/test-growth.ts
@@ -33,14 +33,14 @@
 }
 
 test('growth of a share: demands for an exhausted limit grow with the logarithm of what is wanted', () => {
-	let answeredFor = 1;
+	let wantedAtGrant = 1;
 	let requestCount = 0;
 	for (let wanted = 1; wanted <= 100_000; wanted++) {
 		if (mayReceiveLargerShare({
-			share: 50, amount: 200, wantedAtGrant: answeredFor, wanted,
+			share: 50, amount: 200, wantedAtGrant: wantedAtGrant, wanted,
 		})) {
 			requestCount += 1;
-			answeredFor = wanted;
+			wantedAtGrant = wanted;
 		}
 	}
 
