--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -27,8 +27,8 @@
 }
 
 /** Returns the amount that may be handed out now. */
-export function availableAmount({previousAmount: amountBefore, amount, growsAt}: PartState, now: MonotonicTime): number {
-	return now < growsAt ? Math.min(amountBefore, amount) : amount;
+export function availableAmount({previousAmount: previousAmount, amount, growsAt}: PartState, now: MonotonicTime): number {
+	return now < growsAt ? Math.min(previousAmount, amount) : amount;
 }
 
 /** Updates the part to the current contract. If it grows at the expense of other dividers, they have `settlingMilliseconds` to shrink theirs. */
