--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -38,10 +38,10 @@
 		return state;
 	}
 
-	const before = availableAmount(state, now);
-	const growsAtOthersExpense = amount > before && othersAmount < state.othersAmount;
+	const previousAmount = availableAmount(state, now);
+	const growsAtOthersExpense = amount > previousAmount && othersAmount < state.othersAmount;
 	const growsAt = growsAtOthersExpense ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
-		...state, previousAmount: before, amount, othersAmount, growsAt,
+		...state, previousAmount: previousAmount, amount, othersAmount, growsAt,
 	};
 }
