--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -104,14 +104,14 @@
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
 function balance(run: BalanceRun, wasBalancing: boolean): boolean {
 	const {plan} = run;
-	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain: leastGain} = plan.policy;
+	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain: minimumGain} = plan.policy;
 	let isBalancing = wasBalancing;
 	for (;;) {
 		const from = mostLoaded(plan);
 		const score = from === undefined ? 0 : scoreOf(plan, from);
 		isBalancing = score > (isBalancing ? balanceTarget : balanceTrigger);
 		const candidate = from !== undefined && score > pinTrigger ? chooseCandidate(run, from, isBalancing) : undefined;
-		if (candidate === undefined || candidate.gain < leastGain || !isAffordable(run, candidate.slot)) {
+		if (candidate === undefined || candidate.gain < minimumGain || !isAffordable(run, candidate.slot)) {
 			return isBalancing;
 		}
 
