--- a/packages/limits/src/division.ts
+++ b/packages/limits/src/division.ts
@@ -130,7 +130,7 @@
  */
 function fairShare(state: DivisionState, name: string, expected: number, now: MonotonicTime): number {
 	const {amount, options} = state;
-	const present = state.holders.filter(({lastContactAt: lastContactAt}) => lastContactAt + options.shareMilliseconds > now);
+	const present = state.holders.filter(({lastContactAt}) => lastContactAt + options.shareMilliseconds > now);
 	const count = Math.max(present.length, expected);
 	const wanted = present.map(holder => wantedBy(state, holder, count));
 	const reserved = Array.from({length: count - present.length}, () => options.reserveRatio * amount / count);
--- a/packages/limits/src/growth.ts
+++ b/packages/limits/src/growth.ts
@@ -16,6 +16,6 @@
  * Whether a new request may return a larger share: the share is less than the
  * whole amount, and much more is wanted than when it was granted.
  */
-export function mayReceiveLargerShare({share, amount, wantedAtGrant: wantedAtGrant, wanted}: ShareUse): boolean {
+export function mayReceiveLargerShare({share, amount, wantedAtGrant, wanted}: ShareUse): boolean {
 	return share < amount && wanted >= growthRatio * wantedAtGrant;
 }
--- a/packages/limits/src/part-change.ts
+++ b/packages/limits/src/part-change.ts
@@ -27,7 +27,7 @@
 }
 
 /** Returns the amount that may be handed out now. */
-export function availableAmount({previousAmount: previousAmount, amount, growsAt}: PartState, now: MonotonicTime): number {
+export function availableAmount({previousAmount, amount, growsAt}: PartState, now: MonotonicTime): number {
 	return now < growsAt ? Math.min(previousAmount, amount) : amount;
 }
 
@@ -42,6 +42,6 @@
 	const growsAtOthersExpense = amount > previousAmount && othersAmount < state.othersAmount;
 	const growsAt = growsAtOthersExpense ? now + settlingMilliseconds : Math.max(state.growsAt, now);
 	return {
-		...state, previousAmount: previousAmount, amount, othersAmount, growsAt,
+		...state, previousAmount, amount, othersAmount, growsAt,
 	};
 }
--- a/packages/limits/src/sharing.ts
+++ b/packages/limits/src/sharing.ts
@@ -142,7 +142,7 @@
 
 /** Drops the divisions in which no holder has a share any more. */
 export function dropExpiredDivisions(state: SharingState, now: MonotonicTime): SharingState {
-	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({lastContactAt: lastContactAt}) =>
+	const kept = Object.entries(state.divisions).filter(([, {holders, options}]) => holders.some(({lastContactAt}) =>
 		now < lastContactAt + options.shareMilliseconds + options.windowMilliseconds + options.marginMilliseconds));
 	return kept.length === Object.keys(state.divisions).length ? state : {...state, divisions: Object.fromEntries(kept)};
 }
--- a/packages/limits/test/test-growth.ts
+++ b/packages/limits/test/test-growth.ts
@@ -37,7 +37,7 @@
 	let requestCount = 0;
 	for (let wanted = 1; wanted <= 100_000; wanted++) {
 		if (mayReceiveLargerShare({
-			share: 50, amount: 200, wantedAtGrant: wantedAtGrant, wanted,
+			share: 50, amount: 200, wantedAtGrant, wanted,
 		})) {
 			requestCount += 1;
 			wantedAtGrant = wanted;
--- a/packages/placement/src/balance.ts
+++ b/packages/placement/src/balance.ts
@@ -104,7 +104,7 @@
 /** Moves slots and pinned keys off the most loaded upstream until its score is low enough. Returns whether slots still have to move. */
 function balance(run: BalanceRun, wasBalancing: boolean): boolean {
 	const {plan} = run;
-	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain: minimumGain} = plan.policy;
+	const {balanceTrigger, balanceTarget, pinTrigger, minimumGain} = plan.policy;
 	let isBalancing = wasBalancing;
 	for (;;) {
 		const from = mostLoaded(plan);
