--- a/packages/limits/test/test-reserve.ts
+++ b/packages/limits/test/test-reserve.ts
@@ -202,7 +202,7 @@
 
 		const partitioned = new ShareSimulation(cutReserve);
 		partitioned.run(2, 'zuid-b');
-		context.diagnostic(`reserve ${cutReserve}, partition: zone used ${(100 * partitioned.admittedInPartition / possible).toFixed(1)}% of the limit, all zones ${(100 * partitioned.admitted / possible).toFixed(1)}%`);
+		context.diagnostic(`reserve ${cutReserve}, partition: zone ${(100 * partitioned.admittedInPartition / possible).toFixed(1)}% of the limit, total ${(100 * partitioned.admitted / possible).toFixed(1)}%`);
 		assert.ok(partitioned.admittedInPartition <= possible * cutReserve / 3 * 1.01);
 	});
 }
--- a/packages/placement/src/recovery.ts
+++ b/packages/placement/src/recovery.ts
@@ -34,7 +34,7 @@
 	return mayOwn(input, record) ? undefined : reasonByPhase[record.phase];
 }
 
-/** Moves of all slots whose owner is lost, leaving, or in a zone that may not own keys. They are not limited by the budget. */
+/** Plans moves of all slots whose owner is lost, leaving, or in a zone that may not own keys. They are not limited by the budget. */
 export function planForcedMoves(input: PlacementInput, plan: WorkingPlan): readonly PlannedMove[] {
 	const records = new Map(input.upstreams.map(({record}) => [ownerKey(identityOf(record)), record]));
 	const moves: PlannedMove[] = [];
--- a/packages/placement/src/working-plan.ts
+++ b/packages/placement/src/working-plan.ts
@@ -121,7 +121,7 @@
 	return slot >= plan.contractSlots;
 }
 
-/** Whether a pinned key is no longer hot and should go back to its slot. */
+/** Whether a pinned key is no longer hot and should return to its slot. */
 export function isNoLongerHot(plan: WorkingPlan, pin: PinnedKey): boolean {
 	return rateOf(plan.input, pin.slot) < plan.policy.unpinShare * plan.loadPerCapacity;
 }
--- a/packages/placement/test/test-invariants.ts
+++ b/packages/placement/test/test-invariants.ts
@@ -95,7 +95,7 @@
 	unreachableZones: [],
 }));
 
-/** Like `calmInput`, but the first of the upstreams is lost. */
+/** Like `normalInputArbitrary`, but the first of the upstreams is lost. */
 const lossInputArbitrary: fc.Arbitrary<PlacementInput> = normalInputArbitrary.map(input => ({...input, upstreams: input.upstreams.slice(1)}));
 
 function mayBeGranted(input: PlacementInput, owner: {readonly service: string; readonly name: string; readonly incarnation: number}): boolean {
