--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -1,5 +1,6 @@
 /**
- * Committed entries go to the state machine, and a snapshot is asked for after enough of them.
+ * Applies committed entries to the state machine, and requests a snapshot after every
+ * `entriesBeforeSnapshot` of them.
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {ask, change, type Draft} from './draft.js';
@@ -13,7 +14,7 @@
 		: ask(change(draft, {snapshotAskedAt: committed}), {kind: 'snapshotWanted', index: committed});
 }
 
-/** Commits and applies up to an index that the log holds. */
+/** Advances the commit index up to an index that the log holds, and applies the new entries. */
 export function applyCommitted(draft: Draft, index: LogIndex): Draft {
 	const {committed, log} = draft.state;
 	if (index <= committed) {
--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -1,6 +1,6 @@
 /**
- * One step in the making: the state so far, what the edge will be asked to do,
- * and what has to reach the disk first.
+ * A draft of one step of the state machine: the state so far, the effects for the
+ * caller to carry out, and what has to be persisted first.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -12,19 +12,19 @@
 } from './message.js';
 import {roleOf, type DiskProgress, type VoterState} from './state.js';
 
-/** What the step changed that must be on disk. */
+/** What the step has changed in the durable state. */
 export type Unsaved = {
 	readonly hardState: boolean;
 	readonly firstIndex: LogIndex | undefined;
 	readonly snapshot: Snapshot | undefined;
 };
 
-/** A step in the making. */
+/** The intermediate result of a step. */
 export type Draft = {
 	readonly state: VoterState;
 	readonly now: MonotonicTime;
 	readonly effects: readonly ConsensusEffect[];
-	/** Messages that wait until all that came before them is synced. */
+	/** Messages that are sent only after all earlier writes are synced. */
 	readonly held: readonly ConsensusEnvelope[];
 	readonly unsaved: Unsaved;
 };
@@ -36,42 +36,42 @@
 	};
 }
 
-/** Changes fields of the state. */
+/** Returns the draft with some fields of the state replaced. */
 export function change(draft: Draft, fields: Partial<VoterState>): Draft {
 	return {...draft, state: {...draft.state, ...fields}};
 }
 
-/** Adds effects. */
+/** Adds effects for the caller to carry out. */
 export function ask(draft: Draft, ...effects: readonly ConsensusEffect[]): Draft {
 	return {...draft, effects: [...draft.effects, ...effects]};
 }
 
-/** Refuses proposals or reads. */
+/** Rejects proposals or reads with a failure. */
 export function refuse(draft: Draft, requests: ReadonlyArray<{readonly request: string}>, failure: Failure): Draft {
 	return ask(draft, ...requests.map(({request}) => ({kind: 'refused', request, failure} as const)));
 }
 
-/** Sends a message that depends on nothing that is unsynced. */
+/** Sends a message that doesn't depend on any unsynced write. */
 export function sendNow(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
 	return ask(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}});
 }
 
-/** Sends a message that depends on nothing that is unsynced, and whose end has to be told. */
+/** Sends a message that doesn't depend on any unsynced write, and whose outcome the transport has to report. */
 export function sendDelivery(draft: Draft, to: VoterIdentity, message: ConsensusMessage, delivery: number): Draft {
 	return ask(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}, delivery});
 }
 
-/** Sends a message once all that came before it is synced. */
+/** Sends a message once all earlier writes are synced. */
 export function sendSynced(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
 	return {...draft, held: [...draft.held, {from: draft.state.options.self, to, message}]};
 }
 
-/** Sets the term and vote. */
+/** Sets the term and vote, to be persisted at the end of the step. */
 export function setHardState(draft: Draft, hardState: HardState): Draft {
 	return {...change(draft, {hardState}), unsaved: {...draft.unsaved, hardState: true}};
 }
 
-/** Appends entries, in place of those from the first one's index on. */
+/** Writes entries to the log, replacing all existing ones from the first one's index on. */
 export function writeEntries(draft: Draft, entries: readonly LogEntry[]): Draft {
 	const first = entries[0];
 	if (first === undefined) {
@@ -90,12 +90,12 @@
 	};
 }
 
-/** Marks a snapshot, which the log already begins with, for the disk. */
+/** Marks a snapshot, which the log already begins with, to be persisted at the end of the step. */
 export function saveSnapshot(draft: Draft, snapshot: Snapshot): Draft {
 	return {...draft, unsaved: {...draft.unsaved, snapshot}};
 }
 
-/** Marks the log from an index on as unsynced, after a snapshot took the place of entries. */
+/** Marks the log from an index on as unsynced, after a snapshot replaced entries. */
 export function resyncFrom(draft: Draft, index: LogIndex): Draft {
 	const {disk} = draft.state;
 	return {
@@ -156,7 +156,7 @@
 	});
 }
 
-/** Ends a step: one write for all that changed, and the messages that may go before it or have to wait. */
+/** Ends a step: issues one write for all durable changes, and sends messages at once or attaches them to the write that they wait for. */
 export function endStep(draft: Draft, before: VoterState): Transition<VoterState, ConsensusEffect> {
 	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.held.length === 0 ? draft : joinLastWrite(draft));
 	const {state, effects} = reportRole(saved, before);
--- a/packages/consensus/src/due.ts
+++ b/packages/consensus/src/due.ts
@@ -1,6 +1,6 @@
 /**
- * When a voter's next tick has something to do, so that its edge can wait for
- * that moment and need not ask again and again.
+ * The time at which a voter's next tick has an effect, so that the caller can set
+ * a timer instead of polling.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {latestVoterSet} from './log.js';
@@ -13,7 +13,7 @@
 	return isMajority(latestVoterSet(state.log), [state.options.self]);
 }
 
-/** When a voter stands for election if it hears from nobody. Infinite for one that doesn't vote. */
+/** When a voter starts an election unless it receives a message from a leader first. Infinite for a learner. */
 export function electionDueAt(state: VoterState): MonotonicTime {
 	if (!votesItself(state)) {
 		return Infinity;
@@ -23,8 +23,9 @@
 }
 
 /**
- * When a leader gives up: it heard no majority for an election's time, or it
- * passed leadership on that long ago and the invitation may arrive yet.
+ * When a leader steps down: it has had no contact with a majority for one election
+ * timeout, or a leadership transfer was started that long ago, whose invitation may
+ * still arrive.
  */
 export function leadershipEndsAt(state: VoterState, leadership: Leadership): MonotonicTime {
 	const {electionMilliseconds} = state.options;
@@ -45,8 +46,8 @@
 };
 
 /**
- * The first moment at which a tick may change anything, if no other event comes
- * before. Ask again after each event. Infinite: only an event changes anything.
+ * The earliest time at which a tick may change the state if no other event occurs
+ * first. Each event may change it. Infinite: ticks have no effect.
  */
 export function voterDueAt(state: VoterState): MonotonicTime {
 	return dueByRole[state.role](state);
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -1,5 +1,6 @@
 /**
- * Elections: when a voter stands, whom it votes for, and how it begins and ends to lead.
+ * Leader election: pre-vote and vote, and the transitions between follower,
+ * candidate and leader.
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -27,15 +28,16 @@
 type Granting = Extract<ConsensusMessage, {readonly kind: 'preVoteAnswered' | 'voteAnswered'}>;
 
 /**
- * The pause before an election, in milliseconds: one to two election times, drawn by the seed and the number of draws.
- * The generator spreads near seeds far apart; one whose first number follows its seed keeps two voters in step for good.
+ * The randomized election timeout, in milliseconds: one to two times `electionMilliseconds`, a function of the seed and
+ * the number of draws. The generator spreads similar seeds far apart; with one whose first number follows its seed, two
+ * voters with similar seeds would start their elections together every time.
  */
 export function drawElectionPause(options: VoterState['options'], draws: number): number {
 	const generator = mersenne(options.seed + (draws * 7919));
 	return options.electionMilliseconds + uniformInt(generator, 0, options.electionMilliseconds);
 }
 
-/** Puts the next election off by a new pause. */
+/** Resets the election timer with a new random timeout. */
 export function postponeElection(draft: Draft): Draft {
 	const {options, draws} = draft.state;
 	return change(draft, {draws: draws + 1, electionAt: draft.now + drawElectionPause(options, draws + 1)});
@@ -45,17 +47,17 @@
 	return state.role === Role.leader || now - state.leaderHeardAt < state.options.electionMilliseconds;
 }
 
-/** Gives up leading or standing, with a failure for what was waiting for this leader. */
+/** Becomes a follower. Pending proposals of a former leader fail with an unknown outcome, its pending reads with `lost`. */
 export function becomeFollower(draft: Draft, leader: VoterIdentity | undefined, lost: Failure): Draft {
 	const {leadership} = draft.state;
-	const unknown = failure(FailureKind.outcomeUnknown, 'The leader that took the change lost its leadership before the change was committed.');
+	const unknown = failure(FailureKind.outcomeUnknown, 'The leader that accepted the change lost its leadership before the change was committed.');
 	const followed = change(draft, {
 		role: Role.follower, leader, campaign: undefined, leadership: undefined,
 	});
 	return refuse(refuse(followed, leadership?.proposals ?? [], unknown), leadership?.reads ?? [], lost);
 }
 
-/** Takes over a greater term. */
+/** Adopts a higher term, and becomes a follower in it. */
 export function adoptTerm(draft: Draft, term: Term): Draft {
 	const lost = failure(FailureKind.notLeader, 'Another voter started an election.');
 	return setHardState(becomeFollower(postponeElection(draft), undefined, lost), {term});
@@ -131,7 +133,7 @@
 	return countVotes(change(draft, {campaign: {...campaign, granted: [...campaign.granted, voter]}}));
 }
 
-/** A candidate's own vote counts once it is synced. */
+/** Counts a candidate's own vote once it is synced. */
 export function countOwnVote(draft: Draft): Draft {
 	const {state} = draft;
 	return state.campaign?.phase === 'vote' && hardStateSynced(state) ? addVote(draft, state.options.self) : draft;
@@ -143,15 +145,16 @@
 }
 
 /**
- * Whether the candidate's log lets the voter vote for it. One that isn't a voter
- * by its own log votes only for a newer log: no other can hold its promotion.
+ * Whether the candidate's log is recent enough to vote for it. A member that isn't a
+ * voter by its own log votes only for a newer log: only that one can hold the entry
+ * that made it a voter.
  */
 function logAllowsVote(state: VoterState, message: PreVoteRequest | VoteRequest): boolean {
 	const newer = newerThanOwn(state, message);
 	return newer > 0 || (newer === 0 && votesItself(state));
 }
 
-/** Answers a candidate that asks whether it would be voted for. Nothing is promised by it. */
+/** Answers a pre-vote request. A granted pre-vote doesn't bind the voter. */
 export function receivePreVoteRequest(draft: Draft, from: VoterIdentity, message: PreVoteRequest): Draft {
 	const {state, now} = draft;
 	const granted = message.term > state.hardState.term && !hearsLeader(state, now) && logAllowsVote(state, message);
@@ -167,8 +170,9 @@
 }
 
 /**
- * Votes for a candidate, or not. The vote goes out once it is synced. While a
- * leader is heard only its own successor is answered: the leader relies on it.
+ * Answers a vote request; a granted vote is sent once it is synced. While the voter
+ * has contact with a leader it answers only the successor that this leader invited:
+ * the leader's lease relies on that.
  */
 export function receiveVoteRequest(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
 	const {term} = draft.state.hardState;
@@ -194,17 +198,17 @@
 	return counts ? addVote(draft, from) : draft;
 }
 
-/** Takes in the answer to a question before an election. */
+/** Handles the answer to a pre-vote request. */
 export function receivePreVote(draft: Draft, from: VoterIdentity, message: Granting): Draft {
 	return receiveVote(draft, from, message, 'preVote');
 }
 
-/** Takes in a vote. */
+/** Handles the answer to a vote request. */
 export function receiveElectionVote(draft: Draft, from: VoterIdentity, message: Granting): Draft {
 	return receiveVote(draft, from, message, 'vote');
 }
 
-/** Starts an election at once, as the leader asks in a planned hand-over. */
+/** Starts an election at once, on the leader's invitation in a leadership transfer. */
 export function receiveInvitation(draft: Draft, from: VoterIdentity, message: {readonly term: Term}): Draft {
 	const {state} = draft;
 	const follows = state.role === Role.follower && state.leader !== undefined && sameVoter(state.leader, from);
@@ -218,7 +222,7 @@
 function tickLeader(draft: Draft): Draft {
 	const leadership = draft.state.leadership!;
 	if (draft.now >= leadershipEndsAt(draft.state, leadership)) {
-		const lost = failure(FailureKind.noQuorum, 'The leader can\'t hear a majority of the voters any more.');
+		const lost = failure(FailureKind.noQuorum, 'The leader has lost contact with a majority of the voters.');
 		return becomeFollower(postponeElection(draft), undefined, lost);
 	}
 
@@ -232,7 +236,7 @@
 	[Role.leader]: tickLeader,
 } as const;
 
-/** Lets time pass: heartbeats, elections, and the end of a leadership that hears no majority. */
+/** Handles a tick: sends heartbeats, starts an election, or steps down as a leader without a quorum. */
 export function tick(draft: Draft): Draft {
 	return tickByRole[draft.state.role](draft);
 }
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -1,5 +1,5 @@
 /**
- * The follower's side of the log: it takes entries and snapshots from the leader.
+ * The follower's side of log replication: receives entries and snapshots from the leader.
  */
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
@@ -20,11 +20,11 @@
 function follow(draft: Draft, leader: VoterIdentity): Draft {
 	const {state, now} = draft;
 	const known = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
-	const lost = failure(FailureKind.notLeader, 'Another voter leads.', {leader: leader.name});
+	const lost = failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
 	return change(becomeFollower(postponeElection(draft), known, lost), {leaderHeardAt: now});
 }
 
-/** The first entry of the term that stands at an index; no earlier than what is not committed. */
+/** The first uncommitted index whose entry has the same term as the one at `index`. */
 function firstOfTerm(draft: Draft, index: LogIndex): LogIndex {
 	const {log, committed} = draft.state;
 	const term = termAt(log, index);
@@ -64,7 +64,7 @@
 		: sendSynced(applied, from, {...answer, index: matched});
 }
 
-/** Whether the log agrees with the leader's before the entries that are sent. */
+/** Whether the log has the entry that precedes the sent ones in the leader's log. */
 function agrees(draft: Draft, request: AppendRequest): boolean {
 	const {log, committed} = draft.state;
 	return request.previousIndex <= committed || termAt(log, request.previousIndex) === request.previousTerm;
@@ -77,7 +77,7 @@
 	});
 }
 
-/** Follows the sender where its term allows; undefined where the term is old. */
+/** Accepts the sender as leader; undefined if its term is stale. */
 function followSender(draft: Draft, from: VoterIdentity, term: number): Draft | undefined {
 	const {hardState, role} = draft.state;
 	if (term < hardState.term || (term === hardState.term && role === Role.leader)) {
@@ -87,7 +87,7 @@
 	return follow(term > hardState.term ? adoptTerm(draft, term) : draft, from);
 }
 
-/** Takes entries or a heartbeat from the leader. */
+/** Handles entries or a heartbeat from the leader. */
 export function receiveAppend(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
 	const followed = followSender(draft, from, request.term);
 	if (followed === undefined) {
@@ -105,7 +105,7 @@
 	return ask(resyncFrom(saveSnapshot(changed, snapshot), committed + 1), {kind: 'restore', snapshot});
 }
 
-/** Takes a snapshot from the leader, where it is ahead of what is committed here. */
+/** Handles a snapshot from the leader; installs it if it is ahead of the local commit index. */
 export function receiveSnapshot(draft: Draft, from: VoterIdentity, message: SnapshotMessage): Draft {
 	const followed = followSender(draft, from, message.term);
 	if (followed === undefined) {
--- a/packages/consensus/src/founding.ts
+++ b/packages/consensus/src/founding.ts
@@ -1,24 +1,24 @@
 /**
- * How a cluster begins. Only an operator's explicit act founds one; all
- * founders derive the same first entry from the same list of names.
+ * Bootstraps a cluster. It happens only on an operator's explicit request; all initial
+ * voters derive the same first log entry from the same list of names.
  */
 import {type SavedState} from './machine.js';
 import {type VoterSet} from './message.js';
 
 /**
- * The folder identity of every founder. A folder that is opened without being
- * asked to found has a random one, so it is never taken for a founder's.
+ * The folder identity of every initial voter. A folder that is opened without
+ * bootstrapping gets a random identity, so it never passes for an initial voter's.
  */
 export const founderFolder = 'founder';
 
 const foundingTerm = 1;
 
-/** The voter set of a cluster that is founded by the instances with these names. */
+/** The voter set of a cluster that is bootstrapped by the instances with these names. */
 export function bootstrapVoterSet(names: readonly string[]): VoterSet {
 	return {voters: [...new Set(names)].sort().map(name => ({name, folder: founderFolder})), learners: []};
 }
 
-/** What a founder persists before its first start. The voter set is the log's first entry. */
+/** The state that an initial voter persists before its first start. The voter set is the first log entry. */
 export function bootstrapCluster(names: readonly string[]): SavedState {
 	return {
 		hardState: {term: foundingTerm},
--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -1,6 +1,6 @@
 /**
- * The entries that a voter holds in memory, and the snapshot before them.
- * Entries stand in chunks, so that an append copies one chunk, not the log.
+ * The log entries that a voter keeps in memory, and the snapshot before them.
+ * Entries are stored in chunks, so that an append copies one chunk, not the log.
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {
@@ -15,17 +15,17 @@
 	readonly entries: readonly LogEntry[];
 };
 
-/** The log. `firstIndex` may be at or before the snapshot's index, to help replicas that are a little behind. */
+/** The in-memory log. `firstIndex` may be at or before the snapshot's index, so that slightly lagging replicas can still be sent entries. */
 export type Log = {
 	readonly snapshot: Snapshot | undefined;
 	readonly chunks: readonly Chunk[];
 	readonly firstIndex: LogIndex;
 	readonly lastIndex: LogIndex;
-	/** The voter sets of the entries that are held, after the set that holds before them. */
+	/** The voter set in effect before the stored entries, and the later ones from these entries. */
 	readonly voterSets: ReadonlyArray<{readonly index: LogIndex; readonly voterSet: VoterSet}>;
 };
 
-/** A log that begins after a snapshot, or at index 1. */
+/** Creates an empty log that begins after a snapshot, or at index 1. */
 export function createLog(snapshot: Snapshot | undefined): Log {
 	const index = snapshot?.index ?? 0;
 	return {
@@ -41,7 +41,7 @@
 	return Math.floor(index / chunkSize);
 }
 
-/** The entry at an index; undefined where the log doesn't hold it. */
+/** The entry at an index; undefined if the log doesn't have it. */
 export function entryAt(log: Log, index: LogIndex): LogEntry | undefined {
 	if (index < log.firstIndex || index > log.lastIndex) {
 		return undefined;
@@ -51,7 +51,7 @@
 	return chunk?.entries[index - chunk.start];
 }
 
-/** The term at an index; undefined where it is no longer, or not yet, known. */
+/** The term at an index; undefined if the entry was compacted or is not in the log yet. */
 export function termAt(log: Log, index: LogIndex): Term | undefined {
 	if (index === 0) {
 		return 0;
@@ -104,7 +104,7 @@
 	};
 }
 
-/** Drops the entries after an index. */
+/** Removes the entries after an index. */
 export function truncateAfter(log: Log, index: LogIndex): Log {
 	const chunks = log.chunks
 		.filter(chunk => chunk.start <= index)
@@ -116,7 +116,7 @@
 	};
 }
 
-/** Takes a snapshot of entries that the log holds, and drops whole chunks that are more than `kept` entries before it. */
+/** Sets a snapshot of entries that the log has, and removes whole chunks that are more than `kept` entries before it. */
 export function compact(log: Log, snapshot: Snapshot, kept: number): Log {
 	const chunks = log.chunks.filter(chunk => chunk.start + chunk.entries.length - 1 > snapshot.index - kept);
 	const later = log.voterSets.filter(change => change.index > snapshot.index);
@@ -129,22 +129,22 @@
 	};
 }
 
-/** Puts a snapshot from the leader in place of the log, or of its beginning where the log agrees with it. */
+/** Replaces the log by a snapshot from the leader, or only its prefix if the entry at the snapshot's index has the same term. */
 export function installSnapshot(log: Log, snapshot: Snapshot): Log {
 	return termAt(log, snapshot.index) === snapshot.term ? compact(log, snapshot, 0) : createLog(snapshot);
 }
 
-/** The voter set that holds after the entry at an index. */
+/** The voter set in effect after the entry at an index. */
 export function voterSetAt(log: Log, index: LogIndex): VoterSet {
 	return (log.voterSets.findLast(change => change.index <= index) ?? log.voterSets[0]!).voterSet;
 }
 
-/** The newest voter set, committed or not: the one that counts. */
+/** The newest voter set in the log, which is in effect whether it is committed or not. */
 export function latestVoterSet(log: Log): VoterSet {
 	return log.voterSets.at(-1)!.voterSet;
 }
 
-/** The index of the entry that made the newest voter set. */
+/** The index of the entry with the newest voter set. */
 export function latestVoterSetIndex(log: Log): LogIndex {
 	return log.voterSets.at(-1)!.index;
 }
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's side of the log: what it sends to each member, and what it
- * learns from the answers.
+ * The leader's side of log replication: sends entries, snapshots and heartbeats to
+ * each member, and handles the answers.
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
@@ -17,18 +17,18 @@
 import {membersOf, sameVoter} from './voter-set.js';
 
 const entriesInMessage = 256;
-/** Longer messages would put off what the member confirms, and all that waits behind them. */
+/** Longer messages would delay the member's confirmation, and all messages queued behind them. */
 const charactersInMessage = 131_072;
 
 type Answer = Extract<ConsensusMessage, {readonly kind: 'appendAnswered'}>;
 
-/** Changes fields of the leadership; nothing on a voter that doesn't lead. */
+/** Returns the draft with some fields of the leadership replaced; unchanged on a voter that isn't the leader. */
 export function changeLeadership(draft: Draft, fields: Partial<Leadership>): Draft {
 	const {leadership} = draft.state;
 	return leadership === undefined ? draft : change(draft, {leadership: {...leadership, ...fields}});
 }
 
-/** What the leader assumes about a member before its first answer. */
+/** The replication progress that the leader assumes for a member before its first answer. */
 export function newProgress(peer: VoterIdentity, lastIndex: LogIndex): Progress {
 	return {
 		peer, next: lastIndex + 1, match: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, underWay: [], arrived: undefined,
@@ -53,7 +53,7 @@
 	return end === -1 ? entries : entries.slice(0, Math.max(1, end));
 }
 
-/** Hands a message to the transport, and notes what it brings. */
+/** Sends a message whose outcome the transport reports, and records it as in flight. */
 function deliver(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
 	const number = draft.state.deliveries + 1;
 	const noted = changeProgress(change(draft, {deliveries: number}), {...progress, underWay: [...progress.underWay, {number, ...brings}]});
@@ -73,7 +73,7 @@
 	};
 }
 
-/** Sends the snapshot, or a heartbeat while an earlier one is under way or was sent a moment ago. */
+/** Sends the snapshot, or a heartbeat while other messages are in flight or a snapshot was sent less than an election timeout ago. */
 function sendSnapshot(draft: Draft, progress: Progress): Draft {
 	const {state, now} = draft;
 	const {snapshot} = state.log;
@@ -100,7 +100,7 @@
 		: deliver(draft, {...progress, next: last + 1}, message, {first: progress.next, last, characters: messageCharacters(message)});
 }
 
-/** Sends what a member lacks before what is under way to it, which it could not take otherwise. */
+/** Sends a member the entries that it lacks before those in flight, which it would reject otherwise. */
 function sendMissing(draft: Draft, progress: Progress, entries: readonly LogEntry[]): Draft {
 	const [first, last] = [entries[0]!.index, entries.at(-1)!.index];
 	const message = appendAfter(draft, first - 1, entries);
@@ -112,7 +112,7 @@
 	return next >= log.firstIndex && termAt(log, next - 1) !== undefined;
 }
 
-/** Sends a member the entries that follow what it has; without any, or without room for them, a heartbeat. */
+/** Sends a member the next entries, or a heartbeat if there are none or the in-flight window has no room for them. */
 export function replicateTo(draft: Draft, peer: VoterIdentity): Draft {
 	const progress = progressOf(draft, peer);
 	if (progress === undefined) {
@@ -132,13 +132,13 @@
 	return holdsFrom(draft, progress.next) ? sendEntries(draft, progress, []) : sendSnapshot(draft, progress);
 }
 
-/** Tells every member at once what is new: entries to those that keep up, a heartbeat to the others. */
+/** Sends to every member at once: new entries to those whose position is confirmed, a heartbeat to those that are probed. */
 export function broadcast(draft: Draft): Draft {
 	const progress = draft.state.leadership?.progress ?? [];
 	return progress.reduce((made, one) => one.probing ? heartbeatTo(made, one) : replicateTo(made, one.peer), draft);
 }
 
-/** Begins a round: a request to every member, whose answers confirm leadership after this moment. */
+/** Starts a round: a request to every member, whose answers confirm that leadership lasted at least until now. */
 export function startRound(draft: Draft): Draft {
 	const {leadership, options} = draft.state;
 	if (leadership === undefined) {
@@ -154,13 +154,13 @@
 	}));
 }
 
-/** Appends an entry of the leader's own. */
+/** Appends an entry of the current term to the leader's log. */
 export function appendOwn(draft: Draft, body: EntryBody): Draft {
 	const {log, hardState} = draft.state;
 	return writeEntries(draft, [{index: log.lastIndex + 1, term: hardState.term, body}]);
 }
 
-/** Brings the list of members that the leader replicates to in line with the newest voter set. */
+/** Updates the list of members that the leader replicates to from the newest voter set. */
 export function refreshMembers(draft: Draft): Draft {
 	const {log, options, leadership} = draft.state;
 	const peers = membersOf(latestVoterSet(log)).filter(member => !sameVoter(member, options.self));
@@ -168,7 +168,7 @@
 	return changeLeadership(draft, {progress});
 }
 
-/** Commits what a majority has synced, as soon as it reaches an entry of the current term. */
+/** Commits the entries that a majority has synced, provided that the last of them is of the current term. */
 export function advanceCommit(draft: Draft): Draft {
 	const {state} = draft;
 	const {leadership} = state;
@@ -181,7 +181,7 @@
 	return answerReads(broadcast(applyCommitted(changeLeadership(draft, {proposals}), index)));
 }
 
-/** Answers the reads whose round a majority has answered, and begins a round for those that came later. */
+/** Answers the reads whose round a majority has answered, and starts a round for later ones. */
 export function answerReads(draft: Draft): Draft {
 	const {state} = draft;
 	const {leadership} = state;
@@ -243,8 +243,8 @@
 }
 
 /**
- * Takes in how a message ended. One that was given up may have arrived all the
- * same: what it brought goes out again once the member has answered a heartbeat.
+ * Handles the outcome of an in-flight message. One that was given up may still have
+ * arrived: its content is sent again only after the member has answered a heartbeat.
  */
 export function endDelivery(draft: Draft, {delivery, arrived}: {readonly delivery: number; readonly arrived: boolean}): Draft {
 	const {leadership, log} = draft.state;
@@ -263,7 +263,7 @@
 	return !progress.probing && progress.next <= log.lastIndex ? replicateTo(noted, progress.peer) : noted;
 }
 
-/** Takes in a member's answer. */
+/** Handles a member's answer to entries, a heartbeat or a snapshot. */
 export function receiveAnswer(draft: Draft, from: VoterIdentity, answer: Answer): Draft {
 	const noted = noteRound(draft, from, answer.round);
 	const progress = progressOf(noted, from);
@@ -275,7 +275,7 @@
 	return answerReads(taken);
 }
 
-/** Invites the successor of a planned hand-over to start its election, once it has the whole log. */
+/** Invites the successor in a leadership transfer to start its election, once it has the whole log. */
 export function inviteSuccessor(draft: Draft): Draft {
 	const {leadership, log, hardState} = draft.state;
 	const successor = leadership?.handOver?.successor;
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -1,5 +1,6 @@
 /**
- * What the edge asks of the voter: proposals, changes of voters, reads, and a planned hand-over.
+ * Requests from the local process: proposals, voter changes, linearizable reads,
+ * snapshots and leadership transfer.
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {
@@ -22,15 +23,15 @@
 function notLeading(draft: Draft): Failure {
 	const {leader} = draft.state;
 	return leader === undefined
-		? failure(FailureKind.noQuorum, 'No leader is known at this moment.')
-		: failure(FailureKind.notLeader, 'Another voter leads.', {leader: leader.name});
+		? failure(FailureKind.noQuorum, 'No leader is currently known.')
+		: failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
 }
 
 function passingOn(leadership: Leadership): Failure | undefined {
 	const {handOver} = leadership;
 	return handOver === undefined
 		? undefined
-		: failure(FailureKind.notLeader, 'Leadership is being passed on.', {leader: handOver.successor.name});
+		: failure(FailureKind.notLeader, 'A leadership transfer is in progress.', {leader: handOver.successor.name});
 }
 
 function place(draft: Draft, request: string, body: EntryBody): Draft {
@@ -43,7 +44,7 @@
 	});
 }
 
-/** Puts a proposal into the log, or refuses it. */
+/** Appends a proposal to the log, or rejects it. */
 export function propose(draft: Draft, event: EventOf<'proposed'>): Draft {
 	const {leadership} = draft.state;
 	const refusal = leadership === undefined ? notLeading(draft) : passingOn(leadership);
@@ -67,14 +68,14 @@
 	const {log, committed, options} = draft.state;
 	const problems: ReadonlyArray<readonly [boolean, string]> = [
 		[!ownTermCommitted(draft.state), 'The leader has not committed an entry of its own term yet.'],
-		[latestVoterSetIndex(log) > committed, 'Another change of the voters is not committed yet.'],
+		[latestVoterSetIndex(log) > committed, 'Another voter change is not committed yet.'],
 		[lagging(draft, voterSet), 'The learner has not caught up with the log yet.'],
 	];
 	const problem = voterChangeProblem(latestVoterSet(log), voterSet, options.self) ?? problems.find(([applies]) => applies)?.[1];
 	return problem === undefined ? undefined : failure(FailureKind.conflict, problem);
 }
 
-/** Puts a change of the voters into the log, or refuses it: one voter at a time. */
+/** Appends a voter change to the log, or rejects it. Only one voter may be added or removed at a time. */
 export function proposeVoterChange(draft: Draft, event: EventOf<'voterChangeProposed'>): Draft {
 	const {leadership} = draft.state;
 	const refusal = leadership === undefined
@@ -87,7 +88,7 @@
 	return advanceCommit(broadcast(refreshMembers(place(draft, event.request, {kind: 'votersChanged', voterSet: event.voterSet}))));
 }
 
-/** Takes a read, which is answered once a majority has confirmed this leader after it. */
+/** Queues a linearizable read, which is answered once a majority has confirmed this leader in a round that starts after the request. */
 export function requestRead(draft: Draft, event: EventOf<'readRequested'>): Draft {
 	const {state} = draft;
 	const {leadership} = state;
@@ -100,7 +101,7 @@
 	return answeredRound(state, leadership) === leadership.round ? answerReads(startRound(queued)) : queued;
 }
 
-/** Takes in the state machine's state, and drops the entries that it stands for. */
+/** Stores a snapshot of the state machine, and removes old entries that it covers from the log. */
 export function takeSnapshot(draft: Draft, event: EventOf<'snapshotTaken'>): Draft {
 	const {log, committed, options} = draft.state;
 	const {index, data} = event;
@@ -115,7 +116,7 @@
 	return saveSnapshot(change(draft, {log: compact(log, snapshot, options.entriesBeforeSnapshot)}), snapshot);
 }
 
-/** Begins to pass leadership on to the voter that has most of the log. */
+/** Starts a leadership transfer to the voter that has the most of the log. */
 export function handOver(draft: Draft): Draft {
 	const {leadership, log} = draft.state;
 	const {voters} = latestVoterSet(log);
--- a/packages/consensus/src/soundness.ts
+++ b/packages/consensus/src/soundness.ts
@@ -1,5 +1,5 @@
 /**
- * Whether an envelope may be taken in at all. What isn't sound is ignored.
+ * Validation of received messages. The voter ignores an invalid one.
  */
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
 import {
@@ -58,7 +58,7 @@
 	snapshotSent: message => areCounts(message.round) && isSnapshot(message.snapshot) && message.snapshot.term <= message.term,
 };
 
-/** Whether an envelope is whole, and meant for exactly this folder of this instance. */
+/** Whether an envelope is well-formed, and addressed to exactly this folder of this instance. */
 export function isSound(envelope: ConsensusEnvelope, self: VoterIdentity): boolean {
 	const {from, to, message} = envelope;
 	return isIdentity(from)
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -1,5 +1,5 @@
 /**
- * The state of one voter: plain data, never changed in place.
+ * The state of one voter, as immutable plain data.
  */
 import {type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type Delivery} from './delivery.js';
@@ -10,69 +10,69 @@
 import {type ConsensusEnvelope, type VoterIdentity, type VoterSet} from './message.js';
 import {includesVoter} from './voter-set.js';
 
-/** A write that the disk has not synced yet, and the messages that wait for it. */
+/** A write that is not synced yet, and the messages that wait for it. */
 export type PendingWrite = {
 	readonly ticket: number;
-	/** The first entry that was written; after `last` where none was. */
+	/** The index of the first entry that was written; greater than `last` if there was none. */
 	readonly first: LogIndex;
 	/** The last index of the log after the write. */
 	readonly last: LogIndex;
 	readonly held: readonly ConsensusEnvelope[];
 };
 
-/** What is on its way to the disk. */
+/** The progress of writes to the disk. */
 export type DiskProgress = {
 	readonly nextTicket: number;
 	readonly writes: readonly PendingWrite[];
-	/** The last index that is synced. */
+	/** The last index that is synced to disk. */
 	readonly syncedIndex: LogIndex;
-	/** The ticket of the newest write of the term and vote. */
+	/** The ticket of the latest write of the term and vote. */
 	readonly hardStateTicket: number;
 	readonly persistedTicket: number;
 };
 
-/** An election that this voter stands in. */
+/** An election in which this voter is a candidate. */
 export type Campaign = {
 	readonly phase: 'preVote' | 'vote';
 	readonly granted: readonly VoterIdentity[];
 };
 
-/** What the leader knows about another member. */
+/** The leader's record of another member's replication progress. */
 export type Progress = {
 	readonly peer: VoterIdentity;
-	/** The next entry to send. */
+	/** The index of the next entry to send. */
 	readonly next: LogIndex;
-	/** The last entry that the peer is known to have synced. */
+	/** The index of the last entry that the peer is known to have synced. */
 	readonly match: LogIndex;
-	/** Whether `next` is a guess that the peer has not confirmed. */
+	/** Whether `next` is an estimate that the peer has not confirmed. */
 	readonly probing: boolean;
 	readonly answeredRound: number;
 	readonly snapshotSentAt: MonotonicTime | undefined;
 	readonly underWay: readonly Delivery[];
-	/** The first entry of the message that arrived last, and the leader's round when that was known. */
+	/** The first entry of the message whose arrival was reported last, and the leader's round at that time. */
 	readonly arrived: {readonly first: LogIndex; readonly round: number} | undefined;
 };
 
-/** The last entry that a member is known to have synced. */
+/** The index of the last entry that a member is known to have synced. */
 export type MemberPosition = {readonly member: VoterIdentity; readonly index: LogIndex};
 
-/** A read that waits until `round` is answered by a majority. */
+/** A read that waits until a majority has answered `round`. */
 export type PendingRead = {readonly request: string; readonly round: number};
 
-/** A proposal that is in the log and not committed. */
+/** A proposal in the log that is not committed yet. */
 export type PendingProposal = {readonly request: string; readonly index: LogIndex};
 
-/** The planned passing on of leadership. */
+/** A leadership transfer in progress. */
 export type HandOver = {readonly successor: VoterIdentity; readonly startedAt: MonotonicTime};
 
-/** What only a leader has. */
+/** State that only a leader has. */
 export type Leadership = {
-	/** The entry that began this leader's term. */
+	/** The index of the first entry of this leader's term. */
 	readonly startedIndex: LogIndex;
 	readonly startedAt: MonotonicTime;
 	readonly progress: readonly Progress[];
 	readonly round: number;
-	/** When each round was first sent, from the newest one that a majority answered. */
+	/** When each round was first sent, starting with the newest one that a majority has answered. */
 	readonly rounds: ReadonlyArray<{readonly round: number; readonly sentAt: MonotonicTime}>;
 	readonly heartbeatAt: MonotonicTime;
 	readonly reads: readonly PendingRead[];
@@ -86,56 +86,59 @@
 	readonly hardState: HardState;
 	readonly log: Log;
 	readonly committed: LogIndex;
-	/** The highest index that a leader said it had committed: what this voter should have applied. */
+	/** The highest commit index that a leader has sent: this voter should have applied entries up to it. */
 	readonly heardCommitted: LogIndex;
-	/** Follower, candidate or leader. Learners are followers here. */
+	/** Follower, candidate or leader. A learner has the role of a follower here: see `roleOf`. */
 	readonly role: Role;
 	readonly leader: VoterIdentity | undefined;
-	/** When a leader was last heard, or the voter started: it helps no other candidate for an election's time. */
+	/**
+	 * The last contact with a leader, or the start of this voter: it votes for no other candidate until
+	 * `electionMilliseconds` later.
+	 */
 	readonly leaderHeardAt: MonotonicTime;
 	readonly electionAt: MonotonicTime;
-	/** How often an election's time was drawn. */
+	/** How many random election timeouts have been drawn. */
 	readonly draws: number;
 	readonly campaign: Campaign | undefined;
 	readonly leadership: Leadership | undefined;
-	/** How many messages with entries or a snapshot were handed to the transport. */
+	/** How many messages with entries or a snapshot have been passed to the transport. */
 	readonly deliveries: number;
 	readonly disk: DiskProgress;
-	/** The index of the newest snapshot that was asked for. */
+	/** The index of the latest snapshot that was requested. */
 	readonly snapshotAskedAt: LogIndex;
 };
 
-/** Whether the voter itself votes, as far as it knows. */
+/** Whether this member is a voter by the newest voter set in its own log. */
 export function votesItself(state: VoterState): boolean {
 	return includesVoter(latestVoterSet(state.log).voters, state.options.self);
 }
 
-/** What the voter is at the moment. */
+/** The current role. */
 export function roleOf(state: VoterState): Role {
 	return state.role === Role.follower && !votesItself(state) ? Role.learner : state.role;
 }
 
-/** The leader of the current term, where it is known. */
+/** The leader of the current term, if it is known. */
 export function leaderOf(state: VoterState): VoterIdentity | undefined {
 	return state.leader;
 }
 
-/** The newest voter set of the log, committed or not. */
+/** The newest voter set in the log, committed or not. */
 export function voterSetOf(state: VoterState): VoterSet {
 	return latestVoterSet(state.log);
 }
 
-/** The last entry that is known to be committed. */
+/** The index of the last entry that is known to be committed and in the local log. */
 export function committedIndex(state: VoterState): LogIndex {
 	return state.committed;
 }
 
-/** The highest index that is known to be committed anywhere, whether its entry has arrived here or not. */
+/** The highest index that is known to be committed, whether its entry has arrived here or not. */
 export function knownCommittedIndex(state: VoterState): LogIndex {
 	return Math.max(state.committed, state.heardCommitted);
 }
 
-/** How far each other member of a leader's log is known to be; empty on one that doesn't lead. */
+/** The known replication position of each other member; empty on a voter that isn't the leader. */
 export function memberPositions(state: VoterState): readonly MemberPosition[] {
 	return state.leadership?.progress.map(({peer, match}) => ({member: peer, index: match})) ?? [];
 }
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -1,6 +1,6 @@
 /**
- * One voter of the replicated log, as a state machine: a state and an event
- * give the next state and what the edge has to do, in this order.
+ * One voter of the replicated log as a pure state machine: from a state and an event
+ * it computes the next state and the effects that the caller carries out, in order.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
@@ -30,9 +30,9 @@
 export {bootstrapCluster, founderFolder, bootstrapVoterSet} from './founding.js';
 
 /**
- * The state of a voter that starts with what its disk holds. The edge has to
- * restore the state machine from the saved snapshot itself; entries are applied
- * once they are known to be committed.
+ * Creates the state of a voter from its durable state. The caller has to restore the
+ * state machine from the saved snapshot itself; entries are applied once they are
+ * known to be committed.
  */
 export function createVoter(options: ConsensusOptions, saved: SavedState, now: MonotonicTime): VoterState {
 	const log = appendEntries(createLog(saved.snapshot), saved.entries);
@@ -70,7 +70,7 @@
 	snapshotSent: (message, draft, from) => receiveSnapshot(draft, from, message),
 };
 
-/** Takes in that the disk has synced a write: what waited for it is sent, and the voter's own copy counts. */
+/** Handles a synced write: sends the messages that waited for it, and counts the voter's own vote and entries. */
 function notePersisted(draft: Draft, ticket: number): Draft {
 	const {disk} = draft.state;
 	const synced = disk.writes.filter(write => write.ticket <= ticket);
@@ -99,7 +99,7 @@
 	handOverRequested: (_event, draft) => handOver(draft),
 };
 
-/** Takes one event in. */
+/** Handles one event. */
 export function stepVoter(state: VoterState, event: ConsensusEvent): Transition<VoterState, ConsensusEffect> {
 	return endStep(dispatch(eventHandlers, event, beginStep(state, event.now)), state);
 }
--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -1,16 +1,16 @@
 /**
- * What may happen to voters in a schedule, and what a schedule knows of each.
+ * The fault rates of a simulation, and the simulated state of voters, disks and messages.
  */
 import {type VoterState} from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {type ConsensusEffect, type SavedState} from '@dogwooddeck/consensus/machine';
 
-/** One step of a schedule. */
+/** The length of one step of a simulation. */
 export const stepMilliseconds = 10;
-/** What every voter runs with. */
+/** The options of every voter. */
 export const options = {electionMilliseconds: 300, heartbeatMilliseconds: 50, entriesBeforeSnapshot: 40};
 
-/** How likely each fault is, in thousandths a step or a message. */
+/** The probability of each fault, in thousandths for each step or message. */
 export type Faults = {
 	readonly loss: number;
 	readonly duplication: number;
@@ -18,36 +18,36 @@
 	readonly crash: number;
 	readonly pause: number;
 	readonly cut: number;
-	/** One direction between two voters, or both. */
+	/** Toggles a partition between two voters, in one direction or both. */
 	readonly link: number;
 	readonly wipe: number;
 	readonly handOver: number;
 	readonly proposals: number;
-	/** The longest time that a write takes. */
+	/** The upper bound on the duration of a write. */
 	readonly syncMilliseconds: number;
 };
 
-/** No faults at all. */
+/** No faults. */
 export const calm: Faults = {
 	loss: 0, duplication: 0, longDelay: 0, crash: 0, pause: 0, cut: 0, link: 0, wipe: 0, handOver: 0, proposals: 0, syncMilliseconds: 30,
 };
 
-/** A write that is under way. */
+/** A write that is not synced yet. */
 export type Write = {readonly syncedAt: number; readonly effect: Extract<ConsensusEffect, {kind: 'persist'}>};
 
-/** Who has to be told how a message ended. */
+/** The sender that waits for the outcome of a message. */
 export type Awaited = {readonly node: Node; readonly life: number; readonly delivery: number};
 
-/** A message that is under way. */
+/** A message in transit. */
 export type Mail = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly awaited: Awaited | undefined};
 
-/** What the sender of a message is told. */
+/** The reported outcome of a message. */
 export type Receipt = {readonly at: number; readonly awaited: Awaited; readonly arrived: boolean};
 
-/** A message is given up after this long, whether it arrives later or not. */
+/** The transport gives a message up after this long, even if it arrives later. */
 export const givenUpMilliseconds = 1000;
 
-/** A voter with its disk; without `voter` its process is down. */
+/** A voter with its disk. Its process is down while `voter` is undefined. */
 export type Node = {
 	readonly name: string;
 	identity: VoterIdentity;
@@ -60,7 +60,7 @@
 	lives: number;
 };
 
-/** The disk after a write. */
+/** Returns the content of the disk after a write. */
 export function written(disk: SavedState, effect: Write['effect']): SavedState {
 	const {hardState, entries, snapshot = disk.snapshot} = effect;
 	const index = snapshot?.index ?? 0;
--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -1,5 +1,5 @@
 /**
- * What must hold at each step of a schedule.
+ * Safety invariants, checked at each step of a simulation.
  */
 import assert from 'node:assert/strict';
 import {type Node} from './faults.js';
@@ -11,17 +11,17 @@
 import {type ConsensusEnvelope, type LogEntry} from '@dogwooddeck/consensus/message';
 import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/machine';
 
-/** What a member confirms is what the leader of the term has. */
+/** An entry that a member confirms is the same as the leader's of that term. */
 function checkConfirmed(message: ConsensusEnvelope['message'], node: Node, nodes: readonly Node[]): void {
 	const leader = nodes.find(({voter}) => voter !== undefined && roleOf(voter) === Role.leader && termOf(voter) === message.term);
 	if (message.kind === 'appendAnswered' && message.accepted && leader !== undefined) {
 		const confirmed = node.disk.entries.find(({index}) => index === message.index);
 		const expected = entryAt(leader.voter!.log, message.index);
-		assert.ok(confirmed === undefined || expected === undefined || confirmed.term === expected.term, 'an entry is confirmed that the leader does not have');
+		assert.ok(confirmed === undefined || expected === undefined || confirmed.term === expected.term, 'a member confirmed an entry that the leader does not have');
 	}
 }
 
-/** A vote, a term and a confirmation are sent only after they are synced. */
+/** A vote, a term or a confirmation of entries is sent only after it is synced. */
 export function checkSynced({message}: ConsensusEnvelope, node: Node, nodes: readonly Node[]): void {
 	const {hardState, entries, snapshot} = node.disk;
 	const claimsVote = message.kind === 'voteRequested' || (message.kind === 'voteAnswered' && message.granted);
@@ -32,15 +32,15 @@
 	assert.ok(claimed <= (entries.at(-1)?.index ?? snapshot?.index ?? 0), 'entries are confirmed before they are synced');
 }
 
-/** No leader relies on a quorum that elected another in a later term. */
+/** No leader relies on a quorum that has elected another leader in a later term. */
 export function checkLeases(elected: Node, nodes: readonly Node[], now: number): void {
 	for (const {name, voter} of nodes) {
 		const heardAt = voter === undefined || termOf(voter) >= termOf(elected.voter!) ? undefined : quorumContactAt(voter, now);
-		assert.equal(heardAt, undefined, `${name} relies on a quorum that elected ${elected.name}`);
+		assert.equal(heardAt, undefined, `${name} relies on a quorum that has elected ${elected.name}`);
 	}
 }
 
-/** What is accepted is on the disks of a majority, but for folders that were lost since. */
+/** An accepted entry is on the disks of a majority, not counting folders that were lost since. */
 export function checkMajority({index, term}: LogEntry, leader: Node, nodes: readonly Node[]): void {
 	const {voters} = voterSetOf(leader.voter!);
 	const holding = voters.filter(voter => {
@@ -48,11 +48,11 @@
 		const lost = identity.folder !== voter.folder;
 		return lost || index <= (disk.snapshot?.index ?? 0) || disk.entries.some(entry => entry.index === index && entry.term === term);
 	});
-	assert.ok(holding.length * 2 > voters.length, `entry ${index} is accepted before a majority has synced it`);
+	assert.ok(holding.length * 2 > voters.length, `entry ${index} was accepted before a majority had synced it`);
 }
 
-/** A tick does nothing before the moment at which the voter said that it was due. */
+/** A tick has no effect before the time that `voterDueAt` returned. */
 export function checkDue(voter: VoterState, event: ConsensusEvent, effects: readonly ConsensusEffect[]): void {
 	const dueAt = voterDueAt(voter);
-	assert.ok(event.kind !== 'ticked' || effects.length === 0 || event.now >= dueAt, `a tick at ${event.now} did what was due at ${dueAt}`);
+	assert.ok(event.kind !== 'ticked' || effects.length === 0 || event.now >= dueAt, `a tick at ${event.now} had effects that were due at ${dueAt}`);
 }
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -1,6 +1,7 @@
 /**
- * Voters under seeded schedules of loss, delay, duplication, reordering, cuts,
- * crashes between append and sync, and lost folders.
+ * A deterministic simulation of a cluster under seeded schedules of message loss,
+ * delay, duplication and reordering, network partitions, crashes between append and
+ * sync, and lost folders.
  */
 import assert from 'node:assert/strict';
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
@@ -23,7 +24,7 @@
 	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role,
 } from '@dogwooddeck/consensus/machine';
 
-/** Voters, their disks and their links under seeded faults; each step checks the invariants. */
+/** Simulates voters, their disks and their links under seeded faults, and checks the invariants at each step. */
 export class Schedule {
 	now = 0;
 	readonly nodes: Node[];
@@ -63,7 +64,7 @@
 		placed: ({request, index, term}, node) => this.#placed.set(request, {name: `${node.name}/${node.lives}`, index, term}),
 		refused: ({request, failure}) => this.refused.set(request, failure.kind),
 		readReady: ({request, index}) => {
-			assert.ok(index >= this.#reads.get(request)!, 'a read misses what was accepted before it');
+			assert.ok(index >= this.#reads.get(request)!, 'a read index is before an entry that was accepted before the read');
 			this.readIndexes.set(request, index);
 		},
 		snapshotWanted: ({index}, node) => {
@@ -91,7 +92,7 @@
 		return this.nodes.find(node => node.name === name)!;
 	}
 
-	/** Whether a process is stopped, with all its state: it returns as if nothing had happened. */
+	/** Whether a process is paused; it resumes with its state unchanged. */
 	isFrozen(name: string): boolean {
 		return this.nodes.some(node => node.name === name && node.frozenUntil > this.now);
 	}
@@ -144,7 +145,7 @@
 		return request;
 	}
 
-	/** The process is gone; some of what was not synced may have reached the disk all the same. */
+	/** Crashes a process. Any prefix of its unsynced writes may have reached the disk. */
 	crash(node: Node, silentMilliseconds: number): void {
 		const reached = this.pick(node.writes.length + 1);
 		node.disk = node.writes.slice(0, reached).reduce((disk, {effect}) => written(disk, effect), node.disk);
@@ -174,7 +175,7 @@
 		return until();
 	}
 
-	/** The operator's part: takes lost folders out of the voter set and new ones in, one change at a time. */
+	/** Acts as the operator: removes lost folders from the voter set and adds new ones, one change at a time. */
 	repair(): void {
 		const leader = this.leader();
 		if (leader === undefined) {
@@ -192,7 +193,7 @@
 		}
 	}
 
-	/** Whether every folder that the newest voter set names is there, and the set is committed. */
+	/** Whether the newest voter set is committed and includes the current folder of every node. */
 	isWhole(): boolean {
 		const leader = this.leader();
 		const voters = leader === undefined ? [] : voterSetOf(leader.voter!).voters;
@@ -202,7 +203,7 @@
 			&& voters.every(voter => this.node(voter.name).identity.folder === voter.folder);
 	}
 
-	/** Ends all faults, and checks that every voter comes to the same state, with all that was accepted. */
+	/** Ends all faults, and checks that all voters converge to the same state, which includes every accepted proposal. */
 	settle(): void {
 		this.cut.clear();
 		const settled = () => {
@@ -215,11 +216,11 @@
 				&& this.nodes.every(({voter}) => voter !== undefined && committedIndex(voter) === leader.voter!.log.lastIndex);
 		};
 
-		assert.ok(this.run(60_000, calm, settled), 'the voters do not come to rest');
+		assert.ok(this.run(60_000, calm, settled), 'the voters do not converge');
 		for (const node of this.nodes) {
 			assert.deepEqual(node.machine, this.nodes[0]!.machine, 'state machines differ');
 			for (const payload of this.accepted.keys()) {
-				assert.ok(node.machine.includes(payload), `accepted ${payload} is lost on ${node.name}`);
+				assert.ok(node.machine.includes(payload), `accepted proposal ${payload} is lost on ${node.name}`);
 			}
 		}
 	}
@@ -280,7 +281,7 @@
 		}
 	}
 
-	/** Tells senders how their messages ended, unless their process has ended since. */
+	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#report(): void {
 		const isDue = ({at, awaited}: Receipt) => at <= this.now && !this.isFrozen(awaited.node.name);
 		const due = this.#receipts.filter(receipt => isDue(receipt));
--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -1,5 +1,5 @@
 /**
- * Schedules whose voters have a leader, as tests begin with them.
+ * Starts simulations whose voters have elected a leader.
  */
 import assert from 'node:assert/strict';
 import {calm} from './faults.js';
@@ -10,14 +10,14 @@
 /** Five voters. */
 export const names5 = ['a', 'b', 'c', 'd', 'e'];
 
-/** A schedule whose voters have a leader. */
+/** Starts a simulation and runs it until there is a leader with a committed voter set. */
 export function started(seed: number, names: readonly string[]): Schedule {
 	const schedule = new Schedule(seed, names);
 	assert.ok(schedule.run(5000, calm, () => schedule.isWhole()), 'no leader');
 	return schedule;
 }
 
-/** Proposes one entry after the other, and waits until they are accepted. */
+/** Proposes entries one after the other, and waits until they are accepted. */
 export function proposeMany(schedule: Schedule, count: number): void {
 	for (let done = 0; done < count; done++) {
 		schedule.propose(schedule.leader()!);
--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -1,6 +1,6 @@
 /**
- * How often a leader sends an entry to a member that refuses what overtook it,
- * and what else it sends while the entry is under way.
+ * Flow control of replication: how often a leader sends an entry to a member that
+ * rejects messages which overtook it, and what else it sends while the entry is in flight.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -14,16 +14,16 @@
 const heartbeatMilliseconds = 50;
 const electedAt = 1000;
 
-/** A leader whose only other member answers at once, until the entry of a case is proposed. */
+/** A leader whose only other member grants its votes, and confirms appends by itself only during the election. */
 class Leader {
 	state: VoterState = createVoter({
 		self: a, electionMilliseconds: 300, heartbeatMilliseconds, entriesBeforeSnapshot: 100, seed: 1,
 	}, bootstrapCluster(['a', 'b']), 0);
 
 	appends: Array<Extract<ConsensusMessage, {readonly kind: 'appendRequested'}>> = [];
-	/** The numbers of the messages whose end the transport has to tell. */
+	/** The delivery numbers of the messages whose outcome the transport has to report. */
 	deliveries: number[] = [];
-	/** Whether the other member confirms what is appended. */
+	/** Whether the other member confirms appended entries at once. */
 	confirms = true;
 
 	constructor() {
@@ -46,14 +46,14 @@
 		});
 	}
 
-	/** The transport tells the end of the message that it took last. */
+	/** Reports the outcome of the message that was sent last. */
 	end(now: number, arrived: boolean): void {
 		this.step({
 			kind: 'deliveryEnded', now, delivery: this.deliveries.at(-1)!, arrived,
 		});
 	}
 
-	/** How often an entry was sent. */
+	/** The number of times that an entry was sent. */
 	sent(index: number): number {
 		return this.appends.filter(({entries}) => entries.some(entry => entry.index === index)).length;
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-/** What happens after a large entry was sent, and when. */
+/** An event after a large entry was sent; its time is in milliseconds after the election. */
 type Happening = (leader: Leader, index: number) => void;
 
 const refusedAt = (after: number, lacks = 0): Happening => (leader, index) => {
@@ -109,7 +109,7 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly happens: readonly Happening[]; readonly sent: number}> = [
 	{
-		name: 'an entry that is under way is not sent again, however long it takes',
+		name: 'an in-flight entry is not sent again, however long it takes',
 		happens: [heartbeatAt(50), refusedAt(60), heartbeatAt(100), refusedAt(600), heartbeatAt(5000), refusedAt(5060)],
 		sent: 1,
 	},
@@ -119,22 +119,22 @@
 		sent: 2,
 	},
 	{
-		name: 'an entry that was given up is not sent before that, so that a member that is gone costs little',
+		name: 'an entry that was given up is not sent again before that, so that an unreachable member costs little',
 		happens: [endedAt(1, false), heartbeatAt(50), heartbeatAt(100), heartbeatAt(150)],
 		sent: 1,
 	},
 	{
-		name: 'an entry that was given up and had arrived all the same is not sent again',
+		name: 'an entry that was given up but did arrive is not sent again',
 		happens: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, 0)],
 		sent: 1,
 	},
 	{
-		name: 'a refusal of what was sent before an entry had arrived changes nothing',
+		name: 'a rejection of a message that was sent before the entry arrived is ignored',
 		happens: [heartbeatAt(50), endedAt(200, true), refusedAt(210)],
 		sent: 1,
 	},
 	{
-		name: 'an entry that arrived and is refused again afterwards is sent again',
+		name: 'an entry that arrived and is rejected afterwards is sent again',
 		happens: [heartbeatAt(50), endedAt(200, true), heartbeatAt(250), refusedAt(310)],
 		sent: 2,
 	},
@@ -158,13 +158,13 @@
 
 const windows: ReadonlyArray<{readonly name: string; readonly lengths: readonly number[]; readonly sent: readonly number[]; readonly sentAfterArrival: readonly number[]}> = [
 	{
-		name: 'what follows a large entry waits for it, and goes out together', lengths: [1_000_000, 100, 100], sent: [1, 0, 0], sentAfterArrival: [1, 1, 1],
+		name: 'entries after a large one wait for it, and are sent together', lengths: [1_000_000, 100, 100], sent: [1, 0, 0], sentAfterArrival: [1, 1, 1],
 	},
 	{
-		name: 'small entries go out beside each other', lengths: [100, 100, 100], sent: [1, 1, 1], sentAfterArrival: [1, 1, 1],
+		name: 'small entries are in flight concurrently', lengths: [100, 100, 100], sent: [1, 1, 1], sentAfterArrival: [1, 1, 1],
 	},
 	{
-		name: 'a large entry waits for small ones', lengths: [100, 1_000_000], sent: [1, 0], sentAfterArrival: [1, 1],
+		name: 'a large entry waits for small ones in flight', lengths: [100, 1_000_000], sent: [1, 0], sentAfterArrival: [1, 1],
 	},
 ];
 
@@ -185,7 +185,7 @@
 	});
 }
 
-test('delivery: a member that lacks an entry before those under way gets it at once', () => {
+test('delivery: a member that lacks an entry before those in flight is sent it at once', () => {
 	const leader = new Leader();
 	const first = leader.state.log.lastIndex + 1;
 	for (const [request, length] of [['one', 100], ['two', 1_000_000]] as const) {
--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -1,3 +1,6 @@
+/**
+ * The randomized election timeout: voters with similar seeds must not split the votes again and again.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {drawElectionPause} from '@dogwooddeck/consensus/election';
@@ -7,10 +10,10 @@
 const electionMilliseconds = 750;
 const draws = 40;
 
-/** Two voters that begin within a round between regions split the votes. */
+/** Two voters that start elections within a round trip between regions split the votes. */
 const roundMilliseconds = 60;
 
-/** Voters that lose their leader together may split the votes twice in a row, seldom more often. */
+/** Voters that lose their leader at the same time may split the votes twice in a row, rarely more often. */
 const mostSplitsInTurn = 4;
 
 function pauseOf(seed: number, draw: number): number {
@@ -33,20 +36,20 @@
 }
 
 const pairs: ReadonlyArray<{readonly name: string; readonly one: number; readonly other: number}> = [
-	{name: 'seeds that follow each other', one: 1, other: 2},
-	{name: 'seeds a round apart', one: 1000, other: 1750},
-	{name: 'equal seeds but for the highest bit', one: 5, other: 5 + (2 ** 30)},
+	{name: 'consecutive seeds', one: 1, other: 2},
+	{name: 'seeds an election timeout apart', one: 1000, other: 1750},
+	{name: 'seeds that differ only in the highest bit', one: 5, other: 5 + (2 ** 30)},
 	{name: 'seeds that differ by ten', one: 1_789_530_772, other: 1_789_530_782},
-	{name: 'seeds of addresses', one: 912_345_678, other: 1_512_345_660},
+	{name: 'seeds derived from addresses', one: 912_345_678, other: 1_512_345_660},
 ];
 
 for (const {name, one, other} of pairs) {
-	test(`election pause: voters with ${name} do not begin together again and again`, () => {
-		assert.ok(splitsInTurn(one, other) <= mostSplitsInTurn, `${splitsInTurn(one, other)} elections in turn within a round`);
+	test(`election timeout: voters with ${name} do not start elections together again and again`, () => {
+		assert.ok(splitsInTurn(one, other) <= mostSplitsInTurn, `${splitsInTurn(one, other)} consecutive elections within a round trip`);
 	});
 }
 
-test('election pause: pauses fill the span from one election time to two', () => {
+test('election timeout: draws cover the range from one to two times electionMilliseconds', () => {
 	const pauses = Array.from({length: 400}, (_value, draw) => pauseOf(7, draw));
 	assert.ok(Math.min(...pauses) >= electionMilliseconds && Math.min(...pauses) < electionMilliseconds * 1.1);
 	assert.ok(Math.max(...pauses) <= electionMilliseconds * 2 && Math.max(...pauses) > electionMilliseconds * 1.9);
@@ -54,15 +57,15 @@
 
 const starts: ReadonlyArray<{readonly name: string; readonly fields: Partial<ConsensusOptions>; readonly electionBefore: number; readonly helpsAfter: number}> = [
 	{
-		name: 'as any other', fields: {}, electionBefore: electionMilliseconds * 2, helpsAfter: electionMilliseconds,
+		name: 'after the usual timeout', fields: {}, electionBefore: electionMilliseconds * 2, helpsAfter: electionMilliseconds,
 	},
 	{
-		name: 'sooner where that is set', fields: {firstElectionMilliseconds: 100, startSilenceMilliseconds: 0}, electionBefore: 200, helpsAfter: 0,
+		name: 'sooner if the options say so', fields: {firstElectionMilliseconds: 100, startSilenceMilliseconds: 0}, electionBefore: 200, helpsAfter: 0,
 	},
 ];
 
 for (const {name, fields, electionBefore, helpsAfter} of starts) {
-	test(`election pause: the first election after a start comes ${name}`, () => {
+	test(`election timeout: the first election after a start comes ${name}`, () => {
 		const options: ConsensusOptions = {
 			self: {name: 'a', folder: 'f'}, electionMilliseconds, heartbeatMilliseconds: 150, entriesBeforeSnapshot: 100, seed: 3, ...fields,
 		};
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -1,5 +1,6 @@
 /**
- * Voters in scenarios that are played over many seeds.
+ * Fixed scenarios of elections, partitions, voter changes and leadership transfer,
+ * each simulated with several seeds.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -17,7 +18,7 @@
 
 const scenarios: ReadonlyArray<{readonly name: string; readonly play: (seed: number) => void}> = [
 	{
-		name: 'a single voter leads, accepts and answers reads',
+		name: 'a single voter becomes leader, accepts proposals and answers reads',
 		play(seed) {
 			const schedule = started(seed, ['a']);
 			proposeMany(schedule, 100);
@@ -27,7 +28,7 @@
 		},
 	},
 	{
-		name: 'a leader that is cut off silently steps down, answers no read and accepts nothing',
+		name: 'a partitioned leader steps down, answers no read and accepts no proposal',
 		play(seed) {
 			const schedule = started(seed, names3);
 			const old = schedule.leader()!;
@@ -48,7 +49,7 @@
 		},
 	},
 	{
-		name: 'a voter that returns after hundreds of entries gets a snapshot and the tail',
+		name: 'a voter that restarts hundreds of entries behind receives a snapshot and the later entries',
 		play(seed) {
 			const schedule = started(seed, names3);
 			const away = schedule.nodes.find(node => node !== schedule.leader())!;
@@ -60,7 +61,7 @@
 		},
 	},
 	{
-		name: 'a lost folder is another voter, and a second loss right after the repair loses nothing',
+		name: 'a new folder counts as another voter, and a second lost folder right after the repair loses no entry',
 		play(seed) {
 			const schedule = started(seed, names3);
 			proposeMany(schedule, 60);
@@ -79,7 +80,7 @@
 		},
 	},
 	{
-		name: 'voters change one at a time, and learners only when they have caught up',
+		name: 'voters change one at a time, and learners become voters only after they have caught up',
 		play(seed) {
 			const schedule = started(seed, names5);
 			const leader = schedule.leader()!;
@@ -102,7 +103,7 @@
 		},
 	},
 	{
-		name: 'a voter that was cut off for long returns without an election',
+		name: 'a voter that was partitioned for a long time returns without causing an election',
 		play(seed) {
 			const schedule = started(seed, names3);
 			const leader = schedule.leader()!;
@@ -115,7 +116,7 @@
 		},
 	},
 	{
-		name: 'a leader that was frozen answers no read from before',
+		name: 'a leader that was paused answers no read after another was elected',
 		play(seed) {
 			const schedule = started(seed, names3);
 			proposeMany(schedule, 5);
@@ -130,7 +131,7 @@
 		},
 	},
 	{
-		name: 'a voter votes for a log as new as its own, a learner only for a newer one',
+		name: 'a voter votes for a log at least as recent as its own, a learner only for a newer one',
 		play(seed) {
 			const schedule = started(seed, names3);
 			schedule.settle();
@@ -162,7 +163,7 @@
 		},
 	},
 	{
-		name: 'leadership is handed over at once',
+		name: 'a leadership transfer takes less than an election timeout',
 		play(seed) {
 			const schedule = started(seed, names3);
 			proposeMany(schedule, 5);
@@ -175,7 +176,7 @@
 		},
 	},
 	{
-		name: 'a hand-over that does not come about ends leadership all the same',
+		name: 'a leader whose leadership transfer fails steps down all the same',
 		play(seed) {
 			const schedule = started(seed, names3);
 			schedule.settle();
@@ -188,7 +189,7 @@
 		},
 	},
 	{
-		name: 'envelopes that are foreign or malformed change nothing',
+		name: 'misaddressed and malformed envelopes are ignored',
 		play(seed) {
 			const schedule = started(seed, names3);
 			const node = schedule.leader()!;
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -1,5 +1,5 @@
 /**
- * Voters under random mixes of faults.
+ * Simulations of voters under random mixes of faults.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -19,12 +19,12 @@
 		},
 	},
 	{
-		name: 'crashes and cuts', names: names3, faults: {
+		name: 'crashes and partitions', names: names3, faults: {
 			...calm, loss: 50, duplication: 50, longDelay: 20, crash: 8, cut: 6, proposals: 200,
 		},
 	},
 	{
-		name: 'crashes and cuts of five', names: names5, faults: {
+		name: 'crashes and partitions of five voters', names: names5, faults: {
 			...calm, loss: 50, longDelay: 20, crash: 12, cut: 8, proposals: 200,
 		},
 	},
@@ -34,7 +34,7 @@
 		},
 	},
 	{
-		name: 'links that are cut in one direction or both',
+		name: 'links that are partitioned in one direction or both',
 		names: names3,
 		faults: {
 			...calm, loss: 20, longDelay: 20, crash: 1, link: 10, proposals: 10,
@@ -48,7 +48,7 @@
 		},
 	},
 	{
-		name: 'frozen processes and hand-overs',
+		name: 'paused processes and leadership transfers',
 		names: names3,
 		faults: {
 			...calm, loss: 50, duplication: 50, longDelay: 50, pause: 10, handOver: 5, proposals: 200,
--- a/packages/consensus/test/test-voter.ts
+++ b/packages/consensus/test/test-voter.ts
@@ -1,5 +1,6 @@
 /**
- * What a follower sends, step by step, where random schedules seldom come by.
+ * The messages that a follower sends, step by step, in cases that random schedules
+ * rarely reach.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -47,12 +48,12 @@
 		expected: [{kind: 'appendAnswered', accepted: true, index: 3}],
 	},
 	{
-		name: 'a vote goes out once it is synced',
+		name: 'a vote is sent once it is synced',
 		events: [received(1000, c, voteOfTerm3), persisted(1001, 1)],
 		expected: [{kind: 'voteAnswered', term: 3, granted: true}],
 	},
 	{
-		name: 'entries that take the place of synced ones are not confirmed with them',
+		name: 'a replaced entry that was synced does not confirm the unsynced one in its place',
 		events: [
 			received(1, b, append(2, 1, 1, [2, 2, 2])),
 			received(1000, c, voteOfTerm3),
@@ -63,7 +64,7 @@
 		expected: [{kind: 'appendAnswered', accepted: true, index: 1}],
 	},
 	{
-		name: 'a voter that hears its leader gives no vote, in its own term either',
+		name: 'a voter in contact with its leader grants no vote, even in its own term',
 		events: [
 			received(1000, b, append(2, 1, 1, [])),
 			received(1001, c, {kind: 'preVoteAnswered', term: 3, granted: false}),
@@ -74,7 +75,7 @@
 		expected: [],
 	},
 	{
-		name: 'a snapshot that is behind confirms no more than it holds',
+		name: 'a snapshot behind the local log confirms only the entries that it covers',
 		events: [
 			received(1, b, append(2, 1, 1, [2, 2], 1)),
 			received(1000, c, snapshotOfTerm3),
@@ -84,12 +85,12 @@
 		expected: [{kind: 'appendAnswered', accepted: true, index: 1}],
 	},
 	{
-		name: 'an old leader learns the later term',
+		name: 'a stale leader is sent the later term',
 		events: [received(1, c, append(3, 1, 1, [])), persisted(2, 1), received(3, b, append(2, 1, 1, []))],
 		expected: [{kind: 'appendAnswered', term: 3, accepted: false}],
 	},
 	{
-		name: 'an invitation of another than the leader is ignored',
+		name: 'an election invitation from a voter that is not the leader is ignored',
 		events: [received(1, c, append(3, 1, 1, [])), persisted(2, 1), received(3, b, {kind: 'electionInvited', term: 3})],
 		expected: [],
 	},
