--- a/packages/replica/src/delivery-timeout.ts
+++ b/packages/replica/src/delivery-timeout.ts
@@ -1,16 +1,16 @@
 /**
- * How long a message of the replicated log may take.
+ * The timeout for sending a message of the replicated log.
  */
 import {type ConsensusMessage, messageCharacters} from '@dogwooddeck/consensus/message';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** For a message that carries nothing: a later one has replaced it by then. */
+/** The timeout of a message without content: a later one has replaced it by then. */
 const leastMilliseconds: Milliseconds = 1000;
 
-/** A small part of a link between regions (3,750), which requests, streams and other members share. */
+/** A small part of the capacity of a link between regions (3,750), which requests, streams and other members share. */
 const slowestCharactersPerMillisecond = 100;
 
-/** After this long a message is given up. A peer that is not there ends it sooner, by its connection. */
+/** The time after which a message is given up. If the peer is down, the connection fails sooner. */
 export function deliveryTimeout(message: ConsensusMessage): Milliseconds {
 	return leastMilliseconds + Math.ceil(messageCharacters(message) / slowestCharactersPerMillisecond);
 }
--- a/packages/replica/src/lag-watch.ts
+++ b/packages/replica/src/lag-watch.ts
@@ -1,29 +1,29 @@
 /**
- * Tells once when a copy of the replicated state falls behind, and once when it
- * has caught up.
+ * Logs when a copy of the replicated state falls behind and when it has caught up,
+ * once each time.
  */
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Fields, type Log} from '@dogwooddeck/telemetry/log';
 import {type Lag, lagMilliseconds, noteLag} from './lag.js';
 
-/** A copy is reported as behind after this long: several heartbeats and a round between regions. */
+/** A copy is reported as lagging after this long: several heartbeats and a round trip between regions. */
 export const reportedLagMilliseconds: Milliseconds = 1000;
 
-/** Watches one copy. It is updated in place. */
+/** Monitors the replica lag of one copy. Mutable. */
 export class LagWatch {
 	readonly #log: Log;
 	readonly #fields: Fields;
 	#lag: Lag | undefined;
 	#isReported = false;
 
-	/** `fields` say whose copy it is. */
+	/** `fields` identify the copy in the log events. */
 	constructor(log: Log, fields: Fields = {}) {
 		this.#log = log;
 		this.#fields = fields;
 	}
 
-	/** Takes in how far the copy is; gives for how long it has lacked something. */
+	/** Records the applied and committed indexes; returns for how long the copy has been lagging. */
 	note(applied: LogIndex, committed: LogIndex, now: MonotonicTime): Milliseconds {
 		const behindFor = lagMilliseconds(this.#lag, now);
 		this.#lag = noteLag(this.#lag, {applied, committed}, now);
--- a/packages/replica/src/lag.ts
+++ b/packages/replica/src/lag.ts
@@ -1,19 +1,19 @@
 /**
- * For how long a copy of the replicated state has lacked something that is
- * committed. A copy that follows at a distance is behind all the time, so the
- * number of missing entries says little.
+ * Replica lag: for how long a copy of the replicated state has lacked a committed
+ * entry. It is measured in time because a copy in another region always lacks the
+ * newest entries, so their number says little.
  */
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** What a copy lacks. Undefined in its place: nothing that is known of. */
+/** What a copy lacks. Undefined in its place: no committed entry, as far as is known. */
 export type Lag = {
-	/** The copy lacks entries up to this one, at least. */
+	/** The copy has not applied the entries up to this index. */
 	readonly target: LogIndex;
-	/** Since when it has been known to be committed. */
+	/** When that index was first known to be committed. */
 	readonly since: MonotonicTime;
 };
 
-/** What a copy lacks after it was seen to have applied entries up to one index, while those up to another were committed. */
+/** Updates the lag of a copy from its applied index and the index that is known to be committed. */
 export function noteLag(lag: Lag | undefined, {applied, committed}: {readonly applied: LogIndex; readonly committed: LogIndex}, now: MonotonicTime): Lag | undefined {
 	if (applied >= committed) {
 		return undefined;
@@ -22,7 +22,7 @@
 	return lag === undefined || applied >= lag.target ? {target: committed, since: now} : lag;
 }
 
-/** For how long the copy has lacked something. */
+/** For how long the copy has lacked a committed entry. */
 export function lagMilliseconds(lag: Lag | undefined, now: MonotonicTime): Milliseconds {
 	return lag === undefined ? 0 : now - lag.since;
 }
--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -1,14 +1,14 @@
 /**
- * Holds the replicated state of this process. Entries are applied in order, each
- * once, whether they come from the log or from another instance, and the state
- * never goes backwards.
+ * Holds this process's copy of the replicated state. Entries are applied in order and
+ * exactly once, whether they come from the log or from another instance, and the state
+ * never goes back to an earlier index.
  */
 import {type CatchUp, type CommittedEntry} from '@dogwooddeck/model/catch-up';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {type Result} from 'true-myth/result';
 
-/** A state machine that the log drives. All of its functions are pure. */
+/** A state machine that is driven by the replicated log. All of its functions are pure. */
 export type ReplicatedMachine<State extends {readonly applied: LogIndex}, Accepted> = {
 	readonly empty: State;
 	readonly apply: (state: State, payload: string, index: LogIndex) => AppliedEntry<State, Accepted>;
@@ -16,35 +16,35 @@
 	readonly decode: (data: string) => Result<State, Failure>;
 };
 
-/** The state after an entry, and the answers to its commands. */
+/** The state after an entry is applied, and the results of its commands. */
 export type AppliedEntry<State, Accepted> = {
 	readonly state: State;
 	readonly answers: ReadonlyArray<Result<Accepted, Failure>>;
 };
 
-/** The replicated state of this process. */
+/** This process's copy of the replicated state. */
 export type StateHolder<State, Accepted> = {
 	readonly state: () => State;
-	/** Applies a committed entry. Undefined: it was applied before, or one before it is missing. */
+	/** Applies a committed entry. Returns undefined if it was applied before, or if an earlier entry is missing. */
 	readonly apply: (index: LogIndex, payload: string) => ReadonlyArray<Result<Accepted, Failure>> | undefined;
-	/** Takes a whole state if it is newer. */
+	/** Replaces the state by a full state if that is newer; returns whether it did. Fails if the data can't be decoded. */
 	readonly restore: (index: LogIndex, data: string) => Result<boolean, Failure>;
-	/** Whether a whole state can be read. */
+	/** Whether a full state can be decoded. */
 	readonly isReadable: (data: string) => boolean;
-	/** Takes what another instance sent. Listeners hear of all its entries at once. */
+	/** Applies the state and entries that another instance sent. Listeners are notified once for all the entries. */
 	readonly catchUp: (received: CatchUp) => void;
-	/** What an instance that has applied up to an index lacks. */
+	/** Returns what an instance that has applied entries up to an index lacks: entries, or the full state. */
 	readonly after: (applied: LogIndex) => CatchUp;
 	readonly listen: (listener: (state: State) => void) => void;
 };
 
-/** Entries that are kept to bring other instances up to date; one that lacks more gets the whole state. */
+/** The number of recent entries that are kept for other instances to catch up; one that lacks more is sent the full state. */
 export const keptEntries = 2048;
 
-/** The payload of an entry that carries no commands. */
+/** The payload of an entry without commands. */
 export const emptyPayload = '[]';
 
-/** Makes a holder of a machine's empty state. */
+/** Creates a holder of a machine's empty state. */
 export function createStateHolder<State extends {readonly applied: LogIndex}, Accepted>(machine: ReplicatedMachine<State, Accepted>): StateHolder<State, Accepted> {
 	let state = machine.empty;
 	let recent: CommittedEntry[] = [];
--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -1,31 +1,31 @@
 /**
- * Who should vote: keeps the number of voters, and replaces voters that are
- * lost, one step of the voter set at a time. The leader asks after each sighting.
+ * Succession of voters: keeps the target number of voters and replaces lost ones, one
+ * voter change at a time. The leader evaluates it after each observation.
  */
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
 import {includesVoter, sameVoter} from '@dogwooddeck/consensus/voter-set';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** When a control instance was last heard by the leader. */
+/** The leader's last contact with a control instance. */
 export type VoterObservation = {readonly voter: VoterIdentity; readonly heardAt: MonotonicTime};
 
-/** What the decision is made of. */
+/** The inputs of the decision. */
 export type SuccessionInput = {
 	readonly now: MonotonicTime;
 	readonly self: VoterIdentity;
 	readonly voterSet: VoterSet;
 	readonly sightings: readonly VoterObservation[];
-	/** How many should vote: twice the losses to be borne, and one. */
+	/** The target number of voters: twice the number of losses to be tolerated, plus one. */
 	readonly wantedVoters: number;
 };
 
-/** A standby takes part only if it was heard this recently. */
+/** A standby is considered only if it had contact with the leader this recently. */
 export const presentMilliseconds: Milliseconds = 2500;
 
-/** A voter is replaced after this much silence, if a standby is present: longer than a short network partition. */
+/** A voter without contact for this long is replaced if a standby is present: longer than a short network partition. */
 export const lostVoterMilliseconds: Milliseconds = 7000;
 
-/** A learner is forgotten after this much silence. */
+/** A learner without contact for this long is removed. */
 export const lostLearnerMilliseconds: Milliseconds = 20_000;
 
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
@@ -34,7 +34,7 @@
 	return sightings.find(sighting => sameVoter(sighting.voter, voter))?.heardAt ?? -Infinity;
 }
 
-/** A voter's folder is gone for good once its instance is seen with another one. */
+/** A voter's folder is lost for good once its instance is observed with another one. */
 function isReplaced({sightings}: SuccessionInput, voter: VoterIdentity): boolean {
 	const others = sightings.filter(sighting => sighting.voter.name === voter.name);
 	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.heardAt > found.heardAt ? one : found, undefined);
@@ -64,7 +64,7 @@
 		: {voters: [...voterSet.voters, standby], learners: voterSet.learners.filter(learner => !sameVoter(learner, standby))};
 }
 
-/** A lost voter goes once enough others vote, or once only its own instance could take its place. */
+/** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
 function dropLost(input: SuccessionInput, {lost}: Standing): VoterSet | undefined {
 	const {voterSet, wantedVoters} = input;
 	const gone = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
@@ -84,7 +84,7 @@
 	return gone === undefined ? undefined : {voters: voterSet.voters, learners: voterSet.learners.filter(learner => !sameVoter(learner, gone))};
 }
 
-/** The next voter set, or undefined where the present one should stay. */
+/** The next voter set, or undefined if the current one should stay. */
 export function nextVoterSet(input: SuccessionInput): VoterSet | undefined {
 	const standing = standingOf(input);
 	return addLearner(input, standing)
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a voter of the replicated log: feeds what arrives to its state machine
- * and carries out the effects, by a lookup table.
+ * Runs a voter of the replicated log: passes messages, requests and timer ticks to its
+ * state machine, and carries out the effects by a lookup table.
  */
 import {voterDueAt} from '@dogwooddeck/consensus/due';
 import {
@@ -25,67 +25,67 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {emptyPayload, type StateHolder} from './state-holder.js';
 
-/** A command's place in the log and its answer. */
+/** The log index of a committed entry, and the results of its commands. */
 export type Committed<Accepted> = {readonly index: LogIndex; readonly answers: ReadonlyArray<Result<Accepted, Failure>>};
 
-/** A voter that runs. */
+/** A running voter. */
 export type VoterRunner<Accepted> = {
-	/** Takes a message of another voter. Fails with `notFound` if it is for another folder, and with `malformed`. */
+	/** Handles a message of another voter. Fails with `notFound` if it is for another folder, and with `malformed` if it is invalid. */
 	readonly receive: (envelope: ConsensusEnvelope) => Result<undefined, Failure>;
-	/** Ends when the payload is committed and applied here, or refused. */
+	/** Resolves when the payload is committed and applied here, or rejected. */
 	readonly propose: (payload: string) => Promise<Result<Committed<Accepted>, Failure>>;
-	/** Ends when all that was accepted before the call is applied here. */
+	/** Resolves when all entries that were accepted before the call are applied here. */
 	readonly read: () => Promise<Result<LogIndex, Failure>>;
 	readonly changeVoters: (voterSet: VoterSet) => Promise<Result<LogIndex, Failure>>;
-	/** Passes leadership on. */
+	/** Starts a leadership transfer. */
 	readonly handOver: () => void;
 	readonly isLeader: () => boolean;
 	readonly leader: () => InstanceName | undefined;
-	/** When a majority was last heard, if this voter leads. */
+	/** The last contact with a majority, if this voter is the leader. */
 	readonly quorumHeardAt: (now: MonotonicTime) => MonotonicTime | undefined;
-	/** When a leader was last heard by this voter. */
+	/** This voter's last contact with a leader. */
 	readonly leaderHeardAt: () => MonotonicTime;
 	readonly voterSet: () => VoterSet;
 	readonly committed: () => LogIndex;
 	/** The highest index that is known to be committed, whether its entry has arrived here or not. */
 	readonly knownCommitted: () => LogIndex;
-	/** How far the other members are, if this voter leads. */
+	/** The replication positions of the other members, if this voter is the leader. */
 	readonly memberPositions: () => readonly MemberPosition[];
 	readonly stop: () => Promise<void>;
 };
 
-/** What a voter runs on. */
+/** What a voter needs from its process. */
 export type VoterSurroundings<State, Accepted> = {
 	readonly options: ConsensusOptions;
 	readonly saved: SavedState;
 	readonly storage: Storage;
 	readonly holder: StateHolder<State, Accepted>;
 	readonly log: Log;
-	/** Ends when the message has arrived, or has been given up: see `deliveryTimeout`. */
+	/** Resolves when the message has arrived or has been given up: see `deliveryTimeout`. */
 	readonly send: (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>>;
 	readonly roleChanged: (role: Role) => void;
-	/** The durable state can't be written: the process has to end. */
+	/** Called when the durable state can't be written: the process has to exit. */
 	readonly failed: (failed: Failure) => void;
 };
 
 type Settle<Accepted> = (result: Result<Committed<Accepted>, Failure>) => void;
 type Waiting<Accepted> = {readonly term: number; readonly settle: Settle<Accepted>};
 
-const unknownOutcome = failure(FailureKind.outcomeUnknown, 'another leader took over before the change was known to be accepted');
+const unknownOutcome = failure(FailureKind.outcomeUnknown, 'another leader was elected before the change was known to be accepted');
 
-/** A snapshot that can't be read must not take the place of the state on disk. */
+/** A snapshot that can't be decoded must not replace the state on disk. */
 function hasReadableSnapshot({message}: ConsensusEnvelope, isReadable: (data: string) => boolean): boolean {
 	return message.kind !== 'snapshotSent' || isReadable(message.snapshot.data);
 }
 
 function checkEnvelope(envelope: ConsensusEnvelope, self: VoterIdentity, isReadable: (data: string) => boolean): Result<undefined, Failure> {
 	if (!sameVoter(envelope.to, self)) {
-		return err(failure(FailureKind.notFound, `the message is for the folder ${envelope.to.folder} of ${envelope.to.name}, which is not here`));
+		return err(failure(FailureKind.notFound, `the message is for the folder ${envelope.to.folder} of ${envelope.to.name}, which this instance doesn't have`));
 	}
 
 	return isSound(envelope, self) && hasReadableSnapshot(envelope, isReadable)
 		? ok(undefined)
-		: err(failure(FailureKind.malformed, `a message of kind ${envelope.message.kind} does not agree with itself`));
+		: err(failure(FailureKind.malformed, `a message of kind ${envelope.message.kind} is invalid`));
 }
 
 /** Starts a voter. */
--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -1,3 +1,6 @@
+/**
+ * Replica lag: which copies are reported as lagging, and for how long.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {EventName} from '@dogwooddeck/telemetry/event';
@@ -8,25 +11,25 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly looks: readonly Look[]; readonly told: readonly string[]; readonly behindFor: number}> = [
 	{
-		name: 'a copy that has everything',
+		name: 'a copy that is up to date',
 		looks: [{now: 0, applied: 5, committed: 5}, {now: 5000, applied: 7, committed: 7}],
 		told: [],
 		behindFor: 0,
 	},
 	{
-		name: 'a copy that follows at a distance, however long',
+		name: 'a copy that always lacks the newest entries but keeps up',
 		looks: [{now: 0, applied: 5, committed: 8}, {now: 800, applied: 8, committed: 11}, {now: 1600, applied: 11, committed: 14}],
 		told: [],
 		behindFor: 0,
 	},
 	{
-		name: 'a copy that stands still',
+		name: 'a copy that falls behind',
 		looks: [{now: 0, applied: 5, committed: 8}, {now: 1000, applied: 5, committed: 9}, {now: 4000, applied: 6, committed: 12}],
 		told: [EventName.replicaBehind],
 		behindFor: 4000,
 	},
 	{
-		name: 'a copy that stood still and went on',
+		name: 'a copy that fell behind and caught up',
 		looks: [{now: 0, applied: 5, committed: 8}, {now: 3000, applied: 7, committed: 9}, {now: 3200, applied: 9, committed: 9}],
 		told: [EventName.replicaBehind, EventName.replicaCaughtUp],
 		behindFor: 0,
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -1,6 +1,6 @@
 /**
- * Voters of two regions: what crosses between them shares a slow link, on which
- * a call is given up when its deadline passes.
+ * Voters in two regions: the messages between them share a slow link, on which a call
+ * is given up when its deadline passes. Committed changes must reach the far region in time.
  */
 import assert from 'node:assert/strict';
 import {test, type TestContext} from 'node:test';
@@ -31,9 +31,9 @@
 
 const names = ['near', 'leader', 'far'];
 const stepMilliseconds = 5;
-/** One way, between the regions. */
+/** One-way delay between the regions. */
 const delayMilliseconds = 30;
-/** The head of a message and what carries it. */
+/** The overhead of a message: its header and transport framing. */
 const leastCharacters = 300;
 
 type Transfer = {
@@ -45,9 +45,9 @@
 
 const givenUp = failure(FailureKind.unreachable, 'the deadline has passed');
 
-/** A link whose transfers share what it carries. */
+/** A link whose concurrent transfers share its bandwidth. */
 class SlowLink {
-	/** All characters that were handed to the link. */
+	/** The total number of characters that were passed to the link. */
 	handedOver = 0;
 	#transfers: Transfer[] = [];
 
@@ -63,7 +63,7 @@
 		});
 	}
 
-	/** Lets time pass; gives what has arrived. */
+	/** Advances the time by one step; returns the transfers that have completed. */
 	advance(now: number): readonly Transfer[] {
 		let room = stepMilliseconds * this.charactersPerMillisecond;
 		let open = this.#transfers;
@@ -98,7 +98,7 @@
 	readonly stop: () => Promise<void>;
 };
 
-/** Three voters; `far` stands behind the link. */
+/** Starts three voters; `far` is on the other side of the link. */
 function startRegions(context: TestContext, charactersPerMillisecond: number): Region {
 	let now = 1000;
 	context.mock.timers.enable({apis: ['setTimeout', 'setInterval']});
@@ -126,7 +126,7 @@
 				self: {name, folder: founderFolder},
 				electionMilliseconds: 750,
 				heartbeatMilliseconds: 150,
-				// The near voters stand first, so that one of them leads.
+				// The near voters start elections first, so that one of them becomes leader.
 				firstElectionMilliseconds: name === 'far' ? 5000 : 250,
 				startSilenceMilliseconds: 0,
 				entriesBeforeSnapshot: 1000,
@@ -194,7 +194,7 @@
 	};
 }
 
-/** A change has to be in force everywhere this long after it was acknowledged. */
+/** A change has to be applied everywhere this long after it was acknowledged. */
 const inForceMilliseconds = 2500;
 
 const cases: ReadonlyArray<{readonly name: string; readonly charactersPerMillisecond: number; readonly largeCharacters: number; readonly smallCharacters: number}> = [
@@ -205,7 +205,7 @@
 		name: 'a large change and small ones after it', charactersPerMillisecond: 500, largeCharacters: 300_000, smallCharacters: 2000,
 	},
 	{
-		name: 'a change that takes longer than a small message may', charactersPerMillisecond: 250, largeCharacters: 300_000, smallCharacters: 2000,
+		name: 'a change that takes longer than the timeout of a small message', charactersPerMillisecond: 250, largeCharacters: 300_000, smallCharacters: 2000,
 	},
 ];
 
@@ -214,7 +214,7 @@
 		const regions = startRegions(context, charactersPerMillisecond);
 		await regions.run(3000);
 		const leading = regions.leader()!;
-		/** The index that the leader had committed by each time. */
+		/** The leader's commit index over time. */
 		const committed: Array<{readonly at: number; readonly index: number}> = [];
 		let proposed = 0;
 		let latest = 0;
@@ -230,7 +230,7 @@
 			assert.ok(regions.applied('far') >= due, `far has applied ${regions.applied('far')}, and ${due} was committed ${inForceMilliseconds} ms ago`);
 		});
 		assert.equal(regions.applied('far'), leading.committed());
-		assert.ok(regions.link.handedOver < 2 * (largeCharacters + (12 * smallCharacters) + (leastCharacters * 400)), `${regions.link.handedOver} characters were handed to the link`);
+		assert.ok(regions.link.handedOver < 2 * (largeCharacters + (12 * smallCharacters) + (leastCharacters * 400)), `${regions.link.handedOver} characters were passed to the link`);
 		await regions.stop();
 	});
 }
--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -1,3 +1,6 @@
+/**
+ * Catching up from another instance: entries are applied in order and once, and listeners are notified once for a batch.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type CatchUp} from '@dogwooddeck/model/catch-up';
@@ -17,19 +20,19 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly received: readonly CatchUp[]; readonly words: readonly string[]; readonly told: number}> = [
 	{
-		name: 'many entries are told at once', received: [{entries: [{index: 1, payload: 'a'}, {index: 2, payload: 'b'}, {index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 1,
+		name: 'several entries are announced to listeners at once', received: [{entries: [{index: 1, payload: 'a'}, {index: 2, payload: 'b'}, {index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 1,
 	},
 	{
-		name: 'entries that are known are told to nobody', received: [{entries: [{index: 1, payload: 'a'}]}, {entries: [{index: 1, payload: 'other'}]}], words: ['a'], told: 1,
+		name: 'entries that were applied before are not announced', received: [{entries: [{index: 1, payload: 'a'}]}, {entries: [{index: 1, payload: 'other'}]}], words: ['a'], told: 1,
 	},
 	{
-		name: 'entries after a gap wait', received: [{entries: [{index: 2, payload: 'b'}]}], words: [], told: 0,
+		name: 'entries after a gap are not applied', received: [{entries: [{index: 2, payload: 'b'}]}], words: [], told: 0,
 	},
 	{
-		name: 'a whole state and what follows it', received: [{state: whole, entries: [{index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 2,
+		name: 'a full state and the entries after it', received: [{state: whole, entries: [{index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 2,
 	},
 	{
-		name: 'an older whole state changes nothing', received: [{state: whole, entries: [{index: 3, payload: 'c'}]}, {state: whole, entries: []}], words: ['a', 'b', 'c'], told: 2,
+		name: 'an older full state is ignored', received: [{state: whole, entries: [{index: 3, payload: 'c'}]}, {state: whole, entries: []}], words: ['a', 'b', 'c'], told: 2,
 	},
 ];
 
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -1,3 +1,6 @@
+/**
+ * Succession of voters: which voter change follows from the leader's observations.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
@@ -21,34 +24,34 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly sightings: readonly VoterObservation[]; readonly next: VoterSet | undefined}> = [
 	{
-		name: 'nothing to do', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: undefined,
+		name: 'no change is needed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: undefined,
 	},
 	{
 		name: 'a newcomer becomes a learner', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: {voters: [one, two, three], learners: [four]},
 	},
 	{
-		name: 'a short silence replaces nobody', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, lostVoterMilliseconds - 1), seen(three), seen(four)], next: undefined,
+		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, lostVoterMilliseconds - 1), seen(three), seen(four)], next: undefined,
 	},
 	{
-		name: 'a long silence brings the standby in first', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: []},
+		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: []},
 	},
 	{
-		name: 'and then lets the lost one go', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, three, four], learners: []},
+		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, three, four], learners: []},
 	},
 	{
-		name: 'without a standby the lost one stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three)], next: undefined,
+		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three)], next: undefined,
 	},
 	{
-		name: 'a lost disk is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: [renewed]},
+		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: [renewed]},
 	},
 	{
-		name: 'without a standby its own instance takes its place, after the old one has gone', voterSet: {voters: [one, two, three], learners: [renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three)], next: {voters: [one, three], learners: [renewed]},
+		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three)], next: {voters: [one, three], learners: [renewed]},
 	},
 	{
-		name: 'and then votes', voterSet: {voters: [one, three], learners: [renewed]}, sightings: [seen(one), seen(renewed), seen(three)], next: {voters: [one, three, renewed], learners: []},
+		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [renewed]}, sightings: [seen(one), seen(renewed), seen(three)], next: {voters: [one, three, renewed], learners: []},
 	},
 	{
-		name: 'a learner that is gone is forgotten', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four, lostLearnerMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
+		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four, lostLearnerMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
 	},
 ];
 
