--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -63,7 +63,7 @@
 export type PendingProposal = {readonly request: string; readonly index: LogIndex};
 
 /** A leadership transfer in progress. */
-export type HandOver = {readonly successor: VoterIdentity; readonly startedAt: MonotonicTime};
+export type LeadershipTransfer = {readonly successor: VoterIdentity; readonly startedAt: MonotonicTime};
 
 /** State that only a leader has. */
 export type Leadership = {
@@ -77,7 +77,7 @@
 	readonly heartbeatAt: MonotonicTime;
 	readonly reads: readonly PendingRead[];
 	readonly proposals: readonly PendingProposal[];
-	readonly handOver: HandOver | undefined;
+	readonly handOver: LeadershipTransfer | undefined;
 };
 
 /** The state of one voter. */
