--- a/packages/consensus/src/due.ts
+++ b/packages/consensus/src/due.ts
@@ -30,7 +30,7 @@
 export function leadershipEndsAt(state: VoterState, leadership: Leadership): MonotonicTime {
 	const {electionMilliseconds} = state.options;
 	const heardAt = isAlone(state) ? Infinity : roundContactAt(state, leadership);
-	return Math.min(heardAt, leadership.handOver?.startedAt ?? Infinity) + electionMilliseconds;
+	return Math.min(heardAt, leadership.transfer?.startedAt ?? Infinity) + electionMilliseconds;
 }
 
 function leaderDueAt(state: VoterState): MonotonicTime {
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -80,7 +80,7 @@
 			heartbeatAt: now,
 			reads: [],
 			proposals: [],
-			handOver: undefined,
+			transfer: undefined,
 		},
 	});
 	return startRound(appendOwn(started, {kind: 'leaderStarted'}));
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -47,7 +47,7 @@
  */
 export function quorumContactAt(state: VoterState, now: MonotonicTime): MonotonicTime | undefined {
 	const {leadership, options} = state;
-	if (leadership === undefined || leadership.handOver !== undefined || !ownTermCommitted(state)) {
+	if (leadership === undefined || leadership.transfer !== undefined || !ownTermCommitted(state)) {
 		return undefined;
 	}
 
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -278,7 +278,7 @@
 /** Invites the successor in a leadership transfer to start its election, once it has the whole log. */
 export function inviteSuccessor(draft: Draft): Draft {
 	const {leadership, log, hardState} = draft.state;
-	const successor = leadership?.handOver?.successor;
+	const successor = leadership?.transfer?.successor;
 	const progress = successor === undefined ? undefined : progressOf(draft, successor);
 	return progress?.match === log.lastIndex
 		? sendNow(draft, progress.peer, {kind: 'electionInvited', term: hardState.term})
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -28,7 +28,7 @@
 }
 
 function passingOn(leadership: Leadership): Failure | undefined {
-	const {handOver} = leadership;
+	const {transfer: handOver} = leadership;
 	return handOver === undefined
 		? undefined
 		: failure(FailureKind.notLeader, 'A leadership transfer is in progress.', {leader: handOver.successor.name});
@@ -124,7 +124,7 @@
 		.filter(one => includesVoter(voters, one.peer))
 		.sort((one, other) => other.match - one.match || other.answeredRound - one.answeredRound);
 	const successor = candidates[0]?.peer;
-	return successor === undefined || leadership?.handOver !== undefined
+	return successor === undefined || leadership?.transfer !== undefined
 		? draft
-		: inviteSuccessor(broadcast(changeLeadership(draft, {handOver: {successor, startedAt: draft.now}})));
+		: inviteSuccessor(broadcast(changeLeadership(draft, {transfer: {successor, startedAt: draft.now}})));
 }
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -77,7 +77,7 @@
 	readonly heartbeatAt: MonotonicTime;
 	readonly reads: readonly PendingRead[];
 	readonly proposals: readonly PendingProposal[];
-	readonly handOver: LeadershipTransfer | undefined;
+	readonly transfer: LeadershipTransfer | undefined;
 };
 
 /** The state of one voter. */
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -182,7 +182,7 @@
 			schedule.settle();
 			const old = schedule.leader()!;
 			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
-			schedule.cut.add(old.voter!.leadership!.handOver!.successor.name);
+			schedule.cut.add(old.voter!.leadership!.transfer!.successor.name);
 			schedule.run(options.electionMilliseconds + 50);
 			assert.notEqual(roleOf(old.voter!), Role.leader);
 			schedule.settle();
