--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -118,7 +118,7 @@
 		nextTicket: ticket + 1,
 		hardStateTicket: unsaved.hardState ? ticket : disk.hardStateTicket,
 		writes: [...disk.writes, {
-			ticket, first, last: log.lastIndex, held,
+			ticket, first, last: log.lastIndex, deferred: held,
 		}],
 	};
 	const effect: ConsensusEffect = {
@@ -139,7 +139,7 @@
 		return {...ask(draft, ...sends), held: []};
 	}
 
-	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.held, ...draft.held]}];
+	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.held]}];
 	return {...change(draft, {disk: {...disk, writes}}), held: []};
 }
 
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -17,7 +17,7 @@
 	readonly first: LogIndex;
 	/** The last index of the log after the write. */
 	readonly last: LogIndex;
-	readonly held: readonly ConsensusEnvelope[];
+	readonly deferred: readonly ConsensusEnvelope[];
 };
 
 /** The progress of writes to the disk. */
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -81,7 +81,7 @@
 			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, reached), persistedTicket: Math.max(disk.persistedTicket, ticket),
 		},
 	});
-	const released = synced.flatMap(write => write.held.map(envelope => ({kind: 'send', envelope} as const)));
+	const released = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
 	return advanceCommit(countOwnVote(ask(noted, ...released)));
 }
 
