--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -31,7 +31,7 @@
 /** The replication progress that the leader assumes for a member before its first answer. */
 export function newProgress(peer: VoterIdentity, lastIndex: LogIndex): Progress {
 	return {
-		peer, next: lastIndex + 1, match: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, underWay: [], arrived: undefined,
+		peer, nextIndex: lastIndex + 1, match: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, underWay: [], arrived: undefined,
 	};
 }
 
@@ -89,15 +89,15 @@
 	const message = {
 		kind: 'snapshotSent', term: state.hardState.term, snapshot, round: state.leadership!.round,
 	} as const;
-	return deliver(draft, {...progress, next: snapshot.index + 1, snapshotSentAt: now}, message, {first: 0, last: snapshot.index, characters: snapshot.data.length});
+	return deliver(draft, {...progress, nextIndex: snapshot.index + 1, snapshotSentAt: now}, message, {first: 0, last: snapshot.index, characters: snapshot.data.length});
 }
 
 function sendEntries(draft: Draft, progress: Progress, entries: readonly LogEntry[]): Draft {
-	const message = appendAfter(draft, progress.next - 1, entries);
+	const message = appendAfter(draft, progress.nextIndex - 1, entries);
 	const last = entries.at(-1)?.index;
 	return last === undefined
 		? sendNow(draft, progress.peer, message)
-		: deliver(draft, {...progress, next: last + 1}, message, {first: progress.next, last, characters: messageCharacters(message)});
+		: deliver(draft, {...progress, nextIndex: last + 1}, message, {first: progress.nextIndex, last, characters: messageCharacters(message)});
 }
 
 /** Sends a member the entries that it lacks before those in flight, which it would reject otherwise. */
@@ -119,17 +119,17 @@
 		return draft;
 	}
 
-	if (!holdsFrom(draft, progress.next)) {
+	if (!holdsFrom(draft, progress.nextIndex)) {
 		return sendSnapshot(draft, progress);
 	}
 
-	const entries = fitting(entriesBetween(draft.state.log, progress.next, progress.next + entriesInMessage - 1));
+	const entries = fitting(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + entriesInMessage - 1));
 	const characters = entries.reduce((sum, entry) => sum + charactersOf(entry), 0);
 	return sendEntries(draft, progress, hasRoom(progress.underWay, characters) ? entries : []);
 }
 
 function heartbeatTo(draft: Draft, progress: Progress): Draft {
-	return holdsFrom(draft, progress.next) ? sendEntries(draft, progress, []) : sendSnapshot(draft, progress);
+	return holdsFrom(draft, progress.nextIndex) ? sendEntries(draft, progress, []) : sendSnapshot(draft, progress);
 }
 
 /** Sends to every member at once: new entries to those whose position is confirmed, a heartbeat to those that are probed. */
@@ -213,12 +213,12 @@
 	const noted = changeProgress(draft, {
 		...progress,
 		match,
-		next: Math.max(progress.next, match + 1),
+		nextIndex: Math.max(progress.nextIndex, match + 1),
 		probing: false,
 		snapshotSentAt: passed ? progress.snapshotSentAt : undefined,
 		underWay: progress.underWay.filter(({last}) => last > match),
 	});
-	const lags = Math.max(progress.next, match + 1) <= draft.state.log.lastIndex;
+	const lags = Math.max(progress.nextIndex, match + 1) <= draft.state.log.lastIndex;
 	return inviteSuccessor(advanceCommit(lags ? replicateTo(noted, progress.peer) : noted));
 }
 
@@ -235,11 +235,11 @@
 		return sendMissing(draft, progress, fitting(entriesBetween(draft.state.log, next, firstUnderWay - 1)));
 	}
 
-	if (progress.probing && next >= progress.next) {
+	if (progress.probing && next >= progress.nextIndex) {
 		return draft;
 	}
 
-	return replicateTo(changeProgress(draft, {...progress, next, probing: true}), progress.peer);
+	return replicateTo(changeProgress(draft, {...progress, nextIndex: next, probing: true}), progress.peer);
 }
 
 /**
@@ -256,11 +256,11 @@
 	const {first} = progress.underWay.find(({number}) => number === delivery)!;
 	const ended = {...progress, underWay: progress.underWay.filter(({number}) => number !== delivery)};
 	if (!arrived) {
-		return changeProgress(draft, {...ended, next: Math.max(progress.match + 1, Math.min(progress.next, first)), probing: true});
+		return changeProgress(draft, {...ended, nextIndex: Math.max(progress.match + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
 
 	const noted = changeProgress(draft, {...ended, arrived: {first, round: leadership.round}});
-	return !progress.probing && progress.next <= log.lastIndex ? replicateTo(noted, progress.peer) : noted;
+	return !progress.probing && progress.nextIndex <= log.lastIndex ? replicateTo(noted, progress.peer) : noted;
 }
 
 /** Handles a member's answer to entries, a heartbeat or a snapshot. */
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -41,7 +41,7 @@
 export type Progress = {
 	readonly peer: VoterIdentity;
 	/** The index of the next entry to send. */
-	readonly next: LogIndex;
+	readonly nextIndex: LogIndex;
 	/** The index of the last entry that the peer is known to have synced. */
 	readonly match: LogIndex;
 	/** Whether `next` is an estimate that the peer has not confirmed. */
