--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -19,7 +19,7 @@
 export function syncedByMajority(state: VoterState, leadership: Leadership): LogIndex {
 	return reachedByMajority(state, voter => sameVoter(voter, state.options.self)
 		? state.disk.syncedIndex
-		: leadership.progress.find(({peer}) => sameVoter(peer, voter))?.match ?? 0);
+		: leadership.progress.find(({peer}) => sameVoter(peer, voter))?.matchIndex ?? 0);
 }
 
 /** The newest round that a majority has answered; the leader itself counts as having answered. */
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -31,7 +31,7 @@
 /** The replication progress that the leader assumes for a member before its first answer. */
 export function newProgress(peer: VoterIdentity, lastIndex: LogIndex): Progress {
 	return {
-		peer, nextIndex: lastIndex + 1, match: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, underWay: [], arrived: undefined,
+		peer, nextIndex: lastIndex + 1, matchIndex: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, underWay: [], arrived: undefined,
 	};
 }
 
@@ -208,11 +208,11 @@
 }
 
 function noteAccepted(draft: Draft, progress: Progress, answer: Answer): Draft {
-	const match = Math.max(progress.match, Math.min(answer.index, draft.state.log.lastIndex));
+	const match = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
 	const passed = progress.snapshotSentAt !== undefined && match < (draft.state.log.snapshot?.index ?? 0);
 	const noted = changeProgress(draft, {
 		...progress,
-		match,
+		matchIndex: match,
 		nextIndex: Math.max(progress.nextIndex, match + 1),
 		probing: false,
 		snapshotSentAt: passed ? progress.snapshotSentAt : undefined,
@@ -229,7 +229,7 @@
 		return draft;
 	}
 
-	const next = Math.max(progress.match + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
+	const next = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
 	const firstUnderWay = Math.min(...underWay.map(({first}) => first));
 	if (next < firstUnderWay && firstUnderWay < Infinity && holdsFrom(draft, next)) {
 		return sendMissing(draft, progress, fitting(entriesBetween(draft.state.log, next, firstUnderWay - 1)));
@@ -256,7 +256,7 @@
 	const {first} = progress.underWay.find(({number}) => number === delivery)!;
 	const ended = {...progress, underWay: progress.underWay.filter(({number}) => number !== delivery)};
 	if (!arrived) {
-		return changeProgress(draft, {...ended, nextIndex: Math.max(progress.match + 1, Math.min(progress.nextIndex, first)), probing: true});
+		return changeProgress(draft, {...ended, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
 
 	const noted = changeProgress(draft, {...ended, arrived: {first, round: leadership.round}});
@@ -280,7 +280,7 @@
 	const {leadership, log, hardState} = draft.state;
 	const successor = leadership?.transfer?.successor;
 	const progress = successor === undefined ? undefined : progressOf(draft, successor);
-	return progress?.match === log.lastIndex
+	return progress?.matchIndex === log.lastIndex
 		? sendNow(draft, progress.peer, {kind: 'electionInvited', term: hardState.term})
 		: draft;
 }
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -55,7 +55,7 @@
 
 function isCaughtUp(draft: Draft, progress: Progress | undefined): boolean {
 	const {leadership, committed} = draft.state;
-	return progress !== undefined && progress.match >= committed && progress.answeredRound >= answeredRound(draft.state, leadership!);
+	return progress !== undefined && progress.matchIndex >= committed && progress.answeredRound >= answeredRound(draft.state, leadership!);
 }
 
 function lagging(draft: Draft, voterSet: VoterSet): boolean {
@@ -122,7 +122,7 @@
 	const {voters} = latestVoterSet(log);
 	const candidates = (leadership?.progress ?? [])
 		.filter(one => includesVoter(voters, one.peer))
-		.sort((one, other) => other.match - one.match || other.answeredRound - one.answeredRound);
+		.sort((one, other) => other.matchIndex - one.matchIndex || other.answeredRound - one.answeredRound);
 	const successor = candidates[0]?.peer;
 	return successor === undefined || leadership?.transfer !== undefined
 		? draft
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -43,7 +43,7 @@
 	/** The index of the next entry to send. */
 	readonly nextIndex: LogIndex;
 	/** The index of the last entry that the peer is known to have synced. */
-	readonly match: LogIndex;
+	readonly matchIndex: LogIndex;
 	/** Whether `next` is an estimate that the peer has not confirmed. */
 	readonly probing: boolean;
 	readonly answeredRound: number;
@@ -140,7 +140,7 @@
 
 /** The known replication position of each other member; empty on a voter that isn't the leader. */
 export function memberPositions(state: VoterState): readonly MemberPosition[] {
-	return state.leadership?.progress.map(({peer, match}) => ({member: peer, index: match})) ?? [];
+	return state.leadership?.progress.map(({peer, matchIndex: match}) => ({member: peer, index: match})) ?? [];
 }
 
 /** The current term. */
