--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -31,7 +31,7 @@
 /** The replication progress that the leader assumes for a member before its first answer. */
 export function newProgress(peer: VoterIdentity, lastIndex: LogIndex): Progress {
 	return {
-		peer, nextIndex: lastIndex + 1, matchIndex: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, underWay: [], arrived: undefined,
+		peer, nextIndex: lastIndex + 1, matchIndex: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, inFlight: [], arrived: undefined,
 	};
 }
 
@@ -56,7 +56,7 @@
 /** Sends a message whose outcome the transport reports, and records it as in flight. */
 function deliver(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
 	const number = draft.state.deliveries + 1;
-	const noted = changeProgress(change(draft, {deliveries: number}), {...progress, underWay: [...progress.underWay, {number, ...brings}]});
+	const noted = changeProgress(change(draft, {deliveries: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
 	return sendDelivery(noted, progress.peer, message, number);
 }
 
@@ -82,7 +82,7 @@
 	}
 
 	const waits = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < state.options.electionMilliseconds;
-	if (waits || progress.underWay.length > 0) {
+	if (waits || progress.inFlight.length > 0) {
 		return sendNow(draft, progress.peer, appendAfter(draft, snapshot.index, []));
 	}
 
@@ -125,7 +125,7 @@
 
 	const entries = fitting(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + entriesInMessage - 1));
 	const characters = entries.reduce((sum, entry) => sum + charactersOf(entry), 0);
-	return sendEntries(draft, progress, hasRoom(progress.underWay, characters) ? entries : []);
+	return sendEntries(draft, progress, hasRoom(progress.inFlight, characters) ? entries : []);
 }
 
 function heartbeatTo(draft: Draft, progress: Progress): Draft {
@@ -216,14 +216,14 @@
 		nextIndex: Math.max(progress.nextIndex, match + 1),
 		probing: false,
 		snapshotSentAt: passed ? progress.snapshotSentAt : undefined,
-		underWay: progress.underWay.filter(({last}) => last > match),
+		inFlight: progress.inFlight.filter(({last}) => last > match),
 	});
 	const lags = Math.max(progress.nextIndex, match + 1) <= draft.state.log.lastIndex;
 	return inviteSuccessor(advanceCommit(lags ? replicateTo(noted, progress.peer) : noted));
 }
 
 function noteRejected(draft: Draft, progress: Progress, answer: Answer): Draft {
-	const {arrived, underWay} = progress;
+	const {arrived, inFlight: underWay} = progress;
 	const hasArrivedSince = arrived !== undefined && answer.index >= arrived.first && answer.round <= arrived.round;
 	if (isUnderWay(underWay, answer.index) || hasArrivedSince) {
 		return draft;
@@ -248,13 +248,13 @@
  */
 export function endDelivery(draft: Draft, {delivery, arrived}: {readonly delivery: number; readonly arrived: boolean}): Draft {
 	const {leadership, log} = draft.state;
-	const progress = leadership?.progress.find(({underWay}) => underWay.some(({number}) => number === delivery));
+	const progress = leadership?.progress.find(({inFlight: underWay}) => underWay.some(({number}) => number === delivery));
 	if (leadership === undefined || progress === undefined) {
 		return draft;
 	}
 
-	const {first} = progress.underWay.find(({number}) => number === delivery)!;
-	const ended = {...progress, underWay: progress.underWay.filter(({number}) => number !== delivery)};
+	const {first} = progress.inFlight.find(({number}) => number === delivery)!;
+	const ended = {...progress, underWay: progress.inFlight.filter(({number}) => number !== delivery)};
 	if (!arrived) {
 		return changeProgress(draft, {...ended, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -48,7 +48,7 @@
 	readonly probing: boolean;
 	readonly answeredRound: number;
 	readonly snapshotSentAt: MonotonicTime | undefined;
-	readonly underWay: readonly Delivery[];
+	readonly inFlight: readonly Delivery[];
 	/** The first entry of the message whose arrival was reported last, and the leader's round at that time. */
 	readonly arrived: {readonly first: LogIndex; readonly round: number} | undefined;
 };
