--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -31,7 +31,7 @@
 /** The replication progress that the leader assumes for a member before its first answer. */
 export function newProgress(peer: VoterIdentity, lastIndex: LogIndex): Progress {
 	return {
-		peer, nextIndex: lastIndex + 1, matchIndex: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, inFlight: [], arrived: undefined,
+		peer, nextIndex: lastIndex + 1, matchIndex: 0, probing: true, answeredRound: 0, snapshotSentAt: undefined, inFlight: [], lastArrival: undefined,
 	};
 }
 
@@ -223,7 +223,7 @@
 }
 
 function noteRejected(draft: Draft, progress: Progress, answer: Answer): Draft {
-	const {arrived, inFlight: underWay} = progress;
+	const {lastArrival: arrived, inFlight: underWay} = progress;
 	const hasArrivedSince = arrived !== undefined && answer.index >= arrived.first && answer.round <= arrived.round;
 	if (isUnderWay(underWay, answer.index) || hasArrivedSince) {
 		return draft;
@@ -259,7 +259,7 @@
 		return changeProgress(draft, {...ended, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
 
-	const noted = changeProgress(draft, {...ended, arrived: {first, round: leadership.round}});
+	const noted = changeProgress(draft, {...ended, lastArrival: {first, round: leadership.round}});
 	return !progress.probing && progress.nextIndex <= log.lastIndex ? replicateTo(noted, progress.peer) : noted;
 }
 
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -50,7 +50,7 @@
 	readonly snapshotSentAt: MonotonicTime | undefined;
 	readonly inFlight: readonly Delivery[];
 	/** The first entry of the message whose arrival was reported last, and the leader's round at that time. */
-	readonly arrived: {readonly first: LogIndex; readonly round: number} | undefined;
+	readonly lastArrival: {readonly first: LogIndex; readonly round: number} | undefined;
 };
 
 /** The index of the last entry that a member is known to have synced. */
