--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -94,7 +94,7 @@
 		return refuseOldTerm(draft, from, request.round);
 	}
 
-	const heard = change(followed, {heardCommitted: Math.max(followed.state.heardCommitted, request.committed)});
+	const heard = change(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
 	return agrees(heard, request) ? accept(heard, from, request) : reject(heard, from, request);
 }
 
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -87,7 +87,7 @@
 	readonly log: Log;
 	readonly committed: LogIndex;
 	/** The highest commit index that a leader has sent: this voter should have applied entries up to it. */
-	readonly heardCommitted: LogIndex;
+	readonly reportedCommitted: LogIndex;
 	/** Follower, candidate or leader. A learner has the role of a follower here: see `roleOf`. */
 	readonly role: Role;
 	readonly leader: VoterIdentity | undefined;
@@ -135,7 +135,7 @@
 
 /** The highest index that is known to be committed, whether its entry has arrived here or not. */
 export function knownCommittedIndex(state: VoterState): LogIndex {
-	return Math.max(state.committed, state.heardCommitted);
+	return Math.max(state.committed, state.reportedCommitted);
 }
 
 /** The known replication position of each other member; empty on a voter that isn't the leader. */
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -41,7 +41,7 @@
 		hardState: saved.hardState,
 		log,
 		committed: saved.snapshot?.index ?? 0,
-		heardCommitted: 0,
+		reportedCommitted: 0,
 		role: Role.follower,
 		leader: undefined,
 		leaderHeardAt: now - options.electionMilliseconds + (options.startSilenceMilliseconds ?? options.electionMilliseconds),
