--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -44,7 +44,7 @@
 }
 
 function hearsLeader(state: VoterState, now: MonotonicTime): boolean {
-	return state.role === Role.leader || now - state.leaderHeardAt < state.options.electionMilliseconds;
+	return state.role === Role.leader || now - state.leaderContactAt < state.options.electionMilliseconds;
 }
 
 /** Becomes a follower. Pending proposals of a former leader fail with an unknown outcome, its pending reads with `lost`. */
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -21,7 +21,7 @@
 	const {state, now} = draft;
 	const known = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
 	const lost = failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
-	return change(becomeFollower(postponeElection(draft), known, lost), {leaderHeardAt: now});
+	return change(becomeFollower(postponeElection(draft), known, lost), {leaderContactAt: now});
 }
 
 /** The first uncommitted index whose entry has the same term as the one at `index`. */
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -95,7 +95,7 @@
 	 * The last contact with a leader, or the start of this voter: it votes for no other candidate until
 	 * `electionMilliseconds` later.
 	 */
-	readonly leaderHeardAt: MonotonicTime;
+	readonly leaderContactAt: MonotonicTime;
 	readonly electionAt: MonotonicTime;
 	/** How many random election timeouts have been drawn. */
 	readonly draws: number;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -44,7 +44,7 @@
 		reportedCommitted: 0,
 		role: Role.follower,
 		leader: undefined,
-		leaderHeardAt: now - options.electionMilliseconds + (options.startSilenceMilliseconds ?? options.electionMilliseconds),
+		leaderContactAt: now - options.electionMilliseconds + (options.startSilenceMilliseconds ?? options.electionMilliseconds),
 		electionAt: now + drawElectionPause({...options, electionMilliseconds: options.firstElectionMilliseconds ?? options.electionMilliseconds}, 0),
 		draws: 0,
 		campaign: undefined,
--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -71,6 +71,6 @@
 		};
 		const state = createVoter(options, {hardState: {term: 1}, entries: []}, 1000);
 		assert.ok(state.electionAt <= 1000 + electionBefore);
-		assert.equal(state.leaderHeardAt + electionMilliseconds, 1000 + helpsAfter);
+		assert.equal(state.leaderContactAt + electionMilliseconds, 1000 + helpsAfter);
 	});
 }
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -263,7 +263,7 @@
 		isLeader: () => roleOf(state) === Role.leader,
 		leader: () => leaderOf(state)?.name,
 		quorumHeardAt: now => quorumContactAt(state, now),
-		leaderHeardAt: () => state.leaderHeardAt,
+		leaderHeardAt: () => state.leaderContactAt,
 		voterSet: () => voterSetOf(state),
 		committed: () => committedIndex(state),
 		knownCommitted: () => knownCommittedIndex(state),
