--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -39,8 +39,8 @@
 
 /** Resets the election timer with a new random timeout. */
 export function postponeElection(draft: Draft): Draft {
-	const {options, draws} = draft.state;
-	return change(draft, {draws: draws + 1, electionAt: draft.now + drawElectionPause(options, draws + 1)});
+	const {options, electionTimeoutDraws: draws} = draft.state;
+	return change(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionPause(options, draws + 1)});
 }
 
 function hearsLeader(state: VoterState, now: MonotonicTime): boolean {
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -98,7 +98,7 @@
 	readonly leaderContactAt: MonotonicTime;
 	readonly electionAt: MonotonicTime;
 	/** How many random election timeouts have been drawn. */
-	readonly draws: number;
+	readonly electionTimeoutDraws: number;
 	readonly campaign: Campaign | undefined;
 	readonly leadership: Leadership | undefined;
 	/** How many messages with entries or a snapshot have been passed to the transport. */
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -46,7 +46,7 @@
 		leader: undefined,
 		leaderContactAt: now - options.electionMilliseconds + (options.startSilenceMilliseconds ?? options.electionMilliseconds),
 		electionAt: now + drawElectionPause({...options, electionMilliseconds: options.firstElectionMilliseconds ?? options.electionMilliseconds}, 0),
-		draws: 0,
+		electionTimeoutDraws: 0,
 		campaign: undefined,
 		leadership: undefined,
 		deliveries: 0,
