--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -55,8 +55,8 @@
 
 /** Sends a message whose outcome the transport reports, and records it as in flight. */
 function deliver(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
-	const number = draft.state.deliveries + 1;
-	const noted = changeProgress(change(draft, {deliveries: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
+	const number = draft.state.deliveryCount + 1;
+	const noted = changeProgress(change(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
 	return sendDelivery(noted, progress.peer, message, number);
 }
 
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -102,7 +102,7 @@
 	readonly campaign: Campaign | undefined;
 	readonly leadership: Leadership | undefined;
 	/** How many messages with entries or a snapshot have been passed to the transport. */
-	readonly deliveries: number;
+	readonly deliveryCount: number;
 	readonly disk: DiskProgress;
 	/** The index of the latest snapshot that was requested. */
 	readonly snapshotAskedAt: LogIndex;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -49,7 +49,7 @@
 		electionTimeoutDraws: 0,
 		campaign: undefined,
 		leadership: undefined,
-		deliveries: 0,
+		deliveryCount: 0,
 		disk: {
 			nextTicket: 1, writes: [], syncedIndex: log.lastIndex, hardStateTicket: 0, persistedTicket: 0,
 		},
