--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -7,11 +7,11 @@
 import {entriesBetween} from './log.js';
 
 function wantSnapshot(draft: Draft): Draft {
-	const {committed, log, snapshotAskedAt, options} = draft.state;
+	const {committed, log, snapshotRequestedIndex: snapshotAskedAt, options} = draft.state;
 	const since = Math.max(snapshotAskedAt, log.snapshot?.index ?? 0);
 	return committed - since < options.entriesBeforeSnapshot
 		? draft
-		: ask(change(draft, {snapshotAskedAt: committed}), {kind: 'snapshotWanted', index: committed});
+		: ask(change(draft, {snapshotRequestedIndex: committed}), {kind: 'snapshotWanted', index: committed});
 }
 
 /** Advances the commit index up to an index that the log holds, and applies the new entries. */
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -105,7 +105,7 @@
 	readonly deliveryCount: number;
 	readonly disk: DiskProgress;
 	/** The index of the latest snapshot that was requested. */
-	readonly snapshotAskedAt: LogIndex;
+	readonly snapshotRequestedIndex: LogIndex;
 };
 
 /** Whether this member is a voter by the newest voter set in its own log. */
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -53,7 +53,7 @@
 		disk: {
 			nextTicket: 1, writes: [], syncedIndex: log.lastIndex, hardStateTicket: 0, persistedTicket: 0,
 		},
-		snapshotAskedAt: 0,
+		snapshotRequestedIndex: 0,
 	};
 }
 
