--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -72,7 +72,7 @@
 		leader: options.self,
 		campaign: undefined,
 		leadership: {
-			startedIndex: log.lastIndex + 1,
+			termStartIndex: log.lastIndex + 1,
 			startedAt: now,
 			progress: peers.map(peer => newProgress(peer, log.lastIndex)),
 			round: 0,
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -68,7 +68,7 @@
 /** State that only a leader has. */
 export type Leadership = {
 	/** The index of the first entry of this leader's term. */
-	readonly startedIndex: LogIndex;
+	readonly termStartIndex: LogIndex;
 	readonly startedAt: MonotonicTime;
 	readonly progress: readonly Progress[];
 	readonly round: number;
