--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -25,14 +25,14 @@
 	readonly now: MonotonicTime;
 	readonly effects: readonly ConsensusEffect[];
 	/** Messages that are sent only after all earlier writes are synced. */
-	readonly held: readonly ConsensusEnvelope[];
+	readonly deferred: readonly ConsensusEnvelope[];
 	readonly unsaved: Unsaved;
 };
 
 /** Begins a step. */
 export function beginStep(state: VoterState, now: MonotonicTime): Draft {
 	return {
-		state, now, effects: [], held: [], unsaved: {hardState: false, firstIndex: undefined, snapshot: undefined},
+		state, now, effects: [], deferred: [], unsaved: {hardState: false, firstIndex: undefined, snapshot: undefined},
 	};
 }
 
@@ -63,7 +63,7 @@
 
 /** Sends a message once all earlier writes are synced. */
 export function sendSynced(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
-	return {...draft, held: [...draft.held, {from: draft.state.options.self, to, message}]};
+	return {...draft, deferred: [...draft.deferred, {from: draft.state.options.self, to, message}]};
 }
 
 /** Sets the term and vote, to be persisted at the end of the step. */
@@ -109,7 +109,7 @@
 }
 
 function persist(draft: Draft): Draft {
-	const {state, unsaved, held} = draft;
+	const {state, unsaved, deferred: held} = draft;
 	const {log, disk} = state;
 	const ticket = disk.nextTicket;
 	const first = unsaved.firstIndex ?? log.lastIndex + 1;
@@ -128,19 +128,19 @@
 		entries: entriesBetween(log, Math.max(first, (unsaved.snapshot?.index ?? 0) + 1), log.lastIndex),
 		...(unsaved.snapshot === undefined ? {} : {snapshot: unsaved.snapshot}),
 	};
-	return {...change(draft, {disk: nextDisk}), effects: [effect, ...draft.effects], held: []};
+	return {...change(draft, {disk: nextDisk}), effects: [effect, ...draft.effects], deferred: []};
 }
 
 function joinLastWrite(draft: Draft): Draft {
 	const {disk} = draft.state;
 	const last = disk.writes.at(-1);
 	if (last === undefined) {
-		const sends = draft.held.map(envelope => ({kind: 'send', envelope} as const));
-		return {...ask(draft, ...sends), held: []};
+		const sends = draft.deferred.map(envelope => ({kind: 'send', envelope} as const));
+		return {...ask(draft, ...sends), deferred: []};
 	}
 
-	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.held]}];
-	return {...change(draft, {disk: {...disk, writes}}), held: []};
+	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.deferred]}];
+	return {...change(draft, {disk: {...disk, writes}}), deferred: []};
 }
 
 function reportRole(draft: Draft, before: VoterState): Draft {
@@ -158,7 +158,7 @@
 
 /** Ends a step: issues one write for all durable changes, and sends messages at once or attaches them to the write that they wait for. */
 export function endStep(draft: Draft, before: VoterState): Transition<VoterState, ConsensusEffect> {
-	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.held.length === 0 ? draft : joinLastWrite(draft));
+	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.deferred.length === 0 ? draft : joinLastWrite(draft));
 	const {state, effects} = reportRole(saved, before);
 	return {state, effects};
 }
