--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -13,7 +13,7 @@
 import {roleOf, type DiskProgress, type VoterState} from './state.js';
 
 /** What the step has changed in the durable state. */
-export type Unsaved = {
+export type UnsavedChanges = {
 	readonly hardState: boolean;
 	readonly firstIndex: LogIndex | undefined;
 	readonly snapshot: Snapshot | undefined;
@@ -26,7 +26,7 @@
 	readonly effects: readonly ConsensusEffect[];
 	/** Messages that are sent only after all earlier writes are synced. */
 	readonly deferred: readonly ConsensusEnvelope[];
-	readonly unsaved: Unsaved;
+	readonly unsaved: UnsavedChanges;
 };
 
 /** Begins a step. */
@@ -104,7 +104,7 @@
 	};
 }
 
-function isUnsaved(unsaved: Unsaved): boolean {
+function isUnsaved(unsaved: UnsavedChanges): boolean {
 	return unsaved.hardState || unsaved.firstIndex !== undefined || unsaved.snapshot !== undefined;
 }
 
