--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -37,7 +37,7 @@
 }
 
 /** Returns the draft with some fields of the state replaced. */
-export function change(draft: Draft, fields: Partial<VoterState>): Draft {
+export function updateState(draft: Draft, fields: Partial<VoterState>): Draft {
 	return {...draft, state: {...draft.state, ...fields}};
 }
 
@@ -68,7 +68,7 @@
 
 /** Sets the term and vote, to be persisted at the end of the step. */
 export function setHardState(draft: Draft, hardState: HardState): Draft {
-	return {...change(draft, {hardState}), unsaved: {...draft.unsaved, hardState: true}};
+	return {...updateState(draft, {hardState}), unsaved: {...draft.unsaved, hardState: true}};
 }
 
 /** Writes entries to the log, replacing all existing ones from the first one's index on. */
@@ -82,7 +82,7 @@
 	const kept = first.index <= log.lastIndex ? truncateAfter(log, first.index - 1) : log;
 	const firstIndex = Math.min(draft.unsaved.firstIndex ?? first.index, first.index);
 	return {
-		...change(draft, {
+		...updateState(draft, {
 			log: appendEntries(kept, entries),
 			disk: {...disk, syncedIndex: Math.min(disk.syncedIndex, first.index - 1)},
 		}),
@@ -99,7 +99,7 @@
 export function resyncFrom(draft: Draft, index: LogIndex): Draft {
 	const {disk} = draft.state;
 	return {
-		...change(draft, {disk: {...disk, syncedIndex: Math.min(disk.syncedIndex, index - 1)}}),
+		...updateState(draft, {disk: {...disk, syncedIndex: Math.min(disk.syncedIndex, index - 1)}}),
 		unsaved: {...draft.unsaved, firstIndex: index},
 	};
 }
@@ -128,7 +128,7 @@
 		entries: entriesBetween(log, Math.max(first, (unsaved.snapshot?.index ?? 0) + 1), log.lastIndex),
 		...(unsaved.snapshot === undefined ? {} : {snapshot: unsaved.snapshot}),
 	};
-	return {...change(draft, {disk: nextDisk}), effects: [effect, ...draft.effects], deferred: []};
+	return {...updateState(draft, {disk: nextDisk}), effects: [effect, ...draft.effects], deferred: []};
 }
 
 function joinLastWrite(draft: Draft): Draft {
@@ -140,7 +140,7 @@
 	}
 
 	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.deferred]}];
-	return {...change(draft, {disk: {...disk, writes}}), deferred: []};
+	return {...updateState(draft, {disk: {...disk, writes}}), deferred: []};
 }
 
 function reportRole(draft: Draft, before: VoterState): Draft {
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -7,7 +7,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {mersenne} from 'pure-rand/generator/mersenne';
 import {
-	change, refuse, sendSynced, setHardState, type Draft,
+	updateState, refuse, sendSynced, setHardState, type Draft,
 } from './draft.js';
 import {electionDueAt, leadershipEndsAt} from './due.js';
 import {lastTermOf, latestVoterSet} from './log.js';
@@ -40,7 +40,7 @@
 /** Resets the election timer with a new random timeout. */
 export function postponeElection(draft: Draft): Draft {
 	const {options, electionTimeoutDraws: draws} = draft.state;
-	return change(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionPause(options, draws + 1)});
+	return updateState(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionPause(options, draws + 1)});
 }
 
 function hearsLeader(state: VoterState, now: MonotonicTime): boolean {
@@ -51,7 +51,7 @@
 export function becomeFollower(draft: Draft, leader: VoterIdentity | undefined, lost: Failure): Draft {
 	const {leadership} = draft.state;
 	const unknown = failure(FailureKind.outcomeUnknown, 'The leader that accepted the change lost its leadership before the change was committed.');
-	const followed = change(draft, {
+	const followed = updateState(draft, {
 		role: Role.follower, leader, campaign: undefined, leadership: undefined,
 	});
 	return refuse(refuse(followed, leadership?.proposals ?? [], unknown), leadership?.reads ?? [], lost);
@@ -67,7 +67,7 @@
 	const {state, now} = draft;
 	const {log, options} = state;
 	const peers = membersOf(latestVoterSet(log)).filter(member => !sameVoter(member, options.self));
-	const started = change(draft, {
+	const started = updateState(draft, {
 		role: Role.leader,
 		leader: options.self,
 		campaign: undefined,
@@ -96,7 +96,7 @@
 	const {options, hardState, log} = draft.state;
 	const term = hardState.term + 1;
 	const voted = setHardState(postponeElection(draft), {term, vote: options.self});
-	const standing = change(voted, {role: Role.candidate, leader: undefined, campaign: {phase: 'vote', granted: []}});
+	const standing = updateState(voted, {role: Role.candidate, leader: undefined, campaign: {phase: 'vote', granted: []}});
 	return requestVotes(standing, {
 		kind: 'voteRequested', term, lastIndex: log.lastIndex, lastTerm: lastTermOf(log), ...(invited ? {invited: true} : {}),
 	});
@@ -104,7 +104,7 @@
 
 function standForPreVote(draft: Draft): Draft {
 	const {options, hardState, log} = draft.state;
-	const standing = change(postponeElection(draft), {
+	const standing = updateState(postponeElection(draft), {
 		role: Role.candidate, leader: undefined, campaign: {phase: 'preVote', granted: [options.self]},
 	});
 	const asked = requestVotes(standing, {
@@ -130,7 +130,7 @@
 		return draft;
 	}
 
-	return countVotes(change(draft, {campaign: {...campaign, granted: [...campaign.granted, voter]}}));
+	return countVotes(updateState(draft, {campaign: {...campaign, granted: [...campaign.granted, voter]}}));
 }
 
 /** Counts a candidate's own vote once it is synced. */
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -5,7 +5,7 @@
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
 import {
-	ask, change, resyncFrom, saveSnapshot, sendNow, sendSynced, writeEntries, type Draft,
+	ask, updateState, resyncFrom, saveSnapshot, sendNow, sendSynced, writeEntries, type Draft,
 } from './draft.js';
 import {adoptTerm, becomeFollower, postponeElection} from './election.js';
 import {installSnapshot, termAt} from './log.js';
@@ -21,7 +21,7 @@
 	const {state, now} = draft;
 	const known = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
 	const lost = failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
-	return change(becomeFollower(postponeElection(draft), known, lost), {leaderContactAt: now});
+	return updateState(becomeFollower(postponeElection(draft), known, lost), {leaderContactAt: now});
 }
 
 /** The first uncommitted index whose entry has the same term as the one at `index`. */
@@ -94,14 +94,14 @@
 		return refuseOldTerm(draft, from, request.round);
 	}
 
-	const heard = change(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
+	const heard = updateState(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
 	return agrees(heard, request) ? accept(heard, from, request) : reject(heard, from, request);
 }
 
 function install(draft: Draft, message: SnapshotMessage): Draft {
 	const {snapshot} = message;
 	const {log, committed} = draft.state;
-	const changed = change(draft, {log: installSnapshot(log, snapshot), committed: snapshot.index});
+	const changed = updateState(draft, {log: installSnapshot(log, snapshot), committed: snapshot.index});
 	return ask(resyncFrom(saveSnapshot(changed, snapshot), committed + 1), {kind: 'restore', snapshot});
 }
 
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -6,7 +6,7 @@
 import {applyCommitted} from './commit.js';
 import {type Delivery, hasRoom, isUnderWay} from './delivery.js';
 import {
-	ask, change, sendDelivery, sendNow, writeEntries, type Draft,
+	ask, updateState, sendDelivery, sendNow, writeEntries, type Draft,
 } from './draft.js';
 import {entriesBetween, latestVoterSet, termAt} from './log.js';
 import {
@@ -25,7 +25,7 @@
 /** Returns the draft with some fields of the leadership replaced; unchanged on a voter that isn't the leader. */
 export function changeLeadership(draft: Draft, fields: Partial<Leadership>): Draft {
 	const {leadership} = draft.state;
-	return leadership === undefined ? draft : change(draft, {leadership: {...leadership, ...fields}});
+	return leadership === undefined ? draft : updateState(draft, {leadership: {...leadership, ...fields}});
 }
 
 /** The replication progress that the leader assumes for a member before its first answer. */
@@ -56,7 +56,7 @@
 /** Sends a message whose outcome the transport reports, and records it as in flight. */
 function deliver(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
 	const number = draft.state.deliveryCount + 1;
-	const noted = changeProgress(change(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
+	const noted = changeProgress(updateState(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
 	return sendDelivery(noted, progress.peer, message, number);
 }
 
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -5,7 +5,7 @@
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	beginStep, ask, change, endStep, type Draft,
+	beginStep, ask, updateState, endStep, type Draft,
 } from './draft.js';
 import {
 	countOwnVote, drawElectionPause, receiveElectionVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
@@ -76,7 +76,7 @@
 	const synced = disk.writes.filter(write => write.ticket <= ticket);
 	const writes = disk.writes.filter(write => write.ticket > ticket);
 	const reached = Math.min(synced.at(-1)?.last ?? disk.syncedIndex, ...writes.map(write => write.first - 1));
-	const noted = change(draft, {
+	const noted = updateState(draft, {
 		disk: {
 			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, reached), persistedTicket: Math.max(disk.persistedTicket, ticket),
 		},
