--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -3,7 +3,7 @@
  * `entriesBeforeSnapshot` of them.
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
-import {ask, updateState, type Draft} from './draft.js';
+import {addEffects, updateState, type Draft} from './draft.js';
 import {entriesBetween} from './log.js';
 
 function wantSnapshot(draft: Draft): Draft {
@@ -11,7 +11,7 @@
 	const since = Math.max(snapshotAskedAt, log.snapshot?.index ?? 0);
 	return committed - since < options.entriesBeforeSnapshot
 		? draft
-		: ask(updateState(draft, {snapshotRequestedIndex: committed}), {kind: 'snapshotWanted', index: committed});
+		: addEffects(updateState(draft, {snapshotRequestedIndex: committed}), {kind: 'snapshotWanted', index: committed});
 }
 
 /** Advances the commit index up to an index that the log holds, and applies the new entries. */
@@ -22,5 +22,5 @@
 	}
 
 	const entries = entriesBetween(log, committed + 1, index);
-	return wantSnapshot(ask(updateState(draft, {committed: index}), {kind: 'apply', entries}));
+	return wantSnapshot(addEffects(updateState(draft, {committed: index}), {kind: 'apply', entries}));
 }
--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -42,23 +42,23 @@
 }
 
 /** Adds effects for the caller to carry out. */
-export function ask(draft: Draft, ...effects: readonly ConsensusEffect[]): Draft {
+export function addEffects(draft: Draft, ...effects: readonly ConsensusEffect[]): Draft {
 	return {...draft, effects: [...draft.effects, ...effects]};
 }
 
 /** Rejects proposals or reads with a failure. */
 export function refuse(draft: Draft, requests: ReadonlyArray<{readonly request: string}>, failure: Failure): Draft {
-	return ask(draft, ...requests.map(({request}) => ({kind: 'refused', request, failure} as const)));
+	return addEffects(draft, ...requests.map(({request}) => ({kind: 'refused', request, failure} as const)));
 }
 
 /** Sends a message that doesn't depend on any unsynced write. */
 export function sendNow(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
-	return ask(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}});
+	return addEffects(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}});
 }
 
 /** Sends a message that doesn't depend on any unsynced write, and whose outcome the transport has to report. */
 export function sendDelivery(draft: Draft, to: VoterIdentity, message: ConsensusMessage, delivery: number): Draft {
-	return ask(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}, delivery});
+	return addEffects(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}, delivery});
 }
 
 /** Sends a message once all earlier writes are synced. */
@@ -136,7 +136,7 @@
 	const last = disk.writes.at(-1);
 	if (last === undefined) {
 		const sends = draft.deferred.map(envelope => ({kind: 'send', envelope} as const));
-		return {...ask(draft, ...sends), deferred: []};
+		return {...addEffects(draft, ...sends), deferred: []};
 	}
 
 	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.deferred]}];
@@ -151,7 +151,7 @@
 	}
 
 	const leader = state.leader === undefined ? {} : {leader: state.leader};
-	return ask(draft, {
+	return addEffects(draft, {
 		kind: 'roleChanged', role: roleOf(state), term: state.hardState.term, ...leader,
 	});
 }
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -6,7 +6,7 @@
 import {applyCommitted} from './commit.js';
 import {type Delivery, hasRoom, isUnderWay} from './delivery.js';
 import {
-	ask, updateState, sendDelivery, sendNow, writeEntries, type Draft,
+	addEffects, updateState, sendDelivery, sendNow, writeEntries, type Draft,
 } from './draft.js';
 import {entriesBetween, latestVoterSet, termAt} from './log.js';
 import {
@@ -193,7 +193,7 @@
 	const ready = leadership.reads.filter(read => read.round <= answered);
 	const reads = leadership.reads.filter(read => read.round > answered);
 	const effects = ready.map(({request}) => ({kind: 'readReady', request, index: state.committed} as const));
-	const rest = ask(changeLeadership(draft, {reads}), ...effects);
+	const rest = addEffects(changeLeadership(draft, {reads}), ...effects);
 	return reads.some(read => read.round > leadership.round) && answered === leadership.round ? answerReads(startRound(rest)) : rest;
 }
 
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -4,7 +4,7 @@
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {
-	ask, updateState, refuse, saveSnapshot, type Draft,
+	addEffects, updateState, refuse, saveSnapshot, type Draft,
 } from './draft.js';
 import {
 	latestVoterSet, latestVoterSetIndex, compact, termAt, voterSetAt,
@@ -39,7 +39,7 @@
 	const {log, hardState, leadership} = appended.state;
 	const index = log.lastIndex;
 	const noted = changeLeadership(appended, {proposals: [...leadership!.proposals, {request, index}]});
-	return ask(noted, {
+	return addEffects(noted, {
 		kind: 'placed', request, index, term: hardState.term,
 	});
 }
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -5,7 +5,7 @@
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {
-	beginStep, ask, updateState, endStep, type Draft,
+	beginStep, addEffects, updateState, endStep, type Draft,
 } from './draft.js';
 import {
 	countOwnVote, drawElectionPause, receiveElectionVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
@@ -82,7 +82,7 @@
 		},
 	});
 	const released = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
-	return advanceCommit(countOwnVote(ask(noted, ...released)));
+	return advanceCommit(countOwnVote(addEffects(noted, ...released)));
 }
 
 const eventHandlers: HandlerTable<ConsensusEvent, [Draft], Draft> = {
