--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -47,7 +47,7 @@
 }
 
 /** Rejects proposals or reads with a failure. */
-export function refuse(draft: Draft, requests: ReadonlyArray<{readonly request: string}>, failure: Failure): Draft {
+export function rejectRequests(draft: Draft, requests: ReadonlyArray<{readonly request: string}>, failure: Failure): Draft {
 	return addEffects(draft, ...requests.map(({request}) => ({kind: 'refused', request, failure} as const)));
 }
 
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -7,7 +7,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {mersenne} from 'pure-rand/generator/mersenne';
 import {
-	updateState, refuse, sendSynced, setHardState, type Draft,
+	updateState, rejectRequests, sendSynced, setHardState, type Draft,
 } from './draft.js';
 import {electionDueAt, leadershipEndsAt} from './due.js';
 import {lastTermOf, latestVoterSet} from './log.js';
@@ -54,7 +54,7 @@
 	const followed = updateState(draft, {
 		role: Role.follower, leader, campaign: undefined, leadership: undefined,
 	});
-	return refuse(refuse(followed, leadership?.proposals ?? [], unknown), leadership?.reads ?? [], lost);
+	return rejectRequests(rejectRequests(followed, leadership?.proposals ?? [], unknown), leadership?.reads ?? [], lost);
 }
 
 /** Adopts a higher term, and becomes a follower in it. */
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -4,7 +4,7 @@
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {
-	addEffects, updateState, refuse, saveSnapshot, type Draft,
+	addEffects, updateState, rejectRequests, saveSnapshot, type Draft,
 } from './draft.js';
 import {
 	latestVoterSet, latestVoterSetIndex, compact, termAt, voterSetAt,
@@ -50,7 +50,7 @@
 	const refusal = leadership === undefined ? notLeading(draft) : passingOn(leadership);
 	return refusal === undefined
 		? broadcast(place(draft, event.request, {kind: 'command', payload: event.payload}))
-		: refuse(draft, [event], refusal);
+		: rejectRequests(draft, [event], refusal);
 }
 
 function isCaughtUp(draft: Draft, progress: Progress | undefined): boolean {
@@ -82,7 +82,7 @@
 		? notLeading(draft)
 		: passingOn(leadership) ?? voterChangeConflict(draft, event.voterSet);
 	if (refusal !== undefined) {
-		return refuse(draft, [event], refusal);
+		return rejectRequests(draft, [event], refusal);
 	}
 
 	return advanceCommit(broadcast(refreshMembers(place(draft, event.request, {kind: 'votersChanged', voterSet: event.voterSet}))));
@@ -93,7 +93,7 @@
 	const {state} = draft;
 	const {leadership} = state;
 	if (leadership === undefined) {
-		return refuse(draft, [event], notLeading(draft));
+		return rejectRequests(draft, [event], notLeading(draft));
 	}
 
 	const round = leadership.round + 1;
