--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -52,7 +52,7 @@
 }
 
 /** Sends a message that doesn't depend on any unsynced write. */
-export function sendNow(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
+export function sendImmediately(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
 	return addEffects(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}});
 }
 
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -5,7 +5,7 @@
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
 import {
-	addEffects, updateState, resyncFrom, saveSnapshot, sendNow, sendSynced, writeEntries, type Draft,
+	addEffects, updateState, resyncFrom, saveSnapshot, sendImmediately, sendSynced, writeEntries, type Draft,
 } from './draft.js';
 import {adoptTerm, becomeFollower, postponeElection} from './election.js';
 import {installSnapshot, termAt} from './log.js';
@@ -60,7 +60,7 @@
 	} as const;
 	const answersAtOnce = request.entries.length === 0 && hardStateSynced(applied.state) && !applied.unsaved.hardState;
 	return answersAtOnce
-		? sendNow(applied, from, {...answer, index: Math.min(matched, disk.syncedIndex)})
+		? sendImmediately(applied, from, {...answer, index: Math.min(matched, disk.syncedIndex)})
 		: sendSynced(applied, from, {...answer, index: matched});
 }
 
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -6,7 +6,7 @@
 import {applyCommitted} from './commit.js';
 import {type Delivery, hasRoom, isUnderWay} from './delivery.js';
 import {
-	addEffects, updateState, sendDelivery, sendNow, writeEntries, type Draft,
+	addEffects, updateState, sendDelivery, sendImmediately, writeEntries, type Draft,
 } from './draft.js';
 import {entriesBetween, latestVoterSet, termAt} from './log.js';
 import {
@@ -83,7 +83,7 @@
 
 	const waits = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < state.options.electionMilliseconds;
 	if (waits || progress.inFlight.length > 0) {
-		return sendNow(draft, progress.peer, appendAfter(draft, snapshot.index, []));
+		return sendImmediately(draft, progress.peer, appendAfter(draft, snapshot.index, []));
 	}
 
 	const message = {
@@ -96,7 +96,7 @@
 	const message = appendAfter(draft, progress.nextIndex - 1, entries);
 	const last = entries.at(-1)?.index;
 	return last === undefined
-		? sendNow(draft, progress.peer, message)
+		? sendImmediately(draft, progress.peer, message)
 		: deliver(draft, {...progress, nextIndex: last + 1}, message, {first: progress.nextIndex, last, characters: messageCharacters(message)});
 }
 
@@ -281,6 +281,6 @@
 	const successor = leadership?.transfer?.successor;
 	const progress = successor === undefined ? undefined : progressOf(draft, successor);
 	return progress?.matchIndex === log.lastIndex
-		? sendNow(draft, progress.peer, {kind: 'electionInvited', term: hardState.term})
+		? sendImmediately(draft, progress.peer, {kind: 'electionInvited', term: hardState.term})
 		: draft;
 }
