--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -62,7 +62,7 @@
 }
 
 /** Sends a message once all earlier writes are synced. */
-export function sendSynced(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
+export function sendAfterSync(draft: Draft, to: VoterIdentity, message: ConsensusMessage): Draft {
 	return {...draft, deferred: [...draft.deferred, {from: draft.state.options.self, to, message}]};
 }
 
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -7,7 +7,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {mersenne} from 'pure-rand/generator/mersenne';
 import {
-	updateState, rejectRequests, sendSynced, setHardState, type Draft,
+	updateState, rejectRequests, sendAfterSync, setHardState, type Draft,
 } from './draft.js';
 import {electionDueAt, leadershipEndsAt} from './due.js';
 import {lastTermOf, latestVoterSet} from './log.js';
@@ -89,7 +89,7 @@
 function requestVotes(draft: Draft, message: PreVoteRequest | VoteRequest): Draft {
 	const {log, options} = draft.state;
 	const others = latestVoterSet(log).voters.filter(voter => !sameVoter(voter, options.self));
-	return others.reduce((made, voter) => sendSynced(made, voter, message), draft);
+	return others.reduce((made, voter) => sendAfterSync(made, voter, message), draft);
 }
 
 function standForElection(draft: Draft, invited: boolean): Draft {
@@ -158,7 +158,7 @@
 export function receivePreVoteRequest(draft: Draft, from: VoterIdentity, message: PreVoteRequest): Draft {
 	const {state, now} = draft;
 	const granted = message.term > state.hardState.term && !hearsLeader(state, now) && logAllowsVote(state, message);
-	return sendSynced(draft, from, {kind: 'preVoteAnswered', term: granted ? message.term : state.hardState.term, granted});
+	return sendAfterSync(draft, from, {kind: 'preVoteAnswered', term: granted ? message.term : state.hardState.term, granted});
 }
 
 function vote(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
@@ -166,7 +166,7 @@
 	const free = hardState.vote === undefined || sameVoter(hardState.vote, from);
 	const granted = message.term === hardState.term && free && logAllowsVote(draft.state, message);
 	const voted = granted ? setHardState(postponeElection(draft), {term: hardState.term, vote: from}) : draft;
-	return sendSynced(voted, from, {kind: 'voteAnswered', term: hardState.term, granted});
+	return sendAfterSync(voted, from, {kind: 'voteAnswered', term: hardState.term, granted});
 }
 
 /**
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -5,7 +5,7 @@
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
 import {
-	addEffects, updateState, resyncFrom, saveSnapshot, sendImmediately, sendSynced, writeEntries, type Draft,
+	addEffects, updateState, resyncFrom, saveSnapshot, sendImmediately, sendAfterSync, writeEntries, type Draft,
 } from './draft.js';
 import {adoptTerm, becomeFollower, postponeElection} from './election.js';
 import {installSnapshot, termAt} from './log.js';
@@ -39,7 +39,7 @@
 function reject(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
 	const {log, hardState, committed} = draft.state;
 	const index = request.previousIndex > log.lastIndex ? log.lastIndex + 1 : firstOfTerm(draft, request.previousIndex);
-	return sendSynced(draft, from, {
+	return sendAfterSync(draft, from, {
 		kind: 'appendAnswered', term: hardState.term, accepted: false, index: Math.max(index, committed + 1), round: request.round,
 	});
 }
@@ -61,7 +61,7 @@
 	const answersAtOnce = request.entries.length === 0 && hardStateSynced(applied.state) && !applied.unsaved.hardState;
 	return answersAtOnce
 		? sendImmediately(applied, from, {...answer, index: Math.min(matched, disk.syncedIndex)})
-		: sendSynced(applied, from, {...answer, index: matched});
+		: sendAfterSync(applied, from, {...answer, index: matched});
 }
 
 /** Whether the log has the entry that precedes the sent ones in the leader's log. */
@@ -72,7 +72,7 @@
 
 function refuseOldTerm(draft: Draft, from: VoterIdentity, round: number): Draft {
 	const {hardState, log} = draft.state;
-	return sendSynced(draft, from, {
+	return sendAfterSync(draft, from, {
 		kind: 'appendAnswered', term: hardState.term, accepted: false, index: log.lastIndex + 1, round,
 	});
 }
@@ -114,7 +114,7 @@
 
 	const ahead = message.snapshot.index > followed.state.committed;
 	const taken = ahead ? install(followed, message) : followed;
-	return sendSynced(taken, from, {
+	return sendAfterSync(taken, from, {
 		kind: 'appendAnswered', term: taken.state.hardState.term, accepted: true, index: message.snapshot.index, round: message.round,
 	});
 }
