--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -57,7 +57,7 @@
 }
 
 /** Sends a message that doesn't depend on any unsynced write, and whose outcome the transport has to report. */
-export function sendDelivery(draft: Draft, to: VoterIdentity, message: ConsensusMessage, delivery: number): Draft {
+export function sendTracked(draft: Draft, to: VoterIdentity, message: ConsensusMessage, delivery: number): Draft {
 	return addEffects(draft, {kind: 'send', envelope: {from: draft.state.options.self, to, message}, delivery});
 }
 
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -6,7 +6,7 @@
 import {applyCommitted} from './commit.js';
 import {type Delivery, hasRoom, isUnderWay} from './delivery.js';
 import {
-	addEffects, updateState, sendDelivery, sendImmediately, writeEntries, type Draft,
+	addEffects, updateState, sendTracked, sendImmediately, writeEntries, type Draft,
 } from './draft.js';
 import {entriesBetween, latestVoterSet, termAt} from './log.js';
 import {
@@ -57,7 +57,7 @@
 function deliver(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
 	const number = draft.state.deliveryCount + 1;
 	const noted = changeProgress(updateState(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
-	return sendDelivery(noted, progress.peer, message, number);
+	return sendTracked(noted, progress.peer, message, number);
 }
 
 function appendAfter(draft: Draft, previousIndex: LogIndex, entries: readonly LogEntry[]): ConsensusMessage {
