--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -96,7 +96,7 @@
 }
 
 /** Marks the log from an index on as unsynced, after a snapshot replaced entries. */
-export function resyncFrom(draft: Draft, index: LogIndex): Draft {
+export function markUnsyncedFrom(draft: Draft, index: LogIndex): Draft {
 	const {disk} = draft.state;
 	return {
 		...updateState(draft, {disk: {...disk, syncedIndex: Math.min(disk.syncedIndex, index - 1)}}),
