--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -91,7 +91,7 @@
 }
 
 /** Marks a snapshot, which the log already begins with, to be persisted at the end of the step. */
-export function saveSnapshot(draft: Draft, snapshot: Snapshot): Draft {
+export function markSnapshotUnsaved(draft: Draft, snapshot: Snapshot): Draft {
 	return {...draft, unsaved: {...draft.unsaved, snapshot}};
 }
 
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -5,7 +5,7 @@
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
 import {
-	addEffects, updateState, markUnsyncedFrom, saveSnapshot, sendImmediately, sendAfterSync, writeEntries, type Draft,
+	addEffects, updateState, markUnsyncedFrom, markSnapshotUnsaved, sendImmediately, sendAfterSync, writeEntries, type Draft,
 } from './draft.js';
 import {adoptTerm, becomeFollower, postponeElection} from './election.js';
 import {installSnapshot, termAt} from './log.js';
@@ -102,7 +102,7 @@
 	const {snapshot} = message;
 	const {log, committed} = draft.state;
 	const changed = updateState(draft, {log: installSnapshot(log, snapshot), committed: snapshot.index});
-	return addEffects(markUnsyncedFrom(saveSnapshot(changed, snapshot), committed + 1), {kind: 'restore', snapshot});
+	return addEffects(markUnsyncedFrom(markSnapshotUnsaved(changed, snapshot), committed + 1), {kind: 'restore', snapshot});
 }
 
 /** Handles a snapshot from the leader; installs it if it is ahead of the local commit index. */
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -4,7 +4,7 @@
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {
-	addEffects, updateState, rejectRequests, saveSnapshot, type Draft,
+	addEffects, updateState, rejectRequests, markSnapshotUnsaved, type Draft,
 } from './draft.js';
 import {
 	latestVoterSet, latestVoterSetIndex, compact, termAt, voterSetAt,
@@ -113,7 +113,7 @@
 	const snapshot = {
 		index, term, voterSet: voterSetAt(log, index), data,
 	};
-	return saveSnapshot(updateState(draft, {log: compact(log, snapshot, options.entriesBeforeSnapshot)}), snapshot);
+	return markSnapshotUnsaved(updateState(draft, {log: compact(log, snapshot, options.entriesBeforeSnapshot)}), snapshot);
 }
 
 /** Starts a leadership transfer to the voter that has the most of the log. */
