--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -131,7 +131,7 @@
 	return {...updateState(draft, {disk: nextDisk}), effects: [effect, ...draft.effects], deferred: []};
 }
 
-function joinLastWrite(draft: Draft): Draft {
+function deferToLastWrite(draft: Draft): Draft {
 	const {disk} = draft.state;
 	const last = disk.writes.at(-1);
 	if (last === undefined) {
@@ -158,7 +158,7 @@
 
 /** Ends a step: issues one write for all durable changes, and sends messages at once or attaches them to the write that they wait for. */
 export function endStep(draft: Draft, before: VoterState): Transition<VoterState, ConsensusEffect> {
-	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.deferred.length === 0 ? draft : joinLastWrite(draft));
+	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.deferred.length === 0 ? draft : deferToLastWrite(draft));
 	const {state, effects} = reportRole(saved, before);
 	return {state, effects};
 }
