--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -143,7 +143,7 @@
 	return {...updateState(draft, {disk: {...disk, writes}}), deferred: []};
 }
 
-function reportRole(draft: Draft, before: VoterState): Draft {
+function addRoleChange(draft: Draft, before: VoterState): Draft {
 	const {state} = draft;
 	const same = roleOf(before) === roleOf(state) && before.hardState.term === state.hardState.term && before.leader === state.leader;
 	if (same) {
@@ -159,6 +159,6 @@
 /** Ends a step: issues one write for all durable changes, and sends messages at once or attaches them to the write that they wait for. */
 export function endStep(draft: Draft, before: VoterState): Transition<VoterState, ConsensusEffect> {
 	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.deferred.length === 0 ? draft : deferToLastWrite(draft));
-	const {state, effects} = reportRole(saved, before);
+	const {state, effects} = addRoleChange(saved, before);
 	return {state, effects};
 }
