--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -109,7 +109,7 @@
 }
 
 function persist(draft: Draft): Draft {
-	const {state, unsaved, deferred: held} = draft;
+	const {state, unsaved, deferred: deferred} = draft;
 	const {log, disk} = state;
 	const ticket = disk.nextTicket;
 	const first = unsaved.firstIndex ?? log.lastIndex + 1;
@@ -118,7 +118,7 @@
 		nextTicket: ticket + 1,
 		hardStateTicket: unsaved.hardState ? ticket : disk.hardStateTicket,
 		writes: [...disk.writes, {
-			ticket, first, last: log.lastIndex, deferred: held,
+			ticket, first, last: log.lastIndex, deferred: deferred,
 		}],
 	};
 	const effect: ConsensusEffect = {
