--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -145,8 +145,8 @@
 
 function addRoleChange(draft: Draft, before: VoterState): Draft {
 	const {state} = draft;
-	const same = roleOf(before) === roleOf(state) && before.hardState.term === state.hardState.term && before.leader === state.leader;
-	if (same) {
+	const isUnchanged = roleOf(before) === roleOf(state) && before.hardState.term === state.hardState.term && before.leader === state.leader;
+	if (isUnchanged) {
 		return draft;
 	}
 
