--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -79,11 +79,11 @@
 	}
 
 	const {log, disk} = draft.state;
-	const kept = first.index <= log.lastIndex ? truncateAfter(log, first.index - 1) : log;
+	const precedingLog = first.index <= log.lastIndex ? truncateAfter(log, first.index - 1) : log;
 	const firstIndex = Math.min(draft.unsaved.firstIndex ?? first.index, first.index);
 	return {
 		...updateState(draft, {
-			log: appendEntries(kept, entries),
+			log: appendEntries(precedingLog, entries),
 			disk: {...disk, syncedIndex: Math.min(disk.syncedIndex, first.index - 1)},
 		}),
 		unsaved: {...draft.unsaved, firstIndex},
