--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -104,7 +104,7 @@
 	};
 }
 
-function isUnsaved(unsaved: UnsavedChanges): boolean {
+function hasUnsavedChanges(unsaved: UnsavedChanges): boolean {
 	return unsaved.hardState || unsaved.firstIndex !== undefined || unsaved.snapshot !== undefined;
 }
 
@@ -158,7 +158,7 @@
 
 /** Ends a step: issues one write for all durable changes, and sends messages at once or attaches them to the write that they wait for. */
 export function endStep(draft: Draft, before: VoterState): Transition<VoterState, ConsensusEffect> {
-	const saved = isUnsaved(draft.unsaved) ? persist(draft) : (draft.deferred.length === 0 ? draft : deferToLastWrite(draft));
+	const saved = hasUnsavedChanges(draft.unsaved) ? persist(draft) : (draft.deferred.length === 0 ? draft : deferToLastWrite(draft));
 	const {state, effects} = addRoleChange(saved, before);
 	return {state, effects};
 }
