--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -135,8 +135,8 @@
 	const {disk} = draft.state;
 	const last = disk.writes.at(-1);
 	if (last === undefined) {
-		const sends = draft.deferred.map(envelope => ({kind: 'send', envelope} as const));
-		return {...addEffects(draft, ...sends), deferred: []};
+		const sendEffects = draft.deferred.map(envelope => ({kind: 'send', envelope} as const));
+		return {...addEffects(draft, ...sendEffects), deferred: []};
 	}
 
 	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.deferred]}];
