--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -6,7 +6,7 @@
 import {addEffects, updateState, type Draft} from './draft.js';
 import {entriesBetween} from './log.js';
 
-function wantSnapshot(draft: Draft): Draft {
+function requestSnapshotIfDue(draft: Draft): Draft {
 	const {committed, log, snapshotRequestedIndex: snapshotAskedAt, options} = draft.state;
 	const since = Math.max(snapshotAskedAt, log.snapshot?.index ?? 0);
 	return committed - since < options.entriesBeforeSnapshot
@@ -22,5 +22,5 @@
 	}
 
 	const entries = entriesBetween(log, committed + 1, index);
-	return wantSnapshot(addEffects(updateState(draft, {committed: index}), {kind: 'apply', entries}));
+	return requestSnapshotIfDue(addEffects(updateState(draft, {committed: index}), {kind: 'apply', entries}));
 }
