--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -8,8 +8,8 @@
 
 function requestSnapshotIfDue(draft: Draft): Draft {
 	const {committed, log, snapshotRequestedIndex: snapshotAskedAt, options} = draft.state;
-	const since = Math.max(snapshotAskedAt, log.snapshot?.index ?? 0);
-	return committed - since < options.entriesBeforeSnapshot
+	const lastSnapshotIndex = Math.max(snapshotAskedAt, log.snapshot?.index ?? 0);
+	return committed - lastSnapshotIndex < options.entriesBeforeSnapshot
 		? draft
 		: addEffects(updateState(draft, {snapshotRequestedIndex: committed}), {kind: 'snapshotWanted', index: committed});
 }
