--- a/packages/consensus/src/delivery.ts
+++ b/packages/consensus/src/delivery.ts
@@ -27,6 +27,6 @@
 }
 
 /** Whether an entry that a member lacks is in flight to it. */
-export function isUnderWay(underWay: readonly Delivery[], index: LogIndex): boolean {
+export function isInFlight(underWay: readonly Delivery[], index: LogIndex): boolean {
 	return underWay.some(({first}) => index >= first);
 }
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -4,7 +4,7 @@
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
-import {type Delivery, hasRoom, isUnderWay} from './delivery.js';
+import {type Delivery, hasRoom, isInFlight} from './delivery.js';
 import {
 	addEffects, updateState, sendTracked, sendImmediately, writeEntries, type Draft,
 } from './draft.js';
@@ -225,7 +225,7 @@
 function noteRejected(draft: Draft, progress: Progress, answer: Answer): Draft {
 	const {lastArrival: arrived, inFlight: underWay} = progress;
 	const hasArrivedSince = arrived !== undefined && answer.index >= arrived.first && answer.round <= arrived.round;
-	if (isUnderWay(underWay, answer.index) || hasArrivedSince) {
+	if (isInFlight(underWay, answer.index) || hasArrivedSince) {
 		return draft;
 	}
 
