--- a/packages/consensus/src/delivery.ts
+++ b/packages/consensus/src/delivery.ts
@@ -19,11 +19,11 @@
  * The most characters that concurrent in-flight messages to a member carry together:
  * the size of one HTTP/2 frame, so that a later message doesn't overtake an earlier one.
  */
-export const windowCharacters = 16_384;
+export const inFlightWindowCharacters = 16_384;
 
 /** Whether the window has room for another message. A message of any length may be sent alone. */
 export function hasRoom(underWay: readonly Delivery[], characters: number): boolean {
-	return underWay.length === 0 || underWay.reduce((sum, delivery) => sum + delivery.characters, characters) <= windowCharacters;
+	return underWay.length === 0 || underWay.reduce((sum, delivery) => sum + delivery.characters, characters) <= inFlightWindowCharacters;
 }
 
 /** Whether an entry that a member lacks is in flight to it. */
