--- a/packages/consensus/src/delivery.ts
+++ b/packages/consensus/src/delivery.ts
@@ -22,7 +22,7 @@
 export const inFlightWindowCharacters = 16_384;
 
 /** Whether the window has room for another message. A message of any length may be sent alone. */
-export function hasRoom(underWay: readonly Delivery[], characters: number): boolean {
+export function hasWindowRoom(underWay: readonly Delivery[], characters: number): boolean {
 	return underWay.length === 0 || underWay.reduce((sum, delivery) => sum + delivery.characters, characters) <= inFlightWindowCharacters;
 }
 
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -4,7 +4,7 @@
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {applyCommitted} from './commit.js';
-import {type Delivery, hasRoom, isInFlight} from './delivery.js';
+import {type Delivery, hasWindowRoom, isInFlight} from './delivery.js';
 import {
 	addEffects, updateState, sendTracked, sendImmediately, writeEntries, type Draft,
 } from './draft.js';
@@ -125,7 +125,7 @@
 
 	const entries = fitting(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + entriesInMessage - 1));
 	const characters = entries.reduce((sum, entry) => sum + charactersOf(entry), 0);
-	return sendEntries(draft, progress, hasRoom(progress.inFlight, characters) ? entries : []);
+	return sendEntries(draft, progress, hasWindowRoom(progress.inFlight, characters) ? entries : []);
 }
 
 function heartbeatTo(draft: Draft, progress: Progress): Draft {
