--- a/packages/consensus/src/delivery.ts
+++ b/packages/consensus/src/delivery.ts
@@ -22,8 +22,8 @@
 export const inFlightWindowCharacters = 16_384;
 
 /** Whether the window has room for another message. A message of any length may be sent alone. */
-export function hasWindowRoom(underWay: readonly Delivery[], characters: number): boolean {
-	return underWay.length === 0 || underWay.reduce((sum, delivery) => sum + delivery.characters, characters) <= inFlightWindowCharacters;
+export function hasWindowRoom(inFlight: readonly Delivery[], characters: number): boolean {
+	return inFlight.length === 0 || inFlight.reduce((sum, delivery) => sum + delivery.characters, characters) <= inFlightWindowCharacters;
 }
 
 /** Whether an entry that a member lacks is in flight to it. */
