--- a/packages/consensus/src/delivery.ts
+++ b/packages/consensus/src/delivery.ts
@@ -27,6 +27,6 @@
 }
 
 /** Whether an entry that a member lacks is in flight to it. */
-export function isInFlight(underWay: readonly Delivery[], index: LogIndex): boolean {
-	return underWay.some(({first}) => index >= first);
+export function isInFlight(inFlight: readonly Delivery[], index: LogIndex): boolean {
+	return inFlight.some(({first}) => index >= first);
 }
