--- a/packages/consensus/src/due.ts
+++ b/packages/consensus/src/due.ts
@@ -9,7 +9,7 @@
 import {type Leadership, votesItself, type VoterState} from './state.js';
 import {isMajority} from './voter-set.js';
 
-function isAlone(state: VoterState): boolean {
+function isOnlyVoter(state: VoterState): boolean {
 	return isMajority(latestVoterSet(state.log), [state.options.self]);
 }
 
@@ -19,7 +19,7 @@
 		return Infinity;
 	}
 
-	return isAlone(state) && state.campaign === undefined ? -Infinity : state.electionAt;
+	return isOnlyVoter(state) && state.campaign === undefined ? -Infinity : state.electionAt;
 }
 
 /**
@@ -29,7 +29,7 @@
  */
 export function leadershipEndsAt(state: VoterState, leadership: Leadership): MonotonicTime {
 	const {electionMilliseconds} = state.options;
-	const heardAt = isAlone(state) ? Infinity : roundContactAt(state, leadership);
+	const heardAt = isOnlyVoter(state) ? Infinity : roundContactAt(state, leadership);
 	return Math.min(heardAt, leadership.transfer?.startedAt ?? Infinity) + electionMilliseconds;
 }
 
