--- a/packages/consensus/src/due.ts
+++ b/packages/consensus/src/due.ts
@@ -29,8 +29,8 @@
  */
 export function leadershipEndsAt(state: VoterState, leadership: Leadership): MonotonicTime {
 	const {electionMilliseconds} = state.options;
-	const heardAt = isOnlyVoter(state) ? Infinity : roundContactAt(state, leadership);
-	return Math.min(heardAt, leadership.transfer?.startedAt ?? Infinity) + electionMilliseconds;
+	const lastContactAt = isOnlyVoter(state) ? Infinity : roundContactAt(state, leadership);
+	return Math.min(lastContactAt, leadership.transfer?.startedAt ?? Infinity) + electionMilliseconds;
 }
 
 function leaderDueAt(state: VoterState): MonotonicTime {
