--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -32,7 +32,7 @@
  * the number of draws. The generator spreads similar seeds far apart; with one whose first number follows its seed, two
  * voters with similar seeds would start their elections together every time.
  */
-export function drawElectionPause(options: VoterState['options'], draws: number): number {
+export function drawElectionTimeout(options: VoterState['options'], draws: number): number {
 	const generator = mersenne(options.seed + (draws * 7919));
 	return options.electionMilliseconds + uniformInt(generator, 0, options.electionMilliseconds);
 }
@@ -40,7 +40,7 @@
 /** Resets the election timer with a new random timeout. */
 export function postponeElection(draft: Draft): Draft {
 	const {options, electionTimeoutDraws: draws} = draft.state;
-	return updateState(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionPause(options, draws + 1)});
+	return updateState(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionTimeout(options, draws + 1)});
 }
 
 function hearsLeader(state: VoterState, now: MonotonicTime): boolean {
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -8,7 +8,7 @@
 	beginStep, addEffects, updateState, endStep, type Draft,
 } from './draft.js';
 import {
-	countOwnVote, drawElectionPause, receiveElectionVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
+	countOwnVote, drawElectionTimeout, receiveElectionVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
 } from './election.js';
 import {receiveAppend, receiveSnapshot} from './follower.js';
 import {appendEntries, createLog} from './log.js';
@@ -45,7 +45,7 @@
 		role: Role.follower,
 		leader: undefined,
 		leaderContactAt: now - options.electionMilliseconds + (options.startSilenceMilliseconds ?? options.electionMilliseconds),
-		electionAt: now + drawElectionPause({...options, electionMilliseconds: options.firstElectionMilliseconds ?? options.electionMilliseconds}, 0),
+		electionAt: now + drawElectionTimeout({...options, electionMilliseconds: options.firstElectionMilliseconds ?? options.electionMilliseconds}, 0),
 		electionTimeoutDraws: 0,
 		campaign: undefined,
 		leadership: undefined,
--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {drawElectionPause} from '@dogwooddeck/consensus/election';
+import {drawElectionTimeout} from '@dogwooddeck/consensus/election';
 import {type ConsensusOptions} from '@dogwooddeck/consensus/machine';
 import {createVoter} from '@dogwooddeck/consensus/voter';
 
@@ -20,7 +20,7 @@
 	const options: ConsensusOptions = {
 		self: {name: 'a', folder: 'f'}, electionMilliseconds, heartbeatMilliseconds: 150, entriesBeforeSnapshot: 100, seed,
 	};
-	return drawElectionPause(options, draw);
+	return drawElectionTimeout(options, draw);
 }
 
 function splitsInTurn(one: number, other: number): number {
