--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -38,7 +38,7 @@
 }
 
 /** Resets the election timer with a new random timeout. */
-export function postponeElection(draft: Draft): Draft {
+export function resetElectionTimer(draft: Draft): Draft {
 	const {options, electionTimeoutDraws: draws} = draft.state;
 	return updateState(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionTimeout(options, draws + 1)});
 }
@@ -60,7 +60,7 @@
 /** Adopts a higher term, and becomes a follower in it. */
 export function adoptTerm(draft: Draft, term: Term): Draft {
 	const lost = failure(FailureKind.notLeader, 'Another voter started an election.');
-	return setHardState(becomeFollower(postponeElection(draft), undefined, lost), {term});
+	return setHardState(becomeFollower(resetElectionTimer(draft), undefined, lost), {term});
 }
 
 function lead(draft: Draft): Draft {
@@ -95,7 +95,7 @@
 function standForElection(draft: Draft, invited: boolean): Draft {
 	const {options, hardState, log} = draft.state;
 	const term = hardState.term + 1;
-	const voted = setHardState(postponeElection(draft), {term, vote: options.self});
+	const voted = setHardState(resetElectionTimer(draft), {term, vote: options.self});
 	const standing = updateState(voted, {role: Role.candidate, leader: undefined, campaign: {phase: 'vote', granted: []}});
 	return requestVotes(standing, {
 		kind: 'voteRequested', term, lastIndex: log.lastIndex, lastTerm: lastTermOf(log), ...(invited ? {invited: true} : {}),
@@ -104,7 +104,7 @@
 
 function standForPreVote(draft: Draft): Draft {
 	const {options, hardState, log} = draft.state;
-	const standing = updateState(postponeElection(draft), {
+	const standing = updateState(resetElectionTimer(draft), {
 		role: Role.candidate, leader: undefined, campaign: {phase: 'preVote', granted: [options.self]},
 	});
 	const asked = requestVotes(standing, {
@@ -165,7 +165,7 @@
 	const {hardState} = draft.state;
 	const free = hardState.vote === undefined || sameVoter(hardState.vote, from);
 	const granted = message.term === hardState.term && free && logAllowsVote(draft.state, message);
-	const voted = granted ? setHardState(postponeElection(draft), {term: hardState.term, vote: from}) : draft;
+	const voted = granted ? setHardState(resetElectionTimer(draft), {term: hardState.term, vote: from}) : draft;
 	return sendAfterSync(voted, from, {kind: 'voteAnswered', term: hardState.term, granted});
 }
 
@@ -223,7 +223,7 @@
 	const leadership = draft.state.leadership!;
 	if (draft.now >= leadershipEndsAt(draft.state, leadership)) {
 		const lost = failure(FailureKind.noQuorum, 'The leader has lost contact with a majority of the voters.');
-		return becomeFollower(postponeElection(draft), undefined, lost);
+		return becomeFollower(resetElectionTimer(draft), undefined, lost);
 	}
 
 	return draft.now >= leadership.heartbeatAt ? advanceCommit(startRound(draft)) : draft;
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -7,7 +7,7 @@
 import {
 	addEffects, updateState, markUnsyncedFrom, markSnapshotUnsaved, sendImmediately, sendAfterSync, writeEntries, type Draft,
 } from './draft.js';
-import {adoptTerm, becomeFollower, postponeElection} from './election.js';
+import {adoptTerm, becomeFollower, resetElectionTimer} from './election.js';
 import {installSnapshot, termAt} from './log.js';
 import {Role} from './machine.js';
 import {type ConsensusMessage, type LogEntry, type VoterIdentity} from './message.js';
@@ -21,7 +21,7 @@
 	const {state, now} = draft;
 	const known = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
 	const lost = failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
-	return updateState(becomeFollower(postponeElection(draft), known, lost), {leaderContactAt: now});
+	return updateState(becomeFollower(resetElectionTimer(draft), known, lost), {leaderContactAt: now});
 }
 
 /** The first uncommitted index whose entry has the same term as the one at `index`. */
