--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -43,7 +43,7 @@
 	return updateState(draft, {electionTimeoutDraws: draws + 1, electionAt: draft.now + drawElectionTimeout(options, draws + 1)});
 }
 
-function hearsLeader(state: VoterState, now: MonotonicTime): boolean {
+function hasLeaderContact(state: VoterState, now: MonotonicTime): boolean {
 	return state.role === Role.leader || now - state.leaderContactAt < state.options.electionMilliseconds;
 }
 
@@ -157,7 +157,7 @@
 /** Answers a pre-vote request. A granted pre-vote doesn't bind the voter. */
 export function receivePreVoteRequest(draft: Draft, from: VoterIdentity, message: PreVoteRequest): Draft {
 	const {state, now} = draft;
-	const granted = message.term > state.hardState.term && !hearsLeader(state, now) && logAllowsVote(state, message);
+	const granted = message.term > state.hardState.term && !hasLeaderContact(state, now) && logAllowsVote(state, message);
 	return sendAfterSync(draft, from, {kind: 'preVoteAnswered', term: granted ? message.term : state.hardState.term, granted});
 }
 
@@ -176,7 +176,7 @@
  */
 export function receiveVoteRequest(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
 	const {term} = draft.state.hardState;
-	if (message.term >= term && message.invited !== true && hearsLeader(draft.state, draft.now)) {
+	if (message.term >= term && message.invited !== true && hasLeaderContact(draft.state, draft.now)) {
 		return draft;
 	}
 
