--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -92,7 +92,7 @@
 	return others.reduce((made, voter) => sendAfterSync(made, voter, message), draft);
 }
 
-function standForElection(draft: Draft, invited: boolean): Draft {
+function startElection(draft: Draft, invited: boolean): Draft {
 	const {options, hardState, log} = draft.state;
 	const term = hardState.term + 1;
 	const voted = setHardState(resetElectionTimer(draft), {term, vote: options.self});
@@ -114,7 +114,7 @@
 }
 
 const afterMajority = {
-	preVote: (draft: Draft) => standForElection(draft, false),
+	preVote: (draft: Draft) => startElection(draft, false),
 	vote: lead,
 } as const;
 
@@ -212,7 +212,7 @@
 export function receiveInvitation(draft: Draft, from: VoterIdentity, message: {readonly term: Term}): Draft {
 	const {state} = draft;
 	const follows = state.role === Role.follower && state.leader !== undefined && sameVoter(state.leader, from);
-	return follows && message.term === state.hardState.term && votesItself(state) ? standForElection(draft, true) : draft;
+	return follows && message.term === state.hardState.term && votesItself(state) ? startElection(draft, true) : draft;
 }
 
 function tickFollower(draft: Draft): Draft {
