--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -102,7 +102,7 @@
 	});
 }
 
-function standForPreVote(draft: Draft): Draft {
+function startPreVote(draft: Draft): Draft {
 	const {options, hardState, log} = draft.state;
 	const standing = updateState(resetElectionTimer(draft), {
 		role: Role.candidate, leader: undefined, campaign: {phase: 'preVote', granted: [options.self]},
@@ -216,7 +216,7 @@
 }
 
 function tickFollower(draft: Draft): Draft {
-	return draft.now >= electionDueAt(draft.state) ? standForPreVote(draft) : draft;
+	return draft.now >= electionDueAt(draft.state) ? startPreVote(draft) : draft;
 }
 
 function tickLeader(draft: Draft): Draft {
