--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -63,7 +63,7 @@
 	return setHardState(becomeFollower(resetElectionTimer(draft), undefined, lost), {term});
 }
 
-function lead(draft: Draft): Draft {
+function becomeLeader(draft: Draft): Draft {
 	const {state, now} = draft;
 	const {log, options} = state;
 	const peers = membersOf(latestVoterSet(log)).filter(member => !sameVoter(member, options.self));
@@ -115,7 +115,7 @@
 
 const afterMajority = {
 	preVote: (draft: Draft) => startElection(draft, false),
-	vote: lead,
+	vote: becomeLeader,
 } as const;
 
 function countVotes(draft: Draft): Draft {
