--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -25,7 +25,7 @@
 
 type PreVoteRequest = Extract<ConsensusMessage, {readonly kind: 'preVoteRequested'}>;
 type VoteRequest = Extract<ConsensusMessage, {readonly kind: 'voteRequested'}>;
-type Granting = Extract<ConsensusMessage, {readonly kind: 'preVoteAnswered' | 'voteAnswered'}>;
+type VoteAnswer = Extract<ConsensusMessage, {readonly kind: 'preVoteAnswered' | 'voteAnswered'}>;
 
 /**
  * The randomized election timeout, in milliseconds: one to two times `electionMilliseconds`, a function of the seed and
@@ -188,7 +188,7 @@
 	vote: (term: Term) => term,
 } as const;
 
-function receiveVote(draft: Draft, from: VoterIdentity, message: Granting, phase: 'preVote' | 'vote'): Draft {
+function receiveVote(draft: Draft, from: VoterIdentity, message: VoteAnswer, phase: 'preVote' | 'vote'): Draft {
 	const {campaign, hardState} = draft.state;
 	if (!message.granted && message.term > hardState.term) {
 		return adoptTerm(draft, message.term);
@@ -199,12 +199,12 @@
 }
 
 /** Handles the answer to a pre-vote request. */
-export function receivePreVote(draft: Draft, from: VoterIdentity, message: Granting): Draft {
+export function receivePreVote(draft: Draft, from: VoterIdentity, message: VoteAnswer): Draft {
 	return receiveVote(draft, from, message, 'preVote');
 }
 
 /** Handles the answer to a vote request. */
-export function receiveElectionVote(draft: Draft, from: VoterIdentity, message: Granting): Draft {
+export function receiveElectionVote(draft: Draft, from: VoterIdentity, message: VoteAnswer): Draft {
 	return receiveVote(draft, from, message, 'vote');
 }
 
