--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -139,7 +139,7 @@
 	return state.campaign?.phase === 'vote' && hardStateSynced(state) ? addVote(draft, state.options.self) : draft;
 }
 
-function newerThanOwn(state: VoterState, message: PreVoteRequest | VoteRequest): number {
+function compareWithOwnLog(state: VoterState, message: PreVoteRequest | VoteRequest): number {
 	const termDifference = message.lastTerm - lastTermOf(state.log);
 	return termDifference === 0 ? message.lastIndex - state.log.lastIndex : termDifference;
 }
@@ -150,7 +150,7 @@
  * that made it a voter.
  */
 function logAllowsVote(state: VoterState, message: PreVoteRequest | VoteRequest): boolean {
-	const newer = newerThanOwn(state, message);
+	const newer = compareWithOwnLog(state, message);
 	return newer > 0 || (newer === 0 && votesItself(state));
 }
 
