--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -149,7 +149,7 @@
  * voter by its own log votes only for a newer log: only that one can hold the entry
  * that made it a voter.
  */
-function logAllowsVote(state: VoterState, message: PreVoteRequest | VoteRequest): boolean {
+function isLogRecentEnough(state: VoterState, message: PreVoteRequest | VoteRequest): boolean {
 	const newer = compareWithOwnLog(state, message);
 	return newer > 0 || (newer === 0 && votesItself(state));
 }
@@ -157,14 +157,14 @@
 /** Answers a pre-vote request. A granted pre-vote doesn't bind the voter. */
 export function receivePreVoteRequest(draft: Draft, from: VoterIdentity, message: PreVoteRequest): Draft {
 	const {state, now} = draft;
-	const granted = message.term > state.hardState.term && !hasLeaderContact(state, now) && logAllowsVote(state, message);
+	const granted = message.term > state.hardState.term && !hasLeaderContact(state, now) && isLogRecentEnough(state, message);
 	return sendAfterSync(draft, from, {kind: 'preVoteAnswered', term: granted ? message.term : state.hardState.term, granted});
 }
 
 function vote(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
 	const {hardState} = draft.state;
 	const free = hardState.vote === undefined || sameVoter(hardState.vote, from);
-	const granted = message.term === hardState.term && free && logAllowsVote(draft.state, message);
+	const granted = message.term === hardState.term && free && isLogRecentEnough(draft.state, message);
 	const voted = granted ? setHardState(resetElectionTimer(draft), {term: hardState.term, vote: from}) : draft;
 	return sendAfterSync(voted, from, {kind: 'voteAnswered', term: hardState.term, granted});
 }
