--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -161,7 +161,7 @@
 	return sendAfterSync(draft, from, {kind: 'preVoteAnswered', term: granted ? message.term : state.hardState.term, granted});
 }
 
-function vote(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
+function answerVoteRequest(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
 	const {hardState} = draft.state;
 	const free = hardState.vote === undefined || sameVoter(hardState.vote, from);
 	const granted = message.term === hardState.term && free && isLogRecentEnough(draft.state, message);
@@ -180,7 +180,7 @@
 		return draft;
 	}
 
-	return vote(message.term > term ? adoptTerm(draft, message.term) : draft, from, message);
+	return answerVoteRequest(message.term > term ? adoptTerm(draft, message.term) : draft, from, message);
 }
 
 const askedTerm = {
