--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -183,7 +183,7 @@
 	return answerVoteRequest(message.term > term ? adoptTerm(draft, message.term) : draft, from, message);
 }
 
-const askedTerm = {
+const expectedTerm = {
 	preVote: (term: Term) => term + 1,
 	vote: (term: Term) => term,
 } as const;
@@ -194,7 +194,7 @@
 		return adoptTerm(draft, message.term);
 	}
 
-	const counts = message.granted && campaign?.phase === phase && message.term === askedTerm[phase](hardState.term);
+	const counts = message.granted && campaign?.phase === phase && message.term === expectedTerm[phase](hardState.term);
 	return counts ? addVote(draft, from) : draft;
 }
 
