--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -188,7 +188,7 @@
 	vote: (term: Term) => term,
 } as const;
 
-function receiveVote(draft: Draft, from: VoterIdentity, message: VoteAnswer, phase: 'preVote' | 'vote'): Draft {
+function receiveVoteAnswer(draft: Draft, from: VoterIdentity, message: VoteAnswer, phase: 'preVote' | 'vote'): Draft {
 	const {campaign, hardState} = draft.state;
 	if (!message.granted && message.term > hardState.term) {
 		return adoptTerm(draft, message.term);
@@ -200,12 +200,12 @@
 
 /** Handles the answer to a pre-vote request. */
 export function receivePreVote(draft: Draft, from: VoterIdentity, message: VoteAnswer): Draft {
-	return receiveVote(draft, from, message, 'preVote');
+	return receiveVoteAnswer(draft, from, message, 'preVote');
 }
 
 /** Handles the answer to a vote request. */
 export function receiveElectionVote(draft: Draft, from: VoterIdentity, message: VoteAnswer): Draft {
-	return receiveVote(draft, from, message, 'vote');
+	return receiveVoteAnswer(draft, from, message, 'vote');
 }
 
 /** Starts an election at once, on the leader's invitation in a leadership transfer. */
