--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -204,7 +204,7 @@
 }
 
 /** Handles the answer to a vote request. */
-export function receiveElectionVote(draft: Draft, from: VoterIdentity, message: VoteAnswer): Draft {
+export function receiveVote(draft: Draft, from: VoterIdentity, message: VoteAnswer): Draft {
 	return receiveVoteAnswer(draft, from, message, 'vote');
 }
 
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -8,7 +8,7 @@
 	beginStep, addEffects, updateState, endStep, type Draft,
 } from './draft.js';
 import {
-	countOwnVote, drawElectionTimeout, receiveElectionVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
+	countOwnVote, drawElectionTimeout, receiveVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
 } from './election.js';
 import {receiveAppend, receiveSnapshot} from './follower.js';
 import {appendEntries, createLog} from './log.js';
@@ -61,7 +61,7 @@
 	preVoteRequested: (message, draft, from) => receivePreVoteRequest(draft, from, message),
 	preVoteAnswered: (message, draft, from) => receivePreVote(draft, from, message),
 	voteRequested: (message, draft, from) => receiveVoteRequest(draft, from, message),
-	voteAnswered: (message, draft, from) => receiveElectionVote(draft, from, message),
+	voteAnswered: (message, draft, from) => receiveVote(draft, from, message),
 	appendRequested: (message, draft, from) => receiveAppend(draft, from, message),
 	appendAnswered: (message, draft, from) => message.term > draft.state.hardState.term
 		? adoptTerm(draft, message.term)
