--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -96,8 +96,8 @@
 	const {options, hardState, log} = draft.state;
 	const term = hardState.term + 1;
 	const voted = setHardState(resetElectionTimer(draft), {term, vote: options.self});
-	const standing = updateState(voted, {role: Role.candidate, leader: undefined, campaign: {phase: 'vote', granted: []}});
-	return requestVotes(standing, {
+	const candidate = updateState(voted, {role: Role.candidate, leader: undefined, campaign: {phase: 'vote', granted: []}});
+	return requestVotes(candidate, {
 		kind: 'voteRequested', term, lastIndex: log.lastIndex, lastTerm: lastTermOf(log), ...(invited ? {invited: true} : {}),
 	});
 }
