--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -104,10 +104,10 @@
 
 function startPreVote(draft: Draft): Draft {
 	const {options, hardState, log} = draft.state;
-	const standing = updateState(resetElectionTimer(draft), {
+	const candidate = updateState(resetElectionTimer(draft), {
 		role: Role.candidate, leader: undefined, campaign: {phase: 'preVote', granted: [options.self]},
 	});
-	const asked = requestVotes(standing, {
+	const asked = requestVotes(candidate, {
 		kind: 'preVoteRequested', term: hardState.term + 1, lastIndex: log.lastIndex, lastTerm: lastTermOf(log),
 	});
 	return countVotes(asked);
