--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -107,10 +107,10 @@
 	const candidate = updateState(resetElectionTimer(draft), {
 		role: Role.candidate, leader: undefined, campaign: {phase: 'preVote', granted: [options.self]},
 	});
-	const asked = requestVotes(candidate, {
+	const requested = requestVotes(candidate, {
 		kind: 'preVoteRequested', term: hardState.term + 1, lastIndex: log.lastIndex, lastTerm: lastTermOf(log),
 	});
-	return countVotes(asked);
+	return countVotes(requested);
 }
 
 const afterMajority = {
