--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -89,7 +89,7 @@
 function requestVotes(draft: Draft, message: PreVoteRequest | VoteRequest): Draft {
 	const {log, options} = draft.state;
 	const others = latestVoterSet(log).voters.filter(voter => !sameVoter(voter, options.self));
-	return others.reduce((made, voter) => sendAfterSync(made, voter, message), draft);
+	return others.reduce((result, voter) => sendAfterSync(result, voter, message), draft);
 }
 
 function startElection(draft: Draft, invited: boolean): Draft {
