--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -163,8 +163,8 @@
 
 function answerVoteRequest(draft: Draft, from: VoterIdentity, message: VoteRequest): Draft {
 	const {hardState} = draft.state;
-	const free = hardState.vote === undefined || sameVoter(hardState.vote, from);
-	const granted = message.term === hardState.term && free && isLogRecentEnough(draft.state, message);
+	const isVoteFree = hardState.vote === undefined || sameVoter(hardState.vote, from);
+	const granted = message.term === hardState.term && isVoteFree && isLogRecentEnough(draft.state, message);
 	const voted = granted ? setHardState(resetElectionTimer(draft), {term: hardState.term, vote: from}) : draft;
 	return sendAfterSync(voted, from, {kind: 'voteAnswered', term: hardState.term, granted});
 }
