--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -211,8 +211,8 @@
 /** Starts an election at once, on the leader's invitation in a leadership transfer. */
 export function receiveInvitation(draft: Draft, from: VoterIdentity, message: {readonly term: Term}): Draft {
 	const {state} = draft;
-	const follows = state.role === Role.follower && state.leader !== undefined && sameVoter(state.leader, from);
-	return follows && message.term === state.hardState.term && votesItself(state) ? startElection(draft, true) : draft;
+	const isFollowerOfSender = state.role === Role.follower && state.leader !== undefined && sameVoter(state.leader, from);
+	return isFollowerOfSender && message.term === state.hardState.term && votesItself(state) ? startElection(draft, true) : draft;
 }
 
 function tickFollower(draft: Draft): Draft {
