--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -194,8 +194,8 @@
 		return adoptTerm(draft, message.term);
 	}
 
-	const counts = message.granted && campaign?.phase === phase && message.term === expectedTerm[phase](hardState.term);
-	return counts ? addVote(draft, from) : draft;
+	const isCounted = message.granted && campaign?.phase === phase && message.term === expectedTerm[phase](hardState.term);
+	return isCounted ? addVote(draft, from) : draft;
 }
 
 /** Handles the answer to a pre-vote request. */
