--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -48,13 +48,13 @@
 }
 
 /** Becomes a follower. Pending proposals of a former leader fail with an unknown outcome, its pending reads with `lost`. */
-export function becomeFollower(draft: Draft, leader: VoterIdentity | undefined, lost: Failure): Draft {
+export function becomeFollower(draft: Draft, leader: VoterIdentity | undefined, readFailure: Failure): Draft {
 	const {leadership} = draft.state;
 	const unknownOutcome = failure(FailureKind.outcomeUnknown, 'The leader that accepted the change lost its leadership before the change was committed.');
 	const followed = updateState(draft, {
 		role: Role.follower, leader, campaign: undefined, leadership: undefined,
 	});
-	return rejectRequests(rejectRequests(followed, leadership?.proposals ?? [], unknownOutcome), leadership?.reads ?? [], lost);
+	return rejectRequests(rejectRequests(followed, leadership?.proposals ?? [], unknownOutcome), leadership?.reads ?? [], readFailure);
 }
 
 /** Adopts a higher term, and becomes a follower in it. */
