--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -150,8 +150,8 @@
  * that made it a voter.
  */
 function isLogRecentEnough(state: VoterState, message: PreVoteRequest | VoteRequest): boolean {
-	const newer = compareWithOwnLog(state, message);
-	return newer > 0 || (newer === 0 && votesItself(state));
+	const difference = compareWithOwnLog(state, message);
+	return difference > 0 || (difference === 0 && votesItself(state));
 }
 
 /** Answers a pre-vote request. A granted pre-vote doesn't bind the voter. */
