--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -134,7 +134,7 @@
 }
 
 /** Counts a candidate's own vote once it is synced. */
-export function countOwnVote(draft: Draft): Draft {
+export function countOwnVoteIfSynced(draft: Draft): Draft {
 	const {state} = draft;
 	return state.campaign?.phase === 'vote' && hardStateSynced(state) ? addVote(draft, state.options.self) : draft;
 }
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -8,7 +8,7 @@
 	beginStep, addEffects, updateState, endStep, type Draft,
 } from './draft.js';
 import {
-	countOwnVote, drawElectionTimeout, receiveVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
+	countOwnVoteIfSynced, drawElectionTimeout, receiveVote, receiveInvitation, receivePreVote, receivePreVoteRequest, receiveVoteRequest, adoptTerm, tick,
 } from './election.js';
 import {receiveAppend, receiveSnapshot} from './follower.js';
 import {appendEntries, createLog} from './log.js';
@@ -82,7 +82,7 @@
 		},
 	});
 	const released = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
-	return advanceCommit(countOwnVote(addEffects(noted, ...released)));
+	return advanceCommit(countOwnVoteIfSynced(addEffects(noted, ...released)));
 }
 
 const eventHandlers: HandlerTable<ConsensusEvent, [Draft], Draft> = {
