--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -17,7 +17,7 @@
 type AppendRequest = Extract<ConsensusMessage, {readonly kind: 'appendRequested'}>;
 type SnapshotMessage = Extract<ConsensusMessage, {readonly kind: 'snapshotSent'}>;
 
-function follow(draft: Draft, leader: VoterIdentity): Draft {
+function followLeader(draft: Draft, leader: VoterIdentity): Draft {
 	const {state, now} = draft;
 	const known = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
 	const lost = failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
@@ -84,7 +84,7 @@
 		return undefined;
 	}
 
-	return follow(term > hardState.term ? adoptTerm(draft, term) : draft, from);
+	return followLeader(term > hardState.term ? adoptTerm(draft, term) : draft, from);
 }
 
 /** Handles entries or a heartbeat from the leader. */
