--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -78,7 +78,7 @@
 }
 
 /** Accepts the sender as leader; undefined if its term is stale. */
-function followSender(draft: Draft, from: VoterIdentity, term: number): Draft | undefined {
+function followIfCurrentTerm(draft: Draft, from: VoterIdentity, term: number): Draft | undefined {
 	const {hardState, role} = draft.state;
 	if (term < hardState.term || (term === hardState.term && role === Role.leader)) {
 		return undefined;
@@ -89,7 +89,7 @@
 
 /** Handles entries or a heartbeat from the leader. */
 export function receiveAppend(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
-	const followed = followSender(draft, from, request.term);
+	const followed = followIfCurrentTerm(draft, from, request.term);
 	if (followed === undefined) {
 		return refuseOldTerm(draft, from, request.round);
 	}
@@ -107,7 +107,7 @@
 
 /** Handles a snapshot from the leader; installs it if it is ahead of the local commit index. */
 export function receiveSnapshot(draft: Draft, from: VoterIdentity, message: SnapshotMessage): Draft {
-	const followed = followSender(draft, from, message.term);
+	const followed = followIfCurrentTerm(draft, from, message.term);
 	if (followed === undefined) {
 		return refuseOldTerm(draft, from, message.round);
 	}
