--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -25,7 +25,7 @@
 }
 
 /** The first uncommitted index whose entry has the same term as the one at `index`. */
-function firstOfTerm(draft: Draft, index: LogIndex): LogIndex {
+function firstUncommittedOfTerm(draft: Draft, index: LogIndex): LogIndex {
 	const {log, committed} = draft.state;
 	const term = termAt(log, index);
 	let first = index;
@@ -38,7 +38,7 @@
 
 function reject(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
 	const {log, hardState, committed} = draft.state;
-	const index = request.previousIndex > log.lastIndex ? log.lastIndex + 1 : firstOfTerm(draft, request.previousIndex);
+	const index = request.previousIndex > log.lastIndex ? log.lastIndex + 1 : firstUncommittedOfTerm(draft, request.previousIndex);
 	return sendAfterSync(draft, from, {
 		kind: 'appendAnswered', term: hardState.term, accepted: false, index: Math.max(index, committed + 1), round: request.round,
 	});
