--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -65,7 +65,7 @@
 }
 
 /** Whether the log has the entry that precedes the sent ones in the leader's log. */
-function agrees(draft: Draft, request: AppendRequest): boolean {
+function hasPreviousEntry(draft: Draft, request: AppendRequest): boolean {
 	const {log, committed} = draft.state;
 	return request.previousIndex <= committed || termAt(log, request.previousIndex) === request.previousTerm;
 }
@@ -95,7 +95,7 @@
 	}
 
 	const heard = updateState(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
-	return agrees(heard, request) ? accept(heard, from, request) : reject(heard, from, request);
+	return hasPreviousEntry(heard, request) ? accept(heard, from, request) : reject(heard, from, request);
 }
 
 function install(draft: Draft, message: SnapshotMessage): Draft {
