--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -70,7 +70,7 @@
 	return request.previousIndex <= committed || termAt(log, request.previousIndex) === request.previousTerm;
 }
 
-function refuseOldTerm(draft: Draft, from: VoterIdentity, round: number): Draft {
+function rejectStaleTerm(draft: Draft, from: VoterIdentity, round: number): Draft {
 	const {hardState, log} = draft.state;
 	return sendAfterSync(draft, from, {
 		kind: 'appendAnswered', term: hardState.term, accepted: false, index: log.lastIndex + 1, round,
@@ -91,7 +91,7 @@
 export function receiveAppend(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
 	const followed = followIfCurrentTerm(draft, from, request.term);
 	if (followed === undefined) {
-		return refuseOldTerm(draft, from, request.round);
+		return rejectStaleTerm(draft, from, request.round);
 	}
 
 	const heard = updateState(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
@@ -109,7 +109,7 @@
 export function receiveSnapshot(draft: Draft, from: VoterIdentity, message: SnapshotMessage): Draft {
 	const followed = followIfCurrentTerm(draft, from, message.term);
 	if (followed === undefined) {
-		return refuseOldTerm(draft, from, message.round);
+		return rejectStaleTerm(draft, from, message.round);
 	}
 
 	const ahead = message.snapshot.index > followed.state.committed;
