--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -94,8 +94,8 @@
 		return rejectStaleTerm(draft, from, request.round);
 	}
 
-	const heard = updateState(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
-	return hasPreviousEntry(heard, request) ? accept(heard, from, request) : reject(heard, from, request);
+	const updated = updateState(followed, {reportedCommitted: Math.max(followed.state.reportedCommitted, request.committed)});
+	return hasPreviousEntry(updated, request) ? accept(updated, from, request) : reject(updated, from, request);
 }
 
 function install(draft: Draft, message: SnapshotMessage): Draft {
