--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -113,8 +113,8 @@
 	}
 
 	const ahead = message.snapshot.index > followed.state.committed;
-	const taken = ahead ? install(followed, message) : followed;
-	return sendAfterSync(taken, from, {
-		kind: 'appendAnswered', term: taken.state.hardState.term, accepted: true, index: message.snapshot.index, round: message.round,
+	const installed = ahead ? install(followed, message) : followed;
+	return sendAfterSync(installed, from, {
+		kind: 'appendAnswered', term: installed.state.hardState.term, accepted: true, index: message.snapshot.index, round: message.round,
 	});
 }
