--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -112,8 +112,8 @@
 		return rejectStaleTerm(draft, from, message.round);
 	}
 
-	const ahead = message.snapshot.index > followed.state.committed;
-	const installed = ahead ? install(followed, message) : followed;
+	const isAhead = message.snapshot.index > followed.state.committed;
+	const installed = isAhead ? install(followed, message) : followed;
 	return sendAfterSync(installed, from, {
 		kind: 'appendAnswered', term: installed.state.hardState.term, accepted: true, index: message.snapshot.index, round: message.round,
 	});
