--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -51,17 +51,17 @@
 }
 
 function accept(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
-	const matched = request.previousIndex + request.entries.length;
+	const matchIndex = request.previousIndex + request.entries.length;
 	const written = writeEntries(draft, newEntries(draft, request.entries));
-	const applied = applyCommitted(written, Math.min(request.committed, matched));
+	const applied = applyCommitted(written, Math.min(request.committed, matchIndex));
 	const {hardState, disk} = applied.state;
 	const answer = {
 		kind: 'appendAnswered', term: hardState.term, accepted: true, round: request.round,
 	} as const;
 	const answersAtOnce = request.entries.length === 0 && hardStateSynced(applied.state) && !applied.unsaved.hardState;
 	return answersAtOnce
-		? sendImmediately(applied, from, {...answer, index: Math.min(matched, disk.syncedIndex)})
-		: sendAfterSync(applied, from, {...answer, index: matched});
+		? sendImmediately(applied, from, {...answer, index: Math.min(matchIndex, disk.syncedIndex)})
+		: sendAfterSync(applied, from, {...answer, index: matchIndex});
 }
 
 /** Whether the log has the entry that precedes the sent ones in the leader's log. */
