--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -58,8 +58,8 @@
 	const answer = {
 		kind: 'appendAnswered', term: hardState.term, accepted: true, round: request.round,
 	} as const;
-	const answersAtOnce = request.entries.length === 0 && hardStateSynced(applied.state) && !applied.unsaved.hardState;
-	return answersAtOnce
+	const needsNoSync = request.entries.length === 0 && hardStateSynced(applied.state) && !applied.unsaved.hardState;
+	return needsNoSync
 		? sendImmediately(applied, from, {...answer, index: Math.min(matchIndex, disk.syncedIndex)})
 		: sendAfterSync(applied, from, {...answer, index: matchIndex});
 }
