--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -19,9 +19,9 @@
 
 function followLeader(draft: Draft, leader: VoterIdentity): Draft {
 	const {state, now} = draft;
-	const known = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
+	const followedLeader = state.leader !== undefined && sameVoter(state.leader, leader) ? state.leader : leader;
 	const lost = failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
-	return updateState(becomeFollower(resetElectionTimer(draft), known, lost), {leaderContactAt: now});
+	return updateState(becomeFollower(resetElectionTimer(draft), followedLeader, lost), {leaderContactAt: now});
 }
 
 /** The first uncommitted index whose entry has the same term as the one at `index`. */
