--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -44,7 +44,7 @@
 	});
 }
 
-function newEntries(draft: Draft, entries: readonly LogEntry[]): readonly LogEntry[] {
+function entriesToWrite(draft: Draft, entries: readonly LogEntry[]): readonly LogEntry[] {
 	const {log, committed} = draft.state;
 	const first = entries.findIndex(entry => entry.index > committed && termAt(log, entry.index) !== entry.term);
 	return first === -1 ? [] : entries.slice(first);
@@ -52,7 +52,7 @@
 
 function accept(draft: Draft, from: VoterIdentity, request: AppendRequest): Draft {
 	const matchIndex = request.previousIndex + request.entries.length;
-	const written = writeEntries(draft, newEntries(draft, request.entries));
+	const written = writeEntries(draft, entriesToWrite(draft, request.entries));
 	const applied = applyCommitted(written, Math.min(request.committed, matchIndex));
 	const {hardState, disk} = applied.state;
 	const answer = {
