--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -101,8 +101,8 @@
 function install(draft: Draft, message: SnapshotMessage): Draft {
 	const {snapshot} = message;
 	const {log, committed} = draft.state;
-	const changed = updateState(draft, {log: installSnapshot(log, snapshot), committed: snapshot.index});
-	return addEffects(markUnsyncedFrom(markSnapshotUnsaved(changed, snapshot), committed + 1), {kind: 'restore', snapshot});
+	const updated = updateState(draft, {log: installSnapshot(log, snapshot), committed: snapshot.index});
+	return addEffects(markUnsyncedFrom(markSnapshotUnsaved(updated, snapshot), committed + 1), {kind: 'restore', snapshot});
 }
 
 /** Handles a snapshot from the leader; installs it if it is ahead of the local commit index. */
