--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -78,19 +78,19 @@
 }
 
 function appendToChunks(chunks: readonly Chunk[], entries: readonly LogEntry[]): readonly Chunk[] {
-	const grown = [...chunks];
+	const result = [...chunks];
 	let rest = entries;
 	while (rest.length > 0) {
 		const start = rest[0]!.index;
-		const open = grown.at(-1);
+		const open = result.at(-1);
 		const joins = open !== undefined && chunkNumber(open.start) === chunkNumber(start);
 		const room = ((chunkNumber(start) + 1) * chunkSize) - start;
 		const taken = rest.slice(0, room);
-		grown.splice(joins ? -1 : grown.length, 1, joins ? {start: open.start, entries: [...open.entries, ...taken]} : {start, entries: taken});
+		result.splice(joins ? -1 : result.length, 1, joins ? {start: open.start, entries: [...open.entries, ...taken]} : {start, entries: taken});
 		rest = rest.slice(room);
 	}
 
-	return grown;
+	return result;
 }
 
 /** Appends entries that follow the last one without a gap. */
