--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -82,11 +82,11 @@
 	let rest = entries;
 	while (rest.length > 0) {
 		const start = rest[0]!.index;
-		const open = result.at(-1);
-		const joins = open !== undefined && chunkNumber(open.start) === chunkNumber(start);
+		const lastChunk = result.at(-1);
+		const joins = lastChunk !== undefined && chunkNumber(lastChunk.start) === chunkNumber(start);
 		const room = ((chunkNumber(start) + 1) * chunkSize) - start;
 		const taken = rest.slice(0, room);
-		result.splice(joins ? -1 : result.length, 1, joins ? {start: open.start, entries: [...open.entries, ...taken]} : {start, entries: taken});
+		result.splice(joins ? -1 : result.length, 1, joins ? {start: lastChunk.start, entries: [...lastChunk.entries, ...taken]} : {start, entries: taken});
 		rest = rest.slice(room);
 	}
 
