--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -83,10 +83,10 @@
 	while (rest.length > 0) {
 		const start = rest[0]!.index;
 		const lastChunk = result.at(-1);
-		const joins = lastChunk !== undefined && chunkNumber(lastChunk.start) === chunkNumber(start);
+		const extendsLastChunk = lastChunk !== undefined && chunkNumber(lastChunk.start) === chunkNumber(start);
 		const room = ((chunkNumber(start) + 1) * chunkSize) - start;
 		const taken = rest.slice(0, room);
-		result.splice(joins ? -1 : result.length, 1, joins ? {start: lastChunk.start, entries: [...lastChunk.entries, ...taken]} : {start, entries: taken});
+		result.splice(extendsLastChunk ? -1 : result.length, 1, extendsLastChunk ? {start: lastChunk.start, entries: [...lastChunk.entries, ...taken]} : {start, entries: taken});
 		rest = rest.slice(room);
 	}
 
