--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -85,8 +85,8 @@
 		const lastChunk = result.at(-1);
 		const extendsLastChunk = lastChunk !== undefined && chunkNumber(lastChunk.start) === chunkNumber(start);
 		const room = ((chunkNumber(start) + 1) * chunkSize) - start;
-		const taken = rest.slice(0, room);
-		result.splice(extendsLastChunk ? -1 : result.length, 1, extendsLastChunk ? {start: lastChunk.start, entries: [...lastChunk.entries, ...taken]} : {start, entries: taken});
+		const added = rest.slice(0, room);
+		result.splice(extendsLastChunk ? -1 : result.length, 1, extendsLastChunk ? {start: lastChunk.start, entries: [...lastChunk.entries, ...added]} : {start, entries: added});
 		rest = rest.slice(room);
 	}
 
