--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -79,15 +79,15 @@
 
 function appendToChunks(chunks: readonly Chunk[], entries: readonly LogEntry[]): readonly Chunk[] {
 	const result = [...chunks];
-	let rest = entries;
-	while (rest.length > 0) {
-		const start = rest[0]!.index;
+	let remaining = entries;
+	while (remaining.length > 0) {
+		const start = remaining[0]!.index;
 		const lastChunk = result.at(-1);
 		const extendsLastChunk = lastChunk !== undefined && chunkNumber(lastChunk.start) === chunkNumber(start);
 		const room = ((chunkNumber(start) + 1) * chunkSize) - start;
-		const added = rest.slice(0, room);
+		const added = remaining.slice(0, room);
 		result.splice(extendsLastChunk ? -1 : result.length, 1, extendsLastChunk ? {start: lastChunk.start, entries: [...lastChunk.entries, ...added]} : {start, entries: added});
-		rest = rest.slice(room);
+		remaining = remaining.slice(room);
 	}
 
 	return result;
