--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -55,6 +55,6 @@
 		return now;
 	}
 
-	const heardAt = roundContactAt(state, leadership);
-	return now - heardAt < options.electionMilliseconds && answeredRound(state, leadership) > 0 ? heardAt : undefined;
+	const contactAt = roundContactAt(state, leadership);
+	return now - contactAt < options.electionMilliseconds && answeredRound(state, leadership) > 0 ? contactAt : undefined;
 }
