--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -16,7 +16,7 @@
 import {type Leadership, type Progress} from './state.js';
 import {membersOf, sameVoter} from './voter-set.js';
 
-const entriesInMessage = 256;
+const maxEntriesPerMessage = 256;
 /** Longer messages would delay the member's confirmation, and all messages queued behind them. */
 const charactersInMessage = 131_072;
 
@@ -123,7 +123,7 @@
 		return sendSnapshot(draft, progress);
 	}
 
-	const entries = fitting(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + entriesInMessage - 1));
+	const entries = fitting(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + maxEntriesPerMessage - 1));
 	const characters = entries.reduce((sum, entry) => sum + charactersOf(entry), 0);
 	return sendEntries(draft, progress, hasWindowRoom(progress.inFlight, characters) ? entries : []);
 }
