--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -18,7 +18,7 @@
 
 const maxEntriesPerMessage = 256;
 /** Longer messages would delay the member's confirmation, and all messages queued behind them. */
-const charactersInMessage = 131_072;
+const maxCharactersPerMessage = 131_072;
 
 type Answer = Extract<ConsensusMessage, {readonly kind: 'appendAnswered'}>;
 
@@ -48,7 +48,7 @@
 	let characters = 0;
 	const end = entries.findIndex(entry => {
 		characters += charactersOf(entry);
-		return characters > charactersInMessage;
+		return characters > maxCharactersPerMessage;
 	});
 	return end === -1 ? entries : entries.slice(0, Math.max(1, end));
 }
