--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -20,7 +20,7 @@
 /** Longer messages would delay the member's confirmation, and all messages queued behind them. */
 const maxCharactersPerMessage = 131_072;
 
-type Answer = Extract<ConsensusMessage, {readonly kind: 'appendAnswered'}>;
+type AppendAnswer = Extract<ConsensusMessage, {readonly kind: 'appendAnswered'}>;
 
 /** Returns the draft with some fields of the leadership replaced; unchanged on a voter that isn't the leader. */
 export function changeLeadership(draft: Draft, fields: Partial<Leadership>): Draft {
@@ -207,7 +207,7 @@
 	return changeProgress(draft, {...progress, answeredRound: round});
 }
 
-function noteAccepted(draft: Draft, progress: Progress, answer: Answer): Draft {
+function noteAccepted(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
 	const match = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
 	const passed = progress.snapshotSentAt !== undefined && match < (draft.state.log.snapshot?.index ?? 0);
 	const noted = changeProgress(draft, {
@@ -222,7 +222,7 @@
 	return inviteSuccessor(advanceCommit(lags ? replicateTo(noted, progress.peer) : noted));
 }
 
-function noteRejected(draft: Draft, progress: Progress, answer: Answer): Draft {
+function noteRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
 	const {lastArrival: arrived, inFlight: underWay} = progress;
 	const hasArrivedSince = arrived !== undefined && answer.index >= arrived.first && answer.round <= arrived.round;
 	if (isInFlight(underWay, answer.index) || hasArrivedSince) {
@@ -264,7 +264,7 @@
 }
 
 /** Handles a member's answer to entries, a heartbeat or a snapshot. */
-export function receiveAnswer(draft: Draft, from: VoterIdentity, answer: Answer): Draft {
+export function receiveAnswer(draft: Draft, from: VoterIdentity, answer: AppendAnswer): Draft {
 	const noted = noteRound(draft, from, answer.round);
 	const progress = progressOf(noted, from);
 	if (progress === undefined || answer.term !== draft.state.hardState.term) {
