--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -44,7 +44,7 @@
 	return draft.state.leadership?.progress.find(one => sameVoter(one.peer, peer));
 }
 
-function fitting(entries: readonly LogEntry[]): readonly LogEntry[] {
+function limitToMessageSize(entries: readonly LogEntry[]): readonly LogEntry[] {
 	let characters = 0;
 	const end = entries.findIndex(entry => {
 		characters += charactersOf(entry);
@@ -123,7 +123,7 @@
 		return sendSnapshot(draft, progress);
 	}
 
-	const entries = fitting(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + maxEntriesPerMessage - 1));
+	const entries = limitToMessageSize(entriesBetween(draft.state.log, progress.nextIndex, progress.nextIndex + maxEntriesPerMessage - 1));
 	const characters = entries.reduce((sum, entry) => sum + charactersOf(entry), 0);
 	return sendEntries(draft, progress, hasWindowRoom(progress.inFlight, characters) ? entries : []);
 }
@@ -232,7 +232,7 @@
 	const next = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
 	const firstUnderWay = Math.min(...underWay.map(({first}) => first));
 	if (next < firstUnderWay && firstUnderWay < Infinity && holdsFrom(draft, next)) {
-		return sendMissing(draft, progress, fitting(entriesBetween(draft.state.log, next, firstUnderWay - 1)));
+		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, next, firstUnderWay - 1)));
 	}
 
 	if (progress.probing && next >= progress.nextIndex) {
