--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -54,7 +54,7 @@
 }
 
 /** Sends a message whose outcome the transport reports, and records it as in flight. */
-function deliver(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
+function sendInFlight(draft: Draft, progress: Progress, message: ConsensusMessage, brings: Omit<Delivery, 'number'>): Draft {
 	const number = draft.state.deliveryCount + 1;
 	const noted = changeProgress(updateState(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...brings}]});
 	return sendTracked(noted, progress.peer, message, number);
@@ -89,7 +89,7 @@
 	const message = {
 		kind: 'snapshotSent', term: state.hardState.term, snapshot, round: state.leadership!.round,
 	} as const;
-	return deliver(draft, {...progress, nextIndex: snapshot.index + 1, snapshotSentAt: now}, message, {first: 0, last: snapshot.index, characters: snapshot.data.length});
+	return sendInFlight(draft, {...progress, nextIndex: snapshot.index + 1, snapshotSentAt: now}, message, {first: 0, last: snapshot.index, characters: snapshot.data.length});
 }
 
 function sendEntries(draft: Draft, progress: Progress, entries: readonly LogEntry[]): Draft {
@@ -97,14 +97,14 @@
 	const last = entries.at(-1)?.index;
 	return last === undefined
 		? sendImmediately(draft, progress.peer, message)
-		: deliver(draft, {...progress, nextIndex: last + 1}, message, {first: progress.nextIndex, last, characters: messageCharacters(message)});
+		: sendInFlight(draft, {...progress, nextIndex: last + 1}, message, {first: progress.nextIndex, last, characters: messageCharacters(message)});
 }
 
 /** Sends a member the entries that it lacks before those in flight, which it would reject otherwise. */
 function sendMissing(draft: Draft, progress: Progress, entries: readonly LogEntry[]): Draft {
 	const [first, last] = [entries[0]!.index, entries.at(-1)!.index];
 	const message = appendAfter(draft, first - 1, entries);
-	return deliver(draft, progress, message, {first, last, characters: messageCharacters(message)});
+	return sendInFlight(draft, progress, message, {first, last, characters: messageCharacters(message)});
 }
 
 function holdsFrom(draft: Draft, next: LogIndex): boolean {
