--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -60,7 +60,7 @@
 	return sendTracked(noted, progress.peer, message, number);
 }
 
-function appendAfter(draft: Draft, previousIndex: LogIndex, entries: readonly LogEntry[]): ConsensusMessage {
+function createAppend(draft: Draft, previousIndex: LogIndex, entries: readonly LogEntry[]): ConsensusMessage {
 	const {state} = draft;
 	return {
 		kind: 'appendRequested',
@@ -83,7 +83,7 @@
 
 	const waits = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < state.options.electionMilliseconds;
 	if (waits || progress.inFlight.length > 0) {
-		return sendImmediately(draft, progress.peer, appendAfter(draft, snapshot.index, []));
+		return sendImmediately(draft, progress.peer, createAppend(draft, snapshot.index, []));
 	}
 
 	const message = {
@@ -93,7 +93,7 @@
 }
 
 function sendEntries(draft: Draft, progress: Progress, entries: readonly LogEntry[]): Draft {
-	const message = appendAfter(draft, progress.nextIndex - 1, entries);
+	const message = createAppend(draft, progress.nextIndex - 1, entries);
 	const last = entries.at(-1)?.index;
 	return last === undefined
 		? sendImmediately(draft, progress.peer, message)
@@ -103,7 +103,7 @@
 /** Sends a member the entries that it lacks before those in flight, which it would reject otherwise. */
 function sendMissing(draft: Draft, progress: Progress, entries: readonly LogEntry[]): Draft {
 	const [first, last] = [entries[0]!.index, entries.at(-1)!.index];
-	const message = appendAfter(draft, first - 1, entries);
+	const message = createAppend(draft, first - 1, entries);
 	return sendInFlight(draft, progress, message, {first, last, characters: messageCharacters(message)});
 }
 
