--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -107,7 +107,7 @@
 	return sendInFlight(draft, progress, message, {first, last, characters: messageCharacters(message)});
 }
 
-function holdsFrom(draft: Draft, next: LogIndex): boolean {
+function canSendFrom(draft: Draft, next: LogIndex): boolean {
 	const {log} = draft.state;
 	return next >= log.firstIndex && termAt(log, next - 1) !== undefined;
 }
@@ -119,7 +119,7 @@
 		return draft;
 	}
 
-	if (!holdsFrom(draft, progress.nextIndex)) {
+	if (!canSendFrom(draft, progress.nextIndex)) {
 		return sendSnapshot(draft, progress);
 	}
 
@@ -129,7 +129,7 @@
 }
 
 function heartbeatTo(draft: Draft, progress: Progress): Draft {
-	return holdsFrom(draft, progress.nextIndex) ? sendEntries(draft, progress, []) : sendSnapshot(draft, progress);
+	return canSendFrom(draft, progress.nextIndex) ? sendEntries(draft, progress, []) : sendSnapshot(draft, progress);
 }
 
 /** Sends to every member at once: new entries to those whose position is confirmed, a heartbeat to those that are probed. */
@@ -231,7 +231,7 @@
 
 	const next = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
 	const firstUnderWay = Math.min(...underWay.map(({first}) => first));
-	if (next < firstUnderWay && firstUnderWay < Infinity && holdsFrom(draft, next)) {
+	if (next < firstUnderWay && firstUnderWay < Infinity && canSendFrom(draft, next)) {
 		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, next, firstUnderWay - 1)));
 	}
 
