--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -128,14 +128,14 @@
 	return sendEntries(draft, progress, hasWindowRoom(progress.inFlight, characters) ? entries : []);
 }
 
-function heartbeatTo(draft: Draft, progress: Progress): Draft {
+function sendHeartbeat(draft: Draft, progress: Progress): Draft {
 	return canSendFrom(draft, progress.nextIndex) ? sendEntries(draft, progress, []) : sendSnapshot(draft, progress);
 }
 
 /** Sends to every member at once: new entries to those whose position is confirmed, a heartbeat to those that are probed. */
 export function broadcast(draft: Draft): Draft {
 	const progress = draft.state.leadership?.progress ?? [];
-	return progress.reduce((made, one) => one.probing ? heartbeatTo(made, one) : replicateTo(made, one.peer), draft);
+	return progress.reduce((made, one) => one.probing ? sendHeartbeat(made, one) : replicateTo(made, one.peer), draft);
 }
 
 /** Starts a round: a request to every member, whose answers confirm that leadership lasted at least until now. */
