--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -14,7 +14,7 @@
 import {Role} from './machine.js';
 import {type ConsensusMessage, type Term, type VoterIdentity} from './message.js';
 import {
-	advanceCommit, appendOwn, newProgress, startRound,
+	advanceCommit, appendLeaderEntry, newProgress, startRound,
 } from './replication.js';
 import {
 	hardStateSynced, votesItself, type VoterState,
@@ -83,7 +83,7 @@
 			transfer: undefined,
 		},
 	});
-	return startRound(appendOwn(started, {kind: 'leaderStarted'}));
+	return startRound(appendLeaderEntry(started, {kind: 'leaderStarted'}));
 }
 
 function requestVotes(draft: Draft, message: PreVoteRequest | VoteRequest): Draft {
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -155,7 +155,7 @@
 }
 
 /** Appends an entry of the current term to the leader's log. */
-export function appendOwn(draft: Draft, body: EntryBody): Draft {
+export function appendLeaderEntry(draft: Draft, body: EntryBody): Draft {
 	const {log, hardState} = draft.state;
 	return writeEntries(draft, [{index: log.lastIndex + 1, term: hardState.term, body}]);
 }
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -13,7 +13,7 @@
 import {type EntryBody, type VoterSet} from './message.js';
 import {answeredRound, ownTermCommitted} from './quorum.js';
 import {
-	advanceCommit, answerReads, appendOwn, broadcast, changeLeadership, inviteSuccessor, refreshMembers, startRound,
+	advanceCommit, answerReads, appendLeaderEntry, broadcast, changeLeadership, inviteSuccessor, refreshMembers, startRound,
 } from './replication.js';
 import {type Leadership, type Progress} from './state.js';
 import {includesVoter, voterChangeProblem, without} from './voter-set.js';
@@ -35,7 +35,7 @@
 }
 
 function place(draft: Draft, request: string, body: EntryBody): Draft {
-	const appended = appendOwn(draft, body);
+	const appended = appendLeaderEntry(draft, body);
 	const {log, hardState, leadership} = appended.state;
 	const index = log.lastIndex;
 	const noted = changeLeadership(appended, {proposals: [...leadership!.proposals, {request, index}]});
