--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -197,7 +197,7 @@
 	return reads.some(read => read.round > leadership.round) && answered === leadership.round ? answerReads(startRound(rest)) : rest;
 }
 
-function noteRound(draft: Draft, peer: VoterIdentity, round: number): Draft {
+function recordAnsweredRound(draft: Draft, peer: VoterIdentity, round: number): Draft {
 	const progress = progressOf(draft, peer);
 	const current = draft.state.leadership?.round ?? 0;
 	if (progress === undefined || round <= progress.answeredRound || round > current) {
@@ -265,7 +265,7 @@
 
 /** Handles a member's answer to entries, a heartbeat or a snapshot. */
 export function receiveAnswer(draft: Draft, from: VoterIdentity, answer: AppendAnswer): Draft {
-	const noted = noteRound(draft, from, answer.round);
+	const noted = recordAnsweredRound(draft, from, answer.round);
 	const progress = progressOf(noted, from);
 	if (progress === undefined || answer.term !== draft.state.hardState.term) {
 		return draft;
