--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -207,7 +207,7 @@
 	return changeProgress(draft, {...progress, answeredRound: round});
 }
 
-function noteAccepted(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
+function handleAccepted(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
 	const match = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
 	const passed = progress.snapshotSentAt !== undefined && match < (draft.state.log.snapshot?.index ?? 0);
 	const noted = changeProgress(draft, {
@@ -271,7 +271,7 @@
 		return draft;
 	}
 
-	const taken = answer.accepted ? noteAccepted(noted, progress, answer) : noteRejected(noted, progress, answer);
+	const taken = answer.accepted ? handleAccepted(noted, progress, answer) : noteRejected(noted, progress, answer);
 	return answerReads(taken);
 }
 
