--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -222,7 +222,7 @@
 	return inviteSuccessor(advanceCommit(lags ? replicateTo(noted, progress.peer) : noted));
 }
 
-function noteRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
+function handleRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
 	const {lastArrival: arrived, inFlight: underWay} = progress;
 	const hasArrivedSince = arrived !== undefined && answer.index >= arrived.first && answer.round <= arrived.round;
 	if (isInFlight(underWay, answer.index) || hasArrivedSince) {
@@ -271,7 +271,7 @@
 		return draft;
 	}
 
-	const taken = answer.accepted ? handleAccepted(noted, progress, answer) : noteRejected(noted, progress, answer);
+	const taken = answer.accepted ? handleAccepted(noted, progress, answer) : handleRejected(noted, progress, answer);
 	return answerReads(taken);
 }
 
