--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -81,8 +81,8 @@
 		return draft;
 	}
 
-	const waits = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < state.options.electionMilliseconds;
-	if (waits || progress.inFlight.length > 0) {
+	const isRecentlySent = progress.snapshotSentAt !== undefined && now - progress.snapshotSentAt < state.options.electionMilliseconds;
+	if (isRecentlySent || progress.inFlight.length > 0) {
 		return sendImmediately(draft, progress.peer, createAppend(draft, snapshot.index, []));
 	}
 
