--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -135,7 +135,7 @@
 /** Sends to every member at once: new entries to those whose position is confirmed, a heartbeat to those that are probed. */
 export function broadcast(draft: Draft): Draft {
 	const progress = draft.state.leadership?.progress ?? [];
-	return progress.reduce((made, one) => one.probing ? sendHeartbeat(made, one) : replicateTo(made, one.peer), draft);
+	return progress.reduce((result, one) => one.probing ? sendHeartbeat(result, one) : replicateTo(result, one.peer), draft);
 }
 
 /** Starts a round: a request to every member, whose answers confirm that leadership lasted at least until now. */
