--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -209,13 +209,13 @@
 
 function handleAccepted(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
 	const match = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
-	const passed = progress.snapshotSentAt !== undefined && match < (draft.state.log.snapshot?.index ?? 0);
+	const isSnapshotPending = progress.snapshotSentAt !== undefined && match < (draft.state.log.snapshot?.index ?? 0);
 	const noted = changeProgress(draft, {
 		...progress,
 		matchIndex: match,
 		nextIndex: Math.max(progress.nextIndex, match + 1),
 		probing: false,
-		snapshotSentAt: passed ? progress.snapshotSentAt : undefined,
+		snapshotSentAt: isSnapshotPending ? progress.snapshotSentAt : undefined,
 		inFlight: progress.inFlight.filter(({last}) => last > match),
 	});
 	const lags = Math.max(progress.nextIndex, match + 1) <= draft.state.log.lastIndex;
