--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -218,8 +218,8 @@
 		snapshotSentAt: isSnapshotPending ? progress.snapshotSentAt : undefined,
 		inFlight: progress.inFlight.filter(({last}) => last > match),
 	});
-	const lags = Math.max(progress.nextIndex, match + 1) <= draft.state.log.lastIndex;
-	return inviteSuccessor(advanceCommit(lags ? replicateTo(noted, progress.peer) : noted));
+	const isLagging = Math.max(progress.nextIndex, match + 1) <= draft.state.log.lastIndex;
+	return inviteSuccessor(advanceCommit(isLagging ? replicateTo(noted, progress.peer) : noted));
 }
 
 function handleRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
