--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -230,9 +230,9 @@
 	}
 
 	const next = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
-	const firstUnderWay = Math.min(...underWay.map(({first}) => first));
-	if (next < firstUnderWay && firstUnderWay < Infinity && canSendFrom(draft, next)) {
-		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, next, firstUnderWay - 1)));
+	const firstInFlight = Math.min(...underWay.map(({first}) => first));
+	if (next < firstInFlight && firstInFlight < Infinity && canSendFrom(draft, next)) {
+		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, next, firstInFlight - 1)));
 	}
 
 	if (progress.probing && next >= progress.nextIndex) {
