--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -223,8 +223,8 @@
 }
 
 function handleRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
-	const {lastArrival: arrived, inFlight: underWay} = progress;
-	const hasArrivedSince = arrived !== undefined && answer.index >= arrived.first && answer.round <= arrived.round;
+	const {lastArrival: lastArrival, inFlight: underWay} = progress;
+	const hasArrivedSince = lastArrival !== undefined && answer.index >= lastArrival.first && answer.round <= lastArrival.round;
 	if (isInFlight(underWay, answer.index) || hasArrivedSince) {
 		return draft;
 	}
