--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -223,14 +223,14 @@
 }
 
 function handleRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
-	const {lastArrival: lastArrival, inFlight: underWay} = progress;
+	const {lastArrival: lastArrival, inFlight: inFlight} = progress;
 	const hasArrivedSince = lastArrival !== undefined && answer.index >= lastArrival.first && answer.round <= lastArrival.round;
-	if (isInFlight(underWay, answer.index) || hasArrivedSince) {
+	if (isInFlight(inFlight, answer.index) || hasArrivedSince) {
 		return draft;
 	}
 
 	const next = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
-	const firstInFlight = Math.min(...underWay.map(({first}) => first));
+	const firstInFlight = Math.min(...inFlight.map(({first}) => first));
 	if (next < firstInFlight && firstInFlight < Infinity && canSendFrom(draft, next)) {
 		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, next, firstInFlight - 1)));
 	}
