--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -248,7 +248,7 @@
  */
 export function endDelivery(draft: Draft, {delivery, arrived}: {readonly delivery: number; readonly arrived: boolean}): Draft {
 	const {leadership, log} = draft.state;
-	const progress = leadership?.progress.find(({inFlight: underWay}) => underWay.some(({number}) => number === delivery));
+	const progress = leadership?.progress.find(({inFlight: inFlight}) => inFlight.some(({number}) => number === delivery));
 	if (leadership === undefined || progress === undefined) {
 		return draft;
 	}
