--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -254,12 +254,12 @@
 	}
 
 	const {first} = progress.inFlight.find(({number}) => number === delivery)!;
-	const ended = {...progress, underWay: progress.inFlight.filter(({number}) => number !== delivery)};
+	const withoutDelivery = {...progress, underWay: progress.inFlight.filter(({number}) => number !== delivery)};
 	if (!arrived) {
-		return changeProgress(draft, {...ended, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
+		return changeProgress(draft, {...withoutDelivery, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
 
-	const noted = changeProgress(draft, {...ended, lastArrival: {first, round: leadership.round}});
+	const noted = changeProgress(draft, {...withoutDelivery, lastArrival: {first, round: leadership.round}});
 	return !progress.probing && progress.nextIndex <= log.lastIndex ? replicateTo(noted, progress.peer) : noted;
 }
 
