--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -271,8 +271,8 @@
 		return draft;
 	}
 
-	const taken = answer.accepted ? handleAccepted(noted, progress, answer) : handleRejected(noted, progress, answer);
-	return answerReads(taken);
+	const handled = answer.accepted ? handleAccepted(noted, progress, answer) : handleRejected(noted, progress, answer);
+	return answerReads(handled);
 }
 
 /** Invites the successor in a leadership transfer to start its election, once it has the whole log. */
