--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -208,17 +208,17 @@
 }
 
 function handleAccepted(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
-	const match = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
-	const isSnapshotPending = progress.snapshotSentAt !== undefined && match < (draft.state.log.snapshot?.index ?? 0);
+	const matchIndex = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
+	const isSnapshotPending = progress.snapshotSentAt !== undefined && matchIndex < (draft.state.log.snapshot?.index ?? 0);
 	const noted = changeProgress(draft, {
 		...progress,
-		matchIndex: match,
-		nextIndex: Math.max(progress.nextIndex, match + 1),
+		matchIndex: matchIndex,
+		nextIndex: Math.max(progress.nextIndex, matchIndex + 1),
 		probing: false,
 		snapshotSentAt: isSnapshotPending ? progress.snapshotSentAt : undefined,
-		inFlight: progress.inFlight.filter(({last}) => last > match),
+		inFlight: progress.inFlight.filter(({last}) => last > matchIndex),
 	});
-	const isLagging = Math.max(progress.nextIndex, match + 1) <= draft.state.log.lastIndex;
+	const isLagging = Math.max(progress.nextIndex, matchIndex + 1) <= draft.state.log.lastIndex;
 	return inviteSuccessor(advanceCommit(isLagging ? replicateTo(noted, progress.peer) : noted));
 }
 
