--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -229,17 +229,17 @@
 		return draft;
 	}
 
-	const next = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
+	const nextIndex = Math.max(progress.matchIndex + 1, Math.min(answer.index, draft.state.log.lastIndex + 1));
 	const firstInFlight = Math.min(...inFlight.map(({first}) => first));
-	if (next < firstInFlight && firstInFlight < Infinity && canSendFrom(draft, next)) {
-		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, next, firstInFlight - 1)));
+	if (nextIndex < firstInFlight && firstInFlight < Infinity && canSendFrom(draft, nextIndex)) {
+		return sendMissing(draft, progress, limitToMessageSize(entriesBetween(draft.state.log, nextIndex, firstInFlight - 1)));
 	}
 
-	if (progress.probing && next >= progress.nextIndex) {
+	if (progress.probing && nextIndex >= progress.nextIndex) {
 		return draft;
 	}
 
-	return replicateTo(changeProgress(draft, {...progress, nextIndex: next, probing: true}), progress.peer);
+	return replicateTo(changeProgress(draft, {...progress, nextIndex: nextIndex, probing: true}), progress.peer);
 }
 
 /**
