--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -265,13 +265,13 @@
 
 /** Handles a member's answer to entries, a heartbeat or a snapshot. */
 export function receiveAnswer(draft: Draft, from: VoterIdentity, answer: AppendAnswer): Draft {
-	const noted = recordAnsweredRound(draft, from, answer.round);
-	const progress = progressOf(noted, from);
+	const recorded = recordAnsweredRound(draft, from, answer.round);
+	const progress = progressOf(recorded, from);
 	if (progress === undefined || answer.term !== draft.state.hardState.term) {
 		return draft;
 	}
 
-	const handled = answer.accepted ? handleAccepted(noted, progress, answer) : handleRejected(noted, progress, answer);
+	const handled = answer.accepted ? handleAccepted(recorded, progress, answer) : handleRejected(recorded, progress, answer);
 	return answerReads(handled);
 }
 
