--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -56,8 +56,8 @@
 /** Sends a message whose outcome the transport reports, and records it as in flight. */
 function sendInFlight(draft: Draft, progress: Progress, message: ConsensusMessage, content: Omit<Delivery, 'number'>): Draft {
 	const number = draft.state.deliveryCount + 1;
-	const noted = changeProgress(updateState(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...content}]});
-	return sendTracked(noted, progress.peer, message, number);
+	const updated = changeProgress(updateState(draft, {deliveryCount: number}), {...progress, inFlight: [...progress.inFlight, {number, ...content}]});
+	return sendTracked(updated, progress.peer, message, number);
 }
 
 function createAppend(draft: Draft, previousIndex: LogIndex, entries: readonly LogEntry[]): ConsensusMessage {
