--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -210,7 +210,7 @@
 function handleAccepted(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
 	const matchIndex = Math.max(progress.matchIndex, Math.min(answer.index, draft.state.log.lastIndex));
 	const isSnapshotPending = progress.snapshotSentAt !== undefined && matchIndex < (draft.state.log.snapshot?.index ?? 0);
-	const noted = changeProgress(draft, {
+	const updated = changeProgress(draft, {
 		...progress,
 		matchIndex: matchIndex,
 		nextIndex: Math.max(progress.nextIndex, matchIndex + 1),
@@ -219,7 +219,7 @@
 		inFlight: progress.inFlight.filter(({last}) => last > matchIndex),
 	});
 	const isLagging = Math.max(progress.nextIndex, matchIndex + 1) <= draft.state.log.lastIndex;
-	return inviteSuccessor(advanceCommit(isLagging ? replicateTo(noted, progress.peer) : noted));
+	return inviteSuccessor(advanceCommit(isLagging ? replicateTo(updated, progress.peer) : updated));
 }
 
 function handleRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
