--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -259,8 +259,8 @@
 		return changeProgress(draft, {...withoutDelivery, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
 
-	const noted = changeProgress(draft, {...withoutDelivery, lastArrival: {first, round: leadership.round}});
-	return !progress.probing && progress.nextIndex <= log.lastIndex ? replicateTo(noted, progress.peer) : noted;
+	const updated = changeProgress(draft, {...withoutDelivery, lastArrival: {first, round: leadership.round}});
+	return !progress.probing && progress.nextIndex <= log.lastIndex ? replicateTo(updated, progress.peer) : updated;
 }
 
 /** Handles a member's answer to entries, a heartbeat or a snapshot. */
