--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -193,8 +193,8 @@
 	const ready = leadership.reads.filter(read => read.round <= answered);
 	const reads = leadership.reads.filter(read => read.round > answered);
 	const effects = ready.map(({request}) => ({kind: 'readReady', request, index: state.committed} as const));
-	const rest = addEffects(changeLeadership(draft, {reads}), ...effects);
-	return reads.some(read => read.round > leadership.round) && answered === leadership.round ? answerReads(startRound(rest)) : rest;
+	const answeredDraft = addEffects(changeLeadership(draft, {reads}), ...effects);
+	return reads.some(read => read.round > leadership.round) && answered === leadership.round ? answerReads(startRound(answeredDraft)) : answeredDraft;
 }
 
 function recordAnsweredRound(draft: Draft, peer: VoterIdentity, round: number): Draft {
