--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -107,9 +107,9 @@
 	return sendInFlight(draft, progress, message, {first, last, characters: messageCharacters(message)});
 }
 
-function canSendFrom(draft: Draft, next: LogIndex): boolean {
+function canSendFrom(draft: Draft, nextIndex: LogIndex): boolean {
 	const {log} = draft.state;
-	return next >= log.firstIndex && termAt(log, next - 1) !== undefined;
+	return nextIndex >= log.firstIndex && termAt(log, nextIndex - 1) !== undefined;
 }
 
 /** Sends a member the next entries, or a heartbeat if there are none or the in-flight window has no room for them. */
