--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -20,7 +20,7 @@
 
 type EventOf<Kind extends ConsensusEvent['kind']> = Extract<ConsensusEvent, {readonly kind: Kind}>;
 
-function notLeading(draft: Draft): Failure {
+function notLeaderFailure(draft: Draft): Failure {
 	const {leader} = draft.state;
 	return leader === undefined
 		? failure(FailureKind.noQuorum, 'No leader is currently known.')
@@ -47,7 +47,7 @@
 /** Appends a proposal to the log, or rejects it. */
 export function propose(draft: Draft, event: EventOf<'proposed'>): Draft {
 	const {leadership} = draft.state;
-	const refusal = leadership === undefined ? notLeading(draft) : passingOn(leadership);
+	const refusal = leadership === undefined ? notLeaderFailure(draft) : passingOn(leadership);
 	return refusal === undefined
 		? broadcast(place(draft, event.request, {kind: 'command', payload: event.payload}))
 		: rejectRequests(draft, [event], refusal);
@@ -79,7 +79,7 @@
 export function proposeVoterChange(draft: Draft, event: EventOf<'voterChangeProposed'>): Draft {
 	const {leadership} = draft.state;
 	const refusal = leadership === undefined
-		? notLeading(draft)
+		? notLeaderFailure(draft)
 		: passingOn(leadership) ?? voterChangeConflict(draft, event.voterSet);
 	if (refusal !== undefined) {
 		return rejectRequests(draft, [event], refusal);
@@ -93,7 +93,7 @@
 	const {state} = draft;
 	const {leadership} = state;
 	if (leadership === undefined) {
-		return rejectRequests(draft, [event], notLeading(draft));
+		return rejectRequests(draft, [event], notLeaderFailure(draft));
 	}
 
 	const round = leadership.round + 1;
