--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -27,7 +27,7 @@
 		: failure(FailureKind.notLeader, 'Another voter is the leader.', {leader: leader.name});
 }
 
-function passingOn(leadership: Leadership): Failure | undefined {
+function transferFailure(leadership: Leadership): Failure | undefined {
 	const {transfer: handOver} = leadership;
 	return handOver === undefined
 		? undefined
@@ -47,7 +47,7 @@
 /** Appends a proposal to the log, or rejects it. */
 export function propose(draft: Draft, event: EventOf<'proposed'>): Draft {
 	const {leadership} = draft.state;
-	const refusal = leadership === undefined ? notLeaderFailure(draft) : passingOn(leadership);
+	const refusal = leadership === undefined ? notLeaderFailure(draft) : transferFailure(leadership);
 	return refusal === undefined
 		? broadcast(place(draft, event.request, {kind: 'command', payload: event.payload}))
 		: rejectRequests(draft, [event], refusal);
@@ -80,7 +80,7 @@
 	const {leadership} = draft.state;
 	const refusal = leadership === undefined
 		? notLeaderFailure(draft)
-		: passingOn(leadership) ?? voterChangeConflict(draft, event.voterSet);
+		: transferFailure(leadership) ?? voterChangeConflict(draft, event.voterSet);
 	if (refusal !== undefined) {
 		return rejectRequests(draft, [event], refusal);
 	}
