--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -34,7 +34,7 @@
 		: failure(FailureKind.notLeader, 'A leadership transfer is in progress.', {leader: handOver.successor.name});
 }
 
-function place(draft: Draft, request: string, body: EntryBody): Draft {
+function appendProposal(draft: Draft, request: string, body: EntryBody): Draft {
 	const appended = appendLeaderEntry(draft, body);
 	const {log, hardState, leadership} = appended.state;
 	const index = log.lastIndex;
@@ -49,7 +49,7 @@
 	const {leadership} = draft.state;
 	const refusal = leadership === undefined ? notLeaderFailure(draft) : transferFailure(leadership);
 	return refusal === undefined
-		? broadcast(place(draft, event.request, {kind: 'command', payload: event.payload}))
+		? broadcast(appendProposal(draft, event.request, {kind: 'command', payload: event.payload}))
 		: rejectRequests(draft, [event], refusal);
 }
 
@@ -85,7 +85,7 @@
 		return rejectRequests(draft, [event], refusal);
 	}
 
-	return advanceCommit(broadcast(refreshMembers(place(draft, event.request, {kind: 'votersChanged', voterSet: event.voterSet}))));
+	return advanceCommit(broadcast(refreshMembers(appendProposal(draft, event.request, {kind: 'votersChanged', voterSet: event.voterSet}))));
 }
 
 /** Queues a linearizable read, which is answered once a majority has confirmed this leader in a round that starts after the request. */
