--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -58,7 +58,7 @@
 	return progress !== undefined && progress.matchIndex >= committed && progress.answeredRound >= answeredRound(draft.state, leadership!);
 }
 
-function lagging(draft: Draft, voterSet: VoterSet): boolean {
+function hasLaggingVoter(draft: Draft, voterSet: VoterSet): boolean {
 	const added = without(voterSet.voters, latestVoterSet(draft.state.log).voters);
 	const progress = draft.state.leadership!.progress.filter(one => includesVoter(added, one.peer));
 	return progress.some(one => !isCaughtUp(draft, one));
@@ -69,7 +69,7 @@
 	const problems: ReadonlyArray<readonly [boolean, string]> = [
 		[!ownTermCommitted(draft.state), 'The leader has not committed an entry of its own term yet.'],
 		[latestVoterSetIndex(log) > committed, 'Another voter change is not committed yet.'],
-		[lagging(draft, voterSet), 'The learner has not caught up with the log yet.'],
+		[hasLaggingVoter(draft, voterSet), 'The learner has not caught up with the log yet.'],
 	];
 	const problem = voterChangeProblem(latestVoterSet(log), voterSet, options.self) ?? problems.find(([applies]) => applies)?.[1];
 	return problem === undefined ? undefined : failure(FailureKind.conflict, problem);
