--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -117,7 +117,7 @@
 }
 
 /** Starts a leadership transfer to the voter that has the most of the log. */
-export function handOver(draft: Draft): Draft {
+export function transferLeadership(draft: Draft): Draft {
 	const {leadership, log} = draft.state;
 	const {voters} = latestVoterSet(log);
 	const candidates = (leadership?.progress ?? [])
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -18,7 +18,7 @@
 import {type ConsensusMessage, type VoterIdentity} from './message.js';
 import {advanceCommit, endDelivery, receiveAnswer} from './replication.js';
 import {
-	handOver, propose, proposeVoterChange, requestRead, takeSnapshot,
+	transferLeadership, propose, proposeVoterChange, requestRead, takeSnapshot,
 } from './requests.js';
 import {isSound} from './soundness.js';
 import {type VoterState} from './state.js';
@@ -96,7 +96,7 @@
 	persisted: ({ticket}, draft) => notePersisted(draft, ticket),
 	deliveryEnded: (event, draft) => endDelivery(draft, event),
 	snapshotTaken: (event, draft) => takeSnapshot(draft, event),
-	handOverRequested: (_event, draft) => handOver(draft),
+	handOverRequested: (_event, draft) => transferLeadership(draft),
 };
 
 /** Handles one event. */
