--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -28,10 +28,10 @@
 }
 
 function transferFailure(leadership: Leadership): Failure | undefined {
-	const {transfer: handOver} = leadership;
-	return handOver === undefined
+	const {transfer: transfer} = leadership;
+	return transfer === undefined
 		? undefined
-		: failure(FailureKind.notLeader, 'A leadership transfer is in progress.', {leader: handOver.successor.name});
+		: failure(FailureKind.notLeader, 'A leadership transfer is in progress.', {leader: transfer.successor.name});
 }
 
 function appendProposal(draft: Draft, request: string, body: EntryBody): Draft {
