--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -38,8 +38,8 @@
 	const appended = appendLeaderEntry(draft, body);
 	const {log, hardState, leadership} = appended.state;
 	const index = log.lastIndex;
-	const noted = changeLeadership(appended, {proposals: [...leadership!.proposals, {request, index}]});
-	return addEffects(noted, {
+	const updated = changeLeadership(appended, {proposals: [...leadership!.proposals, {request, index}]});
+	return addEffects(updated, {
 		kind: 'placed', request, index, term: hardState.term,
 	});
 }
