--- a/packages/consensus/src/soundness.ts
+++ b/packages/consensus/src/soundness.ts
@@ -59,7 +59,7 @@
 };
 
 /** Whether an envelope is well-formed, and addressed to exactly this folder of this instance. */
-export function isSound(envelope: ConsensusEnvelope, self: VoterIdentity): boolean {
+export function isValidEnvelope(envelope: ConsensusEnvelope, self: VoterIdentity): boolean {
 	const {from, to, message} = envelope;
 	return isIdentity(from)
 		&& isIdentity(to)
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -20,7 +20,7 @@
 import {
 	transferLeadership, propose, proposeVoterChange, requestRead, takeSnapshot,
 } from './requests.js';
-import {isSound} from './soundness.js';
+import {isValidEnvelope} from './soundness.js';
 import {type VoterState} from './state.js';
 
 export {
@@ -87,7 +87,7 @@
 
 const eventHandlers: HandlerTable<ConsensusEvent, [Draft], Draft> = {
 	ticked: (_event, draft) => tick(draft),
-	received: ({envelope}, draft) => isSound(envelope, draft.state.options.self)
+	received: ({envelope}, draft) => isValidEnvelope(envelope, draft.state.options.self)
 		? dispatch(messageHandlers, envelope.message, draft, envelope.from)
 		: draft,
 	proposed: (event, draft) => propose(draft, event),
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -9,7 +9,7 @@
 import {
 	type ConsensusEnvelope, type LogEntry, type VoterIdentity, type VoterSet,
 } from '@dogwooddeck/consensus/message';
-import {isSound} from '@dogwooddeck/consensus/soundness';
+import {isValidEnvelope} from '@dogwooddeck/consensus/soundness';
 import {sameVoter} from '@dogwooddeck/consensus/voter-set';
 import {
 	committedIndex, createVoter, knownCommittedIndex, leaderOf, type MemberPosition, memberPositions, quorumContactAt, roleOf, stepVoter, voterSetOf,
@@ -83,7 +83,7 @@
 		return err(failure(FailureKind.notFound, `the message is for the folder ${envelope.to.folder} of ${envelope.to.name}, which this instance doesn't have`));
 	}
 
-	return isSound(envelope, self) && hasReadableSnapshot(envelope, isReadable)
+	return isValidEnvelope(envelope, self) && hasReadableSnapshot(envelope, isReadable)
 		? ok(undefined)
 		: err(failure(FailureKind.malformed, `a message of kind ${envelope.message.kind} is invalid`));
 }
