--- a/packages/consensus/src/soundness.ts
+++ b/packages/consensus/src/soundness.ts
@@ -7,7 +7,7 @@
 } from './message.js';
 import {sameVoter} from './voter-set.js';
 
-function areCounts(...values: readonly unknown[]): boolean {
+function areNonNegativeIntegers(...values: readonly unknown[]): boolean {
 	return values.every(value => Number.isSafeInteger(value) && (value as number) >= 0);
 }
 
@@ -35,7 +35,7 @@
 
 function areEntries(entries: readonly LogEntry[], previousIndex: number, previousTerm: number, term: number): boolean {
 	return Array.isArray(entries) && entries.every((entry: LogEntry, offset) =>
-		areCounts(entry?.index, entry?.term)
+		areNonNegativeIntegers(entry?.index, entry?.term)
 		&& entry.index === previousIndex + 1 + offset
 		&& entry.term >= (entries[offset - 1]?.term ?? previousTerm)
 		&& entry.term <= term
@@ -43,19 +43,19 @@
 }
 
 function isSnapshot(snapshot: Snapshot | undefined): boolean {
-	return areCounts(snapshot?.index, snapshot?.term) && typeof snapshot?.data === 'string' && isVoterSet(snapshot.voterSet);
+	return areNonNegativeIntegers(snapshot?.index, snapshot?.term) && typeof snapshot?.data === 'string' && isVoterSet(snapshot.voterSet);
 }
 
 const messages: HandlerTable<ConsensusMessage, [], boolean> = {
-	preVoteRequested: message => areCounts(message.lastIndex, message.lastTerm),
+	preVoteRequested: message => areNonNegativeIntegers(message.lastIndex, message.lastTerm),
 	preVoteAnswered: message => typeof message.granted === 'boolean',
-	voteRequested: message => areCounts(message.lastIndex, message.lastTerm),
+	voteRequested: message => areNonNegativeIntegers(message.lastIndex, message.lastTerm),
 	voteAnswered: message => typeof message.granted === 'boolean',
-	appendRequested: message => areCounts(message.previousIndex, message.previousTerm, message.committed, message.round)
+	appendRequested: message => areNonNegativeIntegers(message.previousIndex, message.previousTerm, message.committed, message.round)
 		&& areEntries(message.entries, message.previousIndex, message.previousTerm, message.term),
-	appendAnswered: message => areCounts(message.index, message.round) && typeof message.accepted === 'boolean',
+	appendAnswered: message => areNonNegativeIntegers(message.index, message.round) && typeof message.accepted === 'boolean',
 	electionInvited: () => true,
-	snapshotSent: message => areCounts(message.round) && isSnapshot(message.snapshot) && message.snapshot.term <= message.term,
+	snapshotSent: message => areNonNegativeIntegers(message.round) && isSnapshot(message.snapshot) && message.snapshot.term <= message.term,
 };
 
 /** Whether an envelope is well-formed, and addressed to exactly this folder of this instance. */
@@ -66,6 +66,6 @@
 		&& sameVoter(to, self)
 		&& !sameVoter(from, self)
 		&& Object.hasOwn(messages, message?.kind)
-		&& areCounts(message.term)
+		&& areNonNegativeIntegers(message.term)
 		&& dispatch(messages, message);
 }
