--- a/packages/consensus/src/soundness.ts
+++ b/packages/consensus/src/soundness.ts
@@ -23,14 +23,14 @@
 	return areIdentities(value?.voters) && areIdentities(value?.learners);
 }
 
-const bodies: HandlerTable<LogEntry['body'], [], boolean> = {
+const bodyValidators: HandlerTable<LogEntry['body'], [], boolean> = {
 	leaderStarted: () => true,
 	command: body => typeof body.payload === 'string',
 	votersChanged: body => isVoterSet(body.voterSet),
 };
 
 function isBody(body: LogEntry['body'] | undefined): boolean {
-	return body !== undefined && Object.hasOwn(bodies, body.kind) && dispatch(bodies, body);
+	return body !== undefined && Object.hasOwn(bodyValidators, body.kind) && dispatch(bodyValidators, body);
 }
 
 function areEntries(entries: readonly LogEntry[], previousIndex: number, previousTerm: number, term: number): boolean {
