--- a/packages/consensus/src/soundness.ts
+++ b/packages/consensus/src/soundness.ts
@@ -46,7 +46,7 @@
 	return areNonNegativeIntegers(snapshot?.index, snapshot?.term) && typeof snapshot?.data === 'string' && isVoterSet(snapshot.voterSet);
 }
 
-const messages: HandlerTable<ConsensusMessage, [], boolean> = {
+const messageValidators: HandlerTable<ConsensusMessage, [], boolean> = {
 	preVoteRequested: message => areNonNegativeIntegers(message.lastIndex, message.lastTerm),
 	preVoteAnswered: message => typeof message.granted === 'boolean',
 	voteRequested: message => areNonNegativeIntegers(message.lastIndex, message.lastTerm),
@@ -65,7 +65,7 @@
 		&& isIdentity(to)
 		&& sameVoter(to, self)
 		&& !sameVoter(from, self)
-		&& Object.hasOwn(messages, message?.kind)
+		&& Object.hasOwn(messageValidators, message?.kind)
 		&& areNonNegativeIntegers(message.term)
-		&& dispatch(messages, message);
+		&& dispatch(messageValidators, message);
 }
