--- a/packages/consensus/src/soundness.ts
+++ b/packages/consensus/src/soundness.ts
@@ -29,7 +29,7 @@
 	votersChanged: body => isVoterSet(body.voterSet),
 };
 
-function isBody(body: LogEntry['body'] | undefined): boolean {
+function isEntryBody(body: LogEntry['body'] | undefined): boolean {
 	return body !== undefined && Object.hasOwn(bodyValidators, body.kind) && dispatch(bodyValidators, body);
 }
 
@@ -39,7 +39,7 @@
 		&& entry.index === previousIndex + 1 + offset
 		&& entry.term >= (entries[offset - 1]?.term ?? previousTerm)
 		&& entry.term <= term
-		&& isBody(entry.body));
+		&& isEntryBody(entry.body));
 }
 
 function isSnapshot(snapshot: Snapshot | undefined): boolean {
