--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -16,7 +16,7 @@
 	advanceCommit, answerReads, appendLeaderEntry, broadcast, changeLeadership, inviteSuccessor, refreshMembers, startRound,
 } from './replication.js';
 import {type Leadership, type Progress} from './state.js';
-import {includesVoter, voterChangeProblem, without} from './voter-set.js';
+import {includesVoter, voterChangeProblem, votersNotIn} from './voter-set.js';
 
 type EventOf<Kind extends ConsensusEvent['kind']> = Extract<ConsensusEvent, {readonly kind: Kind}>;
 
@@ -59,7 +59,7 @@
 }
 
 function hasLaggingVoter(draft: Draft, voterSet: VoterSet): boolean {
-	const added = without(voterSet.voters, latestVoterSet(draft.state.log).voters);
+	const added = votersNotIn(voterSet.voters, latestVoterSet(draft.state.log).voters);
 	const progress = draft.state.leadership!.progress.filter(one => includesVoter(added, one.peer));
 	return progress.some(one => !isCaughtUp(draft, one));
 }
--- a/packages/consensus/src/voter-set.ts
+++ b/packages/consensus/src/voter-set.ts
@@ -33,20 +33,20 @@
 }
 
 /** The voters of one list that are not in another. */
-export function without(list: readonly VoterIdentity[], other: readonly VoterIdentity[]): readonly VoterIdentity[] {
+export function votersNotIn(list: readonly VoterIdentity[], other: readonly VoterIdentity[]): readonly VoterIdentity[] {
 	return list.filter(voter => !includesVoter(other, voter));
 }
 
 /** Why a set can't replace another, as a sentence; undefined if it can. Majorities of the two sets must overlap. */
 export function voterChangeProblem(from: VoterSet, to: VoterSet, leader: VoterIdentity): string | undefined {
-	const added = without(to.voters, from.voters);
-	const removed = without(from.voters, to.voters);
+	const added = votersNotIn(to.voters, from.voters);
+	const removed = votersNotIn(from.voters, to.voters);
 	const names = membersOf(to).map(voter => `${voter.name}\n${voter.folder}`);
 	const problems: ReadonlyArray<readonly [boolean, string]> = [
 		[new Set(names).size !== names.length, 'A member is listed twice.'],
 		[new Set(to.voters.map(voter => voter.name)).size !== to.voters.length, 'Two voters have the same name.'],
 		[added.length + removed.length > 1, 'Only one voter may be added or removed at a time.'],
-		[without(added, from.learners).length > 0, 'A new voter must be a learner first.'],
+		[votersNotIn(added, from.learners).length > 0, 'A new voter must be a learner first.'],
 		[!includesVoter(to.voters, leader), 'The leader can\'t remove itself: transfer leadership first.'],
 	];
 	return problems.find(([applies]) => applies)?.[1];
