--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -71,7 +71,7 @@
 };
 
 /** Handles a synced write: sends the messages that waited for it, and counts the voter's own vote and entries. */
-function notePersisted(draft: Draft, ticket: number): Draft {
+function handlePersisted(draft: Draft, ticket: number): Draft {
 	const {disk} = draft.state;
 	const synced = disk.writes.filter(write => write.ticket <= ticket);
 	const writes = disk.writes.filter(write => write.ticket > ticket);
@@ -93,7 +93,7 @@
 	proposed: (event, draft) => propose(draft, event),
 	voterChangeProposed: (event, draft) => proposeVoterChange(draft, event),
 	readRequested: (event, draft) => requestRead(draft, event),
-	persisted: ({ticket}, draft) => notePersisted(draft, ticket),
+	persisted: ({ticket}, draft) => handlePersisted(draft, ticket),
 	deliveryEnded: (event, draft) => endDelivery(draft, event),
 	snapshotTaken: (event, draft) => takeSnapshot(draft, event),
 	handOverRequested: (_event, draft) => transferLeadership(draft),
