--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -75,10 +75,10 @@
 	const {disk} = draft.state;
 	const synced = disk.writes.filter(write => write.ticket <= ticket);
 	const writes = disk.writes.filter(write => write.ticket > ticket);
-	const reached = Math.min(synced.at(-1)?.last ?? disk.syncedIndex, ...writes.map(write => write.first - 1));
+	const syncedIndex = Math.min(synced.at(-1)?.last ?? disk.syncedIndex, ...writes.map(write => write.first - 1));
 	const noted = updateState(draft, {
 		disk: {
-			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, reached), persistedTicket: Math.max(disk.persistedTicket, ticket),
+			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, syncedIndex), persistedTicket: Math.max(disk.persistedTicket, ticket),
 		},
 	});
 	const released = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
