--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -76,13 +76,13 @@
 	const synced = disk.writes.filter(write => write.ticket <= ticket);
 	const writes = disk.writes.filter(write => write.ticket > ticket);
 	const syncedIndex = Math.min(synced.at(-1)?.last ?? disk.syncedIndex, ...writes.map(write => write.first - 1));
-	const noted = updateState(draft, {
+	const updated = updateState(draft, {
 		disk: {
 			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, syncedIndex), persistedTicket: Math.max(disk.persistedTicket, ticket),
 		},
 	});
 	const released = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
-	return advanceCommit(countOwnVoteIfSynced(addEffects(noted, ...released)));
+	return advanceCommit(countOwnVoteIfSynced(addEffects(updated, ...released)));
 }
 
 const eventHandlers: HandlerTable<ConsensusEvent, [Draft], Draft> = {
