--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -81,8 +81,8 @@
 			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, syncedIndex), persistedTicket: Math.max(disk.persistedTicket, ticket),
 		},
 	});
-	const released = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
-	return advanceCommit(countOwnVoteIfSynced(addEffects(updated, ...released)));
+	const sendEffects = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
+	return advanceCommit(countOwnVoteIfSynced(addEffects(updated, ...sendEffects)));
 }
 
 const eventHandlers: HandlerTable<ConsensusEvent, [Draft], Draft> = {
