--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -73,15 +73,15 @@
 /** Handles a synced write: sends the messages that waited for it, and counts the voter's own vote and entries. */
 function handlePersisted(draft: Draft, ticket: number): Draft {
 	const {disk} = draft.state;
-	const synced = disk.writes.filter(write => write.ticket <= ticket);
+	const syncedWrites = disk.writes.filter(write => write.ticket <= ticket);
 	const writes = disk.writes.filter(write => write.ticket > ticket);
-	const syncedIndex = Math.min(synced.at(-1)?.last ?? disk.syncedIndex, ...writes.map(write => write.first - 1));
+	const syncedIndex = Math.min(syncedWrites.at(-1)?.last ?? disk.syncedIndex, ...writes.map(write => write.first - 1));
 	const updated = updateState(draft, {
 		disk: {
 			...disk, writes, syncedIndex: Math.max(disk.syncedIndex, syncedIndex), persistedTicket: Math.max(disk.persistedTicket, ticket),
 		},
 	});
-	const sendEffects = synced.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
+	const sendEffects = syncedWrites.flatMap(write => write.deferred.map(envelope => ({kind: 'send', envelope} as const)));
 	return advanceCommit(countOwnVoteIfSynced(addEffects(updated, ...sendEffects)));
 }
 
