--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -28,7 +28,7 @@
 };
 
 /** No faults. */
-export const calm: Faults = {
+export const noFaults: Faults = {
 	loss: 0, duplication: 0, longDelay: 0, crash: 0, pause: 0, cut: 0, link: 0, wipe: 0, handOver: 0, proposals: 0, syncMilliseconds: 30,
 };
 
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type Awaited, calm, type Faults, givenUpMilliseconds, type Mail, type Node, options, type Receipt, stepMilliseconds, written,
+	type Awaited, noFaults, type Faults, givenUpMilliseconds, type Mail, type Node, options, type Receipt, stepMilliseconds, written,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -42,7 +42,7 @@
 	readonly #reads = new Map<string, number>();
 	#requests = 0;
 	#highestAccepted = 0;
-	#faultsNow: Faults = calm;
+	#faultsNow: Faults = noFaults;
 
 	readonly #edges: HandlerTable<ConsensusEffect, [Node], void> = {
 		persist: (effect, node) => {
@@ -160,7 +160,7 @@
 		node.identity = {name: node.name, folder: `folder-${this.#requests++}`};
 	}
 
-	run(milliseconds: number, faults: Faults = calm, until: () => boolean = () => false): boolean {
+	run(milliseconds: number, faults: Faults = noFaults, until: () => boolean = () => false): boolean {
 		const end = this.now + milliseconds;
 		while (this.now < end && !until()) {
 			this.now += stepMilliseconds;
@@ -216,7 +216,7 @@
 				&& this.nodes.every(({voter}) => voter !== undefined && committedIndex(voter) === leader.voter!.log.lastIndex);
 		};
 
-		assert.ok(this.run(60_000, calm, settled), 'the voters do not converge');
+		assert.ok(this.run(60_000, noFaults, settled), 'the voters do not converge');
 		for (const node of this.nodes) {
 			assert.deepEqual(node.machine, this.nodes[0]!.machine, 'state machines differ');
 			for (const payload of this.accepted.keys()) {
--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -2,7 +2,7 @@
  * Starts simulations whose voters have elected a leader.
  */
 import assert from 'node:assert/strict';
-import {calm} from './faults.js';
+import {noFaults} from './faults.js';
 import {Schedule} from './schedule.js';
 
 /** Three voters. */
@@ -13,7 +13,7 @@
 /** Starts a simulation and runs it until there is a leader with a committed voter set. */
 export function started(seed: number, names: readonly string[]): Schedule {
 	const schedule = new Schedule(seed, names);
-	assert.ok(schedule.run(5000, calm, () => schedule.isWhole()), 'no leader');
+	assert.ok(schedule.run(5000, noFaults, () => schedule.isWhole()), 'no leader');
 	return schedule;
 }
 
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -6,7 +6,7 @@
 import process from 'node:process';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {calm, options} from './faults.js';
+import {noFaults, options} from './faults.js';
 import {
 	names3, names5, proposeMany, started,
 } from './started.js';
@@ -35,7 +35,7 @@
 			schedule.cut.add(old.name);
 			const read = schedule.read(old);
 			const proposal = schedule.propose(old, 'lost');
-			assert.ok(schedule.run(20_000, calm, () => schedule.leader() !== undefined));
+			assert.ok(schedule.run(20_000, noFaults, () => schedule.leader() !== undefined));
 			proposeMany(schedule, 20);
 			schedule.run(20_000);
 			assert.equal(schedule.refused.get(read), 'no-quorum');
@@ -70,7 +70,7 @@
 			assert.ok(!schedule.isWhole());
 			schedule.run(2000);
 			assert.equal(roleOf(first.voter!), Role.learner);
-			assert.ok(schedule.run(30_000, calm, () => {
+			assert.ok(schedule.run(30_000, noFaults, () => {
 				schedule.repair();
 				return schedule.isWhole();
 			}));
@@ -122,7 +122,7 @@
 			proposeMany(schedule, 5);
 			const old = schedule.leader()!;
 			old.frozenUntil = schedule.now + 5000;
-			assert.ok(schedule.run(5000, calm, () => schedule.leader() !== old));
+			assert.ok(schedule.run(5000, noFaults, () => schedule.leader() !== old));
 			proposeMany(schedule, 5);
 			old.frozenUntil = 0;
 			const read = schedule.read(old);
@@ -171,7 +171,7 @@
 			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
 			assert.equal(schedule.refused.get(schedule.propose(old)), 'not-leader');
 			const moved = () => schedule.leader() !== undefined && schedule.leader() !== old;
-			assert.ok(schedule.run(options.electionMilliseconds, calm, moved));
+			assert.ok(schedule.run(options.electionMilliseconds, noFaults, moved));
 			schedule.settle();
 		},
 	},
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -5,7 +5,7 @@
 import process from 'node:process';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {calm, type Faults} from './faults.js';
+import {noFaults, type Faults} from './faults.js';
 import {Schedule} from './schedule.js';
 import {names3, names5} from './started.js';
 
@@ -15,43 +15,43 @@
 const mixes: ReadonlyArray<{readonly name: string; readonly names: readonly string[]; readonly faults: Faults}> = [
 	{
 		name: 'lossy links', names: names3, faults: {
-			...calm, loss: 200, duplication: 100, longDelay: 50, proposals: 200,
+			...noFaults, loss: 200, duplication: 100, longDelay: 50, proposals: 200,
 		},
 	},
 	{
 		name: 'crashes and partitions', names: names3, faults: {
-			...calm, loss: 50, duplication: 50, longDelay: 20, crash: 8, cut: 6, proposals: 200,
+			...noFaults, loss: 50, duplication: 50, longDelay: 20, crash: 8, cut: 6, proposals: 200,
 		},
 	},
 	{
 		name: 'crashes and partitions of five voters', names: names5, faults: {
-			...calm, loss: 50, longDelay: 20, crash: 12, cut: 8, proposals: 200,
+			...noFaults, loss: 50, longDelay: 20, crash: 12, cut: 8, proposals: 200,
 		},
 	},
 	{
 		name: 'lost folders and repairs', names: names3, faults: {
-			...calm, loss: 30, longDelay: 20, crash: 3, cut: 3, wipe: 10, proposals: 200,
+			...noFaults, loss: 30, longDelay: 20, crash: 3, cut: 3, wipe: 10, proposals: 200,
 		},
 	},
 	{
 		name: 'links that are partitioned in one direction or both',
 		names: names3,
 		faults: {
-			...calm, loss: 20, longDelay: 20, crash: 1, link: 10, proposals: 10,
+			...noFaults, loss: 20, longDelay: 20, crash: 1, link: 10, proposals: 10,
 		},
 	},
 	{
 		name: 'slow disks',
 		names: names3,
 		faults: {
-			...calm, loss: 50, longDelay: 20, crash: 4, cut: 2, link: 20, proposals: 300, syncMilliseconds: 250,
+			...noFaults, loss: 50, longDelay: 20, crash: 4, cut: 2, link: 20, proposals: 300, syncMilliseconds: 250,
 		},
 	},
 	{
 		name: 'paused processes and leadership transfers',
 		names: names3,
 		faults: {
-			...calm, loss: 50, duplication: 50, longDelay: 50, pause: 10, handOver: 5, proposals: 200,
+			...noFaults, loss: 50, duplication: 50, longDelay: 50, pause: 10, handOver: 5, proposals: 200,
 		},
 	},
 ];
