--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -36,13 +36,13 @@
 export type Write = {readonly syncedAt: number; readonly effect: Extract<ConsensusEffect, {kind: 'persist'}>};
 
 /** The sender that waits for the outcome of a message. */
-export type Awaited = {readonly node: Node; readonly life: number; readonly delivery: number};
+export type DeliverySender = {readonly node: Node; readonly life: number; readonly delivery: number};
 
 /** A message in transit. */
-export type Mail = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly awaited: Awaited | undefined};
+export type Mail = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly awaited: DeliverySender | undefined};
 
 /** The reported outcome of a message. */
-export type Receipt = {readonly at: number; readonly awaited: Awaited; readonly arrived: boolean};
+export type Receipt = {readonly at: number; readonly awaited: DeliverySender; readonly arrived: boolean};
 
 /** The transport gives a message up after this long, even if it arrives later. */
 export const givenUpMilliseconds = 1000;
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type Awaited, noFaults, type Faults, givenUpMilliseconds, type Mail, type Node, options, type Receipt, stepMilliseconds, written,
+	type DeliverySender, noFaults, type Faults, givenUpMilliseconds, type Mail, type Node, options, type Receipt, stepMilliseconds, written,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -249,7 +249,7 @@
 		}
 	}
 
-	#post(envelope: ConsensusEnvelope, awaited: Awaited | undefined): void {
+	#post(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
 		if (awaited !== undefined) {
 			this.#receipts.push({at: this.now + givenUpMilliseconds, awaited, arrived: false});
 		}
