--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type DeliverySender, noFaults, type Faults, givenUpMilliseconds, type Mail, type Node, options, type Receipt, stepMilliseconds, written,
+	type DeliverySender, noFaults, type Faults, givenUpMilliseconds, type MessageInTransit, type Node, options, type Receipt, stepMilliseconds, written,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -34,7 +34,7 @@
 	readonly readIndexes = new Map<string, number>();
 	snapshotsSent = 0;
 	readonly #random;
-	#mail: Mail[] = [];
+	#mail: MessageInTransit[] = [];
 	#receipts: Receipt[] = [];
 	readonly #leaders = new Map<number, string>();
 	readonly #committed = new Map<number, string>();
@@ -265,7 +265,7 @@
 	}
 
 	#deliver(): void {
-		const isDue = ({at, envelope}: Mail) => at <= this.now && !this.isFrozen(envelope.to.name);
+		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isFrozen(envelope.to.name);
 		const due = this.#mail.filter(mail => isDue(mail));
 		this.#mail = this.#mail.filter(mail => !isDue(mail));
 		for (const {envelope, awaited} of due) {
