--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -39,7 +39,7 @@
 export type DeliverySender = {readonly node: Node; readonly life: number; readonly delivery: number};
 
 /** A message in transit. */
-export type MessageInTransit = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly awaited: DeliverySender | undefined};
+export type MessageInTransit = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly sender: DeliverySender | undefined};
 
 /** The reported outcome of a message. */
 export type Receipt = {readonly at: number; readonly awaited: DeliverySender; readonly arrived: boolean};
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -259,7 +259,7 @@
 		for (let copy = 0; copy < copies; copy++) {
 			const delay = this.chance(this.#faultsNow.longDelay) ? this.pick(2000) : this.pick(40);
 			if (!this.chance(this.#faultsNow.loss)) {
-				this.#mail.push({at: this.now + delay, envelope, awaited});
+				this.#mail.push({at: this.now + delay, envelope, sender: awaited});
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isFrozen(envelope.to.name);
 		const due = this.#mail.filter(mail => isDue(mail));
 		this.#mail = this.#mail.filter(mail => !isDue(mail));
-		for (const {envelope, awaited} of due) {
+		for (const {envelope, sender: awaited} of due) {
 			const {from, to} = envelope;
 			const receiver = this.nodes.find(node => node.name === to.name);
 			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.cut.has(place))) {
