--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -251,7 +251,7 @@
 
 	#post(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
 		if (awaited !== undefined) {
-			this.#receipts.push({at: this.now + givenUpMilliseconds, awaited, arrived: false});
+			this.#receipts.push({at: this.now + givenUpMilliseconds, sender: awaited, arrived: false});
 		}
 
 		const copies = this.chance(this.#faultsNow.duplication) ? 2 : 1;
@@ -275,7 +275,7 @@
 				const isUp = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
 				if (awaited !== undefined && !this.chance(this.#faultsNow.loss)) {
-					this.#receipts.push({at: this.now + this.pick(40), awaited, arrived: isUp});
+					this.#receipts.push({at: this.now + this.pick(40), sender: awaited, arrived: isUp});
 				}
 			}
 		}
@@ -283,10 +283,10 @@
 
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#report(): void {
-		const isDue = ({at, awaited}: Receipt) => at <= this.now && !this.isFrozen(awaited.node.name);
+		const isDue = ({at, sender: awaited}: Receipt) => at <= this.now && !this.isFrozen(awaited.node.name);
 		const due = this.#receipts.filter(receipt => isDue(receipt));
 		this.#receipts = this.#receipts.filter(receipt => !isDue(receipt));
-		for (const {awaited: {node, life, delivery}, arrived} of due) {
+		for (const {sender: {node, life, delivery}, arrived} of due) {
 			if (node.lives === life) {
 				this.handle(node, {
 					kind: 'deliveryEnded', now: this.now, delivery, arrived,
