--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -42,7 +42,7 @@
 export type MessageInTransit = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly sender: DeliverySender | undefined};
 
 /** The reported outcome of a message. */
-export type Receipt = {readonly at: number; readonly sender: DeliverySender; readonly arrived: boolean};
+export type DeliveryOutcome = {readonly at: number; readonly sender: DeliverySender; readonly arrived: boolean};
 
 /** The transport gives a message up after this long, even if it arrives later. */
 export const givenUpMilliseconds = 1000;
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type DeliverySender, noFaults, type Faults, givenUpMilliseconds, type MessageInTransit, type Node, options, type Receipt, stepMilliseconds, written,
+	type DeliverySender, noFaults, type Faults, givenUpMilliseconds, type MessageInTransit, type Node, options, type DeliveryOutcome, stepMilliseconds, written,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -35,7 +35,7 @@
 	snapshotsSent = 0;
 	readonly #random;
 	#mail: MessageInTransit[] = [];
-	#receipts: Receipt[] = [];
+	#receipts: DeliveryOutcome[] = [];
 	readonly #leaders = new Map<number, string>();
 	readonly #committed = new Map<number, string>();
 	readonly #placed = new Map<string, {readonly name: string; readonly index: number; readonly term: number}>();
@@ -283,7 +283,7 @@
 
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#report(): void {
-		const isDue = ({at, sender: awaited}: Receipt) => at <= this.now && !this.isFrozen(awaited.node.name);
+		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isFrozen(awaited.node.name);
 		const due = this.#receipts.filter(receipt => isDue(receipt));
 		this.#receipts = this.#receipts.filter(receipt => !isDue(receipt));
 		for (const {sender: {node, life, delivery}, arrived} of due) {
