--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -45,7 +45,7 @@
 export type DeliveryOutcome = {readonly at: number; readonly sender: DeliverySender; readonly arrived: boolean};
 
 /** The transport gives a message up after this long, even if it arrives later. */
-export const givenUpMilliseconds = 1000;
+export const deliveryTimeoutMilliseconds = 1000;
 
 /** A voter with its disk. Its process is down while `voter` is undefined. */
 export type Node = {
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type DeliverySender, noFaults, type Faults, givenUpMilliseconds, type MessageInTransit, type Node, options, type DeliveryOutcome, stepMilliseconds, written,
+	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type Node, options, type DeliveryOutcome, stepMilliseconds, written,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -251,7 +251,7 @@
 
 	#post(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
 		if (awaited !== undefined) {
-			this.#receipts.push({at: this.now + givenUpMilliseconds, sender: awaited, arrived: false});
+			this.#receipts.push({at: this.now + deliveryTimeoutMilliseconds, sender: awaited, arrived: false});
 		}
 
 		const copies = this.chance(this.#faultsNow.duplication) ? 2 : 1;
