--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -51,7 +51,7 @@
 		},
 		send: ({envelope, delivery}, node) => {
 			checkSynced(envelope, node, this.nodes);
-			this.#post(envelope, delivery === undefined ? undefined : {node, life: node.lives, delivery});
+			this.#post(envelope, delivery === undefined ? undefined : {node, incarnation: node.lives, delivery});
 		},
 		apply: ({entries}, node) => {
 			for (const entry of entries) {
@@ -286,7 +286,7 @@
 		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isFrozen(awaited.node.name);
 		const due = this.#receipts.filter(receipt => isDue(receipt));
 		this.#receipts = this.#receipts.filter(receipt => !isDue(receipt));
-		for (const {sender: {node, life, delivery}, arrived} of due) {
+		for (const {sender: {node, incarnation: life, delivery}, arrived} of due) {
 			if (node.lives === life) {
 				this.handle(node, {
 					kind: 'deliveryEnded', now: this.now, delivery, arrived,
