--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -57,7 +57,7 @@
 	machine: string[];
 	startsAt: number;
 	frozenUntil: number;
-	lives: number;
+	incarnation: number;
 };
 
 /** Returns the content of the disk after a write. */
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -51,7 +51,7 @@
 		},
 		send: ({envelope, delivery}, node) => {
 			checkSynced(envelope, node, this.nodes);
-			this.#post(envelope, delivery === undefined ? undefined : {node, incarnation: node.lives, delivery});
+			this.#post(envelope, delivery === undefined ? undefined : {node, incarnation: node.incarnation, delivery});
 		},
 		apply: ({entries}, node) => {
 			for (const entry of entries) {
@@ -61,7 +61,7 @@
 		restore({snapshot}, node) {
 			node.machine = JSON.parse(snapshot.data) as string[];
 		},
-		placed: ({request, index, term}, node) => this.#placed.set(request, {name: `${node.name}/${node.lives}`, index, term}),
+		placed: ({request, index, term}, node) => this.#placed.set(request, {name: `${node.name}/${node.incarnation}`, index, term}),
 		refused: ({request, failure}) => this.refused.set(request, failure.kind),
 		readReady: ({request, index}) => {
 			assert.ok(index >= this.#reads.get(request)!, 'a read index is before an entry that was accepted before the read');
@@ -234,7 +234,7 @@
 		}
 
 		for (const [request, {name, index, term}] of this.#placed) {
-			if (name === `${node.name}/${node.lives}` && index === entry.index && term === entry.term) {
+			if (name === `${node.name}/${node.incarnation}` && index === entry.index && term === entry.term) {
 				this.#placed.delete(request);
 				this.#accept(entry, node);
 			}
@@ -287,7 +287,7 @@
 		const due = this.#receipts.filter(receipt => isDue(receipt));
 		this.#receipts = this.#receipts.filter(receipt => !isDue(receipt));
 		for (const {sender: {node, incarnation: life, delivery}, arrived} of due) {
-			if (node.lives === life) {
+			if (node.incarnation === life) {
 				this.handle(node, {
 					kind: 'deliveryEnded', now: this.now, delivery, arrived,
 				});
@@ -300,7 +300,7 @@
 			const voterOptions: ConsensusOptions = {...options, self: node.identity, seed: this.pick(1_000_000)};
 			node.voter = createVoter(voterOptions, node.disk, this.now);
 			node.machine = JSON.parse(node.disk.snapshot?.data ?? '[]') as string[];
-			node.lives++;
+			node.incarnation++;
 		}
 
 		const synced = node.writes.filter(({syncedAt}) => syncedAt <= this.now);
