--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -56,7 +56,7 @@
 	writes: Write[];
 	machine: string[];
 	startsAt: number;
-	frozenUntil: number;
+	pausedUntil: number;
 	incarnation: number;
 };
 
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -94,7 +94,7 @@
 
 	/** Whether a process is paused; it resumes with its state unchanged. */
 	isFrozen(name: string): boolean {
-		return this.nodes.some(node => node.name === name && node.frozenUntil > this.now);
+		return this.nodes.some(node => node.name === name && node.pausedUntil > this.now);
 	}
 
 	chance(thousandths: number): boolean {
@@ -341,7 +341,7 @@
 				this.repair();
 			}],
 			[faults.pause, () => {
-				node.frozenUntil = this.now + this.pick(2000);
+				node.pausedUntil = this.now + this.pick(2000);
 			}],
 			[faults.handOver, () => {
 				this.handle(node, {kind: 'handOverRequested', now: this.now});
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -121,10 +121,10 @@
 			const schedule = started(seed, names3);
 			proposeMany(schedule, 5);
 			const old = schedule.leader()!;
-			old.frozenUntil = schedule.now + 5000;
+			old.pausedUntil = schedule.now + 5000;
 			assert.ok(schedule.run(5000, noFaults, () => schedule.leader() !== old));
 			proposeMany(schedule, 5);
-			old.frozenUntil = 0;
+			old.pausedUntil = 0;
 			const read = schedule.read(old);
 			schedule.settle();
 			assert.equal(schedule.refused.get(read), 'not-leader');
