--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -36,7 +36,7 @@
 export type Write = {readonly syncedAt: number; readonly effect: Extract<ConsensusEffect, {kind: 'persist'}>};
 
 /** The sender that waits for the outcome of a message. */
-export type DeliverySender = {readonly node: Node; readonly incarnation: number; readonly delivery: number};
+export type DeliverySender = {readonly node: SimulatedNode; readonly incarnation: number; readonly delivery: number};
 
 /** A message in transit. */
 export type MessageInTransit = {readonly at: number; readonly envelope: ConsensusEnvelope; readonly sender: DeliverySender | undefined};
@@ -48,7 +48,7 @@
 export const deliveryTimeoutMilliseconds = 1000;
 
 /** A voter with its disk. Its process is down while `voter` is undefined. */
-export type Node = {
+export type SimulatedNode = {
 	readonly name: string;
 	identity: VoterIdentity;
 	voter: VoterState | undefined;
--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -2,7 +2,7 @@
  * Safety invariants, checked at each step of a simulation.
  */
 import assert from 'node:assert/strict';
-import {type Node} from './faults.js';
+import {type SimulatedNode} from './faults.js';
 import {voterDueAt} from '@dogwooddeck/consensus/due';
 import {entryAt} from '@dogwooddeck/consensus/log';
 import {
@@ -12,7 +12,7 @@
 import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/machine';
 
 /** An entry that a member confirms is the same as the leader's of that term. */
-function checkConfirmed(message: ConsensusEnvelope['message'], node: Node, nodes: readonly Node[]): void {
+function checkConfirmed(message: ConsensusEnvelope['message'], node: SimulatedNode, nodes: readonly SimulatedNode[]): void {
 	const leader = nodes.find(({voter}) => voter !== undefined && roleOf(voter) === Role.leader && termOf(voter) === message.term);
 	if (message.kind === 'appendAnswered' && message.accepted && leader !== undefined) {
 		const confirmed = node.disk.entries.find(({index}) => index === message.index);
@@ -22,7 +22,7 @@
 }
 
 /** A vote, a term or a confirmation of entries is sent only after it is synced. */
-export function checkSynced({message}: ConsensusEnvelope, node: Node, nodes: readonly Node[]): void {
+export function checkSynced({message}: ConsensusEnvelope, node: SimulatedNode, nodes: readonly SimulatedNode[]): void {
 	const {hardState, entries, snapshot} = node.disk;
 	const claimsVote = message.kind === 'voteRequested' || (message.kind === 'voteAnswered' && message.granted);
 	assert.ok(message.kind === 'preVoteRequested' || message.kind === 'preVoteAnswered' || hardState.term >= message.term, 'a term is sent before it is synced');
@@ -33,7 +33,7 @@
 }
 
 /** No leader relies on a quorum that has elected another leader in a later term. */
-export function checkLeases(elected: Node, nodes: readonly Node[], now: number): void {
+export function checkLeases(elected: SimulatedNode, nodes: readonly SimulatedNode[], now: number): void {
 	for (const {name, voter} of nodes) {
 		const heardAt = voter === undefined || termOf(voter) >= termOf(elected.voter!) ? undefined : quorumContactAt(voter, now);
 		assert.equal(heardAt, undefined, `${name} relies on a quorum that has elected ${elected.name}`);
@@ -41,7 +41,7 @@
 }
 
 /** An accepted entry is on the disks of a majority, not counting folders that were lost since. */
-export function checkMajority({index, term}: LogEntry, leader: Node, nodes: readonly Node[]): void {
+export function checkMajority({index, term}: LogEntry, leader: SimulatedNode, nodes: readonly SimulatedNode[]): void {
 	const {voters} = voterSetOf(leader.voter!);
 	const holding = voters.filter(voter => {
 		const {identity, disk} = nodes.find(({name}) => name === voter.name)!;
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type Node, options, type DeliveryOutcome, stepMilliseconds, written,
+	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type SimulatedNode, options, type DeliveryOutcome, stepMilliseconds, written,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -27,7 +27,7 @@
 /** Simulates voters, their disks and their links under seeded faults, and checks the invariants at each step. */
 export class Schedule {
 	now = 0;
-	readonly nodes: Node[];
+	readonly nodes: SimulatedNode[];
 	readonly cut = new Set<string>();
 	readonly accepted = new Map<string, number>();
 	readonly refused = new Map<string, string>();
@@ -44,7 +44,7 @@
 	#highestAccepted = 0;
 	#faultsNow: Faults = noFaults;
 
-	readonly #edges: HandlerTable<ConsensusEffect, [Node], void> = {
+	readonly #edges: HandlerTable<ConsensusEffect, [SimulatedNode], void> = {
 		persist: (effect, node) => {
 			const after = node.writes.at(-1)?.syncedAt ?? 0;
 			node.writes.push({effect, syncedAt: Math.max(after, this.now + this.pick(this.#faultsNow.syncMilliseconds))});
@@ -88,7 +88,7 @@
 		}));
 	}
 
-	node(name: string): Node {
+	node(name: string): SimulatedNode {
 		return this.nodes.find(node => node.name === name)!;
 	}
 
@@ -105,13 +105,13 @@
 		return uniformInt(this.#random, 0, below - 1);
 	}
 
-	leader(): Node | undefined {
+	leader(): SimulatedNode | undefined {
 		return this.nodes
 			.filter(node => node.voter !== undefined && roleOf(node.voter) === Role.leader && !this.cut.has(node.name))
 			.sort((one, other) => termOf(other.voter!) - termOf(one.voter!))[0];
 	}
 
-	handle(node: Node, event: ConsensusEvent): void {
+	handle(node: SimulatedNode, event: ConsensusEvent): void {
 		if (node.voter !== undefined) {
 			const {state, effects} = stepVoter(node.voter, event);
 			checkDue(node.voter, event, effects);
@@ -122,7 +122,7 @@
 		}
 	}
 
-	propose(node: Node, payload = `p${this.#requests}`): string {
+	propose(node: SimulatedNode, payload = `p${this.#requests}`): string {
 		const request = `r${this.#requests++}`;
 		this.handle(node, {
 			kind: 'proposed', now: this.now, request, payload,
@@ -130,14 +130,14 @@
 		return request;
 	}
 
-	read(node: Node): string {
+	read(node: SimulatedNode): string {
 		const request = `r${this.#requests++}`;
 		this.#reads.set(request, this.#highestAccepted);
 		this.handle(node, {kind: 'readRequested', now: this.now, request});
 		return request;
 	}
 
-	changeVoters(node: Node, voterSet: VoterSet): string {
+	changeVoters(node: SimulatedNode, voterSet: VoterSet): string {
 		const request = `r${this.#requests++}`;
 		this.handle(node, {
 			kind: 'voterChangeProposed', now: this.now, request, voterSet,
@@ -146,7 +146,7 @@
 	}
 
 	/** Crashes a process. Any prefix of its unsynced writes may have reached the disk. */
-	crash(node: Node, silentMilliseconds: number): void {
+	crash(node: SimulatedNode, silentMilliseconds: number): void {
 		const reached = this.pick(node.writes.length + 1);
 		node.disk = node.writes.slice(0, reached).reduce((disk, {effect}) => written(disk, effect), node.disk);
 		Object.assign(node, {
@@ -154,7 +154,7 @@
 		});
 	}
 
-	wipe(node: Node, silentMilliseconds: number): void {
+	wipe(node: SimulatedNode, silentMilliseconds: number): void {
 		this.crash(node, silentMilliseconds);
 		node.disk = {hardState: {term: 0}, entries: []};
 		node.identity = {name: node.name, folder: `folder-${this.#requests++}`};
@@ -225,7 +225,7 @@
 		}
 	}
 
-	#apply(entry: LogEntry, node: Node): void {
+	#apply(entry: LogEntry, node: SimulatedNode): void {
 		const text = JSON.stringify(entry);
 		assert.equal(this.#committed.get(entry.index) ?? text, text, `entry ${entry.index} was changed after it was committed`);
 		this.#committed.set(entry.index, text);
@@ -241,7 +241,7 @@
 		}
 	}
 
-	#accept(entry: LogEntry, node: Node): void {
+	#accept(entry: LogEntry, node: SimulatedNode): void {
 		checkMajority(entry, node, this.nodes);
 		this.#highestAccepted = Math.max(this.#highestAccepted, entry.index);
 		if (entry.body.kind === 'command') {
@@ -295,7 +295,7 @@
 		}
 	}
 
-	#live(node: Node): void {
+	#live(node: SimulatedNode): void {
 		if (node.voter === undefined && this.now >= node.startsAt) {
 			const voterOptions: ConsensusOptions = {...options, self: node.identity, seed: this.pick(1_000_000)};
 			node.voter = createVoter(voterOptions, node.disk, this.now);
