--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -61,7 +61,7 @@
 };
 
 /** Returns the content of the disk after a write. */
-export function written(disk: SavedState, effect: Write['effect']): SavedState {
+export function applyWrite(disk: SavedState, effect: Write['effect']): SavedState {
 	const {hardState, entries, snapshot = disk.snapshot} = effect;
 	const index = snapshot?.index ?? 0;
 	const agrees = index === (disk.snapshot?.index ?? 0) || disk.entries.find(entry => entry.index === index)?.term === snapshot?.term;
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -8,7 +8,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {
-	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type SimulatedNode, options, type DeliveryOutcome, stepMilliseconds, written,
+	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type SimulatedNode, options, type DeliveryOutcome, stepMilliseconds, applyWrite,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
@@ -148,7 +148,7 @@
 	/** Crashes a process. Any prefix of its unsynced writes may have reached the disk. */
 	crash(node: SimulatedNode, silentMilliseconds: number): void {
 		const reached = this.pick(node.writes.length + 1);
-		node.disk = node.writes.slice(0, reached).reduce((disk, {effect}) => written(disk, effect), node.disk);
+		node.disk = node.writes.slice(0, reached).reduce((disk, {effect}) => applyWrite(disk, effect), node.disk);
 		Object.assign(node, {
 			voter: undefined, writes: [], machine: [], startsAt: this.now + silentMilliseconds, frozenUntil: 0,
 		});
@@ -305,7 +305,7 @@
 
 		const synced = node.writes.filter(({syncedAt}) => syncedAt <= this.now);
 		node.writes = node.writes.slice(synced.length);
-		node.disk = synced.reduce((disk, {effect}) => written(disk, effect), node.disk);
+		node.disk = synced.reduce((disk, {effect}) => applyWrite(disk, effect), node.disk);
 		if (synced.length > 0) {
 			this.handle(node, {kind: 'persisted', now: this.now, ticket: synced.at(-1)!.effect.ticket});
 		}
