--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -17,7 +17,7 @@
 	readonly longDelay: number;
 	readonly crash: number;
 	readonly pause: number;
-	readonly cut: number;
+	readonly partition: number;
 	/** Toggles a partition between two voters, in one direction or both. */
 	readonly link: number;
 	readonly wipe: number;
@@ -29,7 +29,7 @@
 
 /** No faults. */
 export const noFaults: Faults = {
-	loss: 0, duplication: 0, longDelay: 0, crash: 0, pause: 0, cut: 0, link: 0, wipe: 0, handOver: 0, proposals: 0, syncMilliseconds: 30,
+	loss: 0, duplication: 0, longDelay: 0, crash: 0, pause: 0, partition: 0, link: 0, wipe: 0, handOver: 0, proposals: 0, syncMilliseconds: 30,
 };
 
 /** A write that is not synced yet. */
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -326,7 +326,7 @@
 			[faults.crash, () => {
 				this.crash(node, this.pick(1500));
 			}],
-			[faults.cut, () => {
+			[faults.partition, () => {
 				this.#toggleCut(node.name);
 			}],
 			[faults.link, () => {
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -20,17 +20,17 @@
 	},
 	{
 		name: 'crashes and partitions', names: names3, faults: {
-			...noFaults, loss: 50, duplication: 50, longDelay: 20, crash: 8, cut: 6, proposals: 200,
+			...noFaults, loss: 50, duplication: 50, longDelay: 20, crash: 8, partition: 6, proposals: 200,
 		},
 	},
 	{
 		name: 'crashes and partitions of five voters', names: names5, faults: {
-			...noFaults, loss: 50, longDelay: 20, crash: 12, cut: 8, proposals: 200,
+			...noFaults, loss: 50, longDelay: 20, crash: 12, partition: 8, proposals: 200,
 		},
 	},
 	{
 		name: 'lost folders and repairs', names: names3, faults: {
-			...noFaults, loss: 30, longDelay: 20, crash: 3, cut: 3, wipe: 10, proposals: 200,
+			...noFaults, loss: 30, longDelay: 20, crash: 3, partition: 3, wipe: 10, proposals: 200,
 		},
 	},
 	{
@@ -44,7 +44,7 @@
 		name: 'slow disks',
 		names: names3,
 		faults: {
-			...noFaults, loss: 50, longDelay: 20, crash: 4, cut: 2, link: 20, proposals: 300, syncMilliseconds: 250,
+			...noFaults, loss: 50, longDelay: 20, crash: 4, partition: 2, link: 20, proposals: 300, syncMilliseconds: 250,
 		},
 	},
 	{
