--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -329,7 +329,7 @@
 			[faults.partition, () => {
 				this.#toggleCut(node.name);
 			}],
-			[faults.link, () => {
+			[faults.linkPartition, () => {
 				const other = this.nodes[this.pick(this.nodes.length)]!;
 				this.#toggleCut(`${node.name}>${other.name}`);
 				this.#toggleCut(this.chance(500) ? `${other.name}>${node.name}` : `${node.name}>${node.name}`);
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -37,14 +37,14 @@
 		name: 'links that are partitioned in one direction or both',
 		names: names3,
 		faults: {
-			...noFaults, loss: 20, longDelay: 20, crash: 1, link: 10, proposals: 10,
+			...noFaults, loss: 20, longDelay: 20, crash: 1, linkPartition: 10, proposals: 10,
 		},
 	},
 	{
 		name: 'slow disks',
 		names: names3,
 		faults: {
-			...noFaults, loss: 50, longDelay: 20, crash: 4, partition: 2, link: 20, proposals: 300, syncMilliseconds: 250,
+			...noFaults, loss: 50, longDelay: 20, crash: 4, partition: 2, linkPartition: 20, proposals: 300, syncMilliseconds: 250,
 		},
 	},
 	{
