--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -334,10 +334,10 @@
 				this.#toggleCut(`${node.name}>${other.name}`);
 				this.#toggleCut(this.chance(500) ? `${other.name}>${node.name}` : `${node.name}>${node.name}`);
 			}],
-			[this.isWhole() ? faults.wipe : 0, () => {
+			[this.isWhole() ? faults.diskLoss : 0, () => {
 				this.wipe(node, this.pick(500));
 			}],
-			[this.isWhole() ? 0 : faults.wipe * 10, () => {
+			[this.isWhole() ? 0 : faults.diskLoss * 10, () => {
 				this.repair();
 			}],
 			[faults.pause, () => {
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -30,7 +30,7 @@
 	},
 	{
 		name: 'lost folders and repairs', names: names3, faults: {
-			...noFaults, loss: 30, longDelay: 20, crash: 3, partition: 3, wipe: 10, proposals: 200,
+			...noFaults, loss: 30, longDelay: 20, crash: 3, partition: 3, diskLoss: 10, proposals: 200,
 		},
 	},
 	{
