--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -21,7 +21,7 @@
 	/** Toggles a partition between two voters, in one direction or both. */
 	readonly linkPartition: number;
 	readonly diskLoss: number;
-	readonly handOver: number;
+	readonly leadershipTransfer: number;
 	readonly proposals: number;
 	/** The upper bound on the duration of a write. */
 	readonly syncMilliseconds: number;
@@ -29,7 +29,7 @@
 
 /** No faults. */
 export const noFaults: Faults = {
-	loss: 0, duplication: 0, longDelay: 0, crash: 0, pause: 0, partition: 0, linkPartition: 0, diskLoss: 0, handOver: 0, proposals: 0, syncMilliseconds: 30,
+	loss: 0, duplication: 0, longDelay: 0, crash: 0, pause: 0, partition: 0, linkPartition: 0, diskLoss: 0, leadershipTransfer: 0, proposals: 0, syncMilliseconds: 30,
 };
 
 /** A write that is not synced yet. */
--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -343,7 +343,7 @@
 			[faults.pause, () => {
 				node.pausedUntil = this.now + this.pick(2000);
 			}],
-			[faults.handOver, () => {
+			[faults.leadershipTransfer, () => {
 				this.handle(node, {kind: 'handOverRequested', now: this.now});
 			}],
 			[this.isFrozen(node.name) ? 0 : faults.proposals, () => this.propose(node)],
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -51,7 +51,7 @@
 		name: 'paused processes and leadership transfers',
 		names: names3,
 		faults: {
-			...noFaults, loss: 50, duplication: 50, longDelay: 50, pause: 10, handOver: 5, proposals: 200,
+			...noFaults, loss: 50, duplication: 50, longDelay: 50, pause: 10, leadershipTransfer: 5, proposals: 200,
 		},
 	},
 ];
