--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -65,6 +65,6 @@
 	const {hardState, entries, snapshot = disk.snapshot} = effect;
 	const index = snapshot?.index ?? 0;
 	const agrees = index === (disk.snapshot?.index ?? 0) || disk.entries.find(entry => entry.index === index)?.term === snapshot?.term;
-	const kept = disk.entries.filter(entry => agrees && entry.index > index && entry.index < (entries[0]?.index ?? Infinity));
-	return {hardState, entries: [...kept, ...entries], ...(snapshot === undefined ? {} : {snapshot})};
+	const keptEntries = disk.entries.filter(entry => agrees && entry.index > index && entry.index < (entries[0]?.index ?? Infinity));
+	return {hardState, entries: [...keptEntries, ...entries], ...(snapshot === undefined ? {} : {snapshot})};
 }
