--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -64,7 +64,7 @@
 export function applyWrite(disk: SavedState, effect: Write['effect']): SavedState {
 	const {hardState, entries, snapshot = disk.snapshot} = effect;
 	const index = snapshot?.index ?? 0;
-	const agrees = index === (disk.snapshot?.index ?? 0) || disk.entries.find(entry => entry.index === index)?.term === snapshot?.term;
-	const keptEntries = disk.entries.filter(entry => agrees && entry.index > index && entry.index < (entries[0]?.index ?? Infinity));
+	const hasSnapshotEntry = index === (disk.snapshot?.index ?? 0) || disk.entries.find(entry => entry.index === index)?.term === snapshot?.term;
+	const keptEntries = disk.entries.filter(entry => hasSnapshotEntry && entry.index > index && entry.index < (entries[0]?.index ?? Infinity));
 	return {hardState, entries: [...keptEntries, ...entries], ...(snapshot === undefined ? {} : {snapshot})};
 }
