--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -35,8 +35,8 @@
 /** No leader relies on a quorum that has elected another leader in a later term. */
 export function checkLeases(elected: SimulatedNode, nodes: readonly SimulatedNode[], now: number): void {
 	for (const {name, voter} of nodes) {
-		const heardAt = voter === undefined || termOf(voter) >= termOf(elected.voter!) ? undefined : quorumContactAt(voter, now);
-		assert.equal(heardAt, undefined, `${name} relies on a quorum that has elected ${elected.name}`);
+		const contactAt = voter === undefined || termOf(voter) >= termOf(elected.voter!) ? undefined : quorumContactAt(voter, now);
+		assert.equal(contactAt, undefined, `${name} relies on a quorum that has elected ${elected.name}`);
 	}
 }
 
