--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -28,8 +28,8 @@
 	assert.ok(message.kind === 'preVoteRequested' || message.kind === 'preVoteAnswered' || hardState.term >= message.term, 'a term is sent before it is synced');
 	assert.ok(!claimsVote || hardState.term > message.term || hardState.vote !== undefined, 'a vote is sent before it is synced');
 	checkConfirmed(message, node, nodes);
-	const claimed = message.kind === 'appendAnswered' && message.accepted && hardState.term === message.term ? message.index : 0;
-	assert.ok(claimed <= (entries.at(-1)?.index ?? snapshot?.index ?? 0), 'entries are confirmed before they are synced');
+	const confirmedIndex = message.kind === 'appendAnswered' && message.accepted && hardState.term === message.term ? message.index : 0;
+	assert.ok(confirmedIndex <= (entries.at(-1)?.index ?? snapshot?.index ?? 0), 'entries are confirmed before they are synced');
 }
 
 /** No leader relies on a quorum that has elected another leader in a later term. */
