--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -43,12 +43,12 @@
 /** An accepted entry is on the disks of a majority, not counting folders that were lost since. */
 export function checkMajority({index, term}: LogEntry, leader: SimulatedNode, nodes: readonly SimulatedNode[]): void {
 	const {voters} = voterSetOf(leader.voter!);
-	const holding = voters.filter(voter => {
+	const votersWithEntry = voters.filter(voter => {
 		const {identity, disk} = nodes.find(({name}) => name === voter.name)!;
 		const lost = identity.folder !== voter.folder;
 		return lost || index <= (disk.snapshot?.index ?? 0) || disk.entries.some(entry => entry.index === index && entry.term === term);
 	});
-	assert.ok(holding.length * 2 > voters.length, `entry ${index} was accepted before a majority had synced it`);
+	assert.ok(votersWithEntry.length * 2 > voters.length, `entry ${index} was accepted before a majority had synced it`);
 }
 
 /** A tick has no effect before the time that `voterDueAt` returned. */
