--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -12,7 +12,7 @@
 import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/machine';
 
 /** An entry that a member confirms is the same as the leader's of that term. */
-function checkConfirmed(message: ConsensusEnvelope['message'], node: SimulatedNode, nodes: readonly SimulatedNode[]): void {
+function checkConfirmedEntry(message: ConsensusEnvelope['message'], node: SimulatedNode, nodes: readonly SimulatedNode[]): void {
 	const leader = nodes.find(({voter}) => voter !== undefined && roleOf(voter) === Role.leader && termOf(voter) === message.term);
 	if (message.kind === 'appendAnswered' && message.accepted && leader !== undefined) {
 		const confirmed = node.disk.entries.find(({index}) => index === message.index);
@@ -27,7 +27,7 @@
 	const claimsVote = message.kind === 'voteRequested' || (message.kind === 'voteAnswered' && message.granted);
 	assert.ok(message.kind === 'preVoteRequested' || message.kind === 'preVoteAnswered' || hardState.term >= message.term, 'a term is sent before it is synced');
 	assert.ok(!claimsVote || hardState.term > message.term || hardState.vote !== undefined, 'a vote is sent before it is synced');
-	checkConfirmed(message, node, nodes);
+	checkConfirmedEntry(message, node, nodes);
 	const confirmedIndex = message.kind === 'appendAnswered' && message.accepted && hardState.term === message.term ? message.index : 0;
 	assert.ok(confirmedIndex <= (entries.at(-1)?.index ?? snapshot?.index ?? 0), 'entries are confirmed before they are synced');
 }
