--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -25,7 +25,7 @@
 } from '@dogwooddeck/consensus/machine';
 
 /** Simulates voters, their disks and their links under seeded faults, and checks the invariants at each step. */
-export class Schedule {
+export class Simulation {
 	now = 0;
 	readonly nodes: SimulatedNode[];
 	readonly cut = new Set<string>();
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {noFaults, type Faults} from './faults.js';
-import {Schedule} from './schedule.js';
+import {Simulation} from './schedule.js';
 import {names3, names5} from './started.js';
 
 const seed = Number(process.env.SEED ?? 1);
@@ -60,7 +60,7 @@
 	test(`schedules: ${name} (seeds from ${seed}, ${runs} runs)`, context => {
 		let accepted = 0;
 		fc.assert(fc.property(fc.integer({min: 0}), scheduleSeed => {
-			const schedule = new Schedule(scheduleSeed, names);
+			const schedule = new Simulation(scheduleSeed, names);
 			schedule.run(15_000, faults);
 			schedule.settle();
 			accepted += schedule.accepted.size;
