--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -28,7 +28,7 @@
 export class Simulation {
 	now = 0;
 	readonly nodes: SimulatedNode[];
-	readonly cut = new Set<string>();
+	readonly partitioned = new Set<string>();
 	readonly accepted = new Map<string, number>();
 	readonly refused = new Map<string, string>();
 	readonly readIndexes = new Map<string, number>();
@@ -107,7 +107,7 @@
 
 	leader(): SimulatedNode | undefined {
 		return this.nodes
-			.filter(node => node.voter !== undefined && roleOf(node.voter) === Role.leader && !this.cut.has(node.name))
+			.filter(node => node.voter !== undefined && roleOf(node.voter) === Role.leader && !this.partitioned.has(node.name))
 			.sort((one, other) => termOf(other.voter!) - termOf(one.voter!))[0];
 	}
 
@@ -205,7 +205,7 @@
 
 	/** Ends all faults, and checks that all voters converge to the same state, which includes every accepted proposal. */
 	settle(): void {
-		this.cut.clear();
+		this.partitioned.clear();
 		const settled = () => {
 			if (!this.isWhole() && this.now % 200 === 0) {
 				this.repair();
@@ -271,7 +271,7 @@
 		for (const {envelope, sender: awaited} of due) {
 			const {from, to} = envelope;
 			const receiver = this.nodes.find(node => node.name === to.name);
-			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.cut.has(place))) {
+			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.partitioned.has(place))) {
 				const isUp = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
 				if (awaited !== undefined && !this.chance(this.#faultsNow.loss)) {
@@ -314,8 +314,8 @@
 	}
 
 	#toggleCut(place: string): void {
-		if (!this.cut.delete(place)) {
-			this.cut.add(place);
+		if (!this.partitioned.delete(place)) {
+			this.partitioned.add(place);
 		}
 	}
 
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -32,7 +32,7 @@
 		play(seed) {
 			const schedule = started(seed, names3);
 			const old = schedule.leader()!;
-			schedule.cut.add(old.name);
+			schedule.partitioned.add(old.name);
 			const read = schedule.read(old);
 			const proposal = schedule.propose(old, 'lost');
 			assert.ok(schedule.run(20_000, noFaults, () => schedule.leader() !== undefined));
@@ -108,7 +108,7 @@
 			const schedule = started(seed, names3);
 			const leader = schedule.leader()!;
 			const term = termOf(leader.voter!);
-			schedule.cut.add(schedule.nodes.find(node => node !== leader)!.name);
+			schedule.partitioned.add(schedule.nodes.find(node => node !== leader)!.name);
 			schedule.run(20_000);
 			schedule.settle();
 			assert.equal(termOf(leader.voter!), term);
@@ -182,7 +182,7 @@
 			schedule.settle();
 			const old = schedule.leader()!;
 			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
-			schedule.cut.add(old.voter!.leadership!.transfer!.successor.name);
+			schedule.partitioned.add(old.voter!.leadership!.transfer!.successor.name);
 			schedule.run(options.electionMilliseconds + 50);
 			assert.notEqual(roleOf(old.voter!), Role.leader);
 			schedule.settle();
