--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -44,7 +44,7 @@
 	#highestAccepted = 0;
 	#faultsNow: Faults = noFaults;
 
-	readonly #edges: HandlerTable<ConsensusEffect, [SimulatedNode], void> = {
+	readonly #effectHandlers: HandlerTable<ConsensusEffect, [SimulatedNode], void> = {
 		persist: (effect, node) => {
 			const after = node.writes.at(-1)?.syncedAt ?? 0;
 			node.writes.push({effect, syncedAt: Math.max(after, this.now + this.pick(this.#faultsNow.syncMilliseconds))});
@@ -117,7 +117,7 @@
 			checkDue(node.voter, event, effects);
 			node.voter = state;
 			for (const effect of effects) {
-				dispatch(this.#edges, effect, node);
+				dispatch(this.#effectHandlers, effect, node);
 			}
 		}
 	}
