--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -34,7 +34,7 @@
 	readonly readIndexes = new Map<string, number>();
 	snapshotsSent = 0;
 	readonly #random;
-	#mail: MessageInTransit[] = [];
+	#inTransit: MessageInTransit[] = [];
 	#receipts: DeliveryOutcome[] = [];
 	readonly #leaders = new Map<number, string>();
 	readonly #committed = new Map<number, string>();
@@ -259,15 +259,15 @@
 		for (let copy = 0; copy < copies; copy++) {
 			const delay = this.chance(this.#faultsNow.longDelay) ? this.pick(2000) : this.pick(40);
 			if (!this.chance(this.#faultsNow.loss)) {
-				this.#mail.push({at: this.now + delay, envelope, sender: awaited});
+				this.#inTransit.push({at: this.now + delay, envelope, sender: awaited});
 			}
 		}
 	}
 
 	#deliver(): void {
 		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isFrozen(envelope.to.name);
-		const due = this.#mail.filter(mail => isDue(mail));
-		this.#mail = this.#mail.filter(mail => !isDue(mail));
+		const due = this.#inTransit.filter(mail => isDue(mail));
+		this.#inTransit = this.#inTransit.filter(mail => !isDue(mail));
 		for (const {envelope, sender: awaited} of due) {
 			const {from, to} = envelope;
 			const receiver = this.nodes.find(node => node.name === to.name);
