--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -35,7 +35,7 @@
 	snapshotsSent = 0;
 	readonly #random;
 	#inTransit: MessageInTransit[] = [];
-	#receipts: DeliveryOutcome[] = [];
+	#outcomes: DeliveryOutcome[] = [];
 	readonly #leaders = new Map<number, string>();
 	readonly #committed = new Map<number, string>();
 	readonly #placed = new Map<string, {readonly name: string; readonly index: number; readonly term: number}>();
@@ -251,7 +251,7 @@
 
 	#post(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
 		if (awaited !== undefined) {
-			this.#receipts.push({at: this.now + deliveryTimeoutMilliseconds, sender: awaited, arrived: false});
+			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender: awaited, arrived: false});
 		}
 
 		const copies = this.chance(this.#faultsNow.duplication) ? 2 : 1;
@@ -275,7 +275,7 @@
 				const isUp = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
 				if (awaited !== undefined && !this.chance(this.#faultsNow.loss)) {
-					this.#receipts.push({at: this.now + this.pick(40), sender: awaited, arrived: isUp});
+					this.#outcomes.push({at: this.now + this.pick(40), sender: awaited, arrived: isUp});
 				}
 			}
 		}
@@ -284,8 +284,8 @@
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#report(): void {
 		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isFrozen(awaited.node.name);
-		const due = this.#receipts.filter(receipt => isDue(receipt));
-		this.#receipts = this.#receipts.filter(receipt => !isDue(receipt));
+		const due = this.#outcomes.filter(receipt => isDue(receipt));
+		this.#outcomes = this.#outcomes.filter(receipt => !isDue(receipt));
 		for (const {sender: {node, incarnation: life, delivery}, arrived} of due) {
 			if (node.incarnation === life) {
 				this.handle(node, {
