--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -42,12 +42,12 @@
 	readonly #reads = new Map<string, number>();
 	#requests = 0;
 	#highestAccepted = 0;
-	#faultsNow: Faults = noFaults;
+	#faults: Faults = noFaults;
 
 	readonly #effectHandlers: HandlerTable<ConsensusEffect, [SimulatedNode], void> = {
 		persist: (effect, node) => {
 			const after = node.writes.at(-1)?.syncedAt ?? 0;
-			node.writes.push({effect, syncedAt: Math.max(after, this.now + this.pick(this.#faultsNow.syncMilliseconds))});
+			node.writes.push({effect, syncedAt: Math.max(after, this.now + this.pick(this.#faults.syncMilliseconds))});
 		},
 		send: ({envelope, delivery}, node) => {
 			checkSynced(envelope, node, this.nodes);
@@ -254,11 +254,11 @@
 			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender: awaited, arrived: false});
 		}
 
-		const copies = this.chance(this.#faultsNow.duplication) ? 2 : 1;
+		const copies = this.chance(this.#faults.duplication) ? 2 : 1;
 		this.snapshotsSent += envelope.message.kind === 'snapshotSent' ? 1 : 0;
 		for (let copy = 0; copy < copies; copy++) {
-			const delay = this.chance(this.#faultsNow.longDelay) ? this.pick(2000) : this.pick(40);
-			if (!this.chance(this.#faultsNow.loss)) {
+			const delay = this.chance(this.#faults.longDelay) ? this.pick(2000) : this.pick(40);
+			if (!this.chance(this.#faults.loss)) {
 				this.#inTransit.push({at: this.now + delay, envelope, sender: awaited});
 			}
 		}
@@ -274,7 +274,7 @@
 			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.partitioned.has(place))) {
 				const isUp = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
-				if (awaited !== undefined && !this.chance(this.#faultsNow.loss)) {
+				if (awaited !== undefined && !this.chance(this.#faults.loss)) {
 					this.#outcomes.push({at: this.now + this.pick(40), sender: awaited, arrived: isUp});
 				}
 			}
@@ -320,7 +320,7 @@
 	}
 
 	#fail(faults: Faults): void {
-		this.#faultsNow = faults;
+		this.#faults = faults;
 		const node = this.nodes[this.pick(this.nodes.length)]!;
 		const actions: ReadonlyArray<readonly [number, () => unknown]> = [
 			[faults.crash, () => {
