--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -93,7 +93,7 @@
 	}
 
 	/** Whether a process is paused; it resumes with its state unchanged. */
-	isFrozen(name: string): boolean {
+	isPaused(name: string): boolean {
 		return this.nodes.some(node => node.name === name && node.pausedUntil > this.now);
 	}
 
@@ -167,7 +167,7 @@
 			this.#fail(faults);
 			this.#deliver();
 			this.#report();
-			for (const node of this.nodes.filter(({name}) => !this.isFrozen(name))) {
+			for (const node of this.nodes.filter(({name}) => !this.isPaused(name))) {
 				this.#live(node);
 			}
 		}
@@ -265,7 +265,7 @@
 	}
 
 	#deliver(): void {
-		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isFrozen(envelope.to.name);
+		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isPaused(envelope.to.name);
 		const due = this.#inTransit.filter(mail => isDue(mail));
 		this.#inTransit = this.#inTransit.filter(mail => !isDue(mail));
 		for (const {envelope, sender: awaited} of due) {
@@ -283,7 +283,7 @@
 
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#report(): void {
-		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isFrozen(awaited.node.name);
+		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isPaused(awaited.node.name);
 		const due = this.#outcomes.filter(receipt => isDue(receipt));
 		this.#outcomes = this.#outcomes.filter(receipt => !isDue(receipt));
 		for (const {sender: {node, incarnation: life, delivery}, arrived} of due) {
@@ -346,8 +346,8 @@
 			[faults.leadershipTransfer, () => {
 				this.handle(node, {kind: 'handOverRequested', now: this.now});
 			}],
-			[this.isFrozen(node.name) ? 0 : faults.proposals, () => this.propose(node)],
-			[this.isFrozen(node.name) ? 0 : faults.proposals, () => this.read(node)],
+			[this.isPaused(node.name) ? 0 : faults.proposals, () => this.propose(node)],
+			[this.isPaused(node.name) ? 0 : faults.proposals, () => this.read(node)],
 		];
 		for (const [likely, act] of actions) {
 			if (this.chance(likely)) {
