--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -51,7 +51,7 @@
 		},
 		send: ({envelope, delivery}, node) => {
 			checkSynced(envelope, node, this.nodes);
-			this.#post(envelope, delivery === undefined ? undefined : {node, incarnation: node.incarnation, delivery});
+			this.#send(envelope, delivery === undefined ? undefined : {node, incarnation: node.incarnation, delivery});
 		},
 		apply: ({entries}, node) => {
 			for (const entry of entries) {
@@ -249,7 +249,7 @@
 		}
 	}
 
-	#post(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
+	#send(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
 		if (awaited !== undefined) {
 			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender: awaited, arrived: false});
 		}
