--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -166,7 +166,7 @@
 			this.now += stepMilliseconds;
 			this.#fail(faults);
 			this.#deliver();
-			this.#report();
+			this.#reportOutcomes();
 			for (const node of this.nodes.filter(({name}) => !this.isPaused(name))) {
 				this.#live(node);
 			}
@@ -282,7 +282,7 @@
 	}
 
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
-	#report(): void {
+	#reportOutcomes(): void {
 		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isPaused(awaited.node.name);
 		const due = this.#outcomes.filter(receipt => isDue(receipt));
 		this.#outcomes = this.#outcomes.filter(receipt => !isDue(receipt));
