--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -168,7 +168,7 @@
 			this.#deliver();
 			this.#reportOutcomes();
 			for (const node of this.nodes.filter(({name}) => !this.isPaused(name))) {
-				this.#live(node);
+				this.#runNode(node);
 			}
 		}
 
@@ -295,7 +295,7 @@
 		}
 	}
 
-	#live(node: SimulatedNode): void {
+	#runNode(node: SimulatedNode): void {
 		if (node.voter === undefined && this.now >= node.startsAt) {
 			const voterOptions: ConsensusOptions = {...options, self: node.identity, seed: this.pick(1_000_000)};
 			node.voter = createVoter(voterOptions, node.disk, this.now);
