--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -313,7 +313,7 @@
 		this.handle(node, {kind: 'ticked', now: this.now});
 	}
 
-	#toggleCut(place: string): void {
+	#togglePartition(place: string): void {
 		if (!this.partitioned.delete(place)) {
 			this.partitioned.add(place);
 		}
@@ -327,12 +327,12 @@
 				this.crash(node, this.pick(1500));
 			}],
 			[faults.partition, () => {
-				this.#toggleCut(node.name);
+				this.#togglePartition(node.name);
 			}],
 			[faults.linkPartition, () => {
 				const other = this.nodes[this.pick(this.nodes.length)]!;
-				this.#toggleCut(`${node.name}>${other.name}`);
-				this.#toggleCut(this.chance(500) ? `${other.name}>${node.name}` : `${node.name}>${node.name}`);
+				this.#togglePartition(`${node.name}>${other.name}`);
+				this.#togglePartition(this.chance(500) ? `${other.name}>${node.name}` : `${node.name}>${node.name}`);
 			}],
 			[this.isWhole() ? faults.diskLoss : 0, () => {
 				this.wipe(node, this.pick(500));
