--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -164,7 +164,7 @@
 		const end = this.now + milliseconds;
 		while (this.now < end && !until()) {
 			this.now += stepMilliseconds;
-			this.#fail(faults);
+			this.#injectFaults(faults);
 			this.#deliver();
 			this.#reportOutcomes();
 			for (const node of this.nodes.filter(({name}) => !this.isPaused(name))) {
@@ -319,7 +319,7 @@
 		}
 	}
 
-	#fail(faults: Faults): void {
+	#injectFaults(faults: Faults): void {
 		this.#faults = faults;
 		const node = this.nodes[this.pick(this.nodes.length)]!;
 		const actions: ReadonlyArray<readonly [number, () => unknown]> = [
