--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -194,7 +194,7 @@
 	}
 
 	/** Whether the newest voter set is committed and includes the current folder of every node. */
-	isWhole(): boolean {
+	isVoterSetComplete(): boolean {
 		const leader = this.leader();
 		const voters = leader === undefined ? [] : voterSetOf(leader.voter!).voters;
 		const index = leader?.voter?.log.voterSets.at(-1)?.index ?? Infinity;
@@ -207,12 +207,12 @@
 	settle(): void {
 		this.partitioned.clear();
 		const settled = () => {
-			if (!this.isWhole() && this.now % 200 === 0) {
+			if (!this.isVoterSetComplete() && this.now % 200 === 0) {
 				this.repair();
 			}
 
 			const leader = this.leader();
-			return leader !== undefined && this.isWhole()
+			return leader !== undefined && this.isVoterSetComplete()
 				&& this.nodes.every(({voter}) => voter !== undefined && committedIndex(voter) === leader.voter!.log.lastIndex);
 		};
 
@@ -334,10 +334,10 @@
 				this.#togglePartition(`${node.name}>${other.name}`);
 				this.#togglePartition(this.chance(500) ? `${other.name}>${node.name}` : `${node.name}>${node.name}`);
 			}],
-			[this.isWhole() ? faults.diskLoss : 0, () => {
+			[this.isVoterSetComplete() ? faults.diskLoss : 0, () => {
 				this.wipe(node, this.pick(500));
 			}],
-			[this.isWhole() ? 0 : faults.diskLoss * 10, () => {
+			[this.isVoterSetComplete() ? 0 : faults.diskLoss * 10, () => {
 				this.repair();
 			}],
 			[faults.pause, () => {
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -67,12 +67,12 @@
 			proposeMany(schedule, 60);
 			const first = schedule.leader()!;
 			schedule.wipe(first, 100);
-			assert.ok(!schedule.isWhole());
+			assert.ok(!schedule.isVoterSetComplete());
 			schedule.run(2000);
 			assert.equal(roleOf(first.voter!), Role.learner);
 			assert.ok(schedule.run(30_000, noFaults, () => {
 				schedule.repair();
-				return schedule.isWhole();
+				return schedule.isVoterSetComplete();
 			}));
 			schedule.wipe(schedule.nodes.find(node => node !== first)!, 100);
 			schedule.settle();
