--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -204,7 +204,7 @@
 	}
 
 	/** Ends all faults, and checks that all voters converge to the same state, which includes every accepted proposal. */
-	settle(): void {
+	converge(): void {
 		this.partitioned.clear();
 		const settled = () => {
 			if (!this.isVoterSetComplete() && this.now % 200 === 0) {
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -44,7 +44,7 @@
 			assert.equal(schedule.refused.get(schedule.read(old)), 'no-quorum');
 			assert.equal(quorumContactAt(old.voter!, schedule.now), undefined);
 			assert.ok(!schedule.accepted.has('lost'));
-			schedule.settle();
+			schedule.converge();
 			assert.equal(schedule.accepted.size, 20);
 		},
 	},
@@ -55,7 +55,7 @@
 			const away = schedule.nodes.find(node => node !== schedule.leader())!;
 			schedule.crash(away, 30_000);
 			proposeMany(schedule, 400);
-			schedule.settle();
+			schedule.converge();
 			assert.ok(schedule.snapshotsSent > 0);
 			assert.equal(away.machine.length, 400);
 		},
@@ -75,7 +75,7 @@
 				return schedule.isVoterSetComplete();
 			}));
 			schedule.wipe(schedule.nodes.find(node => node !== first)!, 100);
-			schedule.settle();
+			schedule.converge();
 			assert.equal(schedule.accepted.size, 60);
 		},
 	},
@@ -110,7 +110,7 @@
 			const term = termOf(leader.voter!);
 			schedule.partitioned.add(schedule.nodes.find(node => node !== leader)!.name);
 			schedule.run(20_000);
-			schedule.settle();
+			schedule.converge();
 			assert.equal(termOf(leader.voter!), term);
 			assert.equal(roleOf(leader.voter!), Role.leader);
 		},
@@ -126,7 +126,7 @@
 			proposeMany(schedule, 5);
 			old.pausedUntil = 0;
 			const read = schedule.read(old);
-			schedule.settle();
+			schedule.converge();
 			assert.equal(schedule.refused.get(read), 'not-leader');
 		},
 	},
@@ -134,7 +134,7 @@
 		name: 'a voter votes for a log at least as recent as its own, a learner only for a newer one',
 		play(seed) {
 			const schedule = started(seed, names3);
-			schedule.settle();
+			schedule.converge();
 			schedule.run(500);
 			const {identity, voter} = schedule.nodes.find(node => node !== schedule.leader())!;
 			const {term} = voter!.hardState;
@@ -172,20 +172,20 @@
 			assert.equal(schedule.refused.get(schedule.propose(old)), 'not-leader');
 			const moved = () => schedule.leader() !== undefined && schedule.leader() !== old;
 			assert.ok(schedule.run(options.electionMilliseconds, noFaults, moved));
-			schedule.settle();
+			schedule.converge();
 		},
 	},
 	{
 		name: 'a leader whose leadership transfer fails steps down all the same',
 		play(seed) {
 			const schedule = started(seed, names3);
-			schedule.settle();
+			schedule.converge();
 			const old = schedule.leader()!;
 			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
 			schedule.partitioned.add(old.voter!.leadership!.transfer!.successor.name);
 			schedule.run(options.electionMilliseconds + 50);
 			assert.notEqual(roleOf(old.voter!), Role.leader);
-			schedule.settle();
+			schedule.converge();
 		},
 	},
 	{
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -62,7 +62,7 @@
 		fc.assert(fc.property(fc.integer({min: 0}), scheduleSeed => {
 			const schedule = new Simulation(scheduleSeed, names);
 			schedule.run(15_000, faults);
-			schedule.settle();
+			schedule.converge();
 			accepted += schedule.accepted.size;
 		}), {seed, numRuns: runs, endOnFailure: true});
 		context.diagnostic(`seed ${seed}: ${accepted} proposals accepted in ${runs} schedules`);
