--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -206,7 +206,7 @@
 	/** Ends all faults, and checks that all voters converge to the same state, which includes every accepted proposal. */
 	converge(): void {
 		this.partitioned.clear();
-		const settled = () => {
+		const hasConverged = () => {
 			if (!this.isVoterSetComplete() && this.now % 200 === 0) {
 				this.repair();
 			}
@@ -216,7 +216,7 @@
 				&& this.nodes.every(({voter}) => voter !== undefined && committedIndex(voter) === leader.voter!.log.lastIndex);
 		};
 
-		assert.ok(this.run(60_000, noFaults, settled), 'the voters do not converge');
+		assert.ok(this.run(60_000, noFaults, hasConverged), 'the voters do not converge');
 		for (const node of this.nodes) {
 			assert.deepEqual(node.machine, this.nodes[0]!.machine, 'state machines differ');
 			for (const payload of this.accepted.keys()) {
