--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -154,7 +154,7 @@
 		});
 	}
 
-	wipe(node: SimulatedNode, silentMilliseconds: number): void {
+	loseDisk(node: SimulatedNode, silentMilliseconds: number): void {
 		this.crash(node, silentMilliseconds);
 		node.disk = {hardState: {term: 0}, entries: []};
 		node.identity = {name: node.name, folder: `folder-${this.#requests++}`};
@@ -335,7 +335,7 @@
 				this.#togglePartition(this.chance(500) ? `${other.name}>${node.name}` : `${node.name}>${node.name}`);
 			}],
 			[this.isVoterSetComplete() ? faults.diskLoss : 0, () => {
-				this.wipe(node, this.pick(500));
+				this.loseDisk(node, this.pick(500));
 			}],
 			[this.isVoterSetComplete() ? 0 : faults.diskLoss * 10, () => {
 				this.repair();
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -66,7 +66,7 @@
 			const schedule = started(seed, names3);
 			proposeMany(schedule, 60);
 			const first = schedule.leader()!;
-			schedule.wipe(first, 100);
+			schedule.loseDisk(first, 100);
 			assert.ok(!schedule.isVoterSetComplete());
 			schedule.run(2000);
 			assert.equal(roleOf(first.voter!), Role.learner);
@@ -74,7 +74,7 @@
 				schedule.repair();
 				return schedule.isVoterSetComplete();
 			}));
-			schedule.wipe(schedule.nodes.find(node => node !== first)!, 100);
+			schedule.loseDisk(schedule.nodes.find(node => node !== first)!, 100);
 			schedule.converge();
 			assert.equal(schedule.accepted.size, 60);
 		},
