--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -146,11 +146,11 @@
 	}
 
 	/** Crashes a process. Any prefix of its unsynced writes may have reached the disk. */
-	crash(node: SimulatedNode, silentMilliseconds: number): void {
+	crash(node: SimulatedNode, downMilliseconds: number): void {
 		const reached = this.pick(node.writes.length + 1);
 		node.disk = node.writes.slice(0, reached).reduce((disk, {effect}) => applyWrite(disk, effect), node.disk);
 		Object.assign(node, {
-			voter: undefined, writes: [], machine: [], startsAt: this.now + silentMilliseconds, frozenUntil: 0,
+			voter: undefined, writes: [], machine: [], startsAt: this.now + downMilliseconds, frozenUntil: 0,
 		});
 	}
 
