--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -154,8 +154,8 @@
 		});
 	}
 
-	loseDisk(node: SimulatedNode, silentMilliseconds: number): void {
-		this.crash(node, silentMilliseconds);
+	loseDisk(node: SimulatedNode, downMilliseconds: number): void {
+		this.crash(node, downMilliseconds);
 		node.disk = {hardState: {term: 0}, entries: []};
 		node.identity = {name: node.name, folder: `folder-${this.#requests++}`};
 	}
