--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -185,11 +185,11 @@
 		const {voters, learners} = voterSetOf(leader.voter!);
 		const lost = voters.find(voter => !sameVoter(this.node(voter.name).identity, voter));
 		const joining = this.nodes.find(({identity}) => !includesVoter(voters, identity))?.identity;
-		const learns = joining !== undefined && includesVoter(learners, joining);
+		const isLearner = joining !== undefined && includesVoter(learners, joining);
 		if (lost !== undefined) {
 			this.changeVoters(leader, {voters: voters.filter(voter => voter !== lost), learners});
 		} else if (joining !== undefined) {
-			this.changeVoters(leader, learns ? {voters: [...voters, joining], learners: []} : {voters, learners: [joining]});
+			this.changeVoters(leader, isLearner ? {voters: [...voters, joining], learners: []} : {voters, learners: [joining]});
 		}
 	}
 
