--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -39,7 +39,7 @@
 	readonly #leaders = new Map<number, string>();
 	readonly #committed = new Map<number, string>();
 	readonly #placed = new Map<string, {readonly name: string; readonly index: number; readonly term: number}>();
-	readonly #reads = new Map<string, number>();
+	readonly #minimumReadIndexes = new Map<string, number>();
 	#requests = 0;
 	#highestAccepted = 0;
 	#faults: Faults = noFaults;
@@ -64,7 +64,7 @@
 		placed: ({request, index, term}, node) => this.#placed.set(request, {name: `${node.name}/${node.incarnation}`, index, term}),
 		refused: ({request, failure}) => this.refused.set(request, failure.kind),
 		readReady: ({request, index}) => {
-			assert.ok(index >= this.#reads.get(request)!, 'a read index is before an entry that was accepted before the read');
+			assert.ok(index >= this.#minimumReadIndexes.get(request)!, 'a read index is before an entry that was accepted before the read');
 			this.readIndexes.set(request, index);
 		},
 		snapshotWanted: ({index}, node) => {
@@ -132,7 +132,7 @@
 
 	read(node: SimulatedNode): string {
 		const request = `r${this.#requests++}`;
-		this.#reads.set(request, this.#highestAccepted);
+		this.#minimumReadIndexes.set(request, this.#highestAccepted);
 		this.handle(node, {kind: 'readRequested', now: this.now, request});
 		return request;
 	}
