--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -349,8 +349,8 @@
 			[this.isPaused(node.name) ? 0 : faults.proposals, () => this.propose(node)],
 			[this.isPaused(node.name) ? 0 : faults.proposals, () => this.read(node)],
 		];
-		for (const [likely, act] of actions) {
-			if (this.chance(likely)) {
+		for (const [probability, act] of actions) {
+			if (this.chance(probability)) {
 				act();
 			}
 		}
