--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -272,10 +272,10 @@
 			const {from, to} = envelope;
 			const receiver = this.nodes.find(node => node.name === to.name);
 			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.partitioned.has(place))) {
-				const isUp = receiver.voter !== undefined;
+				const isRunning = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
 				if (awaited !== undefined && !this.chance(this.#faults.loss)) {
-					this.#outcomes.push({at: this.now + this.pick(40), sender: awaited, arrived: isUp});
+					this.#outcomes.push({at: this.now + this.pick(40), sender: awaited, arrived: isRunning});
 				}
 			}
 		}
