--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -249,9 +249,9 @@
 		}
 	}
 
-	#send(envelope: ConsensusEnvelope, awaited: DeliverySender | undefined): void {
-		if (awaited !== undefined) {
-			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender: awaited, arrived: false});
+	#send(envelope: ConsensusEnvelope, sender: DeliverySender | undefined): void {
+		if (sender !== undefined) {
+			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender: sender, arrived: false});
 		}
 
 		const copies = this.chance(this.#faults.duplication) ? 2 : 1;
@@ -259,7 +259,7 @@
 		for (let copy = 0; copy < copies; copy++) {
 			const delay = this.chance(this.#faults.longDelay) ? this.pick(2000) : this.pick(40);
 			if (!this.chance(this.#faults.loss)) {
-				this.#inTransit.push({at: this.now + delay, envelope, sender: awaited});
+				this.#inTransit.push({at: this.now + delay, envelope, sender: sender});
 			}
 		}
 	}
