--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -268,14 +268,14 @@
 		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isPaused(envelope.to.name);
 		const due = this.#inTransit.filter(mail => isDue(mail));
 		this.#inTransit = this.#inTransit.filter(mail => !isDue(mail));
-		for (const {envelope, sender: awaited} of due) {
+		for (const {envelope, sender: sender} of due) {
 			const {from, to} = envelope;
 			const receiver = this.nodes.find(node => node.name === to.name);
 			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.partitioned.has(place))) {
 				const isRunning = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
-				if (awaited !== undefined && !this.chance(this.#faults.loss)) {
-					this.#outcomes.push({at: this.now + this.pick(40), sender: awaited, arrived: isRunning});
+				if (sender !== undefined && !this.chance(this.#faults.loss)) {
+					this.#outcomes.push({at: this.now + this.pick(40), sender: sender, arrived: isRunning});
 				}
 			}
 		}
