--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -283,7 +283,7 @@
 
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#reportOutcomes(): void {
-		const isDue = ({at, sender: awaited}: DeliveryOutcome) => at <= this.now && !this.isPaused(awaited.node.name);
+		const isDue = ({at, sender: sender}: DeliveryOutcome) => at <= this.now && !this.isPaused(sender.node.name);
 		const due = this.#outcomes.filter(receipt => isDue(receipt));
 		this.#outcomes = this.#outcomes.filter(receipt => !isDue(receipt));
 		for (const {sender: {node, incarnation: life, delivery}, arrived} of due) {
