--- a/packages/consensus/test/schedule.ts
+++ b/packages/consensus/test/schedule.ts
@@ -286,8 +286,8 @@
 		const isDue = ({at, sender: sender}: DeliveryOutcome) => at <= this.now && !this.isPaused(sender.node.name);
 		const due = this.#outcomes.filter(receipt => isDue(receipt));
 		this.#outcomes = this.#outcomes.filter(receipt => !isDue(receipt));
-		for (const {sender: {node, incarnation: life, delivery}, arrived} of due) {
-			if (node.incarnation === life) {
+		for (const {sender: {node, incarnation: incarnation, delivery}, arrived} of due) {
+			if (node.incarnation === incarnation) {
 				this.handle(node, {
 					kind: 'deliveryEnded', now: this.now, delivery, arrived,
 				});
