--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -11,7 +11,7 @@
 export const names5 = ['a', 'b', 'c', 'd', 'e'];
 
 /** Starts a simulation and runs it until there is a leader with a committed voter set. */
-export function started(seed: number, names: readonly string[]): Simulation {
+export function startSimulation(seed: number, names: readonly string[]): Simulation {
 	const schedule = new Simulation(seed, names);
 	assert.ok(schedule.run(5000, noFaults, () => schedule.isVoterSetComplete()), 'no leader');
 	return schedule;
