--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -6,7 +6,7 @@
 import {Simulation} from './schedule.js';
 
 /** Three voters. */
-export const names3 = ['a', 'b', 'c'];
+export const threeNames = ['a', 'b', 'c'];
 /** Five voters. */
 export const names5 = ['a', 'b', 'c', 'd', 'e'];
 
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check';
 import {noFaults, options} from './faults.js';
 import {
-	names3, names5, proposeMany, startSimulation,
+	threeNames, names5, proposeMany, startSimulation,
 } from './started.js';
 import {
 	createVoter, founderFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
@@ -30,7 +30,7 @@
 	{
 		name: 'a partitioned leader steps down, answers no read and accepts no proposal',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			const old = schedule.leader()!;
 			schedule.partitioned.add(old.name);
 			const read = schedule.read(old);
@@ -51,7 +51,7 @@
 	{
 		name: 'a voter that restarts hundreds of entries behind receives a snapshot and the later entries',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			const away = schedule.nodes.find(node => node !== schedule.leader())!;
 			schedule.crash(away, 30_000);
 			proposeMany(schedule, 400);
@@ -63,7 +63,7 @@
 	{
 		name: 'a new folder counts as another voter, and a second lost folder right after the repair loses no entry',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			proposeMany(schedule, 60);
 			const first = schedule.leader()!;
 			schedule.loseDisk(first, 100);
@@ -105,7 +105,7 @@
 	{
 		name: 'a voter that was partitioned for a long time returns without causing an election',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			const leader = schedule.leader()!;
 			const term = termOf(leader.voter!);
 			schedule.partitioned.add(schedule.nodes.find(node => node !== leader)!.name);
@@ -118,7 +118,7 @@
 	{
 		name: 'a leader that was paused answers no read after another was elected',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			proposeMany(schedule, 5);
 			const old = schedule.leader()!;
 			old.pausedUntil = schedule.now + 5000;
@@ -133,7 +133,7 @@
 	{
 		name: 'a voter votes for a log at least as recent as its own, a learner only for a newer one',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			schedule.converge();
 			schedule.run(500);
 			const {identity, voter} = schedule.nodes.find(node => node !== schedule.leader())!;
@@ -165,7 +165,7 @@
 	{
 		name: 'a leadership transfer takes less than an election timeout',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			proposeMany(schedule, 5);
 			const old = schedule.leader()!;
 			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
@@ -178,7 +178,7 @@
 	{
 		name: 'a leader whose leadership transfer fails steps down all the same',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			schedule.converge();
 			const old = schedule.leader()!;
 			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
@@ -191,7 +191,7 @@
 	{
 		name: 'misaddressed and malformed envelopes are ignored',
 		play(seed) {
-			const schedule = startSimulation(seed, names3);
+			const schedule = startSimulation(seed, threeNames);
 			const node = schedule.leader()!;
 			const from = {name: 'b', folder: founderFolder};
 			const message = {kind: 'voteAnswered', term: 99, granted: false} as const;
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -7,19 +7,19 @@
 import fc from 'fast-check';
 import {noFaults, type Faults} from './faults.js';
 import {Simulation} from './schedule.js';
-import {names3, names5} from './started.js';
+import {threeNames, names5} from './started.js';
 
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 40);
 
 const mixes: ReadonlyArray<{readonly name: string; readonly names: readonly string[]; readonly faults: Faults}> = [
 	{
-		name: 'lossy links', names: names3, faults: {
+		name: 'lossy links', names: threeNames, faults: {
 			...noFaults, loss: 200, duplication: 100, longDelay: 50, proposals: 200,
 		},
 	},
 	{
-		name: 'crashes and partitions', names: names3, faults: {
+		name: 'crashes and partitions', names: threeNames, faults: {
 			...noFaults, loss: 50, duplication: 50, longDelay: 20, crash: 8, partition: 6, proposals: 200,
 		},
 	},
@@ -29,27 +29,27 @@
 		},
 	},
 	{
-		name: 'lost folders and repairs', names: names3, faults: {
+		name: 'lost folders and repairs', names: threeNames, faults: {
 			...noFaults, loss: 30, longDelay: 20, crash: 3, partition: 3, diskLoss: 10, proposals: 200,
 		},
 	},
 	{
 		name: 'links that are partitioned in one direction or both',
-		names: names3,
+		names: threeNames,
 		faults: {
 			...noFaults, loss: 20, longDelay: 20, crash: 1, linkPartition: 10, proposals: 10,
 		},
 	},
 	{
 		name: 'slow disks',
-		names: names3,
+		names: threeNames,
 		faults: {
 			...noFaults, loss: 50, longDelay: 20, crash: 4, partition: 2, linkPartition: 20, proposals: 300, syncMilliseconds: 250,
 		},
 	},
 	{
 		name: 'paused processes and leadership transfers',
-		names: names3,
+		names: threeNames,
 		faults: {
 			...noFaults, loss: 50, duplication: 50, longDelay: 50, pause: 10, leadershipTransfer: 5, proposals: 200,
 		},
