--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -8,7 +8,7 @@
 /** Three voters. */
 export const threeNames = ['a', 'b', 'c'];
 /** Five voters. */
-export const names5 = ['a', 'b', 'c', 'd', 'e'];
+export const fiveNames = ['a', 'b', 'c', 'd', 'e'];
 
 /** Starts a simulation and runs it until there is a leader with a committed voter set. */
 export function startSimulation(seed: number, names: readonly string[]): Simulation {
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check';
 import {noFaults, options} from './faults.js';
 import {
-	threeNames, names5, proposeMany, startSimulation,
+	threeNames, fiveNames, proposeMany, startSimulation,
 } from './started.js';
 import {
 	createVoter, founderFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
@@ -82,7 +82,7 @@
 	{
 		name: 'voters change one at a time, and learners become voters only after they have caught up',
 		play(seed) {
-			const schedule = startSimulation(seed, names5);
+			const schedule = startSimulation(seed, fiveNames);
 			const leader = schedule.leader()!;
 			const {voters} = voterSetOf(leader.voter!);
 			const others = voters.filter(voter => voter.name !== leader.name);
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import {noFaults, type Faults} from './faults.js';
 import {Simulation} from './schedule.js';
-import {threeNames, names5} from './started.js';
+import {threeNames, fiveNames} from './started.js';
 
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 40);
@@ -24,7 +24,7 @@
 		},
 	},
 	{
-		name: 'crashes and partitions of five voters', names: names5, faults: {
+		name: 'crashes and partitions of five voters', names: fiveNames, faults: {
 			...noFaults, loss: 50, longDelay: 20, crash: 12, partition: 8, proposals: 200,
 		},
 	},
