--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -12,9 +12,9 @@
 
 /** Starts a simulation and runs it until there is a leader with a committed voter set. */
 export function startSimulation(seed: number, names: readonly string[]): Simulation {
-	const schedule = new Simulation(seed, names);
-	assert.ok(schedule.run(5000, noFaults, () => schedule.isVoterSetComplete()), 'no leader');
-	return schedule;
+	const simulation = new Simulation(seed, names);
+	assert.ok(simulation.run(5000, noFaults, () => simulation.isVoterSetComplete()), 'no leader');
+	return simulation;
 }
 
 /** Proposes entries one after the other, and waits until they are accepted. */
