--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -18,11 +18,11 @@
 }
 
 /** Proposes entries one after the other, and waits until they are accepted. */
-export function proposeMany(schedule: Simulation, count: number): void {
+export function proposeMany(simulation: Simulation, count: number): void {
 	for (let done = 0; done < count; done++) {
-		schedule.propose(schedule.leader()!);
-		schedule.run(20);
+		simulation.propose(simulation.leader()!);
+		simulation.run(20);
 	}
 
-	schedule.run(500);
+	simulation.run(500);
 }
