--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -20,11 +20,11 @@
 	{
 		name: 'a single voter becomes leader, accepts proposals and answers reads',
 		play(seed) {
-			const schedule = startSimulation(seed, ['a']);
-			proposeMany(schedule, 100);
-			const read = schedule.read(schedule.leader()!);
-			assert.equal(schedule.accepted.size, 100);
-			assert.ok(schedule.readIndexes.has(read));
+			const simulation = startSimulation(seed, ['a']);
+			proposeMany(simulation, 100);
+			const read = simulation.read(simulation.leader()!);
+			assert.equal(simulation.accepted.size, 100);
+			assert.ok(simulation.readIndexes.has(read));
 		},
 	},
 	{
