--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -30,22 +30,22 @@
 	{
 		name: 'a partitioned leader steps down, answers no read and accepts no proposal',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			const old = schedule.leader()!;
-			schedule.partitioned.add(old.name);
-			const read = schedule.read(old);
-			const proposal = schedule.propose(old, 'lost');
-			assert.ok(schedule.run(20_000, noFaults, () => schedule.leader() !== undefined));
-			proposeMany(schedule, 20);
-			schedule.run(20_000);
-			assert.equal(schedule.refused.get(read), 'no-quorum');
-			assert.equal(schedule.refused.get(proposal), 'outcome-unknown');
-			assert.equal(schedule.refused.get(schedule.propose(old)), 'no-quorum');
-			assert.equal(schedule.refused.get(schedule.read(old)), 'no-quorum');
-			assert.equal(quorumContactAt(old.voter!, schedule.now), undefined);
-			assert.ok(!schedule.accepted.has('lost'));
-			schedule.converge();
-			assert.equal(schedule.accepted.size, 20);
+			const simulation = startSimulation(seed, threeNames);
+			const old = simulation.leader()!;
+			simulation.partitioned.add(old.name);
+			const read = simulation.read(old);
+			const proposal = simulation.propose(old, 'lost');
+			assert.ok(simulation.run(20_000, noFaults, () => simulation.leader() !== undefined));
+			proposeMany(simulation, 20);
+			simulation.run(20_000);
+			assert.equal(simulation.refused.get(read), 'no-quorum');
+			assert.equal(simulation.refused.get(proposal), 'outcome-unknown');
+			assert.equal(simulation.refused.get(simulation.propose(old)), 'no-quorum');
+			assert.equal(simulation.refused.get(simulation.read(old)), 'no-quorum');
+			assert.equal(quorumContactAt(old.voter!, simulation.now), undefined);
+			assert.ok(!simulation.accepted.has('lost'));
+			simulation.converge();
+			assert.equal(simulation.accepted.size, 20);
 		},
 	},
 	{
