--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -51,12 +51,12 @@
 	{
 		name: 'a voter that restarts hundreds of entries behind receives a snapshot and the later entries',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			const away = schedule.nodes.find(node => node !== schedule.leader())!;
-			schedule.crash(away, 30_000);
-			proposeMany(schedule, 400);
-			schedule.converge();
-			assert.ok(schedule.snapshotsSent > 0);
+			const simulation = startSimulation(seed, threeNames);
+			const away = simulation.nodes.find(node => node !== simulation.leader())!;
+			simulation.crash(away, 30_000);
+			proposeMany(simulation, 400);
+			simulation.converge();
+			assert.ok(simulation.snapshotsSent > 0);
 			assert.equal(away.machine.length, 400);
 		},
 	},
