--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -63,20 +63,20 @@
 	{
 		name: 'a new folder counts as another voter, and a second lost folder right after the repair loses no entry',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			proposeMany(schedule, 60);
-			const first = schedule.leader()!;
-			schedule.loseDisk(first, 100);
-			assert.ok(!schedule.isVoterSetComplete());
-			schedule.run(2000);
+			const simulation = startSimulation(seed, threeNames);
+			proposeMany(simulation, 60);
+			const first = simulation.leader()!;
+			simulation.loseDisk(first, 100);
+			assert.ok(!simulation.isVoterSetComplete());
+			simulation.run(2000);
 			assert.equal(roleOf(first.voter!), Role.learner);
-			assert.ok(schedule.run(30_000, noFaults, () => {
-				schedule.repair();
-				return schedule.isVoterSetComplete();
+			assert.ok(simulation.run(30_000, noFaults, () => {
+				simulation.repair();
+				return simulation.isVoterSetComplete();
 			}));
-			schedule.loseDisk(schedule.nodes.find(node => node !== first)!, 100);
-			schedule.converge();
-			assert.equal(schedule.accepted.size, 60);
+			simulation.loseDisk(simulation.nodes.find(node => node !== first)!, 100);
+			simulation.converge();
+			assert.equal(simulation.accepted.size, 60);
 		},
 	},
 	{
