--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -82,8 +82,8 @@
 	{
 		name: 'voters change one at a time, and learners become voters only after they have caught up',
 		play(seed) {
-			const schedule = startSimulation(seed, fiveNames);
-			const leader = schedule.leader()!;
+			const simulation = startSimulation(seed, fiveNames);
+			const leader = simulation.leader()!;
 			const {voters} = voterSetOf(leader.voter!);
 			const others = voters.filter(voter => voter.name !== leader.name);
 			const stranger = {name: 'x', folder: 'x'};
@@ -95,11 +95,11 @@
 				[{voters, learners: []}, 'conflict'],
 			];
 			for (const [voterSet, expected] of cases) {
-				assert.equal(schedule.refused.get(schedule.changeVoters(leader, voterSet)), expected);
+				assert.equal(simulation.refused.get(simulation.changeVoters(leader, voterSet)), expected);
 			}
 
-			schedule.run(500);
-			assert.equal(schedule.refused.get(schedule.changeVoters(leader, {voters: [...voters, stranger], learners: []})), 'conflict');
+			simulation.run(500);
+			assert.equal(simulation.refused.get(simulation.changeVoters(leader, {voters: [...voters, stranger], learners: []})), 'conflict');
 		},
 	},
 	{
