--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -105,12 +105,12 @@
 	{
 		name: 'a voter that was partitioned for a long time returns without causing an election',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			const leader = schedule.leader()!;
+			const simulation = startSimulation(seed, threeNames);
+			const leader = simulation.leader()!;
 			const term = termOf(leader.voter!);
-			schedule.partitioned.add(schedule.nodes.find(node => node !== leader)!.name);
-			schedule.run(20_000);
-			schedule.converge();
+			simulation.partitioned.add(simulation.nodes.find(node => node !== leader)!.name);
+			simulation.run(20_000);
+			simulation.converge();
 			assert.equal(termOf(leader.voter!), term);
 			assert.equal(roleOf(leader.voter!), Role.leader);
 		},
