--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -118,16 +118,16 @@
 	{
 		name: 'a leader that was paused answers no read after another was elected',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			proposeMany(schedule, 5);
-			const old = schedule.leader()!;
-			old.pausedUntil = schedule.now + 5000;
-			assert.ok(schedule.run(5000, noFaults, () => schedule.leader() !== old));
-			proposeMany(schedule, 5);
+			const simulation = startSimulation(seed, threeNames);
+			proposeMany(simulation, 5);
+			const old = simulation.leader()!;
+			old.pausedUntil = simulation.now + 5000;
+			assert.ok(simulation.run(5000, noFaults, () => simulation.leader() !== old));
+			proposeMany(simulation, 5);
 			old.pausedUntil = 0;
-			const read = schedule.read(old);
-			schedule.converge();
-			assert.equal(schedule.refused.get(read), 'not-leader');
+			const read = simulation.read(old);
+			simulation.converge();
+			assert.equal(simulation.refused.get(read), 'not-leader');
 		},
 	},
 	{
