--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -133,10 +133,10 @@
 	{
 		name: 'a voter votes for a log at least as recent as its own, a learner only for a newer one',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			schedule.converge();
-			schedule.run(500);
-			const {identity, voter} = schedule.nodes.find(node => node !== schedule.leader())!;
+			const simulation = startSimulation(seed, threeNames);
+			simulation.converge();
+			simulation.run(500);
+			const {identity, voter} = simulation.nodes.find(node => node !== simulation.leader())!;
 			const {term} = voter!.hardState;
 			const {lastIndex} = voter!.log;
 			const learnerSet = {voters: [identity], learners: [{name: 'x', folder: 'x'}]};
