--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -165,14 +165,14 @@
 	{
 		name: 'a leadership transfer takes less than an election timeout',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			proposeMany(schedule, 5);
-			const old = schedule.leader()!;
-			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
-			assert.equal(schedule.refused.get(schedule.propose(old)), 'not-leader');
-			const moved = () => schedule.leader() !== undefined && schedule.leader() !== old;
-			assert.ok(schedule.run(options.electionMilliseconds, noFaults, moved));
-			schedule.converge();
+			const simulation = startSimulation(seed, threeNames);
+			proposeMany(simulation, 5);
+			const old = simulation.leader()!;
+			simulation.handle(old, {kind: 'handOverRequested', now: simulation.now});
+			assert.equal(simulation.refused.get(simulation.propose(old)), 'not-leader');
+			const moved = () => simulation.leader() !== undefined && simulation.leader() !== old;
+			assert.ok(simulation.run(options.electionMilliseconds, noFaults, moved));
+			simulation.converge();
 		},
 	},
 	{
