--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -178,14 +178,14 @@
 	{
 		name: 'a leader whose leadership transfer fails steps down all the same',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			schedule.converge();
-			const old = schedule.leader()!;
-			schedule.handle(old, {kind: 'handOverRequested', now: schedule.now});
-			schedule.partitioned.add(old.voter!.leadership!.transfer!.successor.name);
-			schedule.run(options.electionMilliseconds + 50);
+			const simulation = startSimulation(seed, threeNames);
+			simulation.converge();
+			const old = simulation.leader()!;
+			simulation.handle(old, {kind: 'handOverRequested', now: simulation.now});
+			simulation.partitioned.add(old.voter!.leadership!.transfer!.successor.name);
+			simulation.run(options.electionMilliseconds + 50);
 			assert.notEqual(roleOf(old.voter!), Role.leader);
-			schedule.converge();
+			simulation.converge();
 		},
 	},
 	{
