--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -191,8 +191,8 @@
 	{
 		name: 'misaddressed and malformed envelopes are ignored',
 		play(seed) {
-			const schedule = startSimulation(seed, threeNames);
-			const node = schedule.leader()!;
+			const simulation = startSimulation(seed, threeNames);
+			const node = simulation.leader()!;
 			const from = {name: 'b', folder: founderFolder};
 			const message = {kind: 'voteAnswered', term: 99, granted: false} as const;
 			const envelopes: readonly unknown[] = [
@@ -215,7 +215,7 @@
 			];
 			for (const envelope of envelopes) {
 				const before = node.voter;
-				schedule.handle(node, {kind: 'received', now: schedule.now, envelope: envelope as ConsensusEnvelope});
+				simulation.handle(node, {kind: 'received', now: simulation.now, envelope: envelope as ConsensusEnvelope});
 				assert.deepEqual(node.voter, before);
 			}
 		},
