--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -16,10 +16,10 @@
 import {type ConsensusEnvelope, type VoterSet} from '@dogwooddeck/consensus/message';
 import {Role} from '@dogwooddeck/consensus/machine';
 
-const scenarios: ReadonlyArray<{readonly name: string; readonly play: (seed: number) => void}> = [
+const scenarios: ReadonlyArray<{readonly name: string; readonly run: (seed: number) => void}> = [
 	{
 		name: 'a single voter becomes leader, accepts proposals and answers reads',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, ['a']);
 			proposeMany(simulation, 100);
 			const read = simulation.read(simulation.leader()!);
@@ -29,7 +29,7 @@
 	},
 	{
 		name: 'a partitioned leader steps down, answers no read and accepts no proposal',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			const old = simulation.leader()!;
 			simulation.partitioned.add(old.name);
@@ -50,7 +50,7 @@
 	},
 	{
 		name: 'a voter that restarts hundreds of entries behind receives a snapshot and the later entries',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			const away = simulation.nodes.find(node => node !== simulation.leader())!;
 			simulation.crash(away, 30_000);
@@ -62,7 +62,7 @@
 	},
 	{
 		name: 'a new folder counts as another voter, and a second lost folder right after the repair loses no entry',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			proposeMany(simulation, 60);
 			const first = simulation.leader()!;
@@ -81,7 +81,7 @@
 	},
 	{
 		name: 'voters change one at a time, and learners become voters only after they have caught up',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, fiveNames);
 			const leader = simulation.leader()!;
 			const {voters} = voterSetOf(leader.voter!);
@@ -104,7 +104,7 @@
 	},
 	{
 		name: 'a voter that was partitioned for a long time returns without causing an election',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			const leader = simulation.leader()!;
 			const term = termOf(leader.voter!);
@@ -117,7 +117,7 @@
 	},
 	{
 		name: 'a leader that was paused answers no read after another was elected',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			proposeMany(simulation, 5);
 			const old = simulation.leader()!;
@@ -132,7 +132,7 @@
 	},
 	{
 		name: 'a voter votes for a log at least as recent as its own, a learner only for a newer one',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			simulation.converge();
 			simulation.run(500);
@@ -164,7 +164,7 @@
 	},
 	{
 		name: 'a leadership transfer takes less than an election timeout',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			proposeMany(simulation, 5);
 			const old = simulation.leader()!;
@@ -177,7 +177,7 @@
 	},
 	{
 		name: 'a leader whose leadership transfer fails steps down all the same',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			simulation.converge();
 			const old = simulation.leader()!;
@@ -190,7 +190,7 @@
 	},
 	{
 		name: 'misaddressed and malformed envelopes are ignored',
-		play(seed) {
+		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			const node = simulation.leader()!;
 			const from = {name: 'b', folder: founderFolder};
@@ -224,7 +224,7 @@
 
 const seed = Number(process.env.SEED ?? 1);
 
-for (const {name, play} of scenarios) {
+for (const {name, run: play} of scenarios) {
 	test(`scenario: ${name} (seeds from ${seed})`, () => {
 		fc.assert(fc.property(fc.integer({min: 0}), play), {seed, numRuns: 5, endOnFailure: true});
 	});
