--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -31,18 +31,18 @@
 		name: 'a partitioned leader steps down, answers no read and accepts no proposal',
 		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
-			const old = simulation.leader()!;
-			simulation.partitioned.add(old.name);
-			const read = simulation.read(old);
-			const proposal = simulation.propose(old, 'lost');
+			const oldLeader = simulation.leader()!;
+			simulation.partitioned.add(oldLeader.name);
+			const read = simulation.read(oldLeader);
+			const proposal = simulation.propose(oldLeader, 'lost');
 			assert.ok(simulation.run(20_000, noFaults, () => simulation.leader() !== undefined));
 			proposeMany(simulation, 20);
 			simulation.run(20_000);
 			assert.equal(simulation.refused.get(read), 'no-quorum');
 			assert.equal(simulation.refused.get(proposal), 'outcome-unknown');
-			assert.equal(simulation.refused.get(simulation.propose(old)), 'no-quorum');
-			assert.equal(simulation.refused.get(simulation.read(old)), 'no-quorum');
-			assert.equal(quorumContactAt(old.voter!, simulation.now), undefined);
+			assert.equal(simulation.refused.get(simulation.propose(oldLeader)), 'no-quorum');
+			assert.equal(simulation.refused.get(simulation.read(oldLeader)), 'no-quorum');
+			assert.equal(quorumContactAt(oldLeader.voter!, simulation.now), undefined);
 			assert.ok(!simulation.accepted.has('lost'));
 			simulation.converge();
 			assert.equal(simulation.accepted.size, 20);
