--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -120,12 +120,12 @@
 		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			proposeMany(simulation, 5);
-			const old = simulation.leader()!;
-			old.pausedUntil = simulation.now + 5000;
-			assert.ok(simulation.run(5000, noFaults, () => simulation.leader() !== old));
+			const oldLeader = simulation.leader()!;
+			oldLeader.pausedUntil = simulation.now + 5000;
+			assert.ok(simulation.run(5000, noFaults, () => simulation.leader() !== oldLeader));
 			proposeMany(simulation, 5);
-			old.pausedUntil = 0;
-			const read = simulation.read(old);
+			oldLeader.pausedUntil = 0;
+			const read = simulation.read(oldLeader);
 			simulation.converge();
 			assert.equal(simulation.refused.get(read), 'not-leader');
 		},
