--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -167,10 +167,10 @@
 		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			proposeMany(simulation, 5);
-			const old = simulation.leader()!;
-			simulation.handle(old, {kind: 'handOverRequested', now: simulation.now});
-			assert.equal(simulation.refused.get(simulation.propose(old)), 'not-leader');
-			const moved = () => simulation.leader() !== undefined && simulation.leader() !== old;
+			const oldLeader = simulation.leader()!;
+			simulation.handle(oldLeader, {kind: 'handOverRequested', now: simulation.now});
+			assert.equal(simulation.refused.get(simulation.propose(oldLeader)), 'not-leader');
+			const moved = () => simulation.leader() !== undefined && simulation.leader() !== oldLeader;
 			assert.ok(simulation.run(options.electionMilliseconds, noFaults, moved));
 			simulation.converge();
 		},
