--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -180,11 +180,11 @@
 		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			simulation.converge();
-			const old = simulation.leader()!;
-			simulation.handle(old, {kind: 'handOverRequested', now: simulation.now});
-			simulation.partitioned.add(old.voter!.leadership!.transfer!.successor.name);
+			const oldLeader = simulation.leader()!;
+			simulation.handle(oldLeader, {kind: 'handOverRequested', now: simulation.now});
+			simulation.partitioned.add(oldLeader.voter!.leadership!.transfer!.successor.name);
 			simulation.run(options.electionMilliseconds + 50);
-			assert.notEqual(roleOf(old.voter!), Role.leader);
+			assert.notEqual(roleOf(oldLeader.voter!), Role.leader);
 			simulation.converge();
 		},
 	},
