--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -170,8 +170,8 @@
 			const oldLeader = simulation.leader()!;
 			simulation.handle(oldLeader, {kind: 'handOverRequested', now: simulation.now});
 			assert.equal(simulation.refused.get(simulation.propose(oldLeader)), 'not-leader');
-			const moved = () => simulation.leader() !== undefined && simulation.leader() !== oldLeader;
-			assert.ok(simulation.run(options.electionMilliseconds, noFaults, moved));
+			const hasMoved = () => simulation.leader() !== undefined && simulation.leader() !== oldLeader;
+			assert.ok(simulation.run(options.electionMilliseconds, noFaults, hasMoved));
 			simulation.converge();
 		},
 	},
