--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -52,12 +52,12 @@
 		name: 'a voter that restarts hundreds of entries behind receives a snapshot and the later entries',
 		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
-			const away = simulation.nodes.find(node => node !== simulation.leader())!;
-			simulation.crash(away, 30_000);
+			const downNode = simulation.nodes.find(node => node !== simulation.leader())!;
+			simulation.crash(downNode, 30_000);
 			proposeMany(simulation, 400);
 			simulation.converge();
 			assert.ok(simulation.snapshotsSent > 0);
-			assert.equal(away.machine.length, 400);
+			assert.equal(downNode.machine.length, 400);
 		},
 	},
 	{
