--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -60,10 +60,10 @@
 	test(`schedules: ${name} (seeds from ${seed}, ${runs} runs)`, context => {
 		let accepted = 0;
 		fc.assert(fc.property(fc.integer({min: 0}), scheduleSeed => {
-			const schedule = new Simulation(scheduleSeed, names);
-			schedule.run(15_000, faults);
-			schedule.converge();
-			accepted += schedule.accepted.size;
+			const simulation = new Simulation(scheduleSeed, names);
+			simulation.run(15_000, faults);
+			simulation.converge();
+			accepted += simulation.accepted.size;
 		}), {seed, numRuns: runs, endOnFailure: true});
 		context.diagnostic(`seed ${seed}: ${accepted} proposals accepted in ${runs} schedules`);
 		assert.ok(accepted > runs);
