--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -16,7 +16,7 @@
 /** Voters that lose their leader at the same time may split the votes twice in a row, rarely more often. */
 const mostSplitsInTurn = 4;
 
-function pauseOf(seed: number, draw: number): number {
+function timeoutOf(seed: number, draw: number): number {
 	const options: ConsensusOptions = {
 		self: {name: 'a', folder: 'f'}, electionMilliseconds, heartbeatMilliseconds: 150, entriesBeforeSnapshot: 100, seed,
 	};
@@ -27,7 +27,7 @@
 	let longest = 0;
 	let current = 0;
 	for (let draw = 0; draw < draws; draw += 1) {
-		const isSplit = Math.abs(pauseOf(one, draw) - pauseOf(other, draw)) < roundMilliseconds;
+		const isSplit = Math.abs(timeoutOf(one, draw) - timeoutOf(other, draw)) < roundMilliseconds;
 		current = isSplit ? current + 1 : 0;
 		longest = Math.max(longest, current);
 	}
@@ -50,7 +50,7 @@
 }
 
 test('election timeout: draws cover the range from one to two times electionMilliseconds', () => {
-	const pauses = Array.from({length: 400}, (_value, draw) => pauseOf(7, draw));
+	const pauses = Array.from({length: 400}, (_value, draw) => timeoutOf(7, draw));
 	assert.ok(Math.min(...pauses) >= electionMilliseconds && Math.min(...pauses) < electionMilliseconds * 1.1);
 	assert.ok(Math.max(...pauses) <= electionMilliseconds * 2 && Math.max(...pauses) > electionMilliseconds * 1.9);
 });
