--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -50,9 +50,9 @@
 }
 
 test('election timeout: draws cover the range from one to two times electionMilliseconds', () => {
-	const pauses = Array.from({length: 400}, (_value, draw) => timeoutOf(7, draw));
-	assert.ok(Math.min(...pauses) >= electionMilliseconds && Math.min(...pauses) < electionMilliseconds * 1.1);
-	assert.ok(Math.max(...pauses) <= electionMilliseconds * 2 && Math.max(...pauses) > electionMilliseconds * 1.9);
+	const timeouts = Array.from({length: 400}, (_value, draw) => timeoutOf(7, draw));
+	assert.ok(Math.min(...timeouts) >= electionMilliseconds && Math.min(...timeouts) < electionMilliseconds * 1.1);
+	assert.ok(Math.max(...timeouts) <= electionMilliseconds * 2 && Math.max(...timeouts) > electionMilliseconds * 1.9);
 });
 
 const starts: ReadonlyArray<{readonly name: string; readonly fields: Partial<ConsensusOptions>; readonly electionBefore: number; readonly helpsAfter: number}> = [
