--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -23,7 +23,7 @@
 	return drawElectionTimeout(options, draw);
 }
 
-function splitsInTurn(one: number, other: number): number {
+function consecutiveSplits(one: number, other: number): number {
 	let longest = 0;
 	let current = 0;
 	for (let draw = 0; draw < draws; draw += 1) {
@@ -45,7 +45,7 @@
 
 for (const {name, one, other} of pairs) {
 	test(`election timeout: voters with ${name} do not start elections together again and again`, () => {
-		assert.ok(splitsInTurn(one, other) <= mostSplitsInTurn, `${splitsInTurn(one, other)} consecutive elections within a round trip`);
+		assert.ok(consecutiveSplits(one, other) <= mostSplitsInTurn, `${consecutiveSplits(one, other)} consecutive elections within a round trip`);
 	});
 }
 
