--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -14,7 +14,7 @@
 const roundMilliseconds = 60;
 
 /** Voters that lose their leader at the same time may split the votes twice in a row, rarely more often. */
-const mostSplitsInTurn = 4;
+const maxConsecutiveSplits = 4;
 
 function timeoutOf(seed: number, draw: number): number {
 	const options: ConsensusOptions = {
@@ -45,7 +45,7 @@
 
 for (const {name, one, other} of pairs) {
 	test(`election timeout: voters with ${name} do not start elections together again and again`, () => {
-		assert.ok(consecutiveSplits(one, other) <= mostSplitsInTurn, `${consecutiveSplits(one, other)} consecutive elections within a round trip`);
+		assert.ok(consecutiveSplits(one, other) <= maxConsecutiveSplits, `${consecutiveSplits(one, other)} consecutive elections within a round trip`);
 	});
 }
 
