--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -11,7 +11,7 @@
 const draws = 40;
 
 /** Two voters that start elections within a round trip between regions split the votes. */
-const roundMilliseconds = 60;
+const roundTripMilliseconds = 60;
 
 /** Voters that lose their leader at the same time may split the votes twice in a row, rarely more often. */
 const maxConsecutiveSplits = 4;
@@ -27,7 +27,7 @@
 	let longest = 0;
 	let current = 0;
 	for (let draw = 0; draw < draws; draw += 1) {
-		const isSplit = Math.abs(timeoutOf(one, draw) - timeoutOf(other, draw)) < roundMilliseconds;
+		const isSplit = Math.abs(timeoutOf(one, draw) - timeoutOf(other, draw)) < roundTripMilliseconds;
 		current = isSplit ? current + 1 : 0;
 		longest = Math.max(longest, current);
 	}
