--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -55,16 +55,16 @@
 	assert.ok(Math.max(...timeouts) <= electionMilliseconds * 2 && Math.max(...timeouts) > electionMilliseconds * 1.9);
 });
 
-const starts: ReadonlyArray<{readonly name: string; readonly fields: Partial<ConsensusOptions>; readonly electionBefore: number; readonly helpsAfter: number}> = [
+const starts: ReadonlyArray<{readonly name: string; readonly fields: Partial<ConsensusOptions>; readonly electionBefore: number; readonly votesAfter: number}> = [
 	{
-		name: 'after the usual timeout', fields: {}, electionBefore: electionMilliseconds * 2, helpsAfter: electionMilliseconds,
+		name: 'after the usual timeout', fields: {}, electionBefore: electionMilliseconds * 2, votesAfter: electionMilliseconds,
 	},
 	{
-		name: 'sooner if the options say so', fields: {firstElectionMilliseconds: 100, startSilenceMilliseconds: 0}, electionBefore: 200, helpsAfter: 0,
+		name: 'sooner if the options say so', fields: {firstElectionMilliseconds: 100, startSilenceMilliseconds: 0}, electionBefore: 200, votesAfter: 0,
 	},
 ];
 
-for (const {name, fields, electionBefore, helpsAfter} of starts) {
+for (const {name, fields, electionBefore, votesAfter: helpsAfter} of starts) {
 	test(`election timeout: the first election after a start comes ${name}`, () => {
 		const options: ConsensusOptions = {
 			self: {name: 'a', folder: 'f'}, electionMilliseconds, heartbeatMilliseconds: 150, entriesBeforeSnapshot: 100, seed: 3, ...fields,
