--- a/packages/consensus/test/test-election-pause.ts
+++ b/packages/consensus/test/test-election-pause.ts
@@ -64,13 +64,13 @@
 	},
 ];
 
-for (const {name, fields, electionBefore, votesAfter: helpsAfter} of starts) {
+for (const {name, fields, electionBefore, votesAfter: votesAfter} of starts) {
 	test(`election timeout: the first election after a start comes ${name}`, () => {
 		const options: ConsensusOptions = {
 			self: {name: 'a', folder: 'f'}, electionMilliseconds, heartbeatMilliseconds: 150, entriesBeforeSnapshot: 100, seed: 3, ...fields,
 		};
 		const state = createVoter(options, {hardState: {term: 1}, entries: []}, 1000);
 		assert.ok(state.electionAt <= 1000 + electionBefore);
-		assert.equal(state.leaderContactAt + electionMilliseconds, 1000 + helpsAfter);
+		assert.equal(state.leaderContactAt + electionMilliseconds, 1000 + votesAfter);
 	});
 }
