--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -89,25 +89,25 @@
 }
 
 /** An event after a large entry was sent; its time is in milliseconds after the election. */
-type Happening = (leader: Leader, index: number) => void;
+type LeaderEvent = (leader: Leader, index: number) => void;
 
-const refusedAt = (after: number, lacks = 0): Happening => (leader, index) => {
+const refusedAt = (after: number, lacks = 0): LeaderEvent => (leader, index) => {
 	leader.answer(electedAt + after, false, index + lacks);
 };
 
-const endedAt = (after: number, arrived: boolean): Happening => leader => {
+const endedAt = (after: number, arrived: boolean): LeaderEvent => leader => {
 	leader.end(electedAt + after, arrived);
 };
 
-const heartbeatAt = (after: number): Happening => leader => {
+const heartbeatAt = (after: number): LeaderEvent => leader => {
 	leader.step({kind: 'ticked', now: electedAt + after});
 };
 
-const acceptedAt = (after: number, matched: number): Happening => (leader, index) => {
+const acceptedAt = (after: number, matched: number): LeaderEvent => (leader, index) => {
 	leader.answer(electedAt + after, true, index + matched);
 };
 
-const cases: ReadonlyArray<{readonly name: string; readonly happens: readonly Happening[]; readonly sent: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly happens: readonly LeaderEvent[]; readonly sent: number}> = [
 	{
 		name: 'an in-flight entry is not sent again, however long it takes',
 		happens: [heartbeatAt(50), refusedAt(60), heartbeatAt(100), refusedAt(600), heartbeatAt(5000), refusedAt(5060)],
