--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -107,40 +107,40 @@
 	leader.answer(electedAt + after, true, index + matched);
 };
 
-const cases: ReadonlyArray<{readonly name: string; readonly happens: readonly LeaderEvent[]; readonly sent: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly events: readonly LeaderEvent[]; readonly sent: number}> = [
 	{
 		name: 'an in-flight entry is not sent again, however long it takes',
-		happens: [heartbeatAt(50), refusedAt(60), heartbeatAt(100), refusedAt(600), heartbeatAt(5000), refusedAt(5060)],
+		events: [heartbeatAt(50), refusedAt(60), heartbeatAt(100), refusedAt(600), heartbeatAt(5000), refusedAt(5060)],
 		sent: 1,
 	},
 	{
 		name: 'an entry that was given up is sent again once the member has answered a heartbeat',
-		happens: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, -1)],
+		events: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, -1)],
 		sent: 2,
 	},
 	{
 		name: 'an entry that was given up is not sent again before that, so that an unreachable member costs little',
-		happens: [endedAt(1, false), heartbeatAt(50), heartbeatAt(100), heartbeatAt(150)],
+		events: [endedAt(1, false), heartbeatAt(50), heartbeatAt(100), heartbeatAt(150)],
 		sent: 1,
 	},
 	{
 		name: 'an entry that was given up but did arrive is not sent again',
-		happens: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, 0)],
+		events: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, 0)],
 		sent: 1,
 	},
 	{
 		name: 'a rejection of a message that was sent before the entry arrived is ignored',
-		happens: [heartbeatAt(50), endedAt(200, true), refusedAt(210)],
+		events: [heartbeatAt(50), endedAt(200, true), refusedAt(210)],
 		sent: 1,
 	},
 	{
 		name: 'an entry that arrived and is rejected afterwards is sent again',
-		happens: [heartbeatAt(50), endedAt(200, true), heartbeatAt(250), refusedAt(310)],
+		events: [heartbeatAt(50), endedAt(200, true), heartbeatAt(250), refusedAt(310)],
 		sent: 2,
 	},
 ];
 
-for (const {name, happens, sent} of cases) {
+for (const {name, events: happens, sent} of cases) {
 	test(`delivery: ${name}`, () => {
 		const leader = new Leader();
 		leader.step({
