--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -140,7 +140,7 @@
 	},
 ];
 
-for (const {name, events: happens, sent} of cases) {
+for (const {name, events: events, sent} of cases) {
 	test(`delivery: ${name}`, () => {
 		const leader = new Leader();
 		leader.step({
@@ -148,7 +148,7 @@
 		});
 		const {lastIndex} = leader.state.log;
 		assert.equal(leader.sent(lastIndex), 1);
-		for (const happening of happens) {
+		for (const happening of events) {
 			happening(leader, lastIndex);
 		}
 
