--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -148,8 +148,8 @@
 		});
 		const {lastIndex} = leader.state.log;
 		assert.equal(leader.sent(lastIndex), 1);
-		for (const happening of events) {
-			happening(leader, lastIndex);
+		for (const event of events) {
+			event(leader, lastIndex);
 		}
 
 		assert.equal(leader.sent(lastIndex), sent);
