--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -91,7 +91,7 @@
 /** An event after a large entry was sent; its time is in milliseconds after the election. */
 type LeaderEvent = (leader: Leader, index: number) => void;
 
-const refusedAt = (after: number, lacks = 0): LeaderEvent => (leader, index) => {
+const rejectedAt = (after: number, lacks = 0): LeaderEvent => (leader, index) => {
 	leader.answer(electedAt + after, false, index + lacks);
 };
 
@@ -110,7 +110,7 @@
 const cases: ReadonlyArray<{readonly name: string; readonly events: readonly LeaderEvent[]; readonly sent: number}> = [
 	{
 		name: 'an in-flight entry is not sent again, however long it takes',
-		events: [heartbeatAt(50), refusedAt(60), heartbeatAt(100), refusedAt(600), heartbeatAt(5000), refusedAt(5060)],
+		events: [heartbeatAt(50), rejectedAt(60), heartbeatAt(100), rejectedAt(600), heartbeatAt(5000), rejectedAt(5060)],
 		sent: 1,
 	},
 	{
@@ -130,12 +130,12 @@
 	},
 	{
 		name: 'a rejection of a message that was sent before the entry arrived is ignored',
-		events: [heartbeatAt(50), endedAt(200, true), refusedAt(210)],
+		events: [heartbeatAt(50), endedAt(200, true), rejectedAt(210)],
 		sent: 1,
 	},
 	{
 		name: 'an entry that arrived and is rejected afterwards is sent again',
-		events: [heartbeatAt(50), endedAt(200, true), heartbeatAt(250), refusedAt(310)],
+		events: [heartbeatAt(50), endedAt(200, true), heartbeatAt(250), rejectedAt(310)],
 		sent: 2,
 	},
 ];
