--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -95,7 +95,7 @@
 	leader.answer(electedAt + after, false, index + lacks);
 };
 
-const endedAt = (after: number, arrived: boolean): LeaderEvent => leader => {
+const outcomeAt = (after: number, arrived: boolean): LeaderEvent => leader => {
 	leader.end(electedAt + after, arrived);
 };
 
@@ -115,27 +115,27 @@
 	},
 	{
 		name: 'an entry that was given up is sent again once the member has answered a heartbeat',
-		events: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, -1)],
+		events: [outcomeAt(200, false), heartbeatAt(250), acceptedAt(260, -1)],
 		sent: 2,
 	},
 	{
 		name: 'an entry that was given up is not sent again before that, so that an unreachable member costs little',
-		events: [endedAt(1, false), heartbeatAt(50), heartbeatAt(100), heartbeatAt(150)],
+		events: [outcomeAt(1, false), heartbeatAt(50), heartbeatAt(100), heartbeatAt(150)],
 		sent: 1,
 	},
 	{
 		name: 'an entry that was given up but did arrive is not sent again',
-		events: [endedAt(200, false), heartbeatAt(250), acceptedAt(260, 0)],
+		events: [outcomeAt(200, false), heartbeatAt(250), acceptedAt(260, 0)],
 		sent: 1,
 	},
 	{
 		name: 'a rejection of a message that was sent before the entry arrived is ignored',
-		events: [heartbeatAt(50), endedAt(200, true), rejectedAt(210)],
+		events: [heartbeatAt(50), outcomeAt(200, true), rejectedAt(210)],
 		sent: 1,
 	},
 	{
 		name: 'an entry that arrived and is rejected afterwards is sent again',
-		events: [heartbeatAt(50), endedAt(200, true), heartbeatAt(250), rejectedAt(310)],
+		events: [heartbeatAt(50), outcomeAt(200, true), heartbeatAt(250), rejectedAt(310)],
 		sent: 2,
 	},
 ];
