--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -24,11 +24,11 @@
 	/** The delivery numbers of the messages whose outcome the transport has to report. */
 	deliveries: number[] = [];
 	/** Whether the other member confirms appended entries at once. */
-	confirms = true;
+	confirmsAppends = true;
 
 	constructor() {
 		this.step({kind: 'ticked', now: electedAt});
-		this.confirms = false;
+		this.confirmsAppends = false;
 	}
 
 	step(event: ConsensusEvent): void {
@@ -81,7 +81,7 @@
 
 		if (message.kind === 'appendRequested') {
 			this.appends.push(message);
-			if (this.confirms) {
+			if (this.confirmsAppends) {
 				this.answer(now, true, message.previousIndex + message.entries.length);
 			}
 		}
