--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -67,11 +67,11 @@
 			this.step({kind: 'persisted', now, ticket: effect.ticket});
 		} else if (effect.kind === 'send') {
 			this.deliveries = effect.delivery === undefined ? this.deliveries : [...this.deliveries, effect.delivery];
-			this.#hear(effect.envelope.message, now);
+			this.#handleMessage(effect.envelope.message, now);
 		}
 	}
 
-	#hear(message: ConsensusMessage, now: number): void {
+	#handleMessage(message: ConsensusMessage, now: number): void {
 		const {term} = message;
 		const vote = {preVoteRequested: 'preVoteAnswered', voteRequested: 'voteAnswered'} as const;
 		if (message.kind === 'preVoteRequested' || message.kind === 'voteRequested') {
