--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -35,7 +35,7 @@
 		const next = stepVoter(this.state, event);
 		this.state = next.state;
 		for (const effect of next.effects) {
-			this.#carryOut(effect, event.now);
+			this.#handleEffect(effect, event.now);
 		}
 	}
 
@@ -62,7 +62,7 @@
 		this.step({kind: 'received', now, envelope: {from: b, to: a, message}});
 	}
 
-	#carryOut(effect: ConsensusEffect, now: number): void {
+	#handleEffect(effect: ConsensusEffect, now: number): void {
 		if (effect.kind === 'persist') {
 			this.step({kind: 'persisted', now, ticket: effect.ticket});
 		} else if (effect.kind === 'send') {
