--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -47,7 +47,7 @@
 	}
 
 	/** Reports the outcome of the message that was sent last. */
-	end(now: number, arrived: boolean): void {
+	endDelivery(now: number, arrived: boolean): void {
 		this.step({
 			kind: 'deliveryEnded', now, delivery: this.deliveries.at(-1)!, arrived,
 		});
@@ -96,7 +96,7 @@
 };
 
 const outcomeAt = (after: number, arrived: boolean): LeaderEvent => leader => {
-	leader.end(electedAt + after, arrived);
+	leader.endDelivery(electedAt + after, arrived);
 };
 
 const heartbeatAt = (after: number): LeaderEvent => leader => {
@@ -180,7 +180,7 @@
 
 		const counts = () => lengths.map((_length, position) => leader.sent(first + position));
 		assert.deepEqual(counts(), sent);
-		leader.end(electedAt + 60, true);
+		leader.endDelivery(electedAt + 60, true);
 		assert.deepEqual(counts(), sentAfterArrival);
 	});
 }
@@ -194,7 +194,7 @@
 		});
 	}
 
-	leader.end(electedAt + 60, true);
+	leader.endDelivery(electedAt + 60, true);
 	assert.deepEqual([leader.sent(first), leader.sent(first + 1)], [1, 1]);
 	leader.step({kind: 'ticked', now: electedAt + heartbeatMilliseconds});
 	leader.step({kind: 'ticked', now: electedAt + (2 * heartbeatMilliseconds)});
