--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -54,7 +54,7 @@
 	}
 
 	/** The number of times that an entry was sent. */
-	sent(index: number): number {
+	sendCount(index: number): number {
 		return this.appends.filter(({entries}) => entries.some(entry => entry.index === index)).length;
 	}
 
@@ -147,12 +147,12 @@
 			kind: 'proposed', now: electedAt, request: 'one', payload: 'x'.repeat(1_000_000),
 		});
 		const {lastIndex} = leader.state.log;
-		assert.equal(leader.sent(lastIndex), 1);
+		assert.equal(leader.sendCount(lastIndex), 1);
 		for (const event of events) {
 			event(leader, lastIndex);
 		}
 
-		assert.equal(leader.sent(lastIndex), sent);
+		assert.equal(leader.sendCount(lastIndex), sent);
 	});
 }
 
@@ -178,7 +178,7 @@
 			});
 		}
 
-		const counts = () => lengths.map((_length, position) => leader.sent(first + position));
+		const counts = () => lengths.map((_length, position) => leader.sendCount(first + position));
 		assert.deepEqual(counts(), sent);
 		leader.endDelivery(electedAt + 60, true);
 		assert.deepEqual(counts(), sentAfterArrival);
@@ -195,11 +195,11 @@
 	}
 
 	leader.endDelivery(electedAt + 60, true);
-	assert.deepEqual([leader.sent(first), leader.sent(first + 1)], [1, 1]);
+	assert.deepEqual([leader.sendCount(first), leader.sendCount(first + 1)], [1, 1]);
 	leader.step({kind: 'ticked', now: electedAt + heartbeatMilliseconds});
 	leader.step({kind: 'ticked', now: electedAt + (2 * heartbeatMilliseconds)});
 	for (const after of [110, 120]) {
 		leader.answer(electedAt + after, false, first);
-		assert.deepEqual([leader.sent(first), leader.sent(first + 1)], [2, 1]);
+		assert.deepEqual([leader.sendCount(first), leader.sendCount(first + 1)], [2, 1]);
 	}
 });
