--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -20,7 +20,7 @@
 import {
 	transferLeadership, propose, proposeVoterChange, requestRead, takeSnapshot,
 } from './requests.js';
-import {isValidEnvelope} from './soundness.js';
+import {isValidEnvelope} from './validation.js';
 import {type VoterState} from './state.js';
 
 export {
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -9,7 +9,7 @@
 import {
 	type ConsensusEnvelope, type LogEntry, type VoterIdentity, type VoterSet,
 } from '@dogwooddeck/consensus/message';
-import {isValidEnvelope} from '@dogwooddeck/consensus/soundness';
+import {isValidEnvelope} from '@dogwooddeck/consensus/validation';
 import {sameVoter} from '@dogwooddeck/consensus/voter-set';
 import {
 	committedIndex, createVoter, knownCommittedIndex, leaderOf, type MemberPosition, memberPositions, quorumContactAt, roleOf, stepVoter, voterSetOf,
