--- a/packages/consensus/test/started.ts
+++ b/packages/consensus/test/started.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import {noFaults} from './faults.js';
-import {Simulation} from './schedule.js';
+import {Simulation} from './simulation.js';
 
 /** Three voters. */
 export const threeNames = ['a', 'b', 'c'];
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {noFaults, type Faults} from './faults.js';
-import {Simulation} from './schedule.js';
+import {Simulation} from './simulation.js';
 import {threeNames, fiveNames} from './started.js';
 
 const seed = Number(process.env.SEED ?? 1);
