--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -9,7 +9,7 @@
 import {noFaults, options} from './faults.js';
 import {
 	threeNames, fiveNames, proposeMany, startSimulation,
-} from './started.js';
+} from './start-simulation.js';
 import {
 	createVoter, founderFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
--- a/packages/consensus/test/test-schedules.ts
+++ b/packages/consensus/test/test-schedules.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import {noFaults, type Faults} from './faults.js';
 import {Simulation} from './simulation.js';
-import {threeNames, fiveNames} from './started.js';
+import {threeNames, fiveNames} from './start-simulation.js';
 
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 40);
