--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -109,7 +109,7 @@
 }
 
 function persist(draft: Draft): Draft {
-	const {state, unsaved, deferred: deferred} = draft;
+	const {state, unsaved, deferred} = draft;
 	const {log, disk} = state;
 	const ticket = disk.nextTicket;
 	const first = unsaved.firstIndex ?? log.lastIndex + 1;
@@ -118,7 +118,7 @@
 		nextTicket: ticket + 1,
 		hardStateTicket: unsaved.hardState ? ticket : disk.hardStateTicket,
 		writes: [...disk.writes, {
-			ticket, first, last: log.lastIndex, deferred: deferred,
+			ticket, first, last: log.lastIndex, deferred,
 		}],
 	};
 	const effect: ConsensusEffect = {
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -212,7 +212,7 @@
 	const isSnapshotPending = progress.snapshotSentAt !== undefined && matchIndex < (draft.state.log.snapshot?.index ?? 0);
 	const updated = changeProgress(draft, {
 		...progress,
-		matchIndex: matchIndex,
+		matchIndex,
 		nextIndex: Math.max(progress.nextIndex, matchIndex + 1),
 		probing: false,
 		snapshotSentAt: isSnapshotPending ? progress.snapshotSentAt : undefined,
@@ -223,7 +223,7 @@
 }
 
 function handleRejected(draft: Draft, progress: Progress, answer: AppendAnswer): Draft {
-	const {lastArrival: lastArrival, inFlight: inFlight} = progress;
+	const {lastArrival, inFlight} = progress;
 	const hasArrivedSince = lastArrival !== undefined && answer.index >= lastArrival.first && answer.round <= lastArrival.round;
 	if (isInFlight(inFlight, answer.index) || hasArrivedSince) {
 		return draft;
@@ -239,7 +239,7 @@
 		return draft;
 	}
 
-	return replicateTo(changeProgress(draft, {...progress, nextIndex: nextIndex, probing: true}), progress.peer);
+	return replicateTo(changeProgress(draft, {...progress, nextIndex, probing: true}), progress.peer);
 }
 
 /**
@@ -248,7 +248,7 @@
  */
 export function endDelivery(draft: Draft, {delivery, arrived}: {readonly delivery: number; readonly arrived: boolean}): Draft {
 	const {leadership, log} = draft.state;
-	const progress = leadership?.progress.find(({inFlight: inFlight}) => inFlight.some(({number}) => number === delivery));
+	const progress = leadership?.progress.find(({inFlight}) => inFlight.some(({number}) => number === delivery));
 	if (leadership === undefined || progress === undefined) {
 		return draft;
 	}
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -28,7 +28,7 @@
 }
 
 function transferFailure(leadership: Leadership): Failure | undefined {
-	const {transfer: transfer} = leadership;
+	const {transfer} = leadership;
 	return transfer === undefined
 		? undefined
 		: failure(FailureKind.notLeader, 'A leadership transfer is in progress.', {leader: transfer.successor.name});
--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -251,7 +251,7 @@
 
 	#send(envelope: ConsensusEnvelope, sender: DeliverySender | undefined): void {
 		if (sender !== undefined) {
-			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender: sender, arrived: false});
+			this.#outcomes.push({at: this.now + deliveryTimeoutMilliseconds, sender, arrived: false});
 		}
 
 		const copies = this.chance(this.#faults.duplication) ? 2 : 1;
@@ -259,7 +259,7 @@
 		for (let copy = 0; copy < copies; copy++) {
 			const delay = this.chance(this.#faults.longDelay) ? this.pick(2000) : this.pick(40);
 			if (!this.chance(this.#faults.loss)) {
-				this.#inTransit.push({at: this.now + delay, envelope, sender: sender});
+				this.#inTransit.push({at: this.now + delay, envelope, sender});
 			}
 		}
 	}
@@ -268,14 +268,14 @@
 		const isDue = ({at, envelope}: MessageInTransit) => at <= this.now && !this.isPaused(envelope.to.name);
 		const due = this.#inTransit.filter(mail => isDue(mail));
 		this.#inTransit = this.#inTransit.filter(mail => !isDue(mail));
-		for (const {envelope, sender: sender} of due) {
+		for (const {envelope, sender} of due) {
 			const {from, to} = envelope;
 			const receiver = this.nodes.find(node => node.name === to.name);
 			if (receiver !== undefined && [from.name, to.name, `${from.name}>${to.name}`].every(place => !this.partitioned.has(place))) {
 				const isRunning = receiver.voter !== undefined;
 				this.handle(receiver, {kind: 'received', now: this.now, envelope});
 				if (sender !== undefined && !this.chance(this.#faults.loss)) {
-					this.#outcomes.push({at: this.now + this.pick(40), sender: sender, arrived: isRunning});
+					this.#outcomes.push({at: this.now + this.pick(40), sender, arrived: isRunning});
 				}
 			}
 		}
@@ -283,10 +283,10 @@
 
 	/** Reports the outcomes of messages to their senders, unless the sender has restarted since. */
 	#reportOutcomes(): void {
-		const isDue = ({at, sender: sender}: DeliveryOutcome) => at <= this.now && !this.isPaused(sender.node.name);
+		const isDue = ({at, sender}: DeliveryOutcome) => at <= this.now && !this.isPaused(sender.node.name);
 		const due = this.#outcomes.filter(receipt => isDue(receipt));
 		this.#outcomes = this.#outcomes.filter(receipt => !isDue(receipt));
-		for (const {sender: {node, incarnation: incarnation, delivery}, arrived} of due) {
+		for (const {sender: {node, incarnation, delivery}, arrived} of due) {
 			if (node.incarnation === incarnation) {
 				this.handle(node, {
 					kind: 'deliveryEnded', now: this.now, delivery, arrived,
--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -140,7 +140,7 @@
 	},
 ];
 
-for (const {name, events: events, sent} of cases) {
+for (const {name, events, sent} of cases) {
 	test(`delivery: ${name}`, () => {
 		const leader = new Leader();
 		leader.step({
--- a/packages/consensus/test/test-election-timeout.ts
+++ b/packages/consensus/test/test-election-timeout.ts
@@ -64,7 +64,7 @@
 	},
 ];
 
-for (const {name, fields, electionBefore, votesAfter: votesAfter} of starts) {
+for (const {name, fields, electionBefore, votesAfter} of starts) {
 	test(`election timeout: the first election after a start comes ${name}`, () => {
 		const options: ConsensusOptions = {
 			self: {name: 'a', folder: 'f'}, electionMilliseconds, heartbeatMilliseconds: 150, entriesBeforeSnapshot: 100, seed: 3, ...fields,
