--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -84,7 +84,7 @@
 	constructor(seed: number, names: readonly string[]) {
 		this.#random = xoroshiro128plus(seed);
 		this.nodes = names.map(name => ({
-			name, identity: {name, folder: founderFolder}, voter: undefined, disk: bootstrapCluster(names), writes: [], machine: [], startsAt: 0, frozenUntil: 0, lives: 0,
+			name, identity: {name, folder: founderFolder}, voter: undefined, disk: bootstrapCluster(names), writes: [], machine: [], startsAt: 0, pausedUntil: 0, incarnation: 0,
 		}));
 	}
 
@@ -150,7 +150,7 @@
 		const reached = this.pick(node.writes.length + 1);
 		node.disk = node.writes.slice(0, reached).reduce((disk, {effect}) => applyWrite(disk, effect), node.disk);
 		Object.assign(node, {
-			voter: undefined, writes: [], machine: [], startsAt: this.now + downMilliseconds, frozenUntil: 0,
+			voter: undefined, writes: [], machine: [], startsAt: this.now + downMilliseconds, pausedUntil: 0,
 		});
 	}
 
