--- a/packages/replica/src/delivery-timeout.ts
+++ b/packages/replica/src/delivery-timeout.ts
@@ -5,12 +5,12 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
 /** The timeout of a message without content: a later one has replaced it by then. */
-const leastMilliseconds: Milliseconds = 1000;
+const minimumMilliseconds: Milliseconds = 1000;
 
 /** A small part of the capacity of a link between regions (3,750), which requests, streams and other members share. */
 const slowestCharactersPerMillisecond = 100;
 
 /** The time after which a message is given up. If the peer is down, the connection fails sooner. */
 export function deliveryTimeout(message: ConsensusMessage): Milliseconds {
-	return leastMilliseconds + Math.ceil(messageCharacters(message) / slowestCharactersPerMillisecond);
+	return minimumMilliseconds + Math.ceil(messageCharacters(message) / slowestCharactersPerMillisecond);
 }
