--- a/packages/replica/src/delivery-timeout.ts
+++ b/packages/replica/src/delivery-timeout.ts
@@ -8,9 +8,9 @@
 const minimumMilliseconds: Milliseconds = 1000;
 
 /** A small part of the capacity of a link between regions (3,750), which requests, streams and other members share. */
-const slowestCharactersPerMillisecond = 100;
+const minimumCharactersPerMillisecond = 100;
 
 /** The time after which a message is given up. If the peer is down, the connection fails sooner. */
 export function deliveryTimeout(message: ConsensusMessage): Milliseconds {
-	return minimumMilliseconds + Math.ceil(messageCharacters(message) / slowestCharactersPerMillisecond);
+	return minimumMilliseconds + Math.ceil(messageCharacters(message) / minimumCharactersPerMillisecond);
 }
