--- a/packages/replica/src/lag-watch.ts
+++ b/packages/replica/src/lag-watch.ts
@@ -5,7 +5,7 @@
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Fields, type Log} from '@dogwooddeck/telemetry/log';
-import {type Lag, lagMilliseconds, noteLag} from './lag.js';
+import {type Lag, lagMilliseconds, updateLag} from './lag.js';
 
 /** A copy is reported as lagging after this long: several heartbeats and a round trip between regions. */
 export const reportedLagMilliseconds: Milliseconds = 1000;
@@ -26,7 +26,7 @@
 	/** Records the applied and committed indexes; returns for how long the copy has been lagging. */
 	note(applied: LogIndex, committed: LogIndex, now: MonotonicTime): Milliseconds {
 		const behindFor = lagMilliseconds(this.#lag, now);
-		this.#lag = noteLag(this.#lag, {applied, committed}, now);
+		this.#lag = updateLag(this.#lag, {applied, committed}, now);
 		const milliseconds = lagMilliseconds(this.#lag, now);
 		const fields = {...this.#fields, applied, committed};
 		if (milliseconds >= reportedLagMilliseconds && !this.#isReported) {
--- a/packages/replica/src/lag.ts
+++ b/packages/replica/src/lag.ts
@@ -14,7 +14,7 @@
 };
 
 /** Updates the lag of a copy from its applied index and the index that is known to be committed. */
-export function noteLag(lag: Lag | undefined, {applied, committed}: {readonly applied: LogIndex; readonly committed: LogIndex}, now: MonotonicTime): Lag | undefined {
+export function updateLag(lag: Lag | undefined, {applied, committed}: {readonly applied: LogIndex; readonly committed: LogIndex}, now: MonotonicTime): Lag | undefined {
 	if (applied >= committed) {
 		return undefined;
 	}
