--- a/packages/replica/src/lag-watch.ts
+++ b/packages/replica/src/lag-watch.ts
@@ -8,7 +8,7 @@
 import {type Lag, lagMilliseconds, updateLag} from './lag.js';
 
 /** A copy is reported as lagging after this long: several heartbeats and a round trip between regions. */
-export const reportedLagMilliseconds: Milliseconds = 1000;
+export const lagReportThresholdMilliseconds: Milliseconds = 1000;
 
 /** Monitors the replica lag of one copy. Mutable. */
 export class LagWatch {
@@ -29,10 +29,10 @@
 		this.#lag = updateLag(this.#lag, {applied, committed}, now);
 		const milliseconds = lagMilliseconds(this.#lag, now);
 		const fields = {...this.#fields, applied, committed};
-		if (milliseconds >= reportedLagMilliseconds && !this.#isReported) {
+		if (milliseconds >= lagReportThresholdMilliseconds && !this.#isReported) {
 			this.#isReported = true;
 			this.#log.warning(EventName.replicaBehind, {...fields, behindFor: Math.round(milliseconds)});
-		} else if (milliseconds < reportedLagMilliseconds && this.#isReported) {
+		} else if (milliseconds < lagReportThresholdMilliseconds && this.#isReported) {
 			this.#isReported = false;
 			this.#log.event(EventName.replicaCaughtUp, {...fields, behindFor: Math.round(behindFor)});
 		}
