--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -39,7 +39,7 @@
 };
 
 /** The number of recent entries that are kept for other instances to catch up; one that lacks more is sent the full state. */
-export const keptEntries = 2048;
+export const retainedEntries = 2048;
 
 /** The payload of an entry without commands. */
 export const emptyPayload = '[]';
@@ -65,8 +65,8 @@
 		const applied = machine.apply(state, payload, index);
 		state = applied.state;
 		recent.push({index, payload});
-		if (recent.length > 2 * keptEntries) {
-			recent = recent.slice(-keptEntries);
+		if (recent.length > 2 * retainedEntries) {
+			recent = recent.slice(-retainedEntries);
 		}
 
 		return applied.answers;
