--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -57,7 +57,7 @@
 		}
 	}
 
-	function take(index: LogIndex, payload: string): ReadonlyArray<Result<Accepted, Failure>> | undefined {
+	function applyNext(index: LogIndex, payload: string): ReadonlyArray<Result<Accepted, Failure>> | undefined {
 		if (index !== state.applied + 1) {
 			return undefined;
 		}
@@ -73,7 +73,7 @@
 	}
 
 	function apply(index: LogIndex, payload: string): ReadonlyArray<Result<Accepted, Failure>> | undefined {
-		const answers = take(index, payload);
+		const answers = applyNext(index, payload);
 		if (answers !== undefined) {
 			changed();
 		}
@@ -114,7 +114,7 @@
 
 			const before = state.applied;
 			for (const entry of received.entries) {
-				take(entry.index, entry.payload);
+				applyNext(entry.index, entry.payload);
 			}
 
 			if (state.applied > before) {
