--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -51,7 +51,7 @@
 	let encoded: {readonly index: LogIndex; readonly data: string} | undefined;
 	const listeners: Array<(state: State) => void> = [];
 
-	function changed(): void {
+	function notifyListeners(): void {
 		for (const listener of listeners) {
 			listener(state);
 		}
@@ -75,7 +75,7 @@
 	function apply(index: LogIndex, payload: string): ReadonlyArray<Result<Accepted, Failure>> | undefined {
 		const answers = applyNext(index, payload);
 		if (answers !== undefined) {
-			changed();
+			notifyListeners();
 		}
 
 		return answers;
@@ -89,7 +89,7 @@
 
 			state = {...decoded, applied: index};
 			recent = [];
-			changed();
+			notifyListeners();
 			return true;
 		});
 	}
@@ -118,7 +118,7 @@
 			}
 
 			if (state.applied > before) {
-				changed();
+				notifyListeners();
 			}
 		},
 		after(applied) {
