--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -94,7 +94,7 @@
 		});
 	}
 
-	function wholeState(): CatchUp {
+	function fullState(): CatchUp {
 		if (encoded?.index !== state.applied) {
 			encoded = {index: state.applied, data: machine.encode(state)};
 		}
@@ -127,7 +127,7 @@
 			}
 
 			const first = recent[0]?.index ?? Infinity;
-			return first <= applied + 1 ? {entries: recent.slice(applied + 1 - first)} : wholeState();
+			return first <= applied + 1 ? {entries: recent.slice(applied + 1 - first)} : fullState();
 		},
 		listen(listener) {
 			listeners.push(listener);
