--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -48,7 +48,7 @@
 export function createStateHolder<State extends {readonly applied: LogIndex}, Accepted>(machine: ReplicatedMachine<State, Accepted>): StateHolder<State, Accepted> {
 	let state = machine.empty;
 	let recent: CommittedEntry[] = [];
-	let encoded: {readonly index: LogIndex; readonly data: string} | undefined;
+	let latestEncoded: {readonly index: LogIndex; readonly data: string} | undefined;
 	const listeners: Array<(state: State) => void> = [];
 
 	function notifyListeners(): void {
@@ -95,11 +95,11 @@
 	}
 
 	function fullState(): CatchUp {
-		if (encoded?.index !== state.applied) {
-			encoded = {index: state.applied, data: machine.encode(state)};
+		if (latestEncoded?.index !== state.applied) {
+			latestEncoded = {index: state.applied, data: machine.encode(state)};
 		}
 
-		return {entries: [], state: encoded};
+		return {entries: [], state: latestEncoded};
 	}
 
 	return {
