--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -30,7 +30,7 @@
 	/** Replaces the state by a full state if that is newer; returns whether it did. Fails if the data can't be decoded. */
 	readonly restore: (index: LogIndex, data: string) => Result<boolean, Failure>;
 	/** Whether a full state can be decoded. */
-	readonly isReadable: (data: string) => boolean;
+	readonly canDecode: (data: string) => boolean;
 	/** Applies the state and entries that another instance sent. Listeners are notified once for all the entries. */
 	readonly catchUp: (received: CatchUp) => void;
 	/** Returns what an instance that has applied entries up to an index lacks: entries, or the full state. */
@@ -106,7 +106,7 @@
 		state: () => state,
 		apply,
 		restore,
-		isReadable: data => machine.decode(data).isOk,
+		canDecode: data => machine.decode(data).isOk,
 		catchUp(received) {
 			if (received.state !== undefined) {
 				restore(received.state.index, received.state.data);
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -237,7 +237,7 @@
 
 	return {
 		receive(envelope) {
-			const checked = checkEnvelope(envelope, surroundings.options.self, holder.isReadable);
+			const checked = checkEnvelope(envelope, surroundings.options.self, holder.canDecode);
 			if (checked.isOk) {
 				step({kind: 'received', now: monotonicNow(), envelope});
 			}
