--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -112,12 +112,12 @@
 				restore(received.state.index, received.state.data);
 			}
 
-			const before = state.applied;
+			const appliedBefore = state.applied;
 			for (const entry of received.entries) {
 				applyNext(entry.index, entry.payload);
 			}
 
-			if (state.applied > before) {
+			if (state.applied > appliedBefore) {
 				notifyListeners();
 			}
 		},
