--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -100,7 +100,7 @@
 		[Role.leader]() {
 			sightings.clear();
 			for (const member of own.voter?.voterSet().voters ?? []) {
-				sightings.set(`${member.name} ${member.folder}`, {voter: member, heardAt: monotonicNow()});
+				sightings.set(`${member.name} ${member.folder}`, {voter: member, lastContactAt: monotonicNow()});
 			}
 
 			desk.begin();
@@ -145,7 +145,7 @@
 	}
 
 	function noteSighting(seen: VoterIdentity): void {
-		sightings.set(`${seen.name} ${seen.folder}`, {voter: seen, heardAt: monotonicNow()});
+		sightings.set(`${seen.name} ${seen.folder}`, {voter: seen, lastContactAt: monotonicNow()});
 		if (own.voter?.isLeader() === true) {
 			void changeVoters(own.voter);
 		}
--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -7,7 +7,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** The leader's last contact with a control instance. */
-export type VoterObservation = {readonly voter: VoterIdentity; readonly heardAt: MonotonicTime};
+export type VoterObservation = {readonly voter: VoterIdentity; readonly lastContactAt: MonotonicTime};
 
 /** The inputs of the decision. */
 export type SuccessionInput = {
@@ -31,13 +31,13 @@
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
 function heardAt({sightings}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
-	return sightings.find(sighting => sameVoter(sighting.voter, voter))?.heardAt ?? -Infinity;
+	return sightings.find(sighting => sameVoter(sighting.voter, voter))?.lastContactAt ?? -Infinity;
 }
 
 /** A voter's folder is lost for good once its instance is observed with another one. */
 function isReplaced({sightings}: SuccessionInput, voter: VoterIdentity): boolean {
 	const others = sightings.filter(sighting => sighting.voter.name === voter.name);
-	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.heardAt > found.heardAt ? one : found, undefined);
+	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.lastContactAt > found.lastContactAt ? one : found, undefined);
 	return newest !== undefined && !sameVoter(newest.voter, voter);
 }
 
@@ -45,7 +45,7 @@
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
 	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - heardAt(input, voter) > lostVoterMilliseconds));
-	const present = input.sightings.filter(sighting => now - sighting.heardAt <= presentMilliseconds && !isReplaced(input, sighting.voter)).map(({voter}) => voter);
+	const present = input.sightings.filter(sighting => now - sighting.lastContactAt <= presentMilliseconds && !isReplaced(input, sighting.voter)).map(({voter}) => voter);
 	return {present, lost};
 }
 
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -16,7 +16,7 @@
 }
 
 function seen(identity: VoterIdentity, ago = 100): VoterObservation {
-	return {voter: identity, heardAt: now - ago};
+	return {voter: identity, lastContactAt: now - ago};
 }
 
 const [one, two, three, four] = ['1', '2', '3', '4'].map(name => voter(name)) as [VoterIdentity, VoterIdentity, VoterIdentity, VoterIdentity];
