--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -14,7 +14,7 @@
 	readonly now: MonotonicTime;
 	readonly self: VoterIdentity;
 	readonly voterSet: VoterSet;
-	readonly sightings: readonly VoterObservation[];
+	readonly observations: readonly VoterObservation[];
 	/** The target number of voters: twice the number of losses to be tolerated, plus one. */
 	readonly wantedVoters: number;
 };
@@ -30,12 +30,12 @@
 
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
-function heardAt({sightings}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
+function heardAt({observations: sightings}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
 	return sightings.find(sighting => sameVoter(sighting.voter, voter))?.lastContactAt ?? -Infinity;
 }
 
 /** A voter's folder is lost for good once its instance is observed with another one. */
-function isReplaced({sightings}: SuccessionInput, voter: VoterIdentity): boolean {
+function isReplaced({observations: sightings}: SuccessionInput, voter: VoterIdentity): boolean {
 	const others = sightings.filter(sighting => sighting.voter.name === voter.name);
 	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.lastContactAt > found.lastContactAt ? one : found, undefined);
 	return newest !== undefined && !sameVoter(newest.voter, voter);
@@ -45,7 +45,7 @@
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
 	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - heardAt(input, voter) > lostVoterMilliseconds));
-	const present = input.sightings.filter(sighting => now - sighting.lastContactAt <= presentMilliseconds && !isReplaced(input, sighting.voter)).map(({voter}) => voter);
+	const present = input.observations.filter(sighting => now - sighting.lastContactAt <= presentMilliseconds && !isReplaced(input, sighting.voter)).map(({voter}) => voter);
 	return {present, lost};
 }
 
