--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -127,7 +127,7 @@
 
 	async function changeVoters(leading: DirectoryVoter): Promise<void> {
 		const voterSet = nextVoterSet({
-			now: monotonicNow(), self: leading.identity, voterSet: leading.voterSet(), observations: [...sightings.values()], wantedVoters: (2 * settings.toleratedLosses) + 1,
+			now: monotonicNow(), self: leading.identity, voterSet: leading.voterSet(), observations: [...sightings.values()], targetVoterCount: (2 * settings.toleratedLosses) + 1,
 		});
 		if (voterSet === undefined || isChangingVoters) {
 			return;
--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -16,7 +16,7 @@
 	readonly voterSet: VoterSet;
 	readonly observations: readonly VoterObservation[];
 	/** The target number of voters: twice the number of losses to be tolerated, plus one. */
-	readonly wantedVoters: number;
+	readonly targetVoterCount: number;
 };
 
 /** A standby is considered only if it had contact with the leader this recently. */
@@ -56,7 +56,7 @@
 		: {voters: voterSet.voters, learners: [...voterSet.learners.filter(({name}) => name !== newcomer.name), newcomer]};
 }
 
-function promote({voterSet, wantedVoters}: SuccessionInput, {present, lost}: Standing): VoterSet | undefined {
+function promote({voterSet, targetVoterCount: wantedVoters}: SuccessionInput, {present, lost}: Standing): VoterSet | undefined {
 	const names = new Set(voterSet.voters.map(({name}) => name));
 	const standby = voterSet.learners.find(learner => includesVoter(present, learner) && !names.has(learner.name));
 	return standby === undefined || voterSet.voters.length - lost.length >= wantedVoters
@@ -66,12 +66,12 @@
 
 /** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
 function dropLost(input: SuccessionInput, {lost}: Standing): VoterSet | undefined {
-	const {voterSet, wantedVoters} = input;
+	const {voterSet, targetVoterCount: wantedVoters} = input;
 	const gone = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
 	return gone === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, gone)), learners: voterSet.learners};
 }
 
-function dropSurplus({voterSet, wantedVoters, self}: SuccessionInput): VoterSet | undefined {
+function dropSurplus({voterSet, targetVoterCount: wantedVoters, self}: SuccessionInput): VoterSet | undefined {
 	const surplus = voterSet.voters.length > wantedVoters ? voterSet.voters.findLast(voter => !sameVoter(voter, self)) : undefined;
 	return surplus === undefined
 		? undefined
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -58,7 +58,7 @@
 for (const {name, voterSet, sightings, next} of cases) {
 	test(`succession: ${name}`, () => {
 		const found = nextVoterSet({
-			now, self: one, voterSet, observations: sightings, wantedVoters: 3,
+			now, self: one, voterSet, observations: sightings, targetVoterCount: 3,
 		});
 		assert.deepEqual(found, next);
 		assert.equal(found === undefined ? undefined : voterChangeProblem(voterSet, found, one), undefined);
