--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -30,7 +30,7 @@
 
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
-function heardAt({observations: sightings}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
+function lastContactAt({observations: sightings}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
 	return sightings.find(sighting => sameVoter(sighting.voter, voter))?.lastContactAt ?? -Infinity;
 }
 
@@ -44,7 +44,7 @@
 function standingOf(input: SuccessionInput): Standing {
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
-	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - heardAt(input, voter) > lostVoterMilliseconds));
+	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > lostVoterMilliseconds));
 	const present = input.observations.filter(sighting => now - sighting.lastContactAt <= presentMilliseconds && !isReplaced(input, sighting.voter)).map(({voter}) => voter);
 	return {present, lost};
 }
@@ -80,7 +80,7 @@
 
 function forgetLearner(input: SuccessionInput): VoterSet | undefined {
 	const {voterSet, now} = input;
-	const gone = voterSet.learners.find(learner => isReplaced(input, learner) || now - heardAt(input, learner) > lostLearnerMilliseconds);
+	const gone = voterSet.learners.find(learner => isReplaced(input, learner) || now - lastContactAt(input, learner) > lostLearnerMilliseconds);
 	return gone === undefined ? undefined : {voters: voterSet.voters, learners: voterSet.learners.filter(learner => !sameVoter(learner, gone))};
 }
 
