--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -30,8 +30,8 @@
 
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
-function lastContactAt({observations: sightings}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
-	return sightings.find(sighting => sameVoter(sighting.voter, voter))?.lastContactAt ?? -Infinity;
+function lastContactAt({observations: observations}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
+	return observations.find(sighting => sameVoter(sighting.voter, voter))?.lastContactAt ?? -Infinity;
 }
 
 /** A voter's folder is lost for good once its instance is observed with another one. */
