--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -31,7 +31,7 @@
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
 function lastContactAt({observations: observations}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
-	return observations.find(sighting => sameVoter(sighting.voter, voter))?.lastContactAt ?? -Infinity;
+	return observations.find(observation => sameVoter(observation.voter, voter))?.lastContactAt ?? -Infinity;
 }
 
 /** A voter's folder is lost for good once its instance is observed with another one. */
