--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -36,7 +36,7 @@
 
 /** A voter's folder is lost for good once its instance is observed with another one. */
 function isReplaced({observations: observations}: SuccessionInput, voter: VoterIdentity): boolean {
-	const others = observations.filter(sighting => sighting.voter.name === voter.name);
+	const others = observations.filter(observation => observation.voter.name === voter.name);
 	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.lastContactAt > found.lastContactAt ? one : found, undefined);
 	return newest !== undefined && !sameVoter(newest.voter, voter);
 }
