--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -45,7 +45,7 @@
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
 	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > lostVoterMilliseconds));
-	const present = input.observations.filter(sighting => now - sighting.lastContactAt <= presentMilliseconds && !isReplaced(input, sighting.voter)).map(({voter}) => voter);
+	const present = input.observations.filter(observation => now - observation.lastContactAt <= presentMilliseconds && !isReplaced(input, observation.voter)).map(({voter}) => voter);
 	return {present, lost};
 }
 
