--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -20,7 +20,7 @@
 };
 
 /** A standby is considered only if it had contact with the leader this recently. */
-export const presentMilliseconds: Milliseconds = 2500;
+export const standbyContactTimeoutMilliseconds: Milliseconds = 2500;
 
 /** A voter without contact for this long is replaced if a standby is present: longer than a short network partition. */
 export const lostVoterMilliseconds: Milliseconds = 7000;
@@ -45,7 +45,7 @@
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
 	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > lostVoterMilliseconds));
-	const present = input.observations.filter(observation => now - observation.lastContactAt <= presentMilliseconds && !isReplaced(input, observation.voter)).map(({voter}) => voter);
+	const present = input.observations.filter(observation => now - observation.lastContactAt <= standbyContactTimeoutMilliseconds && !isReplaced(input, observation.voter)).map(({voter}) => voter);
 	return {present, lost};
 }
 
