--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -23,7 +23,7 @@
 export const standbyContactTimeoutMilliseconds: Milliseconds = 2500;
 
 /** A voter without contact for this long is replaced if a standby is present: longer than a short network partition. */
-export const lostVoterMilliseconds: Milliseconds = 7000;
+export const voterContactTimeoutMilliseconds: Milliseconds = 7000;
 
 /** A learner without contact for this long is removed. */
 export const lostLearnerMilliseconds: Milliseconds = 20_000;
@@ -44,7 +44,7 @@
 function standingOf(input: SuccessionInput): Standing {
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
-	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > lostVoterMilliseconds));
+	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > voterContactTimeoutMilliseconds));
 	const present = input.observations.filter(observation => now - observation.lastContactAt <= standbyContactTimeoutMilliseconds && !isReplaced(input, observation.voter)).map(({voter}) => voter);
 	return {present, lost};
 }
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -6,7 +6,7 @@
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
 import {voterChangeProblem} from '@dogwooddeck/consensus/voter-set';
 import {
-	lostLearnerMilliseconds, lostVoterMilliseconds, nextVoterSet, type VoterObservation,
+	lostLearnerMilliseconds, voterContactTimeoutMilliseconds, nextVoterSet, type VoterObservation,
 } from '@dogwooddeck/replica/succession';
 
 const now = 100_000;
@@ -30,16 +30,16 @@
 		name: 'a newcomer becomes a learner', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: {voters: [one, two, three], learners: [four]},
 	},
 	{
-		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, lostVoterMilliseconds - 1), seen(three), seen(four)], next: undefined,
+		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds - 1), seen(three), seen(four)], next: undefined,
 	},
 	{
-		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: []},
+		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: []},
 	},
 	{
-		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, three, four], learners: []},
+		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, three, four], learners: []},
 	},
 	{
-		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two, lostVoterMilliseconds + 1), seen(three)], next: undefined,
+		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds + 1), seen(three)], next: undefined,
 	},
 	{
 		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: [renewed]},
