--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -26,7 +26,7 @@
 export const voterContactTimeoutMilliseconds: Milliseconds = 7000;
 
 /** A learner without contact for this long is removed. */
-export const lostLearnerMilliseconds: Milliseconds = 20_000;
+export const learnerContactTimeoutMilliseconds: Milliseconds = 20_000;
 
 type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
@@ -80,7 +80,7 @@
 
 function forgetLearner(input: SuccessionInput): VoterSet | undefined {
 	const {voterSet, now} = input;
-	const gone = voterSet.learners.find(learner => isReplaced(input, learner) || now - lastContactAt(input, learner) > lostLearnerMilliseconds);
+	const gone = voterSet.learners.find(learner => isReplaced(input, learner) || now - lastContactAt(input, learner) > learnerContactTimeoutMilliseconds);
 	return gone === undefined ? undefined : {voters: voterSet.voters, learners: voterSet.learners.filter(learner => !sameVoter(learner, gone))};
 }
 
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -6,7 +6,7 @@
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
 import {voterChangeProblem} from '@dogwooddeck/consensus/voter-set';
 import {
-	lostLearnerMilliseconds, voterContactTimeoutMilliseconds, nextVoterSet, type VoterObservation,
+	learnerContactTimeoutMilliseconds, voterContactTimeoutMilliseconds, nextVoterSet, type VoterObservation,
 } from '@dogwooddeck/replica/succession';
 
 const now = 100_000;
@@ -51,7 +51,7 @@
 		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [renewed]}, sightings: [seen(one), seen(renewed), seen(three)], next: {voters: [one, three, renewed], learners: []},
 	},
 	{
-		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four, lostLearnerMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
+		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four, learnerContactTimeoutMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
 	},
 ];
 
