--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -28,7 +28,7 @@
 /** A learner without contact for this long is removed. */
 export const learnerContactTimeoutMilliseconds: Milliseconds = 20_000;
 
-type Standing = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
+type VoterStatus = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
 function lastContactAt({observations: observations}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
 	return observations.find(observation => sameVoter(observation.voter, voter))?.lastContactAt ?? -Infinity;
@@ -41,7 +41,7 @@
 	return newest !== undefined && !sameVoter(newest.voter, voter);
 }
 
-function standingOf(input: SuccessionInput): Standing {
+function standingOf(input: SuccessionInput): VoterStatus {
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
 	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > voterContactTimeoutMilliseconds));
@@ -49,14 +49,14 @@
 	return {present, lost};
 }
 
-function addLearner({voterSet}: SuccessionInput, {present}: Standing): VoterSet | undefined {
+function addLearner({voterSet}: SuccessionInput, {present}: VoterStatus): VoterSet | undefined {
 	const newcomer = present.find(voter => !includesVoter(voterSet.voters, voter) && !includesVoter(voterSet.learners, voter));
 	return newcomer === undefined
 		? undefined
 		: {voters: voterSet.voters, learners: [...voterSet.learners.filter(({name}) => name !== newcomer.name), newcomer]};
 }
 
-function promote({voterSet, targetVoterCount: wantedVoters}: SuccessionInput, {present, lost}: Standing): VoterSet | undefined {
+function promote({voterSet, targetVoterCount: wantedVoters}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
 	const names = new Set(voterSet.voters.map(({name}) => name));
 	const standby = voterSet.learners.find(learner => includesVoter(present, learner) && !names.has(learner.name));
 	return standby === undefined || voterSet.voters.length - lost.length >= wantedVoters
@@ -65,7 +65,7 @@
 }
 
 /** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
-function dropLost(input: SuccessionInput, {lost}: Standing): VoterSet | undefined {
+function dropLost(input: SuccessionInput, {lost}: VoterStatus): VoterSet | undefined {
 	const {voterSet, targetVoterCount: wantedVoters} = input;
 	const gone = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
 	return gone === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, gone)), learners: voterSet.learners};
