--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -41,7 +41,7 @@
 	return newest !== undefined && !sameVoter(newest.voter, voter);
 }
 
-function standingOf(input: SuccessionInput): VoterStatus {
+function classifyVoters(input: SuccessionInput): VoterStatus {
 	const {now, self, voterSet} = input;
 	const isSelf = (voter: VoterIdentity) => sameVoter(voter, self);
 	const lost = voterSet.voters.filter(voter => !isSelf(voter) && (isReplaced(input, voter) || now - lastContactAt(input, voter) > voterContactTimeoutMilliseconds));
@@ -86,7 +86,7 @@
 
 /** The next voter set, or undefined if the current one should stay. */
 export function nextVoterSet(input: SuccessionInput): VoterSet | undefined {
-	const standing = standingOf(input);
+	const standing = classifyVoters(input);
 	return addLearner(input, standing)
 		?? promote(input, standing)
 		?? dropLost(input, standing)
