--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -86,10 +86,10 @@
 
 /** The next voter set, or undefined if the current one should stay. */
 export function nextVoterSet(input: SuccessionInput): VoterSet | undefined {
-	const standing = classifyVoters(input);
-	return addLearner(input, standing)
-		?? promote(input, standing)
-		?? dropLost(input, standing)
+	const status = classifyVoters(input);
+	return addLearner(input, status)
+		?? promote(input, status)
+		?? dropLost(input, status)
 		?? dropSurplus(input)
 		?? forgetLearner(input);
 }
