--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -56,7 +56,7 @@
 		: {voters: voterSet.voters, learners: [...voterSet.learners.filter(({name}) => name !== newcomer.name), newcomer]};
 }
 
-function promote({voterSet, targetVoterCount: wantedVoters}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
+function promoteStandby({voterSet, targetVoterCount: wantedVoters}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
 	const names = new Set(voterSet.voters.map(({name}) => name));
 	const standby = voterSet.learners.find(learner => includesVoter(present, learner) && !names.has(learner.name));
 	return standby === undefined || voterSet.voters.length - lost.length >= wantedVoters
@@ -88,7 +88,7 @@
 export function nextVoterSet(input: SuccessionInput): VoterSet | undefined {
 	const status = classifyVoters(input);
 	return addLearner(input, status)
-		?? promote(input, status)
+		?? promoteStandby(input, status)
 		?? dropLost(input, status)
 		?? dropSurplus(input)
 		?? forgetLearner(input);
