--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -65,7 +65,7 @@
 }
 
 /** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
-function dropLost(input: SuccessionInput, {lost}: VoterStatus): VoterSet | undefined {
+function removeLostVoter(input: SuccessionInput, {lost}: VoterStatus): VoterSet | undefined {
 	const {voterSet, targetVoterCount: wantedVoters} = input;
 	const gone = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
 	return gone === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, gone)), learners: voterSet.learners};
@@ -89,7 +89,7 @@
 	const status = classifyVoters(input);
 	return addLearner(input, status)
 		?? promoteStandby(input, status)
-		?? dropLost(input, status)
+		?? removeLostVoter(input, status)
 		?? dropSurplus(input)
 		?? forgetLearner(input);
 }
