--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -71,7 +71,7 @@
 	return gone === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, gone)), learners: voterSet.learners};
 }
 
-function dropSurplus({voterSet, targetVoterCount: wantedVoters, self}: SuccessionInput): VoterSet | undefined {
+function demoteSurplusVoter({voterSet, targetVoterCount: wantedVoters, self}: SuccessionInput): VoterSet | undefined {
 	const surplus = voterSet.voters.length > wantedVoters ? voterSet.voters.findLast(voter => !sameVoter(voter, self)) : undefined;
 	return surplus === undefined
 		? undefined
@@ -90,6 +90,6 @@
 	return addLearner(input, status)
 		?? promoteStandby(input, status)
 		?? removeLostVoter(input, status)
-		?? dropSurplus(input)
+		?? demoteSurplusVoter(input)
 		?? forgetLearner(input);
 }
