--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -78,7 +78,7 @@
 		: {voters: voterSet.voters.filter(voter => !sameVoter(voter, surplus)), learners: [...voterSet.learners, surplus]};
 }
 
-function forgetLearner(input: SuccessionInput): VoterSet | undefined {
+function removeLostLearner(input: SuccessionInput): VoterSet | undefined {
 	const {voterSet, now} = input;
 	const gone = voterSet.learners.find(learner => isReplaced(input, learner) || now - lastContactAt(input, learner) > learnerContactTimeoutMilliseconds);
 	return gone === undefined ? undefined : {voters: voterSet.voters, learners: voterSet.learners.filter(learner => !sameVoter(learner, gone))};
@@ -91,5 +91,5 @@
 		?? promoteStandby(input, status)
 		?? removeLostVoter(input, status)
 		?? demoteSurplusVoter(input)
-		?? forgetLearner(input);
+		?? removeLostLearner(input);
 }
