--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -67,8 +67,8 @@
 /** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
 function removeLostVoter(input: SuccessionInput, {lost}: VoterStatus): VoterSet | undefined {
 	const {voterSet, targetVoterCount: wantedVoters} = input;
-	const gone = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
-	return gone === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, gone)), learners: voterSet.learners};
+	const removed = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
+	return removed === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, removed)), learners: voterSet.learners};
 }
 
 function demoteSurplusVoter({voterSet, targetVoterCount: wantedVoters, self}: SuccessionInput): VoterSet | undefined {
