--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -80,8 +80,8 @@
 
 function removeLostLearner(input: SuccessionInput): VoterSet | undefined {
 	const {voterSet, now} = input;
-	const gone = voterSet.learners.find(learner => isReplaced(input, learner) || now - lastContactAt(input, learner) > learnerContactTimeoutMilliseconds);
-	return gone === undefined ? undefined : {voters: voterSet.voters, learners: voterSet.learners.filter(learner => !sameVoter(learner, gone))};
+	const removed = voterSet.learners.find(learner => isReplaced(input, learner) || now - lastContactAt(input, learner) > learnerContactTimeoutMilliseconds);
+	return removed === undefined ? undefined : {voters: voterSet.voters, learners: voterSet.learners.filter(learner => !sameVoter(learner, removed))};
 }
 
 /** The next voter set, or undefined if the current one should stay. */
