--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -280,7 +280,7 @@
 	}
 
 	function planNow(): void {
-		if (isProposing || planning === undefined || voter().quorumHeardAt(monotonicNow()) === undefined) {
+		if (isProposing || planning === undefined || voter().quorumContactAt(monotonicNow()) === undefined) {
 			return;
 		}
 
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -138,7 +138,7 @@
 		isLeading: () => leading !== undefined,
 		async takeDelegation(request) {
 			const now = monotonicNow();
-			const quorumHeardAt = voter()?.quorumHeardAt(now);
+			const quorumHeardAt = voter()?.quorumContactAt(now);
 			if (leading === undefined || quorumHeardAt === undefined) {
 				return err(known.notLeader());
 			}
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -42,7 +42,7 @@
 	readonly isLeader: () => boolean;
 	readonly leader: () => InstanceName | undefined;
 	/** The last contact with a majority, if this voter is the leader. */
-	readonly quorumHeardAt: (now: MonotonicTime) => MonotonicTime | undefined;
+	readonly quorumContactAt: (now: MonotonicTime) => MonotonicTime | undefined;
 	/** This voter's last contact with a leader. */
 	readonly leaderHeardAt: () => MonotonicTime;
 	readonly voterSet: () => VoterSet;
@@ -262,7 +262,7 @@
 		},
 		isLeader: () => roleOf(state) === Role.leader,
 		leader: () => leaderOf(state)?.name,
-		quorumHeardAt: now => quorumContactAt(state, now),
+		quorumContactAt: now => quorumContactAt(state, now),
 		leaderHeardAt: () => state.leaderContactAt,
 		voterSet: () => voterSetOf(state),
 		committed: () => committedIndex(state),
