--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -44,7 +44,7 @@
 	/** The last contact with a majority, if this voter is the leader. */
 	readonly quorumContactAt: (now: MonotonicTime) => MonotonicTime | undefined;
 	/** This voter's last contact with a leader. */
-	readonly leaderHeardAt: () => MonotonicTime;
+	readonly leaderContactAt: () => MonotonicTime;
 	readonly voterSet: () => VoterSet;
 	readonly committed: () => LogIndex;
 	/** The highest index that is known to be committed, whether its entry has arrived here or not. */
@@ -263,7 +263,7 @@
 		isLeader: () => roleOf(state) === Role.leader,
 		leader: () => leaderOf(state)?.name,
 		quorumContactAt: now => quorumContactAt(state, now),
-		leaderHeardAt: () => state.leaderContactAt,
+		leaderContactAt: () => state.leaderContactAt,
 		voterSet: () => voterSetOf(state),
 		committed: () => committedIndex(state),
 		knownCommitted: () => knownCommittedIndex(state),
