--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -55,7 +55,7 @@
 };
 
 /** What a voter needs from its process. */
-export type VoterSurroundings<State, Accepted> = {
+export type VoterDependencies<State, Accepted> = {
 	readonly options: ConsensusOptions;
 	readonly saved: SavedState;
 	readonly storage: Storage;
@@ -89,7 +89,7 @@
 }
 
 /** Starts a voter. */
-export function startVoter<State extends {readonly applied: LogIndex}, Accepted>(surroundings: VoterSurroundings<State, Accepted>): VoterRunner<Accepted> {
+export function startVoter<State extends {readonly applied: LogIndex}, Accepted>(surroundings: VoterDependencies<State, Accepted>): VoterRunner<Accepted> {
 	const {holder, log, storage} = surroundings;
 	let state = createVoter(surroundings.options, surroundings.saved, monotonicNow());
 	let requests = 0;
