--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -89,9 +89,9 @@
 }
 
 /** Starts a voter. */
-export function startVoter<State extends {readonly applied: LogIndex}, Accepted>(surroundings: VoterDependencies<State, Accepted>): VoterRunner<Accepted> {
-	const {holder, log, storage} = surroundings;
-	let state = createVoter(surroundings.options, surroundings.saved, monotonicNow());
+export function startVoter<State extends {readonly applied: LogIndex}, Accepted>(dependencies: VoterDependencies<State, Accepted>): VoterRunner<Accepted> {
+	const {holder, log, storage} = dependencies;
+	let state = createVoter(dependencies.options, dependencies.saved, monotonicNow());
 	let requests = 0;
 	let writing: Promise<void> = Promise.resolve();
 	let stopped = false;
@@ -126,7 +126,7 @@
 	async function write(effect: Extract<ConsensusEffect, {readonly kind: 'persist'}>): Promise<void> {
 		const persisted = await storage.persist(effect);
 		if (persisted.isErr) {
-			surroundings.failed(persisted.error);
+			dependencies.failed(persisted.error);
 			return;
 		}
 
@@ -134,7 +134,7 @@
 	}
 
 	async function send(envelope: ConsensusEnvelope, delivery: number | undefined): Promise<void> {
-		const sent = await surroundings.send(envelope);
+		const sent = await dependencies.send(envelope);
 		if (delivery !== undefined) {
 			step({
 				kind: 'deliveryEnded', now: monotonicNow(), delivery, arrived: sent.isOk,
@@ -201,7 +201,7 @@
 		},
 		roleChanged({role, term, leader}) {
 			log.event(EventName.roleChanged, {role, term, leader: leader?.name});
-			surroundings.roleChanged(role);
+			dependencies.roleChanged(role);
 		},
 	};
 
@@ -221,7 +221,7 @@
 
 	async function ask(event: (request: string) => ConsensusEvent): Promise<Result<Committed<Accepted>, Failure>> {
 		requests += 1;
-		const request = `${surroundings.options.self.name}-${requests}`;
+		const request = `${dependencies.options.self.name}-${requests}`;
 		return new Promise(resolve => {
 			proposals.set(request, resolve);
 			step(event(request));
@@ -237,7 +237,7 @@
 
 	return {
 		receive(envelope) {
-			const checked = checkEnvelope(envelope, surroundings.options.self, holder.canDecode);
+			const checked = checkEnvelope(envelope, dependencies.options.self, holder.canDecode);
 			if (checked.isOk) {
 				step({kind: 'received', now: monotonicNow(), envelope});
 			}
