--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -69,7 +69,7 @@
 };
 
 type Settle<Accepted> = (result: Result<Committed<Accepted>, Failure>) => void;
-type Waiting<Accepted> = {readonly term: number; readonly settle: Settle<Accepted>};
+type PlacedProposal<Accepted> = {readonly term: number; readonly settle: Settle<Accepted>};
 
 const unknownOutcome = failure(FailureKind.outcomeUnknown, 'another leader was elected before the change was known to be accepted');
 
@@ -96,7 +96,7 @@
 	let writing: Promise<void> = Promise.resolve();
 	let stopped = false;
 	const proposals = new Map<string, Settle<Accepted>>();
-	const placed = new Map<LogIndex, Waiting<Accepted>>();
+	const placed = new Map<LogIndex, PlacedProposal<Accepted>>();
 	const reads: Array<{readonly index: LogIndex; readonly settle: Settle<Accepted>}> = [];
 
 	function settleReads(): void {
