--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -111,10 +111,10 @@
 	function applyOne(entry: LogEntry): void {
 		const payload = entry.body.kind === 'command' ? entry.body.payload : emptyPayload;
 		const answers = holder.apply(entry.index, payload) ?? [];
-		const waiting = placed.get(entry.index);
-		if (waiting !== undefined) {
+		const proposal = placed.get(entry.index);
+		if (proposal !== undefined) {
 			placed.delete(entry.index);
-			waiting.settle(waiting.term === entry.term ? ok({index: entry.index, answers}) : err(unknownOutcome));
+			proposal.settle(proposal.term === entry.term ? ok({index: entry.index, answers}) : err(unknownOutcome));
 		}
 	}
 
