--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -219,7 +219,7 @@
 		ticking.arm();
 	}
 
-	async function ask(event: (request: string) => ConsensusEvent): Promise<Result<Committed<Accepted>, Failure>> {
+	async function submitRequest(event: (request: string) => ConsensusEvent): Promise<Result<Committed<Accepted>, Failure>> {
 		requests += 1;
 		const request = `${dependencies.options.self.name}-${requests}`;
 		return new Promise(resolve => {
@@ -244,15 +244,15 @@
 
 			return checked;
 		},
-		propose: async payload => ask(request => ({
+		propose: async payload => submitRequest(request => ({
 			kind: 'proposed', now: monotonicNow(), request, payload,
 		})),
 		async read() {
-			const answer = await ask(request => ({kind: 'readRequested', now: monotonicNow(), request}));
+			const answer = await submitRequest(request => ({kind: 'readRequested', now: monotonicNow(), request}));
 			return answer.map(({index}) => index);
 		},
 		async changeVoters(voterSet) {
-			const answer = await ask(request => ({
+			const answer = await submitRequest(request => ({
 				kind: 'voterChangeProposed', now: monotonicNow(), request, voterSet,
 			}));
 			return answer.map(({index}) => index);
