--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -143,7 +143,7 @@
 		log,
 		send,
 		roleChanged: parts.roleChanged,
-		failed: parts.failed,
+		storageFailed: parts.failed,
 	});
 	return {
 		...voter,
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -72,7 +72,7 @@
 		roleChanged() {
 			control.roleChanged();
 		},
-		failed,
+		storageFailed: failed,
 	});
 	const joining = setInterval(() => {
 		if (!includesVoter(voter.voterSet().voters, identity)) {
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -65,7 +65,7 @@
 	readonly send: (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>>;
 	readonly roleChanged: (role: Role) => void;
 	/** Called when the durable state can't be written: the process has to exit. */
-	readonly failed: (failed: Failure) => void;
+	readonly storageFailed: (failed: Failure) => void;
 };
 
 type Settle<Accepted> = (result: Result<Committed<Accepted>, Failure>) => void;
@@ -126,7 +126,7 @@
 	async function write(effect: Extract<ConsensusEffect, {readonly kind: 'persist'}>): Promise<void> {
 		const persisted = await storage.persist(effect);
 		if (persisted.isErr) {
-			dependencies.failed(persisted.error);
+			dependencies.storageFailed(persisted.error);
 			return;
 		}
 
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -138,7 +138,7 @@
 			log: silent,
 			send,
 			roleChanged: () => undefined,
-			failed(failed) {
+			storageFailed(failed) {
 				assert.fail(failed.detail);
 			},
 		}));
