--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -74,7 +74,7 @@
 const unknownOutcome = failure(FailureKind.outcomeUnknown, 'another leader was elected before the change was known to be accepted');
 
 /** A snapshot that can't be decoded must not replace the state on disk. */
-function hasReadableSnapshot({message}: ConsensusEnvelope, isReadable: (data: string) => boolean): boolean {
+function hasDecodableSnapshot({message}: ConsensusEnvelope, isReadable: (data: string) => boolean): boolean {
 	return message.kind !== 'snapshotSent' || isReadable(message.snapshot.data);
 }
 
@@ -83,7 +83,7 @@
 		return err(failure(FailureKind.notFound, `the message is for the folder ${envelope.to.folder} of ${envelope.to.name}, which this instance doesn't have`));
 	}
 
-	return isValidEnvelope(envelope, self) && hasReadableSnapshot(envelope, isReadable)
+	return isValidEnvelope(envelope, self) && hasDecodableSnapshot(envelope, isReadable)
 		? ok(undefined)
 		: err(failure(FailureKind.malformed, `a message of kind ${envelope.message.kind} is invalid`));
 }
