--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -74,8 +74,8 @@
 const unknownOutcome = failure(FailureKind.outcomeUnknown, 'another leader was elected before the change was known to be accepted');
 
 /** A snapshot that can't be decoded must not replace the state on disk. */
-function hasDecodableSnapshot({message}: ConsensusEnvelope, isReadable: (data: string) => boolean): boolean {
-	return message.kind !== 'snapshotSent' || isReadable(message.snapshot.data);
+function hasDecodableSnapshot({message}: ConsensusEnvelope, canDecode: (data: string) => boolean): boolean {
+	return message.kind !== 'snapshotSent' || canDecode(message.snapshot.data);
 }
 
 function checkEnvelope(envelope: ConsensusEnvelope, self: VoterIdentity, isReadable: (data: string) => boolean): Result<undefined, Failure> {
