--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -78,12 +78,12 @@
 	return message.kind !== 'snapshotSent' || canDecode(message.snapshot.data);
 }
 
-function checkEnvelope(envelope: ConsensusEnvelope, self: VoterIdentity, isReadable: (data: string) => boolean): Result<undefined, Failure> {
+function checkEnvelope(envelope: ConsensusEnvelope, self: VoterIdentity, canDecode: (data: string) => boolean): Result<undefined, Failure> {
 	if (!sameVoter(envelope.to, self)) {
 		return err(failure(FailureKind.notFound, `the message is for the folder ${envelope.to.folder} of ${envelope.to.name}, which this instance doesn't have`));
 	}
 
-	return isValidEnvelope(envelope, self) && hasDecodableSnapshot(envelope, isReadable)
+	return isValidEnvelope(envelope, self) && hasDecodableSnapshot(envelope, canDecode)
 		? ok(undefined)
 		: err(failure(FailureKind.malformed, `a message of kind ${envelope.message.kind} is invalid`));
 }
