--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -216,7 +216,7 @@
 			dispatch(effects, effect);
 		}
 
-		ticking.arm();
+		tickTimer.arm();
 	}
 
 	async function submitRequest(event: (request: string) => ConsensusEvent): Promise<Result<Committed<Accepted>, Failure>> {
@@ -228,7 +228,7 @@
 		});
 	}
 
-	const ticking = startDueTimer({
+	const tickTimer = startDueTimer({
 		dueAt: () => voterDueAt(state),
 		run() {
 			step({kind: 'ticked', now: monotonicNow()});
@@ -270,7 +270,7 @@
 		memberPositions: () => memberPositions(state),
 		async stop() {
 			stopped = true;
-			ticking.stop();
+			tickTimer.stop();
 			for (const pending of proposals.values()) {
 				pending(err(unknownOutcome));
 			}
