--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -142,8 +142,8 @@
 		}
 	}
 
-	async function writeAfter(earlier: Promise<void>, later: Promise<void>): Promise<void> {
-		await earlier;
+	async function writeAfter(previous: Promise<void>, later: Promise<void>): Promise<void> {
+		await previous;
 		await later;
 	}
 
