--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -142,9 +142,9 @@
 		}
 	}
 
-	async function writeAfter(previous: Promise<void>, later: Promise<void>): Promise<void> {
+	async function writeAfter(previous: Promise<void>, next: Promise<void>): Promise<void> {
 		await previous;
-		await later;
+		await next;
 	}
 
 	const effects: HandlerTable<ConsensusEffect, [], void> = {
