--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -147,7 +147,7 @@
 		await next;
 	}
 
-	const effects: HandlerTable<ConsensusEffect, [], void> = {
+	const effectHandlers: HandlerTable<ConsensusEffect, [], void> = {
 		persist(effect) {
 			writing = writeAfter(writing, write(effect));
 		},
@@ -213,7 +213,7 @@
 		const next = stepVoter(state, event);
 		state = next.state;
 		for (const effect of next.effects) {
-			dispatch(effects, effect);
+			dispatch(effectHandlers, effect);
 		}
 
 		tickTimer.arm();
