--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -7,9 +7,9 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {LagWatch} from '@dogwooddeck/replica/lag-watch';
 
-type Look = {readonly now: number; readonly applied: number; readonly committed: number};
+type Measurement = {readonly now: number; readonly applied: number; readonly committed: number};
 
-const cases: ReadonlyArray<{readonly name: string; readonly looks: readonly Look[]; readonly told: readonly string[]; readonly behindFor: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly looks: readonly Measurement[]; readonly told: readonly string[]; readonly behindFor: number}> = [
 	{
 		name: 'a copy that is up to date',
 		looks: [{now: 0, applied: 5, committed: 5}, {now: 5000, applied: 7, committed: 7}],
