--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -9,34 +9,34 @@
 
 type Measurement = {readonly now: number; readonly applied: number; readonly committed: number};
 
-const cases: ReadonlyArray<{readonly name: string; readonly measurements: readonly Measurement[]; readonly told: readonly string[]; readonly behindFor: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly measurements: readonly Measurement[]; readonly reported: readonly string[]; readonly behindFor: number}> = [
 	{
 		name: 'a copy that is up to date',
 		measurements: [{now: 0, applied: 5, committed: 5}, {now: 5000, applied: 7, committed: 7}],
-		told: [],
+		reported: [],
 		behindFor: 0,
 	},
 	{
 		name: 'a copy that always lacks the newest entries but keeps up',
 		measurements: [{now: 0, applied: 5, committed: 8}, {now: 800, applied: 8, committed: 11}, {now: 1600, applied: 11, committed: 14}],
-		told: [],
+		reported: [],
 		behindFor: 0,
 	},
 	{
 		name: 'a copy that falls behind',
 		measurements: [{now: 0, applied: 5, committed: 8}, {now: 1000, applied: 5, committed: 9}, {now: 4000, applied: 6, committed: 12}],
-		told: [EventName.replicaBehind],
+		reported: [EventName.replicaBehind],
 		behindFor: 4000,
 	},
 	{
 		name: 'a copy that fell behind and caught up',
 		measurements: [{now: 0, applied: 5, committed: 8}, {now: 3000, applied: 7, committed: 9}, {now: 3200, applied: 9, committed: 9}],
-		told: [EventName.replicaBehind, EventName.replicaCaughtUp],
+		reported: [EventName.replicaBehind, EventName.replicaCaughtUp],
 		behindFor: 0,
 	},
 ];
 
-for (const {name, measurements: looks, told, behindFor} of cases) {
+for (const {name, measurements: looks, reported: told, behindFor} of cases) {
 	test(`lag: ${name}`, () => {
 		const heard: string[] = [];
 		const note = (event: string) => {
