--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -36,7 +36,7 @@
 	},
 ];
 
-for (const {name, measurements: looks, reported: told, behindFor} of cases) {
+for (const {name, measurements: measurements, reported: told, behindFor} of cases) {
 	test(`lag: ${name}`, () => {
 		const heard: string[] = [];
 		const note = (event: string) => {
@@ -45,7 +45,7 @@
 
 		const log: Log = {event: note, warning: note, error: note};
 		const watch = new LagWatch(log);
-		const noted = looks.map(({now, applied, committed}) => watch.note(applied, committed, now));
+		const noted = measurements.map(({now, applied, committed}) => watch.note(applied, committed, now));
 		assert.deepEqual(heard, told);
 		assert.equal(noted.at(-1), behindFor);
 	});
