--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -36,7 +36,7 @@
 	},
 ];
 
-for (const {name, measurements: measurements, reported: told, behindFor} of cases) {
+for (const {name, measurements: measurements, reported: reported, behindFor} of cases) {
 	test(`lag: ${name}`, () => {
 		const heard: string[] = [];
 		const note = (event: string) => {
@@ -46,7 +46,7 @@
 		const log: Log = {event: note, warning: note, error: note};
 		const watch = new LagWatch(log);
 		const noted = measurements.map(({now, applied, committed}) => watch.note(applied, committed, now));
-		assert.deepEqual(heard, told);
+		assert.deepEqual(heard, reported);
 		assert.equal(noted.at(-1), behindFor);
 	});
 }
