--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -38,15 +38,15 @@
 
 for (const {name, measurements: measurements, reported: reported, behindFor} of cases) {
 	test(`lag: ${name}`, () => {
-		const heard: string[] = [];
+		const logged: string[] = [];
 		const note = (event: string) => {
-			heard.push(event);
+			logged.push(event);
 		};
 
 		const log: Log = {event: note, warning: note, error: note};
 		const watch = new LagWatch(log);
 		const noted = measurements.map(({now, applied, committed}) => watch.note(applied, committed, now));
-		assert.deepEqual(heard, reported);
+		assert.deepEqual(logged, reported);
 		assert.equal(noted.at(-1), behindFor);
 	});
 }
