--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -45,8 +45,8 @@
 
 		const log: Log = {event: note, warning: note, error: note};
 		const watch = new LagWatch(log);
-		const noted = measurements.map(({now, applied, committed}) => watch.note(applied, committed, now));
+		const lags = measurements.map(({now, applied, committed}) => watch.note(applied, committed, now));
 		assert.deepEqual(logged, reported);
-		assert.equal(noted.at(-1), behindFor);
+		assert.equal(lags.at(-1), behindFor);
 	});
 }
