--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -14,7 +14,7 @@
 import {createStateHolder, type ReplicatedMachine} from '@dogwooddeck/replica/state-holder';
 import {startVoter, type VoterRunner} from '@dogwooddeck/replica/voter-runner';
 
-const silent: Log = {
+const silentLog: Log = {
 	event: () => undefined, warning: () => undefined, error: () => undefined,
 };
 
@@ -135,7 +135,7 @@
 			saved: bootstrapCluster(names),
 			storage,
 			holder: holders.get(name)!,
-			log: silent,
+			log: silentLog,
 			send,
 			roleChanged: () => undefined,
 			storageFailed(failed) {
