--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -18,13 +18,13 @@
 	event: () => undefined, warning: () => undefined, error: () => undefined,
 };
 
-type Counted = {readonly applied: number};
+type CounterState = {readonly applied: number};
 
-const machine: ReplicatedMachine<Counted, undefined> = {
+const machine: ReplicatedMachine<CounterState, undefined> = {
 	empty: {applied: 0},
 	apply: (_state, _payload, index) => ({state: {applied: index}, answers: [ok(undefined)]}),
 	encode: state => JSON.stringify(state),
-	decode: data => ok(JSON.parse(data) as Counted),
+	decode: data => ok(JSON.parse(data) as CounterState),
 };
 
 const storage = {persist: async () => ok(undefined), close: async () => undefined} as unknown as Storage;
