--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -34,7 +34,7 @@
 /** One-way delay between the regions. */
 const delayMilliseconds = 30;
 /** The overhead of a message: its header and transport framing. */
-const leastCharacters = 300;
+const overheadCharacters = 300;
 
 type Transfer = {
 	readonly envelope: ConsensusEnvelope;
@@ -54,7 +54,7 @@
 	constructor(readonly charactersPerMillisecond: number) {}
 
 	async carry(envelope: ConsensusEnvelope, now: number): Promise<Result<undefined, Failure>> {
-		const left = leastCharacters + messageCharacters(envelope.message);
+		const left = overheadCharacters + messageCharacters(envelope.message);
 		this.handedOver += left;
 		return new Promise(resolve => {
 			this.#transfers.push({
@@ -230,7 +230,7 @@
 			assert.ok(regions.applied('far') >= due, `far has applied ${regions.applied('far')}, and ${due} was committed ${inForceMilliseconds} ms ago`);
 		});
 		assert.equal(regions.applied('far'), leading.committed());
-		assert.ok(regions.link.handedOver < 2 * (largeCharacters + (12 * smallCharacters) + (leastCharacters * 400)), `${regions.link.handedOver} characters were passed to the link`);
+		assert.ok(regions.link.handedOver < 2 * (largeCharacters + (12 * smallCharacters) + (overheadCharacters * 400)), `${regions.link.handedOver} characters were passed to the link`);
 		await regions.stop();
 	});
 }
