--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -43,7 +43,7 @@
 	left: number;
 };
 
-const givenUp = failure(FailureKind.unreachable, 'the deadline has passed');
+const deadlineExceeded = failure(FailureKind.unreachable, 'the deadline has passed');
 
 /** A link whose concurrent transfers share its bandwidth. */
 class SlowLink {
@@ -83,7 +83,7 @@
 		const over = this.#transfers.filter(({left, endsAt}) => left > 0 && endsAt <= now);
 		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !over.includes(transfer));
 		for (const {settle} of over) {
-			settle(err(givenUp));
+			settle(err(deadlineExceeded));
 		}
 
 		return arrived;
