--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -90,7 +90,7 @@
 	}
 }
 
-type Region = {
+type Regions = {
 	readonly run: (milliseconds: number, each?: (now: number) => void) => Promise<void>;
 	readonly leader: () => VoterRunner<undefined> | undefined;
 	readonly applied: (name: string) => number;
@@ -99,7 +99,7 @@
 };
 
 /** Starts three voters; `far` is on the other side of the link. */
-function startRegions(context: TestContext, charactersPerMillisecond: number): Region {
+function startRegions(context: TestContext, charactersPerMillisecond: number): Regions {
 	let now = 1000;
 	context.mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	context.mock.method(performance, 'now', () => now);
