--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -80,9 +80,9 @@
 		}
 
 		const arrived = this.#transfers.filter(({left}) => left <= 0);
-		const over = this.#transfers.filter(({left, endsAt}) => left > 0 && endsAt <= now);
-		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !over.includes(transfer));
-		for (const {settle} of over) {
+		const expired = this.#transfers.filter(({left, endsAt}) => left > 0 && endsAt <= now);
+		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !expired.includes(transfer));
+		for (const {settle} of expired) {
 			settle(err(deadlineExceeded));
 		}
 
