--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -106,7 +106,7 @@
 	const link = new SlowLink(charactersPerMillisecond);
 	const voters = new Map<string, VoterRunner<undefined>>();
 	const holders = new Map(names.map(name => [name, createStateHolder(machine)]));
-	let near: Array<{readonly envelope: ConsensusEnvelope; readonly settle: (result: Result<undefined, Failure>) => void}> = [];
+	let nearMessages: Array<{readonly envelope: ConsensusEnvelope; readonly settle: (result: Result<undefined, Failure>) => void}> = [];
 	const delayed: Array<{readonly at: number; readonly act: () => void}> = [];
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<undefined, Failure>> {
@@ -116,7 +116,7 @@
 		}
 
 		return new Promise(resolve => {
-			near.push({envelope, settle: resolve});
+			nearMessages.push({envelope, settle: resolve});
 		});
 	}
 
@@ -147,8 +147,8 @@
 	async function step(): Promise<void> {
 		now += stepMilliseconds;
 		context.mock.timers.tick(stepMilliseconds);
-		const arrived = near;
-		near = [];
+		const arrived = nearMessages;
+		nearMessages = [];
 		for (const {envelope, settle} of arrived) {
 			voters.get(envelope.to.name)!.receive(envelope);
 			settle(ok(undefined));
