--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -48,14 +48,14 @@
 /** A link whose concurrent transfers share its bandwidth. */
 class SlowLink {
 	/** The total number of characters that were passed to the link. */
-	handedOver = 0;
+	totalCharacters = 0;
 	#transfers: Transfer[] = [];
 
 	constructor(readonly charactersPerMillisecond: number) {}
 
 	async carry(envelope: ConsensusEnvelope, now: number): Promise<Result<undefined, Failure>> {
 		const left = overheadCharacters + messageCharacters(envelope.message);
-		this.handedOver += left;
+		this.totalCharacters += left;
 		return new Promise(resolve => {
 			this.#transfers.push({
 				envelope, endsAt: now + deliveryTimeout(envelope.message), settle: resolve, left,
@@ -230,7 +230,7 @@
 			assert.ok(regions.applied('far') >= due, `far has applied ${regions.applied('far')}, and ${due} was committed ${inForceMilliseconds} ms ago`);
 		});
 		assert.equal(regions.applied('far'), leading.committed());
-		assert.ok(regions.link.handedOver < 2 * (largeCharacters + (12 * smallCharacters) + (overheadCharacters * 400)), `${regions.link.handedOver} characters were passed to the link`);
+		assert.ok(regions.link.totalCharacters < 2 * (largeCharacters + (12 * smallCharacters) + (overheadCharacters * 400)), `${regions.link.totalCharacters} characters were passed to the link`);
 		await regions.stop();
 	});
 }
