--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -38,7 +38,7 @@
 
 type Transfer = {
 	readonly envelope: ConsensusEnvelope;
-	readonly endsAt: number;
+	readonly deadline: number;
 	readonly settle: (result: Result<undefined, Failure>) => void;
 	left: number;
 };
@@ -58,7 +58,7 @@
 		this.totalCharacters += left;
 		return new Promise(resolve => {
 			this.#transfers.push({
-				envelope, endsAt: now + deliveryTimeout(envelope.message), settle: resolve, left,
+				envelope, deadline: now + deliveryTimeout(envelope.message), settle: resolve, left,
 			});
 		});
 	}
@@ -80,7 +80,7 @@
 		}
 
 		const arrived = this.#transfers.filter(({left}) => left <= 0);
-		const expired = this.#transfers.filter(({left, endsAt}) => left > 0 && endsAt <= now);
+		const expired = this.#transfers.filter(({left, deadline: endsAt}) => left > 0 && endsAt <= now);
 		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !expired.includes(transfer));
 		for (const {settle} of expired) {
 			settle(err(deadlineExceeded));
