--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -40,7 +40,7 @@
 	readonly envelope: ConsensusEnvelope;
 	readonly deadline: number;
 	readonly settle: (result: Result<undefined, Failure>) => void;
-	left: number;
+	remaining: number;
 };
 
 const deadlineExceeded = failure(FailureKind.unreachable, 'the deadline has passed');
@@ -58,7 +58,7 @@
 		this.totalCharacters += left;
 		return new Promise(resolve => {
 			this.#transfers.push({
-				envelope, deadline: now + deliveryTimeout(envelope.message), settle: resolve, left,
+				envelope, deadline: now + deliveryTimeout(envelope.message), settle: resolve, remaining: left,
 			});
 		});
 	}
@@ -70,17 +70,17 @@
 		while (room > 0 && open.length > 0) {
 			const share = room / open.length;
 			for (const transfer of open) {
-				const carried = Math.min(share, transfer.left);
-				transfer.left -= carried;
+				const carried = Math.min(share, transfer.remaining);
+				transfer.remaining -= carried;
 				room -= carried;
 			}
 
 			room = Math.floor(room);
-			open = open.filter(({left}) => left > 0);
+			open = open.filter(({remaining: left}) => left > 0);
 		}
 
-		const arrived = this.#transfers.filter(({left}) => left <= 0);
-		const expired = this.#transfers.filter(({left, deadline: endsAt}) => left > 0 && endsAt <= now);
+		const arrived = this.#transfers.filter(({remaining: left}) => left <= 0);
+		const expired = this.#transfers.filter(({remaining: left, deadline: endsAt}) => left > 0 && endsAt <= now);
 		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !expired.includes(transfer));
 		for (const {settle} of expired) {
 			settle(err(deadlineExceeded));
