--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -54,11 +54,11 @@
 	constructor(readonly charactersPerMillisecond: number) {}
 
 	async carry(envelope: ConsensusEnvelope, now: number): Promise<Result<undefined, Failure>> {
-		const left = overheadCharacters + messageCharacters(envelope.message);
-		this.totalCharacters += left;
+		const characters = overheadCharacters + messageCharacters(envelope.message);
+		this.totalCharacters += characters;
 		return new Promise(resolve => {
 			this.#transfers.push({
-				envelope, deadline: now + deliveryTimeout(envelope.message), settle: resolve, remaining: left,
+				envelope, deadline: now + deliveryTimeout(envelope.message), settle: resolve, remaining: characters,
 			});
 		});
 	}
