--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -195,7 +195,7 @@
 }
 
 /** A change has to be applied everywhere this long after it was acknowledged. */
-const inForceMilliseconds = 2500;
+const applyDeadlineMilliseconds = 2500;
 
 const cases: ReadonlyArray<{readonly name: string; readonly charactersPerMillisecond: number; readonly largeCharacters: number; readonly smallCharacters: number}> = [
 	{
@@ -226,8 +226,8 @@
 				latest = now;
 			}
 
-			const due = committed.findLast(({at}) => at <= now - inForceMilliseconds)?.index ?? 0;
-			assert.ok(regions.applied('far') >= due, `far has applied ${regions.applied('far')}, and ${due} was committed ${inForceMilliseconds} ms ago`);
+			const due = committed.findLast(({at}) => at <= now - applyDeadlineMilliseconds)?.index ?? 0;
+			assert.ok(regions.applied('far') >= due, `far has applied ${regions.applied('far')}, and ${due} was committed ${applyDeadlineMilliseconds} ms ago`);
 		});
 		assert.equal(regions.applied('far'), leading.committed());
 		assert.ok(regions.link.totalCharacters < 2 * (largeCharacters + (12 * smallCharacters) + (overheadCharacters * 400)), `${regions.link.totalCharacters} characters were passed to the link`);
