--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -65,17 +65,17 @@
 
 	/** Advances the time by one step; returns the transfers that have completed. */
 	advance(now: number): readonly Transfer[] {
-		let room = stepMilliseconds * this.charactersPerMillisecond;
+		let capacity = stepMilliseconds * this.charactersPerMillisecond;
 		let open = this.#transfers;
-		while (room > 0 && open.length > 0) {
-			const share = room / open.length;
+		while (capacity > 0 && open.length > 0) {
+			const share = capacity / open.length;
 			for (const transfer of open) {
 				const carried = Math.min(share, transfer.remaining);
 				transfer.remaining -= carried;
-				room -= carried;
+				capacity -= carried;
 			}
 
-			room = Math.floor(room);
+			capacity = Math.floor(capacity);
 			open = open.filter(({remaining: left}) => left > 0);
 		}
 
