--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -7,13 +7,13 @@
 import {ok} from 'true-myth/result';
 import {createStateHolder, type ReplicatedMachine} from '@dogwooddeck/replica/state-holder';
 
-type Words = {readonly applied: number; readonly words: readonly string[]};
+type WordsState = {readonly applied: number; readonly words: readonly string[]};
 
-const machine: ReplicatedMachine<Words, undefined> = {
+const machine: ReplicatedMachine<WordsState, undefined> = {
 	empty: {applied: 0, words: []},
 	apply: ({words}, payload, index) => ({state: {applied: index, words: [...words, payload]}, answers: [ok(undefined)]}),
 	encode: state => JSON.stringify(state),
-	decode: data => ok(JSON.parse(data) as Words),
+	decode: data => ok(JSON.parse(data) as WordsState),
 };
 
 const whole = {index: 2, data: JSON.stringify({applied: 2, words: ['a', 'b']})};
