--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -16,7 +16,7 @@
 	decode: data => ok(JSON.parse(data) as WordsState),
 };
 
-const whole = {index: 2, data: JSON.stringify({applied: 2, words: ['a', 'b']})};
+const fullState = {index: 2, data: JSON.stringify({applied: 2, words: ['a', 'b']})};
 
 const cases: ReadonlyArray<{readonly name: string; readonly received: readonly CatchUp[]; readonly words: readonly string[]; readonly told: number}> = [
 	{
@@ -29,10 +29,10 @@
 		name: 'entries after a gap are not applied', received: [{entries: [{index: 2, payload: 'b'}]}], words: [], told: 0,
 	},
 	{
-		name: 'a full state and the entries after it', received: [{state: whole, entries: [{index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 2,
+		name: 'a full state and the entries after it', received: [{state: fullState, entries: [{index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 2,
 	},
 	{
-		name: 'an older full state is ignored', received: [{state: whole, entries: [{index: 3, payload: 'c'}]}, {state: whole, entries: []}], words: ['a', 'b', 'c'], told: 2,
+		name: 'an older full state is ignored', received: [{state: fullState, entries: [{index: 3, payload: 'c'}]}, {state: fullState, entries: []}], words: ['a', 'b', 'c'], told: 2,
 	},
 ];
 
