--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -18,25 +18,25 @@
 
 const fullState = {index: 2, data: JSON.stringify({applied: 2, words: ['a', 'b']})};
 
-const cases: ReadonlyArray<{readonly name: string; readonly received: readonly CatchUp[]; readonly words: readonly string[]; readonly told: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly received: readonly CatchUp[]; readonly words: readonly string[]; readonly notifications: number}> = [
 	{
-		name: 'several entries are announced to listeners at once', received: [{entries: [{index: 1, payload: 'a'}, {index: 2, payload: 'b'}, {index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 1,
+		name: 'several entries are announced to listeners at once', received: [{entries: [{index: 1, payload: 'a'}, {index: 2, payload: 'b'}, {index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], notifications: 1,
 	},
 	{
-		name: 'entries that were applied before are not announced', received: [{entries: [{index: 1, payload: 'a'}]}, {entries: [{index: 1, payload: 'other'}]}], words: ['a'], told: 1,
+		name: 'entries that were applied before are not announced', received: [{entries: [{index: 1, payload: 'a'}]}, {entries: [{index: 1, payload: 'other'}]}], words: ['a'], notifications: 1,
 	},
 	{
-		name: 'entries after a gap are not applied', received: [{entries: [{index: 2, payload: 'b'}]}], words: [], told: 0,
+		name: 'entries after a gap are not applied', received: [{entries: [{index: 2, payload: 'b'}]}], words: [], notifications: 0,
 	},
 	{
-		name: 'a full state and the entries after it', received: [{state: fullState, entries: [{index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], told: 2,
+		name: 'a full state and the entries after it', received: [{state: fullState, entries: [{index: 3, payload: 'c'}]}], words: ['a', 'b', 'c'], notifications: 2,
 	},
 	{
-		name: 'an older full state is ignored', received: [{state: fullState, entries: [{index: 3, payload: 'c'}]}, {state: fullState, entries: []}], words: ['a', 'b', 'c'], told: 2,
+		name: 'an older full state is ignored', received: [{state: fullState, entries: [{index: 3, payload: 'c'}]}, {state: fullState, entries: []}], words: ['a', 'b', 'c'], notifications: 2,
 	},
 ];
 
-for (const {name, received, words, told} of cases) {
+for (const {name, received, words, notifications: told} of cases) {
 	test(`state holder: ${name}`, () => {
 		const holder = createStateHolder(machine);
 		let heard = 0;
