--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -36,7 +36,7 @@
 	},
 ];
 
-for (const {name, received, words, notifications: told} of cases) {
+for (const {name, received, words, notifications: notifications} of cases) {
 	test(`state holder: ${name}`, () => {
 		const holder = createStateHolder(machine);
 		let heard = 0;
@@ -48,6 +48,6 @@
 		}
 
 		assert.deepEqual(holder.state().words, words);
-		assert.equal(heard, told);
+		assert.equal(heard, notifications);
 	});
 }
