--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -39,15 +39,15 @@
 for (const {name, received, words, notifications: notifications} of cases) {
 	test(`state holder: ${name}`, () => {
 		const holder = createStateHolder(machine);
-		let heard = 0;
+		let notified = 0;
 		holder.listen(() => {
-			heard += 1;
+			notified += 1;
 		});
 		for (const catchUp of received) {
 			holder.catchUp(catchUp);
 		}
 
 		assert.deepEqual(holder.state().words, words);
-		assert.equal(heard, notifications);
+		assert.equal(notified, notifications);
 	});
 }
