--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -15,7 +15,7 @@
 	return {name, folder};
 }
 
-function seen(identity: VoterIdentity, ago = 100): VoterObservation {
+function observed(identity: VoterIdentity, ago = 100): VoterObservation {
 	return {voter: identity, lastContactAt: now - ago};
 }
 
@@ -24,34 +24,34 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly sightings: readonly VoterObservation[]; readonly next: VoterSet | undefined}> = [
 	{
-		name: 'no change is needed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: undefined,
+		name: 'no change is needed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two), observed(three), observed(four)], next: undefined,
 	},
 	{
-		name: 'a newcomer becomes a learner', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two), seen(three), seen(four)], next: {voters: [one, two, three], learners: [four]},
+		name: 'a newcomer becomes a learner', voterSet: {voters: [one, two, three], learners: []}, sightings: [observed(one), observed(two), observed(three), observed(four)], next: {voters: [one, two, three], learners: [four]},
 	},
 	{
-		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds - 1), seen(three), seen(four)], next: undefined,
+		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds - 1), observed(three), observed(four)], next: undefined,
 	},
 	{
-		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: []},
+		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: []},
 	},
 	{
-		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds + 1), seen(three), seen(four)], next: {voters: [one, three, four], learners: []},
+		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three), observed(four)], next: {voters: [one, three, four], learners: []},
 	},
 	{
-		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [seen(one), seen(two, voterContactTimeoutMilliseconds + 1), seen(three)], next: undefined,
+		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three)], next: undefined,
 	},
 	{
-		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three), seen(four)], next: {voters: [one, two, three, four], learners: [renewed]},
+		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, renewed]}, sightings: [observed(one), observed(two, 900), observed(renewed), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: [renewed]},
 	},
 	{
-		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [renewed]}, sightings: [seen(one), seen(two, 900), seen(renewed), seen(three)], next: {voters: [one, three], learners: [renewed]},
+		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [renewed]}, sightings: [observed(one), observed(two, 900), observed(renewed), observed(three)], next: {voters: [one, three], learners: [renewed]},
 	},
 	{
-		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [renewed]}, sightings: [seen(one), seen(renewed), seen(three)], next: {voters: [one, three, renewed], learners: []},
+		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [renewed]}, sightings: [observed(one), observed(renewed), observed(three)], next: {voters: [one, three, renewed], learners: []},
 	},
 	{
-		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [seen(one), seen(two), seen(three), seen(four, learnerContactTimeoutMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
+		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two), observed(three), observed(four, learnerContactTimeoutMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
 	},
 ];
 
