--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -20,7 +20,7 @@
 }
 
 const [one, two, three, four] = ['1', '2', '3', '4'].map(name => voter(name)) as [VoterIdentity, VoterIdentity, VoterIdentity, VoterIdentity];
-const renewed = voter('2', 'new');
+const recreated = voter('2', 'new');
 
 const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly sightings: readonly VoterObservation[]; readonly next: VoterSet | undefined}> = [
 	{
@@ -42,13 +42,13 @@
 		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three)], next: undefined,
 	},
 	{
-		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, renewed]}, sightings: [observed(one), observed(two, 900), observed(renewed), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: [renewed]},
+		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, recreated]}, sightings: [observed(one), observed(two, 900), observed(recreated), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: [recreated]},
 	},
 	{
-		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [renewed]}, sightings: [observed(one), observed(two, 900), observed(renewed), observed(three)], next: {voters: [one, three], learners: [renewed]},
+		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [recreated]}, sightings: [observed(one), observed(two, 900), observed(recreated), observed(three)], next: {voters: [one, three], learners: [recreated]},
 	},
 	{
-		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [renewed]}, sightings: [observed(one), observed(renewed), observed(three)], next: {voters: [one, three, renewed], learners: []},
+		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [recreated]}, sightings: [observed(one), observed(recreated), observed(three)], next: {voters: [one, three, recreated], learners: []},
 	},
 	{
 		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two), observed(three), observed(four, learnerContactTimeoutMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
