--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -22,40 +22,40 @@
 const [one, two, three, four] = ['1', '2', '3', '4'].map(name => voter(name)) as [VoterIdentity, VoterIdentity, VoterIdentity, VoterIdentity];
 const recreated = voter('2', 'new');
 
-const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly sightings: readonly VoterObservation[]; readonly next: VoterSet | undefined}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly voterSet: VoterSet; readonly observations: readonly VoterObservation[]; readonly next: VoterSet | undefined}> = [
 	{
-		name: 'no change is needed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two), observed(three), observed(four)], next: undefined,
+		name: 'no change is needed', voterSet: {voters: [one, two, three], learners: [four]}, observations: [observed(one), observed(two), observed(three), observed(four)], next: undefined,
 	},
 	{
-		name: 'a newcomer becomes a learner', voterSet: {voters: [one, two, three], learners: []}, sightings: [observed(one), observed(two), observed(three), observed(four)], next: {voters: [one, two, three], learners: [four]},
+		name: 'a newcomer becomes a learner', voterSet: {voters: [one, two, three], learners: []}, observations: [observed(one), observed(two), observed(three), observed(four)], next: {voters: [one, two, three], learners: [four]},
 	},
 	{
-		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds - 1), observed(three), observed(four)], next: undefined,
+		name: 'a voter without contact for a short time is not replaced', voterSet: {voters: [one, two, three], learners: [four]}, observations: [observed(one), observed(two, voterContactTimeoutMilliseconds - 1), observed(three), observed(four)], next: undefined,
 	},
 	{
-		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: []},
+		name: 'a voter without contact for a long time: first the standby is promoted', voterSet: {voters: [one, two, three], learners: [four]}, observations: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: []},
 	},
 	{
-		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three), observed(four)], next: {voters: [one, three, four], learners: []},
+		name: 'and then the lost voter is removed', voterSet: {voters: [one, two, three, four], learners: []}, observations: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three), observed(four)], next: {voters: [one, three, four], learners: []},
 	},
 	{
-		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, sightings: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three)], next: undefined,
+		name: 'without a standby the lost voter stays', voterSet: {voters: [one, two, three], learners: []}, observations: [observed(one), observed(two, voterContactTimeoutMilliseconds + 1), observed(three)], next: undefined,
 	},
 	{
-		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, recreated]}, sightings: [observed(one), observed(two, 900), observed(recreated), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: [recreated]},
+		name: 'a voter whose disk was lost is replaced by the standby', voterSet: {voters: [one, two, three], learners: [four, recreated]}, observations: [observed(one), observed(two, 900), observed(recreated), observed(three), observed(four)], next: {voters: [one, two, three, four], learners: [recreated]},
 	},
 	{
-		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [recreated]}, sightings: [observed(one), observed(two, 900), observed(recreated), observed(three)], next: {voters: [one, three], learners: [recreated]},
+		name: 'without a standby the old voter is removed, before its own instance takes its place', voterSet: {voters: [one, two, three], learners: [recreated]}, observations: [observed(one), observed(two, 900), observed(recreated), observed(three)], next: {voters: [one, three], learners: [recreated]},
 	},
 	{
-		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [recreated]}, sightings: [observed(one), observed(recreated), observed(three)], next: {voters: [one, three, recreated], learners: []},
+		name: 'and then its instance is promoted with its new folder', voterSet: {voters: [one, three], learners: [recreated]}, observations: [observed(one), observed(recreated), observed(three)], next: {voters: [one, three, recreated], learners: []},
 	},
 	{
-		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, sightings: [observed(one), observed(two), observed(three), observed(four, learnerContactTimeoutMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
+		name: 'a learner without contact for a long time is removed', voterSet: {voters: [one, two, three], learners: [four]}, observations: [observed(one), observed(two), observed(three), observed(four, learnerContactTimeoutMilliseconds + 1)], next: {voters: [one, two, three], learners: []},
 	},
 ];
 
-for (const {name, voterSet, sightings, next} of cases) {
+for (const {name, voterSet, observations: sightings, next} of cases) {
 	test(`succession: ${name}`, () => {
 		const found = nextVoterSet({
 			now, self: one, voterSet, observations: sightings, targetVoterCount: 3,
