--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -38,7 +38,7 @@
 	let members = new Map<string, LagWatch>();
 
 	function ownLag(): Milliseconds {
-		return own.note(holder.state().applied, voter.knownCommitted(), monotonicNow());
+		return own.record(holder.state().applied, voter.knownCommitted(), monotonicNow());
 	}
 
 	function watch(): void {
@@ -50,7 +50,7 @@
 		const positions = voter.memberPositions();
 		members = new Map(positions.map(({member}) => [nameOf(member), members.get(nameOf(member)) ?? new LagWatch(log, {member: member.name})]));
 		for (const {member, index} of positions) {
-			members.get(nameOf(member))!.note(index, committed, now);
+			members.get(nameOf(member))!.record(index, committed, now);
 		}
 	}
 
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -184,7 +184,7 @@
 	function check(): void {
 		const now = monotonicNow();
 		const all = [...streams.values()];
-		lag.note(holder.state().applied, committed, now);
+		lag.record(holder.state().applied, committed, now);
 		for (const [address, stream] of streams) {
 			const isSilent = now - stream.heardAt > (stream.hasHeard ? silentMilliseconds : connectMilliseconds);
 			if (stream.isOpen && isSilent) {
--- a/packages/replica/src/lag-watch.ts
+++ b/packages/replica/src/lag-watch.ts
@@ -24,7 +24,7 @@
 	}
 
 	/** Records the applied and committed indexes; returns for how long the copy has been lagging. */
-	note(applied: LogIndex, committed: LogIndex, now: MonotonicTime): Milliseconds {
+	record(applied: LogIndex, committed: LogIndex, now: MonotonicTime): Milliseconds {
 		const behindFor = lagMilliseconds(this.#lag, now);
 		this.#lag = updateLag(this.#lag, {applied, committed}, now);
 		const milliseconds = lagMilliseconds(this.#lag, now);
--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -45,7 +45,7 @@
 
 		const log: Log = {event: note, warning: note, error: note};
 		const monitor = new LagWatch(log);
-		const lags = measurements.map(({now, applied, committed}) => monitor.note(applied, committed, now));
+		const lags = measurements.map(({now, applied, committed}) => monitor.record(applied, committed, now));
 		assert.deepEqual(logged, reported);
 		assert.equal(lags.at(-1), behindFor);
 	});
