--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -5,7 +5,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
-import {LagWatch} from '@dogwooddeck/replica/lag-watch';
+import {LagMonitor} from '@dogwooddeck/replica/lag-watch';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
@@ -34,8 +34,8 @@
 
 /** Starts to watch. */
 export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchParts): ReplicationWatch {
-	const own = new LagWatch(log);
-	let members = new Map<string, LagWatch>();
+	const own = new LagMonitor(log);
+	let members = new Map<string, LagMonitor>();
 
 	function ownLag(): Milliseconds {
 		return own.record(holder.state().applied, voter.knownCommitted(), monotonicNow());
@@ -48,7 +48,7 @@
 		measures.set(MeasureName.applied, holder.state().applied);
 		measures.set(MeasureName.committed, committed);
 		const positions = voter.memberPositions();
-		members = new Map(positions.map(({member}) => [nameOf(member), members.get(nameOf(member)) ?? new LagWatch(log, {member: member.name})]));
+		members = new Map(positions.map(({member}) => [nameOf(member), members.get(nameOf(member)) ?? new LagMonitor(log, {member: member.name})]));
 		for (const {member, index} of positions) {
 			members.get(nameOf(member))!.record(index, committed, now);
 		}
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -13,7 +13,7 @@
 import {
 	type LogIndex, type Milliseconds, type MonotonicTime, type RegionName, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
-import {LagWatch} from '@dogwooddeck/replica/lag-watch';
+import {LagMonitor} from '@dogwooddeck/replica/lag-watch';
 import {createStateHolder} from '@dogwooddeck/replica/state-holder';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
@@ -109,7 +109,7 @@
 }: FollowerParts): DirectoryFollower {
 	const holder = createStateHolder(directoryMachine);
 	const streams = new Map<string, Stream>();
-	const lag = new LagWatch(log);
+	const lag = new LagMonitor(log);
 	let isConfirmed = false;
 	let shares: ReadonlyMap<string, number> = new Map();
 	let sharesAt: MonotonicTime = -Infinity;
--- a/packages/replica/src/lag-watch.ts
+++ b/packages/replica/src/lag-watch.ts
@@ -11,7 +11,7 @@
 export const lagReportThresholdMilliseconds: Milliseconds = 1000;
 
 /** Monitors the replica lag of one copy. Mutable. */
-export class LagWatch {
+export class LagMonitor {
 	readonly #log: Log;
 	readonly #fields: Fields;
 	#lag: Lag | undefined;
--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -5,7 +5,7 @@
 import {test} from 'node:test';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
-import {LagWatch} from '@dogwooddeck/replica/lag-watch';
+import {LagMonitor} from '@dogwooddeck/replica/lag-watch';
 
 type Measurement = {readonly now: number; readonly applied: number; readonly committed: number};
 
@@ -44,7 +44,7 @@
 		};
 
 		const log: Log = {event: note, warning: note, error: note};
-		const monitor = new LagWatch(log);
+		const monitor = new LagMonitor(log);
 		const lags = measurements.map(({now, applied, committed}) => monitor.record(applied, committed, now));
 		assert.deepEqual(logged, reported);
 		assert.equal(lags.at(-1), behindFor);
