--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -34,7 +34,7 @@
 	let isFlushing = false;
 
 	function messageFor(sent: LogIndex): FollowMessage {
-		const catchUp = holder.after(sent);
+		const catchUp = holder.catchUpAfter(sent);
 		return {...pulse(), ...(catchUp.state !== undefined || catchUp.entries.length > 0 ? {catchUp} : {})};
 	}
 
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -124,14 +124,14 @@
 			kind: 'delegationRequested', now, quorumHeardAt, control: holder.state(), request,
 		});
 		const answer = delegationAnswer ?? {termMilliseconds: 0, shares: []};
-		return {answer, catchUp: holder.after(request.applied)};
+		return {answer, catchUp: holder.catchUpAfter(request.applied)};
 	}
 
 	function seat(request: SeatRequest): CatchUp {
 		step({
 			kind: 'seatRequested', now: monotonicNow(), control: holder.state(), request,
 		});
-		return holder.after(request.applied);
+		return holder.catchUpAfter(request.applied);
 	}
 
 	return {
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -55,7 +55,7 @@
 		},
 		delegate: control.takeDelegation,
 		seat: control.takeSeat,
-		fetchState: async applied => ok(holder.after(applied)),
+		fetchState: async applied => ok(holder.catchUpAfter(applied)),
 		async notify(applied) {
 			parts.zone().takeNotice(applied);
 			return ok(undefined);
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -126,7 +126,7 @@
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
 			? err(failure(FailureKind.notReady, `${self.name} gives no lease now`))
-			: ok({answer: {...answer, shares: sharePost.take(request.instance)}, catchUp: holder.after(request.applied)});
+			: ok({answer: {...answer, shares: sharePost.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
 	}
 
 	function takeSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
--- a/packages/entry/test/test-slow-stream.ts
+++ b/packages/entry/test/test-slow-stream.ts
@@ -113,7 +113,7 @@
 		const port = await freePort();
 		const followers = new Set<Follower>();
 		const messageFor = ({request}: Follower): FollowMessage => ({
-			...(request.wantsChanges ? {catchUp: source.after(request.applied)} : {}), fresh: true, committed: 1, zone: 'z', members: [], entryCount: 1, shares: [],
+			...(request.wantsChanges ? {catchUp: source.catchUpAfter(request.applied)} : {}), fresh: true, committed: 1, zone: 'z', members: [], entryCount: 1, shares: [],
 		});
 		const server = await startMeshServer(`127.0.0.1:${port}`, {} as MeshHandlers, follower => {
 			followers.add(follower);
--- a/packages/replica/src/state-holder.ts
+++ b/packages/replica/src/state-holder.ts
@@ -34,7 +34,7 @@
 	/** Applies the state and entries that another instance sent. Listeners are notified once for all the entries. */
 	readonly catchUp: (received: CatchUp) => void;
 	/** Returns what an instance that has applied entries up to an index lacks: entries, or the full state. */
-	readonly after: (applied: LogIndex) => CatchUp;
+	readonly catchUpAfter: (applied: LogIndex) => CatchUp;
 	readonly listen: (listener: (state: State) => void) => void;
 };
 
@@ -121,7 +121,7 @@
 				notifyListeners();
 			}
 		},
-		after(applied) {
+		catchUpAfter(applied) {
 			if (applied >= state.applied) {
 				return {entries: []};
 			}
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -194,7 +194,7 @@
 			if (applied <= committedIndex(state)) {
 				queueMicrotask(() => {
 					step({
-						kind: 'snapshotTaken', now: monotonicNow(), index: applied, data: holder.after(-1).state!.data,
+						kind: 'snapshotTaken', now: monotonicNow(), index: applied, data: holder.catchUpAfter(-1).state!.data,
 					});
 				});
 			}
