--- a/packages/consensus/src/founding.ts
+++ b/packages/consensus/src/founding.ts
@@ -9,13 +9,13 @@
  * The folder identity of every initial voter. A folder that is opened without
  * bootstrapping gets a random identity, so it never passes for an initial voter's.
  */
-export const founderFolder = 'founder';
+export const bootstrapFolder = 'founder';
 
 const foundingTerm = 1;
 
 /** The voter set of a cluster that is bootstrapped by the instances with these names. */
 export function bootstrapVoterSet(names: readonly string[]): VoterSet {
-	return {voters: [...new Set(names)].sort().map(name => ({name, folder: founderFolder})), learners: []};
+	return {voters: [...new Set(names)].sort().map(name => ({name, folder: bootstrapFolder})), learners: []};
 }
 
 /** The state that an initial voter persists before its first start. The voter set is the first log entry. */
--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -14,7 +14,7 @@
 	checkDue, checkLeases, checkMajority, checkSynced,
 } from './invariants.js';
 import {
-	committedIndex, createVoter, bootstrapCluster, founderFolder, roleOf, stepVoter, termOf, voterSetOf,
+	committedIndex, createVoter, bootstrapCluster, bootstrapFolder, roleOf, stepVoter, termOf, voterSetOf,
 } from '@dogwooddeck/consensus/voter';
 import {
 	type ConsensusEnvelope, type LogEntry, type VoterSet,
@@ -84,7 +84,7 @@
 	constructor(seed: number, names: readonly string[]) {
 		this.#random = xoroshiro128plus(seed);
 		this.nodes = names.map(name => ({
-			name, identity: {name, folder: founderFolder}, voter: undefined, disk: bootstrapCluster(names), writes: [], machine: [], startsAt: 0, pausedUntil: 0, incarnation: 0,
+			name, identity: {name, folder: bootstrapFolder}, voter: undefined, disk: bootstrapCluster(names), writes: [], machine: [], startsAt: 0, pausedUntil: 0, incarnation: 0,
 		}));
 	}
 
--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -7,10 +7,10 @@
 import {type ConsensusEffect, type ConsensusEvent} from '@dogwooddeck/consensus/machine';
 import {type ConsensusMessage, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {
-	createVoter, bootstrapCluster, founderFolder, stepVoter, type VoterState,
+	createVoter, bootstrapCluster, bootstrapFolder, stepVoter, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 
-const [a, b] = ['a', 'b'].map(name => ({name, folder: founderFolder})) as [VoterIdentity, VoterIdentity];
+const [a, b] = ['a', 'b'].map(name => ({name, folder: bootstrapFolder})) as [VoterIdentity, VoterIdentity];
 const heartbeatMilliseconds = 50;
 const electedAt = 1000;
 
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -11,7 +11,7 @@
 	threeNames, fiveNames, proposeMany, startSimulation,
 } from './start-simulation.js';
 import {
-	createVoter, founderFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
+	createVoter, bootstrapFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterSet} from '@dogwooddeck/consensus/message';
 import {Role} from '@dogwooddeck/consensus/machine';
@@ -193,7 +193,7 @@
 		run(seed) {
 			const simulation = startSimulation(seed, threeNames);
 			const node = simulation.leader()!;
-			const from = {name: 'b', folder: founderFolder};
+			const from = {name: 'b', folder: bootstrapFolder};
 			const message = {kind: 'voteAnswered', term: 99, granted: false} as const;
 			const envelopes: readonly unknown[] = [
 				{from, to: {name: node.name, folder: 'other'}, message},
--- a/packages/consensus/test/test-voter.ts
+++ b/packages/consensus/test/test-voter.ts
@@ -7,10 +7,10 @@
 import {type ConsensusEvent} from '@dogwooddeck/consensus/machine';
 import {type ConsensusMessage, type LogEntry, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {
-	createVoter, bootstrapCluster, founderFolder, stepVoter,
+	createVoter, bootstrapCluster, bootstrapFolder, stepVoter,
 } from '@dogwooddeck/consensus/voter';
 
-const [a, b, c] = ['a', 'b', 'c'].map(name => ({name, folder: founderFolder})) as [VoterIdentity, VoterIdentity, VoterIdentity];
+const [a, b, c] = ['a', 'b', 'c'].map(name => ({name, folder: bootstrapFolder})) as [VoterIdentity, VoterIdentity, VoterIdentity];
 
 function received(now: number, from: VoterIdentity, message: ConsensusMessage): ConsensusEvent {
 	return {kind: 'received', now, envelope: {from, to: a, message}};
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test, type TestContext} from 'node:test';
-import {bootstrapCluster, founderFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapCluster, bootstrapFolder} from '@dogwooddeck/consensus/founding';
 import {type ConsensusEnvelope, messageCharacters} from '@dogwooddeck/consensus/message';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type Storage} from '@dogwooddeck/storage/folder';
@@ -123,7 +123,7 @@
 	for (const [seed, name] of names.entries()) {
 		voters.set(name, startVoter({
 			options: {
-				self: {name, folder: founderFolder},
+				self: {name, folder: bootstrapFolder},
 				electionMilliseconds: 750,
 				heartbeatMilliseconds: 150,
 				// The near voters start elections first, so that one of them becomes leader.
--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -4,7 +4,7 @@
 import {randomUUID} from 'node:crypto';
 import {mkdir} from 'node:fs/promises';
 import path from 'node:path';
-import {founderFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapFolder} from '@dogwooddeck/consensus/founding';
 import {type SavedState} from '@dogwooddeck/consensus/machine';
 import {
 	failure, FailureError, FailureKind, toFailure, type Failure,
@@ -62,7 +62,7 @@
 
 /** The identity comes last: a folder with an identity always has a log. */
 async function makeIdentity(file: string, found: boolean): Promise<string> {
-	const identity = found ? founderFolder : randomUUID();
+	const identity = found ? bootstrapFolder : randomUUID();
 	await replaceFile(file, new TextEncoder().encode(`dogwooddeck folder 1 ${identity}\n`));
 	return identity;
 }
@@ -98,7 +98,7 @@
 	const hash = await loadHash();
 	const {identity, log, saved} = await readFolder(hash, paths);
 	const fresh = isEmpty(saved);
-	if (found && fresh && identity !== undefined && identity !== founderFolder) {
+	if (found && fresh && identity !== undefined && identity !== bootstrapFolder) {
 		throw new FailureError(failure(FailureKind.conflict, 'The folder was opened before without founding a cluster; found with an empty folder.'));
 	}
 
--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -6,7 +6,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {test} from 'node:test';
-import {founderFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapFolder} from '@dogwooddeck/consensus/founding';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {openFolder, type OpenFolder, type PersistRequest} from '@dogwooddeck/storage/folder';
@@ -208,7 +208,7 @@
 test('founders share an identity, and found only once', async () => withFolder(async folder => {
 	await persistAll(folder, [request(1, [entry(1)])], true);
 	const {folderIdentity, fresh, storage} = await opened(folder, true);
-	assert.equal(folderIdentity, founderFolder);
+	assert.equal(folderIdentity, bootstrapFolder);
 	assert.equal(fresh, false);
 	await storage.close();
 	const refused = await storage.persist(request(1, []));
