--- a/packages/consensus/src/founding.ts
+++ b/packages/consensus/src/founding.ts
@@ -11,7 +11,7 @@
  */
 export const bootstrapFolder = 'founder';
 
-const foundingTerm = 1;
+const bootstrapTerm = 1;
 
 /** The voter set of a cluster that is bootstrapped by the instances with these names. */
 export function bootstrapVoterSet(names: readonly string[]): VoterSet {
@@ -21,7 +21,7 @@
 /** The state that an initial voter persists before its first start. The voter set is the first log entry. */
 export function bootstrapCluster(names: readonly string[]): SavedState {
 	return {
-		hardState: {term: foundingTerm},
-		entries: [{index: 1, term: foundingTerm, body: {kind: 'votersChanged', voterSet: bootstrapVoterSet(names)}}],
+		hardState: {term: bootstrapTerm},
+		entries: [{index: 1, term: bootstrapTerm, body: {kind: 'votersChanged', voterSet: bootstrapVoterSet(names)}}],
 	};
 }
