--- a/packages/consensus/src/machine.ts
+++ b/packages/consensus/src/machine.ts
@@ -20,7 +20,7 @@
 	 * A voter that has just started votes for no candidate for this long, as it may have followed a leader whose lease
 	 * relies on that. Defaults to `electionMilliseconds`; 0 if nothing relies on leadership without a heartbeat round.
 	 */
-	readonly startSilenceMilliseconds?: Milliseconds;
+	readonly startupVoteDelayMilliseconds?: Milliseconds;
 	/** A snapshot is requested after this many committed entries; as many entries before it are kept in the log. */
 	readonly entriesBeforeSnapshot: number;
 	readonly seed: number;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -44,7 +44,7 @@
 		reportedCommitted: 0,
 		role: Role.follower,
 		leader: undefined,
-		leaderContactAt: now - options.electionMilliseconds + (options.startSilenceMilliseconds ?? options.electionMilliseconds),
+		leaderContactAt: now - options.electionMilliseconds + (options.startupVoteDelayMilliseconds ?? options.electionMilliseconds),
 		electionAt: now + drawElectionTimeout({...options, electionMilliseconds: options.firstElectionMilliseconds ?? options.electionMilliseconds}, 0),
 		electionTimeoutDraws: 0,
 		campaign: undefined,
--- a/packages/consensus/test/test-election-timeout.ts
+++ b/packages/consensus/test/test-election-timeout.ts
@@ -60,7 +60,7 @@
 		name: 'after the usual timeout', fields: {}, electionBefore: electionMilliseconds * 2, votesAfter: electionMilliseconds,
 	},
 	{
-		name: 'sooner if the options say so', fields: {firstElectionMilliseconds: 100, startSilenceMilliseconds: 0}, electionBefore: 200, votesAfter: 0,
+		name: 'sooner if the options say so', fields: {firstElectionMilliseconds: 100, startupVoteDelayMilliseconds: 0}, electionBefore: 200, votesAfter: 0,
 	},
 ];
 
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -133,7 +133,7 @@
 			electionMilliseconds,
 			heartbeatMilliseconds,
 			firstElectionMilliseconds,
-			startSilenceMilliseconds: 0,
+			startupVoteDelayMilliseconds: 0,
 			entriesBeforeSnapshot,
 			seed: seedOf(settings.address),
 		},
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -128,7 +128,7 @@
 				heartbeatMilliseconds: 150,
 				// The near voters start elections first, so that one of them becomes leader.
 				firstElectionMilliseconds: name === 'far' ? 5000 : 250,
-				startSilenceMilliseconds: 0,
+				startupVoteDelayMilliseconds: 0,
 				entriesBeforeSnapshot: 1000,
 				seed,
 			},
