--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -27,7 +27,7 @@
 	committedIndex, knownCommittedIndex, leaderOf, memberPositions, roleOf, termOf, voterSetOf, type MemberPosition, type VoterState,
 } from './state.js';
 export {quorumContactAt} from './quorum.js';
-export {bootstrapCluster, bootstrapFolder, bootstrapVoterSet} from './founding.js';
+export {bootstrapCluster, bootstrapFolder, bootstrapVoterSet} from './bootstrap.js';
 
 /**
  * Creates the state of a voter from its durable state. The caller has to restore the
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -2,7 +2,7 @@
  * This instance's voter: its data folder, its way to the other voters, and its
  * being seen by the leader, which decides who votes.
  */
-import {bootstrapCluster} from '@dogwooddeck/consensus/founding';
+import {bootstrapCluster} from '@dogwooddeck/consensus/bootstrap';
 import {type Role, type SavedState} from '@dogwooddeck/consensus/machine';
 import {
 	type ConsensusEnvelope, type ConsensusMessage, messageCharacters, type VoterIdentity,
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test, type TestContext} from 'node:test';
-import {bootstrapCluster, bootstrapFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapCluster, bootstrapFolder} from '@dogwooddeck/consensus/bootstrap';
 import {type ConsensusEnvelope, messageCharacters} from '@dogwooddeck/consensus/message';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type Storage} from '@dogwooddeck/storage/folder';
--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -4,7 +4,7 @@
 import {randomUUID} from 'node:crypto';
 import {mkdir} from 'node:fs/promises';
 import path from 'node:path';
-import {bootstrapFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapFolder} from '@dogwooddeck/consensus/bootstrap';
 import {type SavedState} from '@dogwooddeck/consensus/machine';
 import {
 	failure, FailureError, FailureKind, toFailure, type Failure,
--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -6,7 +6,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {test} from 'node:test';
-import {bootstrapFolder} from '@dogwooddeck/consensus/founding';
+import {bootstrapFolder} from '@dogwooddeck/consensus/bootstrap';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {openFolder, type OpenFolder, type PersistRequest} from '@dogwooddeck/storage/folder';
