--- a/packages/consensus/src/bootstrap.ts
+++ b/packages/consensus/src/bootstrap.ts
@@ -2,7 +2,7 @@
  * Bootstraps a cluster. It happens only on an operator's explicit request; all initial
  * voters derive the same first log entry from the same list of names.
  */
-import {type SavedState} from './machine.js';
+import {type SavedState} from './voter-interface.js';
 import {type VoterSet} from './message.js';
 
 /**
--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -6,7 +6,7 @@
 import {type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type Transition} from '@dogwooddeck/model/transition';
 import {appendEntries, entriesBetween, truncateAfter} from './log.js';
-import {type ConsensusEffect, type HardState} from './machine.js';
+import {type ConsensusEffect, type HardState} from './voter-interface.js';
 import {
 	type ConsensusEnvelope, type ConsensusMessage, type LogEntry, type Snapshot, type VoterIdentity,
 } from './message.js';
--- a/packages/consensus/src/due.ts
+++ b/packages/consensus/src/due.ts
@@ -4,7 +4,7 @@
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {latestVoterSet} from './log.js';
-import {Role} from './machine.js';
+import {Role} from './voter-interface.js';
 import {roundContactAt} from './quorum.js';
 import {type Leadership, votesItself, type VoterState} from './state.js';
 import {isMajority} from './voter-set.js';
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -11,7 +11,7 @@
 } from './draft.js';
 import {electionDueAt, leadershipEndsAt} from './due.js';
 import {lastTermOf, latestVoterSet} from './log.js';
-import {Role} from './machine.js';
+import {Role} from './voter-interface.js';
 import {type ConsensusMessage, type Term, type VoterIdentity} from './message.js';
 import {
 	advanceCommit, appendLeaderEntry, newProgress, startRound,
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -9,7 +9,7 @@
 } from './draft.js';
 import {adoptTerm, becomeFollower, resetElectionTimer} from './election.js';
 import {installSnapshot, termAt} from './log.js';
-import {Role} from './machine.js';
+import {Role} from './voter-interface.js';
 import {type ConsensusMessage, type LogEntry, type VoterIdentity} from './message.js';
 import {hardStateSynced} from './state.js';
 import {sameVoter} from './voter-set.js';
--- a/packages/consensus/src/requests.ts
+++ b/packages/consensus/src/requests.ts
@@ -9,7 +9,7 @@
 import {
 	latestVoterSet, latestVoterSetIndex, compact, termAt, voterSetAt,
 } from './log.js';
-import {type ConsensusEvent} from './machine.js';
+import {type ConsensusEvent} from './voter-interface.js';
 import {type EntryBody, type VoterSet} from './message.js';
 import {answeredRound, ownTermCommitted} from './quorum.js';
 import {
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -6,7 +6,7 @@
 import {type Log, latestVoterSet} from './log.js';
 import {
 	type ConsensusOptions, type HardState, Role,
-} from './machine.js';
+} from './voter-interface.js';
 import {type ConsensusEnvelope, type VoterIdentity, type VoterSet} from './message.js';
 import {includesVoter} from './voter-set.js';
 
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -14,7 +14,7 @@
 import {appendEntries, createLog} from './log.js';
 import {
 	Role, type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, type SavedState,
-} from './machine.js';
+} from './voter-interface.js';
 import {type ConsensusMessage, type VoterIdentity} from './message.js';
 import {advanceCommit, endDelivery, receiveAnswer} from './replication.js';
 import {
--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -3,7 +3,7 @@
  */
 import {type VoterState} from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterIdentity} from '@dogwooddeck/consensus/message';
-import {type ConsensusEffect, type SavedState} from '@dogwooddeck/consensus/machine';
+import {type ConsensusEffect, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 
 /** The length of one step of a simulation. */
 export const stepMilliseconds = 10;
--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -9,7 +9,7 @@
 	quorumContactAt, roleOf, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type LogEntry} from '@dogwooddeck/consensus/message';
-import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/machine';
+import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/voter-interface';
 
 /** An entry that a member confirms is the same as the leader's of that term. */
 function checkConfirmedEntry(message: ConsensusEnvelope['message'], node: SimulatedNode, nodes: readonly SimulatedNode[]): void {
--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -22,7 +22,7 @@
 import {includesVoter, sameVoter} from '@dogwooddeck/consensus/voter-set';
 import {
 	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role,
-} from '@dogwooddeck/consensus/machine';
+} from '@dogwooddeck/consensus/voter-interface';
 
 /** Simulates voters, their disks and their links under seeded faults, and checks the invariants at each step. */
 export class Simulation {
--- a/packages/consensus/test/test-delivery.ts
+++ b/packages/consensus/test/test-delivery.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {type ConsensusEffect, type ConsensusEvent} from '@dogwooddeck/consensus/machine';
+import {type ConsensusEffect, type ConsensusEvent} from '@dogwooddeck/consensus/voter-interface';
 import {type ConsensusMessage, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {
 	createVoter, bootstrapCluster, bootstrapFolder, stepVoter, type VoterState,
--- a/packages/consensus/test/test-election-timeout.ts
+++ b/packages/consensus/test/test-election-timeout.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {drawElectionTimeout} from '@dogwooddeck/consensus/election';
-import {type ConsensusOptions} from '@dogwooddeck/consensus/machine';
+import {type ConsensusOptions} from '@dogwooddeck/consensus/voter-interface';
 import {createVoter} from '@dogwooddeck/consensus/voter';
 
 const electionMilliseconds = 750;
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -14,7 +14,7 @@
 	createVoter, bootstrapFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterSet} from '@dogwooddeck/consensus/message';
-import {Role} from '@dogwooddeck/consensus/machine';
+import {Role} from '@dogwooddeck/consensus/voter-interface';
 
 const scenarios: ReadonlyArray<{readonly name: string; readonly run: (seed: number) => void}> = [
 	{
--- a/packages/consensus/test/test-voter.ts
+++ b/packages/consensus/test/test-voter.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {type ConsensusEvent} from '@dogwooddeck/consensus/machine';
+import {type ConsensusEvent} from '@dogwooddeck/consensus/voter-interface';
 import {type ConsensusMessage, type LogEntry, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {
 	createVoter, bootstrapCluster, bootstrapFolder, stepVoter,
--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -5,7 +5,7 @@
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
-import {Role} from '@dogwooddeck/consensus/machine';
+import {Role} from '@dogwooddeck/consensus/voter-interface';
 import {type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {type Announcement} from '@dogwooddeck/directory/announcement';
 import {type ItemChange, type Items} from '@dogwooddeck/directory/item';
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -3,7 +3,7 @@
  * being seen by the leader, which decides who votes.
  */
 import {bootstrapCluster} from '@dogwooddeck/consensus/bootstrap';
-import {type Role, type SavedState} from '@dogwooddeck/consensus/machine';
+import {type Role, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {
 	type ConsensusEnvelope, type ConsensusMessage, messageCharacters, type VoterIdentity,
 } from '@dogwooddeck/consensus/message';
--- a/packages/replica/src/voter-runner.ts
+++ b/packages/replica/src/voter-runner.ts
@@ -5,7 +5,7 @@
 import {voterDueAt} from '@dogwooddeck/consensus/due';
 import {
 	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role, type SavedState,
-} from '@dogwooddeck/consensus/machine';
+} from '@dogwooddeck/consensus/voter-interface';
 import {
 	type ConsensusEnvelope, type LogEntry, type VoterIdentity, type VoterSet,
 } from '@dogwooddeck/consensus/message';
--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -5,7 +5,7 @@
 import {mkdir} from 'node:fs/promises';
 import path from 'node:path';
 import {bootstrapFolder} from '@dogwooddeck/consensus/bootstrap';
-import {type SavedState} from '@dogwooddeck/consensus/machine';
+import {type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {
 	failure, FailureError, FailureKind, toFailure, type Failure,
 } from '@dogwooddeck/model/failure';
--- a/packages/storage/src/record.ts
+++ b/packages/storage/src/record.ts
@@ -1,7 +1,7 @@
 /**
  * The records of the log file, and what they come to when they are read in order.
  */
-import {type HardState, type SavedState} from '@dogwooddeck/consensus/machine';
+import {type HardState, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
 
 /** One write: the term and vote, and entries that take the place of those from the first one's index on. */
--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -2,7 +2,7 @@
  * Writes what a voter asks to persist. Writes that come while one is under way
  * go to the disk together, in their order, with one sync.
  */
-import {type ConsensusEffect, type HardState, type SavedState} from '@dogwooddeck/consensus/machine';
+import {type ConsensusEffect, type HardState, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
 import {
 	failure, FailureKind, toFailure, type Failure,
