--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -5,7 +5,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
-import {LagMonitor} from '@dogwooddeck/replica/lag-watch';
+import {LagMonitor} from '@dogwooddeck/replica/lag-monitor';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -13,7 +13,7 @@
 import {
 	type LogIndex, type Milliseconds, type MonotonicTime, type RegionName, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
-import {LagMonitor} from '@dogwooddeck/replica/lag-watch';
+import {LagMonitor} from '@dogwooddeck/replica/lag-monitor';
 import {createStateHolder} from '@dogwooddeck/replica/state-holder';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -5,7 +5,7 @@
 import {test} from 'node:test';
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
-import {LagMonitor} from '@dogwooddeck/replica/lag-watch';
+import {LagMonitor} from '@dogwooddeck/replica/lag-monitor';
 
 type Measurement = {readonly now: number; readonly applied: number; readonly committed: number};
 
