--- a/packages/consensus/test/faults.ts
+++ b/packages/consensus/test/faults.ts
@@ -1,9 +1,9 @@
 /**
  * The fault rates of a simulation, and the simulated state of voters, disks and messages.
  */
+import {type ConsensusEffect, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {type VoterState} from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterIdentity} from '@dogwooddeck/consensus/message';
-import {type ConsensusEffect, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 
 /** The length of one step of a simulation. */
 export const stepMilliseconds = 10;
--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -2,6 +2,7 @@
  * Safety invariants, checked at each step of a simulation.
  */
 import assert from 'node:assert/strict';
+import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/voter-interface';
 import {type SimulatedNode} from './faults.js';
 import {voterDueAt} from '@dogwooddeck/consensus/due';
 import {entryAt} from '@dogwooddeck/consensus/log';
@@ -9,7 +10,6 @@
 	quorumContactAt, roleOf, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type LogEntry} from '@dogwooddeck/consensus/message';
-import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/voter-interface';
 
 /** An entry that a member confirms is the same as the leader's of that term. */
 function checkConfirmedEntry(message: ConsensusEnvelope['message'], node: SimulatedNode, nodes: readonly SimulatedNode[]): void {
--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -7,6 +7,9 @@
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
+import {
+	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role,
+} from '@dogwooddeck/consensus/voter-interface';
 import {
 	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type SimulatedNode, options, type DeliveryOutcome, stepMilliseconds, applyWrite,
 } from './faults.js';
@@ -20,9 +23,6 @@
 	type ConsensusEnvelope, type LogEntry, type VoterSet,
 } from '@dogwooddeck/consensus/message';
 import {includesVoter, sameVoter} from '@dogwooddeck/consensus/voter-set';
-import {
-	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role,
-} from '@dogwooddeck/consensus/voter-interface';
 
 /** Simulates voters, their disks and their links under seeded faults, and checks the invariants at each step. */
 export class Simulation {
--- a/packages/consensus/test/test-election-timeout.ts
+++ b/packages/consensus/test/test-election-timeout.ts
@@ -3,8 +3,8 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {drawElectionTimeout} from '@dogwooddeck/consensus/election';
 import {type ConsensusOptions} from '@dogwooddeck/consensus/voter-interface';
+import {drawElectionTimeout} from '@dogwooddeck/consensus/election';
 import {createVoter} from '@dogwooddeck/consensus/voter';
 
 const electionMilliseconds = 750;
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -6,6 +6,7 @@
 import process from 'node:process';
 import {test} from 'node:test';
 import fc from 'fast-check';
+import {Role} from '@dogwooddeck/consensus/voter-interface';
 import {noFaults, options} from './faults.js';
 import {
 	threeNames, fiveNames, proposeMany, startSimulation,
@@ -14,7 +15,6 @@
 	createVoter, bootstrapFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
 import {type ConsensusEnvelope, type VoterSet} from '@dogwooddeck/consensus/message';
-import {Role} from '@dogwooddeck/consensus/voter-interface';
 
 const scenarios: ReadonlyArray<{readonly name: string; readonly run: (seed: number) => void}> = [
 	{
--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -30,12 +30,12 @@
 
 type VoterStatus = {readonly present: readonly VoterIdentity[]; readonly lost: readonly VoterIdentity[]};
 
-function lastContactAt({observations: observations}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
+function lastContactAt({observations}: SuccessionInput, voter: VoterIdentity): MonotonicTime {
 	return observations.find(observation => sameVoter(observation.voter, voter))?.lastContactAt ?? -Infinity;
 }
 
 /** A voter's folder is lost for good once its instance is observed with another one. */
-function isReplaced({observations: observations}: SuccessionInput, voter: VoterIdentity): boolean {
+function isReplaced({observations}: SuccessionInput, voter: VoterIdentity): boolean {
 	const others = observations.filter(observation => observation.voter.name === voter.name);
 	const newest = others.reduce<VoterObservation | undefined>((found, one) => found === undefined || one.lastContactAt > found.lastContactAt ? one : found, undefined);
 	return newest !== undefined && !sameVoter(newest.voter, voter);
--- a/packages/replica/test/test-lag.ts
+++ b/packages/replica/test/test-lag.ts
@@ -36,7 +36,7 @@
 	},
 ];
 
-for (const {name, measurements: measurements, reported: reported, behindFor} of cases) {
+for (const {name, measurements, reported, behindFor} of cases) {
 	test(`lag: ${name}`, () => {
 		const logged: string[] = [];
 		const note = (event: string) => {
--- a/packages/replica/test/test-state-holder.ts
+++ b/packages/replica/test/test-state-holder.ts
@@ -36,7 +36,7 @@
 	},
 ];
 
-for (const {name, received, words, notifications: notifications} of cases) {
+for (const {name, received, words, notifications} of cases) {
 	test(`state holder: ${name}`, () => {
 		const holder = createStateHolder(machine);
 		let notified = 0;
--- a/packages/replica/test/test-succession.ts
+++ b/packages/replica/test/test-succession.ts
@@ -55,10 +55,10 @@
 	},
 ];
 
-for (const {name, voterSet, observations: observations, next} of cases) {
+for (const {name, voterSet, observations, next} of cases) {
 	test(`succession: ${name}`, () => {
 		const found = nextVoterSet({
-			now, self: one, voterSet, observations: observations, targetVoterCount: 3,
+			now, self: one, voterSet, observations, targetVoterCount: 3,
 		});
 		assert.deepEqual(found, next);
 		assert.equal(found === undefined ? undefined : voterChangeProblem(voterSet, found, one), undefined);
