--- a/packages/consensus/test/invariants.ts
+++ b/packages/consensus/test/invariants.ts
@@ -2,8 +2,8 @@
  * Safety invariants, checked at each step of a simulation.
  */
 import assert from 'node:assert/strict';
-import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/voter-interface';
 import {type SimulatedNode} from './faults.js';
+import {type ConsensusEffect, type ConsensusEvent, Role} from '@dogwooddeck/consensus/voter-interface';
 import {voterDueAt} from '@dogwooddeck/consensus/due';
 import {entryAt} from '@dogwooddeck/consensus/log';
 import {
--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -7,15 +7,15 @@
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {
-	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role,
-} from '@dogwooddeck/consensus/voter-interface';
 import {
 	type DeliverySender, noFaults, type Faults, deliveryTimeoutMilliseconds, type MessageInTransit, type SimulatedNode, options, type DeliveryOutcome, stepMilliseconds, applyWrite,
 } from './faults.js';
 import {
 	checkDue, checkLeases, checkMajority, checkSynced,
 } from './invariants.js';
+import {
+	type ConsensusEffect, type ConsensusEvent, type ConsensusOptions, Role,
+} from '@dogwooddeck/consensus/voter-interface';
 import {
 	committedIndex, createVoter, bootstrapCluster, bootstrapFolder, roleOf, stepVoter, termOf, voterSetOf,
 } from '@dogwooddeck/consensus/voter';
--- a/packages/consensus/test/test-scenarios.ts
+++ b/packages/consensus/test/test-scenarios.ts
@@ -6,11 +6,11 @@
 import process from 'node:process';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {Role} from '@dogwooddeck/consensus/voter-interface';
 import {noFaults, options} from './faults.js';
 import {
 	threeNames, fiveNames, proposeMany, startSimulation,
 } from './start-simulation.js';
+import {Role} from '@dogwooddeck/consensus/voter-interface';
 import {
 	createVoter, bootstrapFolder, quorumContactAt, roleOf, stepVoter, termOf, voterSetOf, type VoterState,
 } from '@dogwooddeck/consensus/voter';
