--- a/packages/consensus/src/draft.ts
+++ b/packages/consensus/src/draft.ts
@@ -139,7 +139,7 @@
 		return {...addEffects(draft, ...sendEffects), deferred: []};
 	}
 
-	const writes = [...disk.writes.slice(0, -1), {...last, held: [...last.deferred, ...draft.deferred]}];
+	const writes = [...disk.writes.slice(0, -1), {...last, deferred: [...last.deferred, ...draft.deferred]}];
 	return {...updateState(draft, {disk: {...disk, writes}}), deferred: []};
 }
 
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -254,7 +254,7 @@
 	}
 
 	const {first} = progress.inFlight.find(({number}) => number === delivery)!;
-	const withoutDelivery = {...progress, underWay: progress.inFlight.filter(({number}) => number !== delivery)};
+	const withoutDelivery = {...progress, inFlight: progress.inFlight.filter(({number}) => number !== delivery)};
 	if (!arrived) {
 		return changeProgress(draft, {...withoutDelivery, nextIndex: Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex, first)), probing: true});
 	}
