--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -7,8 +7,8 @@
 import {entriesBetween} from './log.js';
 
 function requestSnapshotIfDue(draft: Draft): Draft {
-	const {committed, log, snapshotRequestedIndex: snapshotAskedAt, options} = draft.state;
-	const lastSnapshotIndex = Math.max(snapshotAskedAt, log.snapshot?.index ?? 0);
+	const {committed, log, snapshotRequestedIndex: snapshotRequestedIndex, options} = draft.state;
+	const lastSnapshotIndex = Math.max(snapshotRequestedIndex, log.snapshot?.index ?? 0);
 	return committed - lastSnapshotIndex < options.entriesBeforeSnapshot
 		? draft
 		: addEffects(updateState(draft, {snapshotRequestedIndex: committed}), {kind: 'snapshotWanted', index: committed});
