--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -56,10 +56,10 @@
 		: {voters: voterSet.voters, learners: [...voterSet.learners.filter(({name}) => name !== newcomer.name), newcomer]};
 }
 
-function promoteStandby({voterSet, targetVoterCount: wantedVoters}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
+function promoteStandby({voterSet, targetVoterCount: targetVoterCount}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
 	const names = new Set(voterSet.voters.map(({name}) => name));
 	const standby = voterSet.learners.find(learner => includesVoter(present, learner) && !names.has(learner.name));
-	return standby === undefined || voterSet.voters.length - lost.length >= wantedVoters
+	return standby === undefined || voterSet.voters.length - lost.length >= targetVoterCount
 		? undefined
 		: {voters: [...voterSet.voters, standby], learners: voterSet.learners.filter(learner => !sameVoter(learner, standby))};
 }
