--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -66,8 +66,8 @@
 
 /** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
 function removeLostVoter(input: SuccessionInput, {lost}: VoterStatus): VoterSet | undefined {
-	const {voterSet, targetVoterCount: wantedVoters} = input;
-	const removed = lost.find(voter => voterSet.voters.length > wantedVoters || isReplaced(input, voter));
+	const {voterSet, targetVoterCount: targetVoterCount} = input;
+	const removed = lost.find(voter => voterSet.voters.length > targetVoterCount || isReplaced(input, voter));
 	return removed === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, removed)), learners: voterSet.learners};
 }
 
