--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -71,8 +71,8 @@
 	return removed === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, removed)), learners: voterSet.learners};
 }
 
-function demoteSurplusVoter({voterSet, targetVoterCount: wantedVoters, self}: SuccessionInput): VoterSet | undefined {
-	const surplus = voterSet.voters.length > wantedVoters ? voterSet.voters.findLast(voter => !sameVoter(voter, self)) : undefined;
+function demoteSurplusVoter({voterSet, targetVoterCount: targetVoterCount, self}: SuccessionInput): VoterSet | undefined {
+	const surplus = voterSet.voters.length > targetVoterCount ? voterSet.voters.findLast(voter => !sameVoter(voter, self)) : undefined;
 	return surplus === undefined
 		? undefined
 		: {voters: voterSet.voters.filter(voter => !sameVoter(voter, surplus)), learners: [...voterSet.learners, surplus]};
