--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -76,7 +76,7 @@
 			}
 
 			capacity = Math.floor(capacity);
-			open = open.filter(({remaining: left}) => left > 0);
+			open = open.filter(({remaining: remaining}) => remaining > 0);
 		}
 
 		const arrived = this.#transfers.filter(({remaining: left}) => left <= 0);
