--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -79,7 +79,7 @@
 			open = open.filter(({remaining: remaining}) => remaining > 0);
 		}
 
-		const arrived = this.#transfers.filter(({remaining: left}) => left <= 0);
+		const arrived = this.#transfers.filter(({remaining: remaining}) => remaining <= 0);
 		const expired = this.#transfers.filter(({remaining: left, deadline: endsAt}) => left > 0 && endsAt <= now);
 		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !expired.includes(transfer));
 		for (const {settle} of expired) {
