--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -80,7 +80,7 @@
 		}
 
 		const arrived = this.#transfers.filter(({remaining: remaining}) => remaining <= 0);
-		const expired = this.#transfers.filter(({remaining: remaining, deadline: endsAt}) => remaining > 0 && endsAt <= now);
+		const expired = this.#transfers.filter(({remaining: remaining, deadline: deadline}) => remaining > 0 && deadline <= now);
 		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !expired.includes(transfer));
 		for (const {settle} of expired) {
 			settle(err(deadlineExceeded));
