--- a/packages/consensus/src/commit.ts
+++ b/packages/consensus/src/commit.ts
@@ -7,7 +7,7 @@
 import {entriesBetween} from './log.js';
 
 function requestSnapshotIfDue(draft: Draft): Draft {
-	const {committed, log, snapshotRequestedIndex: snapshotRequestedIndex, options} = draft.state;
+	const {committed, log, snapshotRequestedIndex, options} = draft.state;
 	const lastSnapshotIndex = Math.max(snapshotRequestedIndex, log.snapshot?.index ?? 0);
 	return committed - lastSnapshotIndex < options.entriesBeforeSnapshot
 		? draft
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -140,7 +140,7 @@
 
 /** The known replication position of each other member; empty on a voter that isn't the leader. */
 export function memberPositions(state: VoterState): readonly MemberPosition[] {
-	return state.leadership?.progress.map(({peer, matchIndex: matchIndex}) => ({member: peer, index: matchIndex})) ?? [];
+	return state.leadership?.progress.map(({peer, matchIndex}) => ({member: peer, index: matchIndex})) ?? [];
 }
 
 /** The current term. */
--- a/packages/replica/src/succession.ts
+++ b/packages/replica/src/succession.ts
@@ -56,7 +56,7 @@
 		: {voters: voterSet.voters, learners: [...voterSet.learners.filter(({name}) => name !== newcomer.name), newcomer]};
 }
 
-function promoteStandby({voterSet, targetVoterCount: targetVoterCount}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
+function promoteStandby({voterSet, targetVoterCount}: SuccessionInput, {present, lost}: VoterStatus): VoterSet | undefined {
 	const names = new Set(voterSet.voters.map(({name}) => name));
 	const standby = voterSet.learners.find(learner => includesVoter(present, learner) && !names.has(learner.name));
 	return standby === undefined || voterSet.voters.length - lost.length >= targetVoterCount
@@ -66,12 +66,12 @@
 
 /** Removes a lost voter once there are more voters than the target or, without a standby to promote, once its own instance has a new folder. */
 function removeLostVoter(input: SuccessionInput, {lost}: VoterStatus): VoterSet | undefined {
-	const {voterSet, targetVoterCount: targetVoterCount} = input;
+	const {voterSet, targetVoterCount} = input;
 	const removed = lost.find(voter => voterSet.voters.length > targetVoterCount || isReplaced(input, voter));
 	return removed === undefined ? undefined : {voters: voterSet.voters.filter(voter => !sameVoter(voter, removed)), learners: voterSet.learners};
 }
 
-function demoteSurplusVoter({voterSet, targetVoterCount: targetVoterCount, self}: SuccessionInput): VoterSet | undefined {
+function demoteSurplusVoter({voterSet, targetVoterCount, self}: SuccessionInput): VoterSet | undefined {
 	const surplus = voterSet.voters.length > targetVoterCount ? voterSet.voters.findLast(voter => !sameVoter(voter, self)) : undefined;
 	return surplus === undefined
 		? undefined
--- a/packages/replica/test/test-slow-link.ts
+++ b/packages/replica/test/test-slow-link.ts
@@ -76,11 +76,11 @@
 			}
 
 			capacity = Math.floor(capacity);
-			open = open.filter(({remaining: remaining}) => remaining > 0);
+			open = open.filter(({remaining}) => remaining > 0);
 		}
 
-		const arrived = this.#transfers.filter(({remaining: remaining}) => remaining <= 0);
-		const expired = this.#transfers.filter(({remaining: remaining, deadline: deadline}) => remaining > 0 && deadline <= now);
+		const arrived = this.#transfers.filter(({remaining}) => remaining <= 0);
+		const expired = this.#transfers.filter(({remaining, deadline}) => remaining > 0 && deadline <= now);
 		this.#transfers = this.#transfers.filter(transfer => !arrived.includes(transfer) && !expired.includes(transfer));
 		for (const {settle} of expired) {
 			settle(err(deadlineExceeded));
