--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -47,7 +47,7 @@
 	return state.role === Role.leader || now - state.leaderContactAt < state.options.electionMilliseconds;
 }
 
-/** Becomes a follower. Pending proposals of a former leader fail with an unknown outcome, its pending reads with `lost`. */
+/** Becomes a follower. Pending proposals of a former leader fail with an unknown outcome, its pending reads with `readFailure`. */
 export function becomeFollower(draft: Draft, leader: VoterIdentity | undefined, readFailure: Failure): Draft {
 	const {leadership} = draft.state;
 	const unknownOutcome = failure(FailureKind.outcomeUnknown, 'The leader that accepted the change lost its leadership before the change was committed.');
--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -116,7 +116,7 @@
 	};
 }
 
-/** Sets a snapshot of entries that the log has, and removes whole chunks that are more than `kept` entries before it. */
+/** Sets a snapshot of entries that the log has, and removes whole chunks that are more than `retainedEntries` entries before it. */
 export function compact(log: Log, snapshot: Snapshot, retainedEntries: number): Log {
 	const chunks = log.chunks.filter(chunk => chunk.start + chunk.entries.length - 1 > snapshot.index - retainedEntries);
 	const later = log.voterSets.filter(change => change.index > snapshot.index);
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -44,7 +44,7 @@
 	readonly nextIndex: LogIndex;
 	/** The index of the last entry that the peer is known to have synced. */
 	readonly matchIndex: LogIndex;
-	/** Whether `next` is an estimate that the peer has not confirmed. */
+	/** Whether `nextIndex` is an estimate that the peer has not confirmed. */
 	readonly probing: boolean;
 	readonly answeredRound: number;
 	readonly snapshotSentAt: MonotonicTime | undefined;
