--- a/packages/ownership/src/assigning.ts
+++ b/packages/ownership/src/assigning.ts
@@ -1,6 +1,7 @@
 /**
- * Handlers for grants, revocations and releases. A move is two entries with
- * evidence between them: the revocation, then the grant that names it.
+ * Command handlers for grants, revocations and releases of slots. A move takes
+ * two entries: the revocation, then, once there is evidence that the old owner
+ * gets no more requests, the grant that names the revocation.
  */
 import {type Assignment, AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {type Failure, failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -54,10 +55,10 @@
 	};
 }
 
-/** Grants slots that are vacant, or whose revocation the grant names. */
+/** Grants slots that are vacant or whose current revocation the grant names. */
 export function grantAssignments(command: AssignmentsGranted, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const changes = command.grants.map(grant => [grant.slot, grantChange(grant, index)] as const);
-	return changeSlots(state, command.service, changes, 'free for this grant');
+	return changeSlots(state, command.service, changes, 'vacant or under the revocation that the grant names');
 }
 
 function revokeChange(index: LogIndex): Change {
@@ -66,7 +67,7 @@
 		: undefined;
 }
 
-/** Begins to revoke slots that are granted. */
+/** Starts the revocation of slots that are granted. */
 export function revokeAssignments(command: AssignmentsRevoked, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const changes = command.slots.map(slot => [slot, revokeChange(index)] as const);
 	return changeSlots(state, command.service, changes, 'granted');
@@ -78,8 +79,8 @@
 		: undefined;
 }
 
-/** Makes slots vacant whose revocation the command names. */
+/** Vacates the slots whose current revocation the command names. */
 export function releaseAssignments(command: AssignmentsReleased, state: OwnershipState, _index: LogIndex): Result<OwnershipState, Failure> {
 	const changes = command.releases.map(({slot, revokedAt}) => [slot, releaseChange(revokedAt)] as const);
-	return changeSlots(state, command.service, changes, 'under this revocation');
+	return changeSlots(state, command.service, changes, 'under the revocation that the release names');
 }
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -1,9 +1,9 @@
 /**
- * Counts an instance's requests in flight by the assignment that they were
- * started under, and tells up to which log entry the instance is drained.
+ * Counts an instance's in-flight requests by the assignment that they were
+ * started under, and computes up to which log entry the instance is drained.
  *
- * This is a small mutable structure, because it stands on the path of every
- * request: a start or an end costs one look-up and allocates nothing.
+ * The structure is mutable because it is on the path of every request: recording
+ * a start or an end costs one look-up and allocates nothing.
  */
 import {AssignmentPhase} from '@dogwooddeck/model/assignment';
 import {
@@ -12,38 +12,38 @@
 import {assignmentOf, type OwnershipState} from './state.js';
 import {grantorWait, type LeaseTerms} from './terms.js';
 
-/** The requests of one instance under one assignment. Give it back to `ended` or `abandoned`. */
+/** One instance's in-flight requests under one assignment. Pass it to `ended` or `abandoned` for each request. */
 export type InFlightRequests = {
 	readonly service: ServiceName;
 	readonly slot: Slot;
 	readonly fence: FenceNumber;
 	inFlight: number;
-	/** When the last deadline has passed on every clock. */
+	/** The time after which all deadlines have passed on every clock. */
 	pastDeadlineAt: MonotonicTime;
-	/** Until then an upstream may still run something that this instance gave up. */
+	/** The time until which an upstream may still run a request that this instance abandoned. */
 	abandonedUntil: MonotonicTime;
 };
 
-/** The requests that an instance has in flight. */
+/** Tracks the in-flight requests of an instance. */
 export type InFlightTracker = {
-	/** Notes that a request is about to be handed to the socket. Its deadline is on this instance's clock. */
+	/** Records that a request is about to be written to the socket. Its deadline is on this instance's clock. */
 	readonly started: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => InFlightRequests;
-	/** Notes that a request is over at its upstream: a whole answer, or certainly not run. */
+	/** Records that the upstream is done with a request: it sent a complete answer, or it certainly didn't run the request. */
 	readonly ended: (flight: InFlightRequests) => void;
-	/** Notes that a request was given up while its upstream may still run it until its deadline. */
+	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
 	readonly abandoned: (flight: InFlightRequests) => void;
-	/** The largest index such that nothing which an earlier entry allowed and the table doesn't is in flight. */
+	/** Returns the largest index such that no in-flight request was allowed by an earlier entry but isn't allowed by the table. */
 	readonly drained: (state: OwnershipState, applied: LogIndex, now: MonotonicTime) => LogIndex;
-	/** The number of requests in flight. */
+	/** Returns the number of in-flight requests. */
 	readonly inFlight: () => number;
 };
 
-/** Whether something of a flight may still be running. */
+/** Whether any of the requests may still be running. */
 function running(flight: InFlightRequests, now: MonotonicTime): boolean {
 	return (flight.inFlight > 0 && now < flight.pastDeadlineAt) || now < flight.abandonedUntil;
 }
 
-/** The index up to which a flight doesn't stand in the way. */
+/** Returns the index up to which the instance counts as drained in spite of these requests. */
 function drainedBefore(flight: InFlightRequests, state: OwnershipState): LogIndex {
 	const assignment = assignmentOf(state, flight.service, flight.slot);
 	if (assignment === undefined || assignment.phase === AssignmentPhase.vacant || assignment.fence !== flight.fence) {
@@ -75,7 +75,7 @@
 	return flight;
 }
 
-/** Makes an empty count. */
+/** Creates a tracker without in-flight requests. */
 export function createInFlightTracker(terms: LeaseTerms): InFlightTracker {
 	const services = new Map<ServiceName, SlotFlights>();
 	let inFlight = 0;
--- a/packages/ownership/src/due.ts
+++ b/packages/ownership/src/due.ts
@@ -1,6 +1,6 @@
 /**
- * When a steward's next tick has something to do, so that its edge can wait for
- * that moment and need not ask again and again.
+ * Computes when a steward's next tick is due, so that its caller can set a timer
+ * instead of polling.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {delegationDueAt} from './leasing.js';
@@ -9,8 +9,9 @@
 import {drainedGrowsAt, supportEnd} from './tenure.js';
 
 /**
- * The first moment at which a tick may change anything, if no other event comes
- * before. Ask again after each event. Infinite: only an event changes anything.
+ * Returns the earliest time at which a tick may have an effect, provided that no
+ * other event occurs before. Recompute it after each event. Infinity means that
+ * only an event can have an effect.
  */
 export function stewardDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
 	const standing = standingDueAt(state);
--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -1,7 +1,7 @@
 /**
- * The part of the control leader that delegates to zones and gathers the
- * evidence for moves. Its state is volatile: a new leader begins anew, and
- * takes it that every zone got a delegation just before.
+ * The grantor is the part of the control leader that grants delegations to zones
+ * and collects the evidence for moves. Its state is volatile: a new leader starts
+ * from scratch and assumes that every zone got a delegation just before.
  */
 import {
 	type LogIndex, type Milliseconds, type MonotonicTime, type ServiceName, type Slot, type ZoneName,
@@ -15,23 +15,23 @@
 } from './state.js';
 import {grantorWait, type LeaseTerms} from './terms.js';
 
-/** What the leader knows of one zone. */
+/** The leader's record of one zone. */
 export type ZoneDelegation = {
-	/** When the delegation is over on every clock. */
+	/** When the delegation has expired on every clock. */
 	readonly delegatedUntil: MonotonicTime;
-	/** The largest index that the zone reported to be drained up to. */
+	/** The largest index up to which the zone reported itself drained. */
 	readonly drained: LogIndex;
-	/** A steward that applied less gets no delegation. */
+	/** The lowest applied index with which a steward may get a delegation. */
 	readonly floor: LogIndex;
 };
 
-/** When the leader learned of a zone's release. */
+/** When the leader observed a zone's release. */
 export type ReleaseSighting = {readonly releasedAt: LogIndex; readonly seenAt: MonotonicTime};
 
-/** A change of policy that every zone has applied. */
+/** A policy change that every zone has applied, with the time at which the leader observed that. */
 export type SettlingPolicy = {readonly changedAt: LogIndex; readonly since: MonotonicTime};
 
-/** What a leader knows. */
+/** The volatile state of a grantor. */
 export type GrantorState = {
 	readonly terms: LeaseTerms;
 	readonly startedAt: MonotonicTime;
@@ -40,16 +40,16 @@
 	readonly zones: Readonly<Record<ZoneName, ZoneDelegation>>;
 	readonly releases: Readonly<Record<ZoneName, ReleaseSighting>>;
 	readonly sightings: SeatSightings;
-	/** Since when every zone is known to have applied a change of policy, by service. */
+	/** The policy changes that every zone has applied and that aren't settled yet, by service. */
 	readonly settling: Readonly<Record<ServiceName, SettlingPolicy>>;
 };
 
-/** What happens to a grantor. `table` is the leader's own table with every committed entry applied. */
+/** An event that a grantor handles. `table` is the leader's own table with every committed entry applied. */
 export type GrantorEvent =
 	| {
 		readonly kind: 'delegationRequested';
 		readonly now: MonotonicTime;
-		/** The last moment at which the leader sent a message that a quorum of voters answered since. */
+		/** The latest time at which the leader sent a message that a quorum of voters has answered. */
 		readonly quorumHeardAt: MonotonicTime;
 		readonly table: OwnershipState;
 		readonly request: DelegationRequest;
@@ -57,20 +57,20 @@
 	| {readonly kind: 'seatRequested'; readonly now: MonotonicTime; readonly table: OwnershipState; readonly request: SeatRequest}
 	| {readonly kind: 'tableChanged'; readonly now: MonotonicTime; readonly table: OwnershipState};
 
-/** What a grantor asks the edge to do. */
+/** A side effect for the caller to carry out. */
 export type GrantorEffect = {readonly kind: 'answerDelegation'; readonly answer: DelegationAnswer};
 
-/** A step of a grantor. */
+/** The next state of a grantor and its effects. */
 export type GrantorTransition = Transition<GrantorState, GrantorEffect>;
 
-/** A leader that was elected now, with a log that ends at `startIndex`. */
+/** Creates the state for a leader that was elected now and whose log ends at `startIndex`. */
 export function createGrantor(now: MonotonicTime, startIndex: LogIndex, terms: LeaseTerms): GrantorState {
 	return {
 		terms, startedAt: now, startIndex, zones: {}, releases: {}, sightings: {}, settling: {},
 	};
 }
 
-/** What the leader knows of a zone, also of one that it hasn't heard of. */
+/** Returns the record of a zone. A zone that hasn't sent a request is assumed to have got a delegation when the leader started. */
 export function zoneOf(grantor: GrantorState, zone: ZoneName): ZoneDelegation {
 	return grantor.zones[zone] ?? {
 		delegatedUntil: grantor.startedAt + grantorWait(grantor.terms.delegationMilliseconds, grantor.terms),
@@ -129,17 +129,17 @@
 	tableChanged,
 };
 
-/** The next state of a grantor, and what to do. */
+/** Handles an event. Returns the next state and the effects to carry out. */
 export function stepGrantor(grantor: GrantorState, event: GrantorEvent): GrantorTransition {
 	return dispatch(handlers, event, grantor);
 }
 
-/** Whether a zone was released and nobody was seated since. A roster that lost its last member otherwise is not released. */
+/** Whether a zone was released and its roster hasn't changed since. A roster that became empty by removing its last member doesn't count as released. */
 export function isReleased(roster: ZoneRoster): boolean {
 	return roster.releasedAt === roster.changedAt;
 }
 
-/** Whether all that an emptied roster allowed is over: a steward's term and the longest deadline have passed. */
+/** Whether all leases and requests that a released roster allowed have expired: a steward's term and the longest deadline have passed. */
 export function releaseWaited(grantor: GrantorState, roster: ZoneRoster, longestDeadline: Milliseconds, now: MonotonicTime): boolean {
 	const seen = grantor.releases[roster.zone];
 	if (seen === undefined || seen.releasedAt !== roster.releasedAt) {
@@ -150,11 +150,11 @@
 	return now >= seen.seenAt + grantorWait(wait, grantor.terms);
 }
 
-/** A slot under revocation, and where its owner is. */
+/** A slot under revocation, with the zone of its owner. */
 export type Revocation = {
 	readonly service: ServiceName;
 	readonly slot: Slot;
-	/** The zone of the owner that loses the slot. Absent: it is not known any more, and may be any. */
+	/** The zone of the owner that loses the slot. Absent if it is no longer recorded; it may then be any zone. */
 	readonly ownerZone?: ZoneName;
 };
 
@@ -176,7 +176,7 @@
 	return !holds && now >= zoneOf(grantor, roster.zone).delegatedUntil + wait;
 }
 
-/** The zones that stand in the way of a move: some instance there may still send work to the old owner. */
+/** Returns the zones that block a move because an instance there may still send requests to the old owner. */
 export function zonesInTheWay(grantor: GrantorState, table: OwnershipState, revocation: Revocation, now: MonotonicTime): readonly ZoneName[] {
 	const policy = table.policies[revocation.service];
 	const revokedAt = revokedAtOf(assignmentOf(table, revocation.service, revocation.slot));
@@ -209,8 +209,9 @@
 
 /**
  * Whether the evidence for a slot's revocation is complete, so that the next
- * grant or the release of the slot may be proposed. Keep the state that is
- * returned: zones without a delegation get one only when they know the revocation.
+ * grant or the release of the slot may be proposed. The caller must keep the
+ * returned state: it ensures that zones without a delegation get one only after
+ * they have applied the revocation.
  */
 export function clear(
 	grantor: GrantorState,
--- a/packages/ownership/src/holders.ts
+++ b/packages/ownership/src/holders.ts
@@ -1,6 +1,7 @@
 /**
- * The leases that a steward gave, and what their holders reported. A holder
- * counts until its lease has run out and what it had in flight is past its deadline.
+ * The leases that a steward granted, and the drained index that each holder
+ * reported. A holder counts until its lease has expired and its in-flight
+ * requests are past their deadlines.
  */
 import {
 	type InstanceIdentity, incarnationKey, type LogIndex, type Milliseconds, type MonotonicTime,
@@ -10,14 +11,14 @@
 /** One holder of a lease. */
 export type LeaseHolder = {
 	readonly drained: LogIndex;
-	/** When its last lease is over on every clock. */
+	/** When its last lease has expired on every clock. */
 	readonly leaseUntil: MonotonicTime;
 };
 
-/** The holders of a zone's leases, by `lifeKey`. */
+/** The holders of a zone's leases, by `incarnationKey`. */
 export type LeaseHolders = Readonly<Record<string, LeaseHolder>>;
 
-/** What a steward gives to a holder, and what the holder said. */
+/** A lease that a steward grants, with the drained index that its holder reported. */
 export type GivenLease = {
 	readonly now: MonotonicTime;
 	readonly instance: InstanceIdentity;
@@ -25,7 +26,7 @@
 	readonly milliseconds: Milliseconds;
 };
 
-/** Notes a lease. A later report never takes an earlier one back. */
+/** Records a lease. A later report never lowers the drained index or shortens the lease. */
 export function withHolder(holders: LeaseHolders, given: GivenLease, terms: LeaseTerms): LeaseHolders {
 	const key = incarnationKey(given.instance);
 	const before = holders[key];
@@ -38,7 +39,7 @@
 	};
 }
 
-/** The holders that still count. */
+/** Returns the holders that still count. */
 export function countedHolders(holders: LeaseHolders, now: MonotonicTime, longestDeadline: Milliseconds, terms: LeaseTerms): LeaseHolders {
 	const wait = grantorWait(longestDeadline, terms);
 	const entries = Object.entries(holders);
@@ -46,7 +47,7 @@
 	return counted.length === entries.length ? holders : Object.fromEntries(counted);
 }
 
-/** The index that all holders are drained up to. */
+/** Returns the index up to which all holders are drained. */
 export function lowestDrained(holders: LeaseHolders): LogIndex {
 	let lowest = Infinity;
 	for (const holder of Object.values(holders)) {
--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -1,6 +1,6 @@
 /**
- * Handlers for what a steward gives and gets: leases to the zone's instances,
- * and the zone's delegation from control.
+ * Event handlers of a steward for the leases that it grants to the zone's
+ * instances and for the zone's delegation, which it requests from control.
  */
 import {
 	incarnationKey, type LogIndex, type Milliseconds, type MonotonicTime,
@@ -21,7 +21,7 @@
 	return Math.max(0, Math.min(most, until - now));
 }
 
-/** Whether an instance may have a lease: its table is not older than what the zone answered for. */
+/** Whether an instance may have a lease. Its table must not be older than the index that the zone last reported as drained. */
 function mayHaveLease(state: StewardState, request: LeaseRequest, now: MonotonicTime): boolean {
 	return isSteward(state, now)
 		&& request.instance.zone === state.self.zone
@@ -38,12 +38,12 @@
 	};
 }
 
-/** What a request says of the instance that sent it: its support, its acknowledgement, and that it is there. */
+/** Records what a lease request carries about its sender: its renewed support, its acknowledgement and its presence. */
 function noted(state: StewardState, request: LeaseRequest, now: MonotonicTime): StewardState {
 	return withNewcomer(withAcknowledgement(withRenewal(state, request, now), request, now), request);
 }
 
-/** What a supporter says about its table is an acknowledgement as long as it supports this steward. */
+/** Records a supporter's applied index as an acknowledgement while it supports this steward. */
 function withAcknowledgement(state: StewardState, request: LeaseRequest, now: MonotonicTime): StewardState {
 	const record = state.records[incarnationKey(request.instance)];
 	if (record === undefined || now >= record.until) {
@@ -54,7 +54,7 @@
 	return {...state, records: withSupport(state.records, request.instance, {until: record.until, acknowledged})};
 }
 
-/** The newcomers that are remembered. */
+/** The largest number of newcomers that are recorded. */
 const newcomersAtMost = 9;
 
 function withNewcomer(state: StewardState, {instance}: LeaseRequest): StewardState {
@@ -66,7 +66,7 @@
 	return {...state, newcomers: [...others, instance].slice(-newcomersAtMost)};
 }
 
-/** Gives an instance a lease, or answers that it has none. */
+/** Answers a lease request, with a lease of 0 ms if it is refused. */
 export function leaseRequested(event: EventOf<'leaseRequested'>, before: StewardState): StewardTransition {
 	const {now, request} = event;
 	const state = noted(settled(before, now), request, now);
@@ -88,7 +88,7 @@
 	return Math.max(state.askedDrained, zoneDrained(state, now));
 }
 
-/** When a steward asks control for the delegation, if nothing else happens. */
+/** Returns when a steward next requests the delegation from control, if no event occurs before. */
 export function delegationDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
 	const {delegationAskedAt, terms} = state;
 	const [renewal, urgent] = [delegationAskedAt + terms.renewMilliseconds, delegationAskedAt + terms.urgentMilliseconds];
@@ -99,7 +99,7 @@
 	return state.applied > state.askedApplied ? Math.min(renewal, Math.max(urgent, state.delegatedUntil)) : renewal;
 }
 
-/** Asks control for the delegation, where that is due. */
+/** Requests the delegation from control if that is due. */
 export function delegationRequest(state: StewardState, now: MonotonicTime): StewardTransition {
 	if (!isSteward(state, now) || now < delegationDueAt(state, now)) {
 		return {state, effects: []};
@@ -120,9 +120,9 @@
 }
 
 /**
- * Takes a delegation. If the zone had none until now, control may have given
- * away slots in the meantime, so instances must first catch up with what the
- * steward had applied when it asked.
+ * Applies a delegation. If the previous one has lapsed, control may have granted
+ * slots to other owners in the meantime, so an instance gets a lease only once it
+ * has applied what the steward had applied when it sent the request.
  */
 export function delegationAnswered(event: EventOf<'delegationAnswered'>, before: StewardState): StewardTransition {
 	const {now, sentAt, answer} = event;
--- a/packages/ownership/src/pinning.ts
+++ b/packages/ownership/src/pinning.ts
@@ -1,10 +1,11 @@
 /**
- * Handlers that split a key out of its slot and put it back.
+ * Command handlers that split a key out of its slot (pin) and merge it back
+ * (unpin).
  *
- * A request for the key that is in flight is counted under the slot it was
- * started for. Both assignments therefore get a new fence when a key is pinned
- * or unpinned: what is in flight under the old fence then holds back the
- * evidence for a later revocation of either. For one key the fence only rises.
+ * An in-flight request for the key is counted under the slot that it was started
+ * for. Pinning and unpinning therefore assign a new fencing token to both
+ * assignments: requests in flight under the old token then delay the evidence
+ * for a later revocation of either. The token of one key only increases.
  */
 import {
 	type Assignment, AssignmentPhase, type PinnedKey, type ServiceAssignments,
@@ -45,7 +46,7 @@
 	return {...service, assignments, pinned};
 }
 
-/** Gives a key an assignment of its own, with the owner that its slot has. */
+/** Creates an assignment for a single key, with the same owner as its slot. */
 export function pinKey(command: KeyPinned, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const service = state.services[command.service];
 	const policy = state.policies[command.service];
@@ -55,11 +56,11 @@
 
 	const home = command.home < policy.slots ? service.assignments[command.home] : undefined;
 	if (home === undefined || home.phase === AssignmentPhase.revoking) {
-		return refused(`slot ${command.home} can't be split now`);
+		return refused(`slot ${command.home} can't be split: it is unknown, holds a pinned key or is being revoked`);
 	}
 
 	if (service.pinned.some(pinned => pinned.key === command.key)) {
-		return refused('the key is pinned already');
+		return refused('the key is already pinned');
 	}
 
 	const slot = freeSlot(service, policy.slots);
@@ -76,7 +77,7 @@
 	return one.phase === AssignmentPhase.vacant && other.phase === AssignmentPhase.vacant;
 }
 
-/** Puts a key back into its slot, where both have the same owner or none. */
+/** Merges a key back into its slot. Both must have the same owner, or none. */
 export function unpinKey(command: KeyUnpinned, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const service = state.services[command.service];
 	const key = service?.pinned.find(pinned => pinned.key === command.key);
--- a/packages/ownership/src/policy.ts
+++ b/packages/ownership/src/policy.ts
@@ -1,48 +1,49 @@
 /**
- * The part of a service's contract that evidence and leases rest on. It stands
- * in the ownership table, so that it changes at one log index for everyone.
- * Until every zone has applied a change, the stricter of both values holds.
+ * The part of a service's contract that leases and the evidence for moves depend
+ * on. It is stored in the ownership table, so that it changes at the same log
+ * index on every instance. Until every zone has applied a change, the stricter
+ * of the old and the new value applies.
  */
 import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type LogIndex, type Milliseconds, type ServiceName} from '@dogwooddeck/model/identifiers';
 
-/** What a contract says about cuts and deadlines. */
+/** A contract's terms for network partitions and deadlines. */
 export type PolicyTerms = {
 	readonly whenCut: PartitionPolicy;
 	readonly longestDeadlineMilliseconds: Milliseconds;
 };
 
-/** A service's policy, with the one before it while some zone may still follow that. */
+/** A service's policy, together with the former terms while some zone may still apply them. */
 export type ServicePolicy = PolicyTerms & {
 	readonly service: ServiceName;
-	/** The number of slots that keys hash to; pinned keys are numbered from here. */
+	/** The number of slots that keys hash to. The slots of pinned keys are numbered from here. */
 	readonly slots: number;
 	readonly changedAt: LogIndex;
-	/** The strictest of the terms that were in force before and are not settled. */
+	/** The strictest of the former terms that some zone may still apply. */
 	readonly former?: PolicyTerms;
 };
 
-/** Whether an instance that is cut off may go on serving its own zone's slots. */
+/** Whether a partitioned instance may continue to serve its own zone's slots. */
 export function mayHold(policy: ServicePolicy): boolean {
 	return policy.whenCut === PartitionPolicy.hold;
 }
 
-/** Whether some instance may be holding slots, so that expiry of a delegation proves nothing. */
+/** Whether some instance may hold slots without contact to control, so that the expiry of a delegation is no evidence. */
 export function someMayHold(policy: ServicePolicy): boolean {
 	return policy.whenCut === PartitionPolicy.hold || policy.former?.whenCut === PartitionPolicy.hold;
 }
 
-/** The longest deadline that an instance may give a request. */
+/** Returns the longest deadline that an instance may set for a new request. */
 export function routedDeadline(policy: ServicePolicy): Milliseconds {
 	return Math.min(policy.longestDeadlineMilliseconds, policy.former?.longestDeadlineMilliseconds ?? Infinity);
 }
 
-/** The longest deadline that a request in flight may have. */
+/** Returns the longest deadline that an in-flight request may have. */
 export function waitedDeadline(policy: ServicePolicy): Milliseconds {
 	return Math.max(policy.longestDeadlineMilliseconds, policy.former?.longestDeadlineMilliseconds ?? 0);
 }
 
-/** The strictest terms of two. */
+/** Combines two sets of terms into the strictest. */
 export function strictestTerms(one: PolicyTerms, other: PolicyTerms | undefined): PolicyTerms {
 	const holds = one.whenCut === PartitionPolicy.hold || other?.whenCut === PartitionPolicy.hold;
 	return {
--- a/packages/ownership/src/quorum.ts
+++ b/packages/ownership/src/quorum.ts
@@ -1,8 +1,8 @@
 /**
- * How many members decide.
+ * Majority arithmetic for rosters.
  */
 
-/** The number of members that make a majority. */
+/** Returns the number of members that form a majority. */
 export function majorityOf(members: number): number {
 	return Math.floor(members / 2) + 1;
 }
--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -1,9 +1,10 @@
 /**
- * Renewal of support with the lease exchange. A steward's lease answer asks for
- * support and carries the time of the answer on the steward's own clock. The
- * next lease request to the same steward sends that time back, and with it the
- * instance's promise for one more term, made when the request is sent. The
- * steward counts the support from that time, which is before the promise.
+ * Renewal of support, piggybacked on the lease exchange. A steward's lease answer
+ * requests support and carries the time of the answer on the steward's own
+ * clock. The next lease request to the same steward returns that time together
+ * with the instance's promise for one more term, made when the request is sent.
+ * The steward counts the support from the returned time, which is before the
+ * promise.
  */
 import {
 	includesInstance, type InstanceIdentity, type MonotonicTime, sameInstance,
@@ -18,7 +19,7 @@
 
 type EventOf<Kind extends StewardEvent['kind']> = Extract<StewardEvent, {readonly kind: Kind}>;
 
-/** Whether a steward asks for support with its lease answers. One that resigned doesn't. */
+/** Whether a steward requests support with its lease answers. One that has resigned doesn't. */
 export function asksWithLeases(state: StewardState, now: MonotonicTime): boolean {
 	return isSteward(state, now) && now >= state.standsFrom;
 }
@@ -27,14 +28,14 @@
 	return sameInstance(steward, state.self) && askedAt >= (state.electedAt ?? Infinity) && askedAt <= now;
 }
 
-/** Whether an instance belongs to the roster, or asked for a lease before it got its seat. */
+/** Whether an instance is in the roster, or requested a lease before it was seated. */
 export function isKnown({members, newcomers}: StewardState, instance: InstanceIdentity): boolean {
 	return includesInstance(members, instance) || includesInstance(newcomers, instance);
 }
 
 /**
- * Counts the support that a lease request renews. One that another life of the
- * steward asked for, or an earlier tenure of it, counts for nothing.
+ * Counts the support that a lease request renews. A renewal that was requested by
+ * another incarnation of the steward or in an earlier tenure is ignored.
  */
 export function withRenewal(state: StewardState, {instance, applied, supportRenewal}: LeaseRequest, now: MonotonicTime): StewardState {
 	const counts = supportRenewal !== undefined
@@ -49,7 +50,7 @@
 	return {...state, records: withSupport(state.records, instance, {until, acknowledged: applied})};
 }
 
-/** When a steward that had no renewal from a supporter since asks for it by a call of its own. */
+/** Returns when a supporter's renewal is overdue, so that the steward requests it in a separate call. */
 export function renewalLateAt(record: SupportRecord | undefined, terms: LeaseTerms): MonotonicTime {
 	if (record === undefined) {
 		return -Infinity;
@@ -59,7 +60,7 @@
 	return askedAt + (2 * (terms.renewMilliseconds + terms.urgentMilliseconds));
 }
 
-/** Keeps the request for support in a lease answer. Answers may come late, twice or out of order. */
+/** Stores the request for support in a lease answer. Answers may arrive late, twice or out of order. */
 export function leaseAnswered({answer: {steward, supportAskedAt}}: EventOf<'leaseAnswered'>, state: StewardState): StewardTransition {
 	const {askedSupport} = state;
 	const isNews = supportAskedAt !== undefined
@@ -71,8 +72,8 @@
 }
 
 /**
- * Renews the promise to the steward that is asked for a lease. Each request for
- * support is answered once, so that nothing prolongs a promise to a lost steward.
+ * Renews the promise to the steward that the lease request goes to. Each request
+ * for support is answered once, so that a promise to a lost steward isn't extended.
  */
 export function leaseSent({now, to}: EventOf<'leaseSent'>, state: StewardState): StewardTransition {
 	const {askedSupport, supporter, applied, terms} = state;
--- a/packages/ownership/src/roster.ts
+++ b/packages/ownership/src/roster.ts
@@ -1,8 +1,9 @@
 /**
- * Handlers for the rosters of zones. One entry changes one member, so that the
- * majorities before and after it meet; `seat` decides when the next may follow.
- * Each command names the roster that it was decided on, so that of two that were
- * proposed side by side, perhaps by two leaders, only the first is applied.
+ * Command handlers for the rosters of zones. One entry changes one member, so
+ * that the majorities before and after it overlap; `seat.ts` decides when the
+ * next change may follow. Each command names the version of the roster that it
+ * was decided on, so that of two concurrent proposals, perhaps by two leaders,
+ * only the first is applied.
  */
 import {type Failure, failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type LogIndex, sameInstance, type ZoneName} from '@dogwooddeck/model/identifiers';
@@ -23,7 +24,7 @@
 	};
 }
 
-/** The roster of a zone. A name that every object has is no zone's. */
+/** Returns the roster of a zone. Ignores names that every object inherits. */
 function rosterOf(state: OwnershipState, zone: ZoneName): ZoneRoster | undefined {
 	return Object.hasOwn(state.rosters, zone) ? state.rosters[zone] : undefined;
 }
@@ -38,7 +39,7 @@
 	return failure(FailureKind.conflict, `the roster of zone ${roster.zone} changed at ${roster.changedAt}`);
 }
 
-/** Adds a member. A name has one seat in the whole deployment. */
+/** Adds a member. An instance name has at most one seat in the whole deployment. */
 export function seatInstance(command: InstanceSeated, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const {record} = command;
 	const seated = Object.values(state.rosters).some(roster => roster.members.some(member => member.name === record.name));
@@ -69,7 +70,7 @@
 	return ok(withRoster(state, changed(roster, roster.members.filter(other => other !== member), index)));
 }
 
-/** Notes that a roster's last change was reported by the zone's steward. */
+/** Records that the zone's steward reported the roster's last change. */
 export function settleRoster(command: RosterSettled, state: OwnershipState, _index: LogIndex): Result<OwnershipState, Failure> {
 	const roster = rosterOf(state, command.zone);
 	if (roster === undefined) {
@@ -81,7 +82,7 @@
 		: err(outdated(roster));
 }
 
-/** Empties a roster and notes that the zone holds nothing any more. */
+/** Empties a roster and records that the zone no longer holds any slots. */
 export function releaseZone(command: ZoneReleased, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const roster = rosterOf(state, command.zone);
 	if (roster === undefined) {
--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -1,9 +1,10 @@
 /**
- * What the leader proposes so that an instance gets a seat in its zone's roster.
+ * Decides which commands the leader proposes so that an instance gets a seat in
+ * its zone's roster.
  *
- * Majorities of two rosters meet if one follows the other by a single change.
+ * Majorities of two consecutive rosters overlap if they differ by a single change.
  * The next change therefore waits until the zone's steward has reported the
- * last one: from then on no steward can be elected on the roster before it.
+ * last one: from then on no steward can be elected by the previous roster.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
@@ -14,21 +15,22 @@
 import {withheldEvidence} from './sighting.js';
 import {longestDeadlineOf, type OwnershipState, type ZoneRoster} from './state.js';
 
-/** The seats of a zone. Its other instances get leases, but support no steward. */
+/** The number of seats in a zone. Its other instances get leases, but support no steward. */
 export const seatsPerZone = 9;
 
 function isReported(grantor: GrantorState, roster: ZoneRoster): boolean {
 	return zoneOf(grantor, roster.zone).drained >= roster.changedAt;
 }
 
-/** Whether the zone's steward has reported the last change of its roster, to this leader or to one before. */
+/** Whether the zone's steward has reported the last change of its roster, to this leader or to an earlier one. */
 export function mayChangeRoster(grantor: GrantorState, roster: ZoneRoster): boolean {
 	return roster.settledAt === roster.changedAt || isReported(grantor, roster);
 }
 
 /**
- * What to write down for the next leader, which knows of no report: a zone may
- * lose its majority, and with it its steward, together with the leader.
+ * Returns the commands that record reported roster changes for the next leader,
+ * which starts without any reports: a zone may lose its majority, and with it its
+ * steward, together with the leader.
  */
 export function settleRosters(grantor: GrantorState, table: OwnershipState): readonly OwnershipCommand[] {
 	return Object.values(table.rosters)
@@ -37,9 +39,9 @@
 }
 
 /**
- * Whether an instance is the next life of a roster's last member. It may take
- * the first seat at once, as it stays silent for as long as the leases of the
- * earlier life can last.
+ * Whether an instance is a later incarnation of a roster's last member. It may
+ * take the first seat at once, because it gives no support for as long as the
+ * leases of the earlier incarnation can last.
  */
 function isHeir({members, previousMembers}: ZoneRoster, instance: InstanceRecord): boolean {
 	const [last] = previousMembers;
@@ -47,12 +49,12 @@
 		&& last?.name === instance.name && instance.incarnation > last.incarnation;
 }
 
-/** Whether anyone may take the first seat: all that earlier members allowed is over. */
+/** Whether any instance may take the first seat: all leases and requests that earlier members allowed have expired. */
 function isOpen(grantor: GrantorState, table: OwnershipState, roster: ZoneRoster, now: MonotonicTime): boolean {
 	return isReleased(roster) && releaseWaited(grantor, roster, longestDeadlineOf(table), now);
 }
 
-/** Whether the only member of a roster stands in every majority of the one before it too. */
+/** Whether a roster has a single member that is also in every majority of the previous roster. */
 function standsAlone({members, previousMembers}: ZoneRoster): boolean {
 	const inPrevious = previousMembers.some(other => other.name === members[0]?.name);
 	return members.length === 1 && (previousMembers.length === 0 || (previousMembers.length <= 2 && inPrevious));
@@ -77,7 +79,7 @@
 		: undefined;
 }
 
-/** Proposes the release of a zone whose old majorities are all over. */
+/** Proposes the release of a zone if no majority of former incarnations is left. */
 function proposeRelease(grantor: GrantorState, roster: ZoneRoster): OwnershipCommand | undefined {
 	const canGoOn = mayChangeRoster(grantor, roster) || standsAlone(roster);
 	return !canGoOn && withheldEvidence(roster, grantor.sightings)
@@ -88,8 +90,9 @@
 }
 
 /**
- * What to propose for an instance that asks for a seat. Give the request to
- * `stepGrantor` first. Undefined: nothing now; the instance asks again.
+ * Returns the command to propose for an instance that requests a seat, or
+ * undefined if there is none now; the instance repeats its request. Pass the
+ * request to `stepGrantor` first.
  */
 export function proposeSeat(grantor: GrantorState, table: OwnershipState, record: InstanceRecord, now: MonotonicTime): OwnershipCommand | undefined {
 	const roster = table.rosters[record.zone];
--- a/packages/ownership/src/services.ts
+++ b/packages/ownership/src/services.ts
@@ -1,5 +1,5 @@
 /**
- * Handlers for the commands about whole services.
+ * Command handlers that open, close and reconfigure services.
  */
 import {AssignmentPhase, type Assignment, type ServiceAssignments} from '@dogwooddeck/model/assignment';
 import {type Failure, failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -11,12 +11,12 @@
 import {type ServicePolicy, strictestTerms} from './policy.js';
 import {type OwnershipState} from './state.js';
 
-/** The failure for a service that was not opened. */
+/** Returns the failure for a service that isn't open. */
 export function unknownService(service: ServiceName): Failure {
 	return failure(FailureKind.notFound, `service ${service} is not open`);
 }
 
-/** The state with one service's assignments replaced. */
+/** Returns the state with one service's assignments replaced. */
 export function withService(state: OwnershipState, assignments: ServiceAssignments): OwnershipState {
 	return {...state, services: {...state.services, [assignments.service]: assignments}};
 }
@@ -25,7 +25,7 @@
 	return {...state, policies: {...state.policies, [policy.service]: policy}};
 }
 
-/** Opens a service with vacant slots. */
+/** Opens a service with all slots vacant. */
 export function openService(command: ServiceOpened, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const {service, slots, policy} = command;
 	if (state.services[service] !== undefined) {
@@ -43,7 +43,7 @@
 	}));
 }
 
-/** Closes a service that owns nothing. */
+/** Closes a service whose slots are all vacant. */
 export function closeService(command: ServiceClosed, state: OwnershipState, _index: LogIndex): Result<OwnershipState, Failure> {
 	const {service} = command;
 	const assignments = state.services[service];
@@ -60,7 +60,7 @@
 	return ok({...state, services, policies});
 }
 
-/** Changes a policy, and keeps the strictest of the former ones until the change is settled. */
+/** Changes a policy and keeps the strictest of the former terms until every zone has applied the change. */
 export function changePolicy(command: PolicyChanged, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const policy = state.policies[command.service];
 	if (policy === undefined) {
@@ -76,7 +76,7 @@
 	}));
 }
 
-/** Forgets the former policy, if no later change came in between. */
+/** Drops the former terms, unless the policy has changed again since. */
 export function settlePolicy(command: PolicySettled, state: OwnershipState, _index: LogIndex): Result<OwnershipState, Failure> {
 	const policy = state.policies[command.service];
 	if (policy === undefined) {
--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -1,6 +1,6 @@
 /**
- * When a change of policy is settled: every zone has applied it, and what was
- * started under the former longest deadline is over.
+ * Settles policy changes. A change is settled once every zone has applied it and
+ * all requests that were started under the former longest deadline are past it.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type PolicySettled} from './command.js';
@@ -22,7 +22,7 @@
 	return known?.changedAt === policy.changedAt ? known : {changedAt: policy.changedAt, since: now};
 }
 
-/** The changes of policy to settle now. Keep the state that is returned. */
+/** Returns the commands for the policy changes that can be settled now, and the next grantor state. */
 export function settlePolicies(
 	grantor: GrantorState,
 	table: OwnershipState,
--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader knows of restarted instances. A process that asks for a seat
- * as a later incarnation shows that its earlier life is over.
+ * The leader's observations of restarted instances. A process that requests a
+ * seat as a later incarnation proves that its earlier incarnation has ended.
  */
 import {
 	type Incarnation, type InstanceName, type MonotonicTime,
@@ -10,10 +10,10 @@
 import {majorityOf} from './quorum.js';
 import {type OwnershipState, type ZoneRoster} from './state.js';
 
-/** The first sign of a later life of an instance. */
+/** The first observation of a later incarnation of an instance. */
 export type SeatSighting = {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
 
-/** Sightings by the name of the instance. */
+/** Observations by instance name. */
 export type SeatSightings = Readonly<Record<InstanceName, SeatSighting>>;
 
 function seatedIncarnation(table: OwnershipState, {name, zone}: InstanceRecord): Incarnation {
@@ -22,7 +22,7 @@
 	return lives.reduce((latest, member) => Math.max(latest, member.incarnation), -Infinity);
 }
 
-/** Notes a request for a seat. The first sign of a later life stands until that life is seated. */
+/** Records a seat request. The first observation of a later incarnation is kept until that incarnation is seated. */
 export function noteSeatRequest(sightings: SeatSightings, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatSightings {
 	const {instance} = request;
 	const known = sightings[instance.name];
@@ -40,8 +40,8 @@
 }
 
 /**
- * Whether so many members are over that no majority of the roster can support a
- * steward any more, neither of the roster as it stands nor of the one before it.
+ * Whether so many members have restarted that no majority can support a steward
+ * any more, neither of the current roster nor of the previous one.
  */
 export function withheldEvidence(roster: ZoneRoster, sightings: SeatSightings): boolean {
 	return roster.members.length + roster.previousMembers.length > 0
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -1,5 +1,6 @@
 /**
- * Handlers for how an instance supports, stands and renews.
+ * Event handlers for steward elections: how an instance supports candidates, runs
+ * as a candidate itself and renews the support that it has received.
  */
 import {
 	type InstanceIdentity, incarnationKey, type Milliseconds, type MonotonicTime, sameInstance,
@@ -22,14 +23,14 @@
 
 type EventOf<Kind extends StewardEvent['kind']> = Extract<StewardEvent, {readonly kind: Kind}>;
 
-/** Members stand one after the other; more than these stand together. */
+/** The number of distinct candidacy delays. In a larger roster, members share a delay and may run at the same time. */
 const distinctRanks = 16;
 
 function identityOf(state: StewardState): InstanceIdentity {
 	return {name: state.self.name, incarnation: state.self.incarnation};
 }
 
-/** How long the instance leaves the others the first turn. */
+/** Returns how long the instance delays its candidacy, by its rank among the members, so that members don't run at the same time. */
 function turn(state: StewardState): Milliseconds {
 	const names = state.members.map(member => member.name).sort();
 	return (names.indexOf(state.self.name) % distinctRanks) * 2 * state.terms.urgentMilliseconds;
@@ -48,7 +49,7 @@
 	return {...state, supporter, records: withSupport(state.records, state.self, {until, acknowledged: state.applied})};
 }
 
-/** The instances whose support a steward wants. */
+/** Returns the other instances whose support a steward requests. */
 function others(state: StewardState): readonly InstanceRecord[] {
 	return [...state.members, ...state.newcomers].filter(member => member.name !== state.self.name);
 }
@@ -57,7 +58,7 @@
 	return renewalLateAt(state.records[incarnationKey(other)], state.terms);
 }
 
-/** When the first renewal gets late that wasn't late at the last round. */
+/** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
 function nextLateAt(state: StewardState): MonotonicTime {
 	return Math.min(...others(state).map(other => lateAt(state, other)).filter(late => late > state.supportAskedAt));
 }
@@ -77,7 +78,7 @@
 	return {state: next, effects: askOthers(next, now)};
 }
 
-/** Gives up a candidacy that found no majority, and leaves others time to stand. */
+/** Ends a candidacy that found no majority, and backs off so that others can run. */
 function withdraw(state: StewardState, now: MonotonicTime): StewardState {
 	const {stoodAt: _stoodAt, ...rest} = state;
 	return {
@@ -88,7 +89,7 @@
 	};
 }
 
-/** When the instance stands, renews or gives its candidacy up, if nothing else happens. Infinite while it has no seat. */
+/** Returns when the instance next starts, renews or ends a candidacy, if no event occurs before. Infinity while it has no seat. */
 export function standingDueAt(state: StewardState): MonotonicTime {
 	if (state.stoodAt === undefined) {
 		return isSeated(state) ? Math.max(freeFrom(state.supporter), state.standsFrom) + turn(state) : Infinity;
@@ -118,14 +119,14 @@
 		: asked(state, now);
 }
 
-/** Stands, renews, and asks for the delegation, each when it is due. */
+/** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
 export function ticked(event: EventOf<'ticked'>, before: StewardState): StewardTransition {
 	const standing = stand(settled(before, event.now), event.now);
 	const asking = delegationRequest(standing.state, event.now);
 	return {state: asking.state, effects: [...standing.effects, ...asking.effects]};
 }
 
-/** Takes over the roster and the deadlines of a newer table. */
+/** Adopts the roster and the deadlines of a newer table. */
 export function tableChanged(event: EventOf<'tableChanged'>, before: StewardState): StewardTransition {
 	const state = settled(before, event.now);
 	if (event.applied <= state.applied) {
@@ -143,7 +144,7 @@
 	return {state: settled(changed, event.now), effects: []};
 }
 
-/** Answers a candidate. */
+/** Answers a candidate's request for support. */
 export function supportRequested(event: EventOf<'supportRequested'>, before: StewardState): StewardTransition {
 	const state = settled(before, event.now);
 	const {now, request} = event;
@@ -165,7 +166,7 @@
 	return state.electedAt === undefined && (other || behind) ? withdraw(state, now) : state;
 }
 
-/** Counts an answer, unless it belongs to an earlier candidacy. */
+/** Counts an answer to a request for support, unless it belongs to an earlier candidacy. */
 export function supportAnswered(event: EventOf<'supportAnswered'>, before: StewardState): StewardTransition {
 	const state = settled(before, event.now);
 	const {now, sentAt, answer} = event;
@@ -182,7 +183,7 @@
 	return {state: elected({...state, records}, now), effects: []};
 }
 
-/** Stops standing. The tenure ends with its last support. */
+/** Stops starting candidacies and renewing support. A current tenure ends when its support expires. */
 export function resigned(event: EventOf<'resigned'>, before: StewardState): StewardTransition {
 	const state = settled(before, event.now);
 	return {state: {...state, standsFrom: Infinity}, effects: []};
--- a/packages/ownership/src/state.ts
+++ b/packages/ownership/src/state.ts
@@ -1,6 +1,7 @@
 /**
- * The replicated ownership table: assignments, policies and rosters. It is
- * plain JSON, and a change shares with the state before it all that it leaves alone.
+ * The replicated ownership table: assignments, policies and rosters. The state
+ * is plain JSON and immutable; a new state shares its unchanged parts with the
+ * one before.
  */
 import {type Assignment, AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
 import {
@@ -10,22 +11,22 @@
 import {type ReleaseReason} from './command.js';
 import {type ServicePolicy, waitedDeadline} from './policy.js';
 
-/** The instances of a zone that support its steward. */
+/** The roster of a zone: the instances that elect its steward (the zone's lease distributor). */
 export type ZoneRoster = {
 	readonly zone: ZoneName;
 	readonly region: RegionName;
 	readonly members: readonly InstanceRecord[];
-	/** The members before the last change: a steward may not have applied it yet. */
+	/** The members before the last change, which a steward may not have applied yet. */
 	readonly previousMembers: readonly InstanceRecord[];
 	readonly changedAt: LogIndex;
-	/** The last change that the zone's steward is known to have reported. */
+	/** The index of the last change that the zone's steward is recorded to have reported. */
 	readonly settledAt?: LogIndex;
-	/** The last entry that released the zone. */
+	/** The index of the last entry that released the zone. */
 	readonly releasedAt?: LogIndex;
 	readonly releaseReason?: ReleaseReason;
 };
 
-/** All that the log says about ownership. */
+/** The ownership state that results from the log. */
 export type OwnershipState = {
 	readonly services: Readonly<Record<ServiceName, ServiceAssignments>>;
 	readonly policies: Readonly<Record<ServiceName, ServicePolicy>>;
@@ -35,12 +36,12 @@
 /** The table before the first entry. */
 export const emptyOwnership: OwnershipState = {services: {}, policies: {}, rosters: {}};
 
-/** The assignment of a slot. Undefined: no such service or slot. */
+/** Returns the assignment of a slot, or undefined if the service or the slot doesn't exist. */
 export function assignmentOf(state: OwnershipState, service: ServiceName, slot: Slot): Assignment | undefined {
 	return state.services[service]?.assignments[slot];
 }
 
-/** The slot that a key belongs to: its own if it is pinned, else the one it hashes to. */
+/** Returns the slot that a key belongs to: its own slot if it is pinned, otherwise the one that it hashes to. */
 export function slotFor(assignments: ServiceAssignments, hashSlot: Slot, key: string): Slot {
 	for (const pinned of assignments.pinned) {
 		if (pinned.home === hashSlot && pinned.key === key) {
@@ -51,17 +52,17 @@
 	return hashSlot;
 }
 
-/** The entry that began an assignment's revocation. Undefined: it is not being revoked. */
+/** Returns the index of the entry that started an assignment's revocation, or undefined if it isn't being revoked. */
 export function revokedAtOf(assignment: Assignment | undefined): LogIndex | undefined {
 	return assignment?.phase === AssignmentPhase.revoking ? assignment.revokedAt : undefined;
 }
 
-/** The longest deadline that a request of any service may have. */
+/** Returns the longest deadline that an in-flight request of any service may have. */
 export function longestDeadlineOf(state: OwnershipState): Milliseconds {
 	return Object.values(state.policies).reduce((longest, policy) => Math.max(longest, waitedDeadline(policy)), 0);
 }
 
-/** The instances that have a seat, of all zones. */
+/** Returns the instances of all zones that have a seat, which is membership in their zone's roster. */
 export function seatedInstances({rosters}: OwnershipState): readonly InstanceRecord[] {
 	return Object.values(rosters).flatMap(({members}) => members);
 }
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -1,5 +1,6 @@
 /**
- * What a steward knows, what happens to it, and what it asks for.
+ * The state, events and effects of an instance as supporter, candidate or steward
+ * of its zone. The steward is the zone's elected lease distributor.
  */
 import {
 	type InstanceIdentity, type LogIndex, type Milliseconds, type MonotonicTime,
@@ -14,13 +15,13 @@
 import {type Supporter, type SupportRecords} from './support.js';
 import {type LeaseTerms} from './terms.js';
 
-/** A request for support that came with a lease. */
+/** A request for support that was received with a lease answer. */
 export type AskedSupport = SupportRenewal & {
-	/** A lease request has taken the renewal along. */
+	/** Whether a lease request has carried the renewal. */
 	readonly isAnswered: boolean;
 };
 
-/** An instance as supporter, candidate or steward of its zone. */
+/** The state of an instance as supporter, candidate or steward of its zone. */
 export type StewardState = {
 	readonly self: InstanceRecord;
 	readonly terms: LeaseTerms;
@@ -30,30 +31,30 @@
 	/** The longest deadline of any service. */
 	readonly longestDeadlineMilliseconds: Milliseconds;
 	readonly supporter: Supporter;
-	/** The newest request for support that came with a lease. */
+	/** The newest request for support that was received with a lease answer. */
 	readonly askedSupport?: AskedSupport;
-	/** The supports that this instance has as a candidate. */
+	/** The support that this instance has received as a candidate or steward. */
 	readonly records: SupportRecords;
-	/** When it began to stand. Absent: it doesn't. */
+	/** When its candidacy started; absent if it is neither candidate nor steward. */
 	readonly stoodAt?: MonotonicTime;
-	/** It neither stands nor renews before this. */
+	/** It neither starts a candidacy nor renews its support before this time. */
 	readonly standsFrom: MonotonicTime;
 	readonly supportAskedAt: MonotonicTime;
-	/** Since when it has been steward without a gap. Absent: it is not. */
+	/** When its current tenure as steward started; absent if it isn't steward. */
 	readonly electedAt?: MonotonicTime;
-	/** Instances that applied less get no lease. */
+	/** The lowest applied index with which an instance may get a lease. */
 	readonly floor: LogIndex;
 	readonly holders: LeaseHolders;
-	/** Instances of the zone that asked for a lease and have no seat. A steward asks for their support ahead of their seat. */
+	/** Instances of the zone that requested a lease and have no seat yet. The steward requests their support before they are seated. */
 	readonly newcomers: readonly InstanceRecord[];
-	/** The end of the zone's delegation, as far as this steward knows. */
+	/** The end of the zone's delegation, according to the answers that this steward received. */
 	readonly delegatedUntil: MonotonicTime;
 	readonly delegationAskedAt: MonotonicTime;
 	readonly askedDrained: LogIndex;
 	readonly askedApplied: LogIndex;
 };
 
-/** What happens to a steward. Times are on its own monotonic clock. */
+/** An event that a steward handles. Times are on its own monotonic clock. */
 export type StewardEvent =
 	| {readonly kind: 'ticked'; readonly now: MonotonicTime}
 	/** The instance applied log entries up to `applied`. */
@@ -61,10 +62,10 @@
 	| {readonly kind: 'supportRequested'; readonly now: MonotonicTime; readonly request: SupportRequest}
 	| {readonly kind: 'supportAnswered'; readonly now: MonotonicTime; readonly sentAt: MonotonicTime; readonly answer: SupportAnswer}
 	| {readonly kind: 'leaseRequested'; readonly now: MonotonicTime; readonly request: LeaseRequest}
-	/** The instance sends a lease request to `to` now. */
+	/** The instance is about to send a lease request to `to`. */
 	| {readonly kind: 'leaseSent'; readonly now: MonotonicTime; readonly to: InstanceIdentity}
 	| {readonly kind: 'leaseAnswered'; readonly now: MonotonicTime; readonly answer: LeaseAnswer}
-	/** `applied` is what the request said that was sent at `sentAt`. */
+	/** `applied` is the applied index in the request that was sent at `sentAt`. */
 	| {
 		readonly kind: 'delegationAnswered';
 		readonly now: MonotonicTime;
@@ -72,17 +73,17 @@
 		readonly applied: LogIndex;
 		readonly answer: DelegationAnswer;
 	}
-	/** The instance is to stop: it stands and renews no more. */
+	/** The instance is shutting down: it no longer starts candidacies or renews its support. */
 	| {readonly kind: 'resigned'; readonly now: MonotonicTime};
 
-/** What a steward asks the edge to do. Answers go to whoever sent the event's request. */
+/** A side effect for the caller to carry out. An answer goes to the sender of the request in the event. */
 export type StewardEffect =
 	| {readonly kind: 'askSupport'; readonly to: InstanceRecord; readonly sentAt: MonotonicTime; readonly request: SupportRequest}
 	| {readonly kind: 'answerSupport'; readonly answer: SupportAnswer}
 	| {readonly kind: 'answerLease'; readonly answer: LeaseAnswer}
-	/** The lease request that is being sent carries the renewal. */
+	/** The renewal is to be attached to the lease request that is being sent. */
 	| {readonly kind: 'renewSupport'; readonly renewal: SupportRenewal}
 	| {readonly kind: 'askDelegation'; readonly sentAt: MonotonicTime; readonly request: DelegationRequest};
 
-/** A step of a steward. */
+/** The next state of a steward and its effects. */
 export type StewardTransition = Transition<StewardState, StewardEffect>;
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -1,13 +1,14 @@
 /**
- * The part of each instance that takes turns as its zone's steward: it supports
- * a candidate or stands itself, and as steward gives leases to the zone's
- * instances and asks control for the zone's delegation.
+ * The state machine by which an instance takes part in its zone's stewardship: it
+ * supports a candidate or runs as one itself, and as the zone's elected steward it
+ * grants leases to the zone's instances and requests the zone's delegation from
+ * control.
  *
- * A lease never lasts longer than the steward's support, and the part that
- * rests on control never longer than the delegation. All leases of one steward
- * are therefore over before another is elected; what they let in flight is past
- * its deadline a longest deadline later. Only then does a steward report how
- * far its zone is drained.
+ * A lease never outlasts the steward's support, and a control lease never outlasts
+ * the delegation. All leases of one steward have therefore expired before another
+ * is elected, and the requests that they allowed are past their deadlines one
+ * longest deadline later. Only then does a steward report how far its zone is
+ * drained.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
@@ -21,7 +22,7 @@
 import {createSupporter} from './support.js';
 import {type LeaseTerms} from './terms.js';
 
-/** An instance whose process starts now. */
+/** Creates the state of an instance whose process starts now. */
 export function createSteward(self: InstanceRecord, now: MonotonicTime, terms: LeaseTerms): StewardState {
 	return {
 		self,
@@ -55,7 +56,7 @@
 	resigned,
 };
 
-/** The next state of a steward, and what to do. */
+/** Handles an event. Returns the next state and the effects to carry out. */
 export function stepSteward(state: StewardState, event: StewardEvent): StewardTransition {
 	return dispatch(handlers, event, state);
 }
--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -1,12 +1,12 @@
 /**
- * Election of a zone's steward: what a member promises, and what a candidate
- * counts. A member supports one candidate at a time, for one term from each
- * request. A candidate is steward while a majority of the members in its table
- * supports it, counted from when it asked.
+ * Election of a zone's steward: the support that a member promises and the
+ * support that a candidate counts. A member supports one candidate at a time, for
+ * one term from each request. A candidate is steward while a majority of the
+ * members in its table supports it, counted from when it sent the requests.
  *
- * A member takes on a candidate only if the candidate has applied at least what
- * the member has. What a member acknowledged to a steward that it supported is
- * therefore known to every later steward.
+ * A member starts to support a candidate only if the candidate has applied at
+ * least as many entries as the member. Every later steward has therefore applied
+ * what a member acknowledged to a steward that it supported.
  */
 import {
 	type InstanceIdentity, incarnationKey, type LogIndex, type MonotonicTime, sameInstance,
@@ -14,31 +14,31 @@
 import {majorityOf} from './quorum.js';
 import {grantorWait, type LeaseTerms} from './terms.js';
 
-/** What a member promises. */
+/** The promise of a member. */
 export type Supporter = {
-	/** Before this, the member promises nothing: an earlier life of it may have. */
+	/** The member promises nothing before this time, because a promise of its earlier incarnation may still be in force. */
 	readonly silentUntil: MonotonicTime;
 	readonly supported?: InstanceIdentity;
 	/** When the promise ends on the member's own clock. */
 	readonly supportedUntil: MonotonicTime;
 };
 
-/** A member that starts now. */
+/** Creates the state of a member whose process starts now. */
 export function createSupporter(now: MonotonicTime, terms: LeaseTerms): Supporter {
 	return {silentUntil: now + grantorWait(terms.stewardTermMilliseconds, terms), supportedUntil: -Infinity};
 }
 
-/** The candidate that the member supports now. */
+/** Returns the candidate that the member supports now. */
 export function supportedNow(supporter: Supporter, now: MonotonicTime): InstanceIdentity | undefined {
 	return now < supporter.supportedUntil ? supporter.supported : undefined;
 }
 
-/** From when the member is free to stand itself, if it hears from nobody. */
+/** Returns from when the member may support itself, if no candidate requests its support before. */
 export function freeFrom(supporter: Supporter): MonotonicTime {
 	return Math.max(supporter.silentUntil, supporter.supportedUntil);
 }
 
-/** What a member is asked for. */
+/** A request for a member's support. */
 export type SupportQuestion = {
 	readonly now: MonotonicTime;
 	readonly candidate: InstanceIdentity;
@@ -48,7 +48,7 @@
 	readonly ownApplied: LogIndex;
 };
 
-/** Whether a member may support a candidate. A renewal isn't measured by what was applied. */
+/** Whether a member may support a candidate. A renewal doesn't depend on what the candidate has applied. */
 function maySupport(supporter: Supporter, question: SupportQuestion): boolean {
 	const current = supportedNow(supporter, question.now);
 	if (current !== undefined) {
@@ -58,7 +58,7 @@
 	return question.now >= supporter.silentUntil && question.candidateApplied >= question.ownApplied;
 }
 
-/** The member after a question, and whether it supports the candidate. */
+/** Handles a request for support. Returns the member's new state and whether it supports the candidate. */
 export function support(supporter: Supporter, question: SupportQuestion, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
 	if (!maySupport(supporter, question)) {
 		return {supporter, granted: false};
@@ -69,20 +69,20 @@
 	return {supporter: {...supporter, supported: {name, incarnation}, supportedUntil}, granted: true};
 }
 
-/** Takes back the promise that a candidate gave itself. Only for one that was never elected on it. */
+/** Withdraws the promise that a candidate made to itself. Allowed only if the candidate was never elected on it. */
 export function withdrawn(supporter: Supporter): Supporter {
 	return {silentUntil: supporter.silentUntil, supportedUntil: -Infinity};
 }
 
-/** What a candidate knows of one member. */
+/** The support of one member for a candidate. */
 export type SupportRecord = {
-	/** When the support ends, counted from when it was asked for. */
+	/** When the support ends, counted from when it was requested. */
 	readonly until: MonotonicTime;
 	/** The newest entry that the member acknowledged while it supported the candidate. */
 	readonly acknowledged: LogIndex;
 };
 
-/** What a candidate knows of the members, by `lifeKey`. */
+/** The support of the members for a candidate, by `incarnationKey`. */
 export type SupportRecords = Readonly<Record<string, SupportRecord>>;
 
 function majorityValue(members: readonly InstanceIdentity[], valueOf: (key: string) => number): number {
@@ -90,17 +90,17 @@
 	return values[majorityOf(members.length) - 1] ?? -Infinity;
 }
 
-/** Until when a majority of the members supports the candidate. */
+/** Returns until when a majority of the members supports the candidate. */
 export function supportedUntil(members: readonly InstanceIdentity[], records: SupportRecords): MonotonicTime {
 	return majorityValue(members, key => records[key]?.until ?? -Infinity);
 }
 
-/** The newest entry that a majority of the members acknowledged. */
+/** Returns the newest entry that a majority of the members acknowledged. */
 export function acknowledgedIndex(members: readonly InstanceIdentity[], records: SupportRecords): LogIndex {
 	return Math.max(0, majorityValue(members, key => records[key]?.acknowledged ?? 0));
 }
 
-/** Notes a support that was asked for at `sentAt`, or what a supporter acknowledged. */
+/** Records a member's support or acknowledgement. An older record never shortens or lowers a newer one. */
 export function withSupport(records: SupportRecords, member: InstanceIdentity, news: SupportRecord): SupportRecords {
 	const key = incarnationKey(member);
 	const before = records[key];
--- a/packages/ownership/src/table.ts
+++ b/packages/ownership/src/table.ts
@@ -1,6 +1,6 @@
 /**
- * Applies commands to the ownership table, by a lookup table of handlers. A
- * command that doesn't fit the table is refused and changes nothing.
+ * Applies commands to the ownership table through a lookup table of handlers. A
+ * command that conflicts with the table is rejected and changes nothing.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
@@ -33,7 +33,7 @@
 	zoneReleased: releaseZone,
 };
 
-/** The table after the log entry `index` with a command. Fails: `notFound`, `conflict` or `malformed`. */
+/** Returns the table after applying the command of log entry `index`. Fails with `notFound`, `conflict` or `malformed`. */
 export function applyOwnership(state: OwnershipState, command: OwnershipCommand, index: LogIndex): Result<OwnershipState, Failure> {
 	return dispatch(handlers, command, state, index);
 }
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -1,5 +1,6 @@
 /**
- * Whether an instance is steward, and how far its zone is drained.
+ * Tenure of a zone's steward: whether an instance is steward now, and up to
+ * which log index its zone is drained.
  */
 import {includesInstance, type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {countedHolders, lowestDrained} from './holders.js';
@@ -7,12 +8,12 @@
 import {acknowledgedIndex, supportedUntil} from './support.js';
 import {grantorWait} from './terms.js';
 
-/** Whether an instance belongs to the roster in the table that it has applied. */
+/** Whether an instance is in its zone's roster, in the table that it has applied. */
 export function isSeated(state: StewardState): boolean {
 	return includesInstance(state.members, state.self);
 }
 
-/** When the steward's support ends. */
+/** Returns when the support of a majority ends. */
 export function supportEnd(state: StewardState): MonotonicTime {
 	return supportedUntil(state.members, state.records);
 }
@@ -22,7 +23,7 @@
 	return state.electedAt !== undefined && now < supportEnd(state);
 }
 
-/** The state after a look at the clock: a tenure whose support ran out is over. */
+/** Ends a tenure whose support has expired by `now`. */
 export function settled(state: StewardState, now: MonotonicTime): StewardState {
 	if (state.electedAt === undefined || now < supportEnd(state)) {
 		return state;
@@ -32,7 +33,7 @@
 	return {...rest, records: {}};
 }
 
-/** The state after a look at the supports: a majority begins a tenure. */
+/** Starts a tenure if a majority supports the candidate at `now`. */
 export function elected(state: StewardState, now: MonotonicTime): StewardState {
 	if (state.electedAt !== undefined || now >= supportEnd(state)) {
 		return state;
@@ -51,8 +52,8 @@
 }
 
 /**
- * How far the zone is drained. 0: the steward can't say, because what earlier
- * stewards allowed may be in flight.
+ * Returns the log index up to which the zone is drained. Returns 0 while requests
+ * that earlier stewards allowed may still be in flight.
  */
 export function zoneDrained(state: StewardState, now: MonotonicTime): LogIndex {
 	const wait = grantorWait(state.longestDeadlineMilliseconds, state.terms);
@@ -64,7 +65,7 @@
 	return Math.min(state.applied, acknowledgedIndex(state.members, state.records), lowestDrained(counted));
 }
 
-/** When the passing of time alone lets `zoneDrained` grow next. */
+/** Returns when `zoneDrained` may next grow by the passage of time alone. */
 export function drainedGrowsAt(state: StewardState, now: MonotonicTime): MonotonicTime {
 	const wait = grantorWait(state.longestDeadlineMilliseconds, state.terms);
 	if (state.electedAt === undefined || now < state.electedAt + wait) {
--- a/packages/ownership/src/terms.ts
+++ b/packages/ownership/src/terms.ts
@@ -1,18 +1,19 @@
 /**
- * The durations of leases and what clock drift adds to them. Every process
- * measures by its own monotonic clock, whose rate is off by at most `driftRatio`.
- * A holder counts less than it was given, and a grantor waits for longer.
+ * Lease durations and their correction for clock drift. Each process measures
+ * time on its own monotonic clock, whose rate deviates from true time by at most
+ * `driftRatio`. A holder uses less than the granted duration, and a grantor
+ * waits for longer.
  */
 import {type ServiceContract} from '@dogwooddeck/model/contract';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** The durations by which instances, stewards and control agree. */
+/** The durations that instances, stewards and control share. */
 export type LeaseTerms = {
-	/** A routing lease. */
+	/** How long a routing lease lasts. */
 	readonly leaseMilliseconds: Milliseconds;
-	/** The pause between two requests for the same lease, support or delegation. */
+	/** The interval between two requests for the same lease, support or delegation. */
 	readonly renewMilliseconds: Milliseconds;
-	/** The pause before a request that carries urgent news. */
+	/** The minimum interval before a request that reports progress which a revocation may be waiting for. */
 	readonly urgentMilliseconds: Milliseconds;
 	/** How long an instance's support of a steward lasts. */
 	readonly stewardTermMilliseconds: Milliseconds;
@@ -22,7 +23,7 @@
 	readonly driftRatio: number;
 };
 
-/** The terms that hold unless a deployment sets others. */
+/** The default terms. */
 export const defaultLeaseTerms: LeaseTerms = {
 	leaseMilliseconds: 1000,
 	renewMilliseconds: 250,
@@ -32,48 +33,48 @@
 	driftRatio: 0.01,
 };
 
-/** The part of a granted duration that its holder uses, on the holder's clock. */
+/** Returns the part of a granted duration that its holder may use, on the holder's clock. */
 export function holderTerm(duration: Milliseconds, terms: LeaseTerms): Milliseconds {
 	return duration * (1 - terms.driftRatio);
 }
 
-/** The time after which a granted duration is over on every clock, on the grantor's clock. */
+/** Returns how long the grantor waits, on its own clock, until a granted duration has expired on every clock. */
 export function grantorWait(duration: Milliseconds, terms: LeaseTerms): Milliseconds {
 	return duration * (1 + terms.driftRatio) / (1 - terms.driftRatio);
 }
 
-/** The parts of the time from the loss of an upstream until its keys are served again, in whole milliseconds by the default terms. */
+/** The parts of the time from the loss of an upstream until its keys are served again. With the default terms all are whole milliseconds. */
 export type TimeToServeAgain = {
 	readonly detectionMilliseconds: Milliseconds;
 	/** From the verdict until every instance has applied the revocation. */
 	readonly revocationMilliseconds: Milliseconds;
-	/** Until what is in flight has ended or passed its deadline. */
+	/** Until all in-flight requests have completed or passed their deadlines. */
 	readonly drainMilliseconds: Milliseconds;
-	/** Until control has the evidence and the grant is accepted. */
+	/** Until control has the evidence and the grant is committed. */
 	readonly grantMilliseconds: Milliseconds;
 	/** Until every instance has applied the grant. */
 	readonly spreadMilliseconds: Milliseconds;
 	readonly totalMilliseconds: Milliseconds;
 };
 
-/** The longest time that messages and the acceptance of one entry take. */
+/** Upper bounds for message transit and for the commit of one entry. */
 export type TransitTimes = {
 	/** One way between a steward and control. */
 	readonly controlMilliseconds: Milliseconds;
 	/** One way between two instances of a zone. */
 	readonly zoneMilliseconds: Milliseconds;
-	/** From the proposal of an entry until a majority of the voters has synced it. */
+	/** From the proposal of an entry until a majority of the voters has synced it to disk. */
 	readonly acceptMilliseconds: Milliseconds;
 };
 
-/** Transit where regions are 30 ms apart. */
+/** Transit times for regions that are 30 ms apart. */
 export const defaultTransitTimes: TransitTimes = {controlMilliseconds: 35, zoneMilliseconds: 2, acceptMilliseconds: 70};
 
 /**
- * Bounds the time until a lost upstream's keys are served again, where every
- * zone is in touch with control. The table travels in two hops (control to
- * steward, steward to instance), each at the latest with the next renewal, and
- * evidence goes back as urgent requests.
+ * Returns an upper bound for the time until a lost upstream's keys are served
+ * again, provided that every zone is in contact with control. The table travels
+ * in two hops (control to steward, steward to instance), each no later than the
+ * next renewal, and evidence is sent back in urgent requests.
  */
 export function timeToServeAgain(
 	contract: Pick<ServiceContract, 'longestDeadlineMilliseconds'>,
