--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -1,5 +1,5 @@
 /**
- * The parties of a schedule, and what is noted of them.
+ * The processes of a simulated schedule, and the records kept about them.
  */
 import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type FailureKind} from '@dogwooddeck/model/failure';
@@ -10,22 +10,22 @@
 import {type LeaseState} from '@dogwooddeck/ownership/lease';
 import {type StewardState} from '@dogwooddeck/ownership/steward-state';
 
-/** The services: one of each policy. */
+/** The services, one for each partition policy. */
 export const services = [
 	{service: 'held', whenCut: PartitionPolicy.hold},
 	{service: 'taken', whenCut: PartitionPolicy.takeOver},
 ];
 
-/** The slots of each service. Each has two keys. */
+/** The number of slots of each service. Each slot has two keys. */
 export const slotCount = 4;
 
-/** What a schedule is made of. */
+/** The parameters of a schedule. */
 export type Plan = {
 	readonly seed: number;
 	readonly zones: readonly string[];
 	readonly perZone: number;
 	readonly loss: number;
-	/** Moves and pins a second that nothing calls for. */
+	/** The rate per second of random moves and pins. */
 	readonly moves: number;
 	readonly driftRatio: number;
 	readonly longestDeadlineMilliseconds: number;
@@ -47,11 +47,11 @@
 	readonly from: string;
 	readonly upstream: Upstream;
 	readonly startedAt: number;
-	/** In true time: when it is over at the latest, or when the upstream ended it. */
+	/** In true time: the latest time at which the upstream may run it, or when the upstream completed it. */
 	until: number;
 };
 
-/** An upstream of both services. */
+/** An upstream that serves both services. */
 export class Upstream extends Process {
 	highestFence = new Map<string, number>();
 
@@ -60,7 +60,7 @@
 	}
 }
 
-/** One entry instance with all that it decides. */
+/** One entry instance with its ownership state. */
 export class Instance extends Process {
 	record!: InstanceRecord;
 	steward!: StewardState;
@@ -68,6 +68,6 @@
 	flights!: InFlightTracker;
 	applied: LogIndex = 0;
 	seatAskedAt = -Infinity;
-	/** When the steward's next tick has something to do, as told after its last event. */
+	/** When the steward's next tick is due, as computed after its last event. */
 	dueAt = -Infinity;
 }
--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -1,6 +1,6 @@
 /**
- * Control, as the schedules need it: voters of which one at a time can have
- * entries accepted, while others may still believe that they lead.
+ * A simplified control cluster for the schedules: only one voter at a time can
+ * commit entries, while deposed leaders may still act as leaders.
  */
 import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
@@ -31,13 +31,13 @@
 	leading: Leading | undefined;
 }
 
-/** How long a leader is missed before another is elected. */
+/** How long the voters are without a leader that has a quorum before another is elected. */
 const electionMilliseconds = 600;
 
-/** The voters. */
+/** The control voters and their current leader. */
 export class Leadership {
 	readonly voters: Voter[];
-	/** Upstreams that are judged to be lost. */
+	/** The upstreams that are declared lost. */
 	readonly lost = new Set<string>();
 	#term = 0;
 	#missedSince = 0;
@@ -62,7 +62,7 @@
 		return this.voters.find(voter => voter.leading?.term === this.#term);
 	}
 
-	/** Elects another leader; the old one doesn't know. Entries on their way may still be accepted. */
+	/** Elects another leader without notifying the old one. Proposals in transit may still be committed. */
 	depose(suits: (voter: Process) => boolean = () => true): void {
 		const others = this.voters.filter(voter => voter !== this.#leader && suits(voter) && this.#hasQuorum(voter));
 		const next = this.schedule.world.pick(others);
@@ -251,7 +251,7 @@
 		return commands;
 	}
 
-	/** Takes seats of instances that may well be alive, and then ask again. */
+	/** Unseats random instances, which may be alive and then request a seat again. */
 	#unseatings(leading: Leading, table: OwnershipState): readonly OwnershipCommand[] {
 		const {world, plan} = this.schedule;
 		return Object.values(table.rosters)
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -1,6 +1,6 @@
 /**
- * Runs leaders, stewards, routers and upstreams through a seeded schedule of
- * faults and watches that no key is sent to two upstreams at one moment.
+ * Simulates leaders, stewards, routers and upstreams under a seeded schedule of
+ * faults and checks that no two upstreams work on the same key at the same time.
  */
 import assert from 'node:assert/strict';
 import {FailureKind} from '@dogwooddeck/model/failure';
@@ -25,7 +25,7 @@
 } from '@dogwooddeck/ownership/table';
 import {defaultLeaseTerms as terms} from '@dogwooddeck/ownership/terms';
 
-/** A whole deployment under a schedule. */
+/** A simulated deployment. */
 export class Schedule {
 	readonly world: World;
 	readonly states: OwnershipState[] = [emptyOwnership];
@@ -35,9 +35,9 @@
 	readonly violations: string[] = [];
 	readonly works: Work[] = [];
 	readonly refused: Refusal[] = [];
-	/** Supports that were renewed with a lease request. */
+	/** The number of support renewals that were piggybacked on lease requests. */
 	renewals = 0;
-	/** Calls that asked for support. */
+	/** The number of separate calls that requested support. */
 	questions = 0;
 	readonly #active = new Map<string, Work[]>();
 
@@ -63,13 +63,13 @@
 		}
 	}
 
-	/** Appends an accepted entry. One that doesn't fit the table changes nothing. */
+	/** Appends a committed entry. A command that conflicts with the table changes nothing. */
 	append(command: OwnershipCommand): void {
 		const state = this.states.at(-1)!;
 		this.states.push(applyOwnership(state, command, this.states.length).unwrapOr(state));
 	}
 
-	/** Starts the next life of an instance. */
+	/** Starts the current incarnation of an instance with fresh state. */
 	boot(instance: Instance): void {
 		const now = this.world.now(instance);
 		instance.record = {...instance.record, incarnation: instance.life};
@@ -83,7 +83,7 @@
 		this.#offer(instance);
 	}
 
-	/** The upstream that a table names as an owner. */
+	/** Returns the upstream that a table names as an owner. */
 	upstreamOf(name: string): Upstream {
 		return this.upstreams.find(upstream => upstream.name === name)!;
 	}
@@ -116,7 +116,7 @@
 		const wasSteward = instance.steward.electedAt !== undefined;
 		const effects = this.#step(instance, {kind: 'ticked', now});
 		const hasChanged = effects.length > 0 || wasSteward !== (instance.steward.electedAt !== undefined);
-		assert.ok(now >= dueAt || !hasChanged, `a tick at ${now} did what was due at ${dueAt}`);
+		assert.ok(now >= dueAt || !hasChanged, `a tick at ${now} had an effect before it was due at ${dueAt}`);
 		this.#askLease(instance, now);
 		const seated = this.states[instance.applied]!.rosters[instance.zone]?.members
 			.some(member => member.name === instance.name && member.incarnation === instance.life);
@@ -209,7 +209,7 @@
 		return peers.find(other => other.name === name) ?? this.world.pick(peers)!;
 	}
 
-	/** The life of a steward that an instance's table names. */
+	/** Returns the incarnation of a steward that an instance's table names. */
 	#knownLife(instance: Instance, {name, record}: Instance): InstanceIdentity {
 		const members = this.states[instance.applied]!.rosters[instance.zone]?.members;
 		return members?.find(member => member.name === name) ?? record;
@@ -221,7 +221,7 @@
 		});
 	}
 
-	/** Callers' requests to one instance. */
+	/** Generates callers' requests to one instance. */
 	#offer(instance: Instance): void {
 		this.#request(instance);
 		this.world.afterIn(instance, 5 + (this.world.random() * 20), () => {
@@ -306,8 +306,8 @@
 		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.world.time);
 		const clash = active.find(other => other.upstream !== work.upstream);
 		if (clash !== undefined) {
-			this.violations.push(`at ${work.startedAt} ${work.key} goes from ${work.from} to ${work.upstream.name}, while `
-				+ `${clash.upstream.name} works on it for ${clash.from} since ${clash.startedAt} until ${clash.until}`);
+			this.violations.push(`at ${work.startedAt} zone ${work.from} sent ${work.key} to ${work.upstream.name}, while `
+				+ `${clash.upstream.name} worked on it for zone ${clash.from} from ${clash.startedAt} until ${clash.until}`);
 		}
 
 		active.push(work);
--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -1,5 +1,5 @@
 /**
- * The events of a steward's cases, in a zone of three whose longest deadline is 800 ms.
+ * Builders for steward events in a zone of three members whose longest deadline is 800 ms.
  */
 import {PartitionPolicy} from '@dogwooddeck/model/contract';
 import {emptyReport, type SupportRenewal} from '@dogwooddeck/model/lease';
@@ -7,14 +7,14 @@
 import {type StewardEvent} from '@dogwooddeck/ownership/steward-state';
 import {emptyOwnership, type OwnershipState} from '@dogwooddeck/ownership/table';
 
-/** An instance of the zone. */
+/** Returns the record of an instance of the zone. */
 export function record(name: string, incarnation = 1): InstanceRecord {
 	return {
 		name, incarnation, region: 'n', zone: 'n1', peerAddress: '', callerAddress: '', operatorAddress: '',
 	};
 }
 
-/** The members. */
+/** The members of the zone. */
 export const [a, b, c] = [record('a'), record('b'), record('c')];
 
 function tableOf(members: readonly InstanceRecord[]): OwnershipState {
@@ -27,44 +27,44 @@
 	return {...emptyOwnership, policies: {s: policy}, rosters: {n1: roster}};
 }
 
-/** A newer table with these members. */
+/** The instance applied a newer table with these members. */
 export const table = (now: number, applied: number, members = [a, b, c]): StewardEvent => ({
 	kind: 'tableChanged', now, applied, table: tableOf(members),
 });
-/** A look at the clock. */
+/** A tick. */
 export const tick = (now: number): StewardEvent => ({kind: 'ticked', now});
-/** A candidate asks for support. */
+/** A candidate requests support. */
 export const asked = (now: number, candidate: InstanceRecord, applied: number): StewardEvent => ({
 	kind: 'supportRequested', now, request: {zone: 'n1', candidate, applied},
 });
-/** A member supports. */
+/** A member grants its support. */
 export const granted = (now: number, sentAt: number, supporter: InstanceRecord, applied: number): StewardEvent => ({
 	kind: 'supportAnswered', now, sentAt, answer: {granted: true, supporter, applied},
 });
-/** A member supports another. */
+/** A member refuses its support because it supports another candidate. */
 export const refused = (now: number, sentAt: number, supporter: InstanceRecord, supported: InstanceRecord): StewardEvent => ({
 	kind: 'supportAnswered', now, sentAt, answer: {
 		granted: false, supporter, applied: 10, supported,
 	},
 });
-/** An instance asks for a lease. */
+/** An instance requests a lease. */
 export const lease = (now: number, instance: InstanceRecord, applied: number, drained = applied): StewardEvent => ({
 	kind: 'leaseRequested', now, request: {
 		instance, applied, drained, report: emptyReport,
 	},
 });
-/** An instance asks for a lease and renews its support. */
+/** An instance requests a lease and renews its support. */
 export const renewing = (now: number, instance: InstanceRecord, applied: number, supportRenewal: SupportRenewal): StewardEvent => ({
 	kind: 'leaseRequested', now, request: {
 		instance, applied, drained: applied, report: emptyReport, supportRenewal,
 	},
 });
-/** Control prolongs the delegation. */
+/** Control grants or renews the delegation. */
 export const delegated = (now: number, sentAt: number, applied: number): StewardEvent => ({
 	kind: 'delegationAnswered', now, sentAt, applied, answer: {termMilliseconds: 1500, shares: []},
 });
 
-/** `a` is steward since 1601 ms by its own support and that of `b`, both until 3085 ms. */
+/** Elects `a` as steward at 1601 ms by its own support and that of `b`, both until 3085 ms. */
 export const election = [table(0, 10), tick(1600), granted(1601, 1600, b, 10)];
-/** A renewal that `b` answers. */
+/** Renews the support by a tick and an answer of `b`. */
 export const renewal = (now: number, applied: number) => [tick(now), granted(now + 1, now, b, applied)];
--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -1,7 +1,8 @@
 /**
- * What is served and what is refused on each side while zones are cut off, for
- * both policies, and how it heals. The service `held` holds, `taken` is taken
- * over. Upstreams beyond the cut are judged lost after 1 s.
+ * Network partitions: which requests each side serves and refuses under both
+ * policies, and the recovery once the partition heals. The service `held` has the
+ * policy `hold`, `taken` the policy `take-over`. Upstreams in the partitioned
+ * zones are declared lost after 1 s.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -9,7 +10,7 @@
 
 const cutAt = 9000;
 const healAt = 20_000;
-/** From the cut on until control's leases are over and its side has moved what it may. */
+/** From the start of the partition until the control leases have expired and control's side has moved the slots that it may. */
 const settlingMilliseconds = 4500;
 
 type Expected = Readonly<Record<string, string>>;
@@ -24,7 +25,7 @@
 	'outside: taken of a zone outside': 'served',
 };
 
-const allServed = 'every request is served';
+const allServed = 'every request is served after the partition heals';
 
 const cases: ReadonlyArray<{
 	readonly name: string;
@@ -33,7 +34,7 @@
 	readonly leaderIn?: string;
 	readonly restartInside?: boolean;
 	readonly expected: Expected;
-	/** From the heal on until every request is served. */
+	/** The time in milliseconds from the end of the partition until every request is served. */
 	readonly healedWithin: number;
 }> = [
 	{
@@ -54,7 +55,7 @@
 		healedWithin: 3000,
 	},
 	{
-		name: 'a zone that restarts while it is cut off', zones: ['n1', 'n2', 'z1'], cut: ['z1'], restartInside: true,
+		name: 'a zone that restarts while it is partitioned', zones: ['n1', 'n2', 'z1'], cut: ['z1'], restartInside: true,
 		expected: {
 			'outside: held of a zone inside': 'no-owner',
 			'outside: held of a zone outside': 'served',
@@ -74,7 +75,7 @@
 	return `outside: ${service} of a zone ${cut.includes(ownerZone) ? 'inside' : 'outside'}`;
 }
 
-/** What happened to the requests of a window, by who asked for what. */
+/** Returns the outcomes of the requests in a time window, by the side of the requester, the service and the owner's zone. */
 function observe(schedule: Schedule, cut: readonly string[], from: number, until: number): Expected {
 	const cells = new Map<string, Cell>();
 	const cellOf = (zone: string, service: string, ownerZone: string) => {
@@ -99,7 +100,7 @@
 }
 
 for (const {name, zones, cut, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
-	test(`cut: ${name}`, () => {
+	test(`partition: ${name}`, () => {
 		const schedule = new Schedule({
 			seed: 7, zones, perZone: 3, loss: 0, moves: 0, driftRatio: 0.01, longestDeadlineMilliseconds: 800,
 		});
--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -1,9 +1,9 @@
 /**
- * What the control leader gives, and what it takes for evidence, case by case.
- * The leader starts at 0 ms with a log that ends at entry 9. The slots of the
- * services `held` and `taken` are under revocation by entry 20; their owners
- * are in zone n1. A delegation that was given before the leader's start is over
- * at 1531 ms, and what it let in flight 817 ms later.
+ * The delegations that the control leader grants, and the evidence that it
+ * accepts. The leader starts at 0 ms with a log that ends at entry 9. The slots
+ * of the services `held` and `taken` are under revocation by entry 20; their
+ * owners are in zone n1. A delegation that was granted before the leader's start
+ * has expired at 1531 ms, and the requests that it allowed 817 ms later.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -110,7 +110,7 @@
 	readonly expected: readonly string[];
 }> = [
 	{
-		name: 'a new leader waits for delegations that it did not give', table: usual,
+		name: 'a new leader waits for delegations of earlier leaders to expire', table: usual,
 		steps: [clears(2340, 'taken'), clears(2350, 'taken'), clears(99_999, 'held')], expected: ['n1 n2', 'cleared', 'n1'],
 	},
 	{
@@ -119,36 +119,36 @@
 		expected: ['1500', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
-		name: 'an owner whose zone is not known may have been in any', table: usual,
+		name: 'an owner whose zone is not recorded may have been in any zone', table: usual,
 		steps: [clears(2350, 'taken', false), clears(99_999, 'held', false), asks(100_000, 'n1', 25, 20), clears(100_000, 'held', false), asks(100_001, 'n2', 25, 20), clears(100_001, 'held', false)],
 		expected: ['cleared', 'n1 n2', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
-		name: 'a report stands when an older one comes late', table: usual,
+		name: 'an older report that arrives late does not replace a newer one', table: usual,
 		steps: [asks(10, 'n1', 25, 20), asks(10, 'n2', 25, 20), asks(20, 'n2', 25, 15), clears(30, 'held')],
 		expected: ['1500', '1500', '1500', 'cleared'],
 	},
 	{
-		name: 'evidence by time waits for the last delegation', table: usual,
+		name: 'evidence by expiry waits for the last delegation', table: usual,
 		steps: [asks(1000, 'n1', 9, 9), clears(3346, 'taken'), clears(3347, 'taken')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
-		name: 'a delegation is counted from when the quorum was heard', table: usual,
+		name: 'a delegation is counted from the last contact with a quorum', table: usual,
 		steps: [asks(1000, 'n1', 9, 9, 600), asks(3000, 'n1', 9, 9, 600)], expected: ['1100', '0'],
 	},
 	{
-		name: 'a steward that applied less than a new leader gets nothing', table: usual,
+		name: 'a steward that applied less than a new leader gets no delegation', table: usual,
 		steps: [asks(10, 'n1', 8, 8), asks(20, 'n1', 9, 8)], expected: ['0', '1500'],
 	},
 	{
-		name: 'a zone that was passed over by time first learns what it missed', table: usual,
+		name: 'a zone whose delegation expired gets a new one only after applying the revocation', table: usual,
 		steps: [clears(2350, 'taken'), asks(2400, 'n2', 19, 9), asks(2450, 'n2', 20, 9)], expected: ['cleared', '0', '1500'],
 	},
 	{
-		name: 'a zone without a roster gets nothing', table: usual, steps: [asks(10, 'n3', 25, 9)], expected: ['0'],
+		name: 'a zone without a roster gets no delegation', table: usual, steps: [asks(10, 'n3', 25, 9)], expected: ['0'],
 	},
 	{
-		name: 'a policy that some zone may not know yet still holds', table: unsettled,
+		name: 'a former hold policy counts while some zone may not have applied the change', table: unsettled,
 		steps: [clears(99_999, 'taken')], expected: ['n1'],
 	},
 	{
@@ -157,19 +157,19 @@
 		expected: ['1500', 'settles ', '1500', 'settles ', 'settles ', 'settles held taken'],
 	},
 	{
-		name: 'a release is evidence a term and a deadline after it was seen', table: released,
+		name: 'a release is evidence a term and a deadline after the leader observed it', table: released,
 		steps: [asks(10, 'n2', 25, 20), sees(1000), clears(3346, 'held'), clears(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
-		name: 'a release covers revocations before it, also when the zone is back', table: reseated,
+		name: 'a release covers earlier revocations, also once the zone has members again', table: reseated,
 		steps: [asks(10, 'n2', 25, 20), sees(0), clears(2347, 'held')], expected: ['1500', 'cleared'],
 	},
 	{
-		name: 'a release covers no revocation after the zone is back', table: releasedBefore,
+		name: 'a release covers no revocation after the zone got members again', table: releasedBefore,
 		steps: [asks(10, 'n2', 25, 20), sees(0), clears(99_999, 'held')], expected: ['1500', 'n1'],
 	},
 	{
-		name: 'an earlier release says nothing about a roster that emptied later', table: emptiedLater,
+		name: 'an earlier release does not cover a roster that became empty later', table: emptiedLater,
 		steps: [asks(10, 'n2', 25, 20), sees(0), clears(99_999, 'held'), seat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
 	},
 	{
@@ -177,17 +177,17 @@
 		steps: [seat(10, record('q', 1, 'n9'))], expected: ['instanceSeated'],
 	},
 	{
-		name: 'the next change of a roster waits until the last is reported', table: usual,
+		name: 'the next change of a roster waits until the last one is reported', table: usual,
 		steps: [seat(10, record('d')), asks(20, 'n1', 9, 4), seat(30, record('d')), asks(40, 'n1', 9, 5), seat(50, record('d'))],
 		expected: ['nothing', '1500', 'nothing', '1500', 'instanceSeated'],
 	},
 	{
-		name: 'a later life replaces an earlier one', table: usual,
+		name: 'a later incarnation replaces an earlier one', table: usual,
 		steps: [asks(10, 'n1', 9, 9), seat(20, record('b', 2)), seat(20, record('b', 1)), seat(20, record('b', 0))],
 		expected: ['1500', 'instanceUnseated', 'nothing', 'nothing'],
 	},
 	{
-		name: 'a zone is released when no old majority is left', table: usual,
+		name: 'a zone is released when no majority of former incarnations is left', table: usual,
 		steps: [seat(10, record('b', 2)), seat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
 	},
 	{
@@ -195,23 +195,23 @@
 		steps: [asks(5, 'n1', 9, 9), seat(10, record('b', 2)), seat(20, record('c', 2))], expected: ['1500', 'instanceUnseated', 'instanceUnseated'],
 	},
 	{
-		name: 'an old majority of the roster before counts too', table: tableOf(rosterOf('n1', [a, b], {previousMembers: [a, b, c]})),
+		name: 'a majority of the previous roster counts too', table: tableOf(rosterOf('n1', [a, b], {previousMembers: [a, b, c]})),
 		steps: [seat(10, record('a', 2)), seat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
 	},
 	{
-		name: 'the only member of a roster is replaced by its next life', table: tableOf(rosterOf('n1', [a])),
+		name: 'the only member of a roster is replaced by its later incarnation', table: tableOf(rosterOf('n1', [a])),
 		steps: [seat(10, record('d')), seat(20, record('a', 2))], expected: ['nothing', 'instanceUnseated'],
 	},
 	{
-		name: 'only the next life takes the seat of an only member', table: tableOf(rosterOf('n1', [], {previousMembers: [a]})),
+		name: 'only a later incarnation takes the seat of an only member', table: tableOf(rosterOf('n1', [], {previousMembers: [a]})),
 		steps: [seat(99_999, record('d')), seat(20, record('a', 1)), seat(20, record('a', 2))], expected: ['nothing', 'nothing', 'instanceSeated'],
 	},
 	{
-		name: 'a roster that lost its last member is released once that is known to be over', table: tableOf(rosterOf('n1', [], {previousMembers: [a, b]})),
+		name: 'a roster that lost its last member is released once former incarnations can form no majority', table: tableOf(rosterOf('n1', [], {previousMembers: [a, b]})),
 		steps: [seat(10, record('d')), seat(20, record('b', 2)), seat(30, record('d'))], expected: ['nothing', 'zoneReleased', 'zoneReleased'],
 	},
 	{
-		name: 'anyone takes the first seat a term and a deadline after a release', table: released,
+		name: 'any instance takes the first seat a term and a deadline after a release', table: released,
 		steps: [sees(1000), seat(3300, record('d')), seat(3347, record('d'))], expected: ['nothing', 'instanceSeated'],
 	},
 ];
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -1,5 +1,5 @@
 /**
- * An instance's lease and its count of requests in flight, case by case.
+ * An instance's lease and its tracker of in-flight requests.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -36,24 +36,24 @@
 		name: 'both leases in force', lease: leased(0, 1000, 1000), at: 989, expected: 'held other',
 	},
 	{
-		name: 'both leases over, less the drift', lease: leased(0, 1000, 1000), at: 990, expected: '',
+		name: 'both leases expired, by the drift bound early', lease: leased(0, 1000, 1000), at: 990, expected: '',
 	},
 	{
-		name: 'the zone is cut from control', lease: leased(0, 1000, 200), at: 500, expected: 'held',
+		name: 'the zone is partitioned from control', lease: leased(0, 1000, 200), at: 500, expected: 'held',
 	},
 	{
-		name: 'an older answer comes late', lease: leased(100, 10, 10, leased(500, 1000, 1000)), at: 1400, expected: 'held other',
+		name: 'an older answer arrives late', lease: leased(100, 10, 10, leased(500, 1000, 1000)), at: 1400, expected: 'held other',
 	},
 	{
 		name: 'the owner is being revoked', lease: leased(0, 1000, 1000), at: 1, assignment: revoking, expected: '',
 	},
 	{
-		name: 'nobody owns the slot', lease: leased(0, 1000, 1000), at: 1, assignment: vacant, expected: '',
+		name: 'the slot has no owner', lease: leased(0, 1000, 1000), at: 1, assignment: vacant, expected: '',
 	},
 ];
 
 for (const {name, lease, at, assignment = granted, expected} of starts) {
-	test(`lease: what may start: ${name}`, () => {
+	test(`lease: which requests may start: ${name}`, () => {
 		const held = mayStart(lease, at, assignment, true) ? ['held'] : [];
 		const other = mayStart(lease, at, assignment, false) ? ['other'] : [];
 		assert.equal([...held, ...other].join(' '), expected);
@@ -61,10 +61,10 @@
 }
 
 const dues: ReadonlyArray<{readonly name: string; readonly now: number; readonly applied?: number; readonly drained?: number; readonly expected: boolean}> = [
-	{name: 'no news', now: 249, expected: false},
+	{name: 'no progress', now: 249, expected: false},
 	{name: 'a renewal', now: 250, expected: true},
 	{
-		name: 'news, too soon', now: 24, drained: 6, expected: false,
+		name: 'progress, before the minimum interval', now: 24, drained: 6, expected: false,
 	},
 	{
 		name: 'a newer table', now: 25, applied: 11, expected: true,
@@ -75,7 +75,7 @@
 ];
 
 for (const {name, now, applied = 10, drained = 5, expected} of dues) {
-	test(`lease: when to ask: ${name}`, () => {
+	test(`lease: when a request is due: ${name}`, () => {
 		const lease = requestSent(createLease(terms), {now: 0, applied: 10, drained: 5});
 		assert.equal(requestDue(lease, now, applied, drained), expected);
 	});
@@ -98,7 +98,7 @@
 		}, expected: 30,
 	},
 	{
-		name: 'given up', assignment: revoking, finish(flights, flight) {
+		name: 'abandoned', assignment: revoking, finish(flights, flight) {
 			flights.abandoned(flight);
 		}, expected: 19,
 	},
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -1,7 +1,8 @@
 /**
- * Renewal of support with lease requests, case by case. `a` is steward since
- * 1601 ms by its own support and that of `b`, both until 3085 ms; its promises
- * last 1531 ms and what it counts 1485 ms.
+ * Renewal of support, piggybacked on lease requests. `a` is steward since 1601 ms
+ * by its own support and that of `b`, both until 3085 ms. A promise of support
+ * lasts 1531 ms for the member that makes it and 1485 ms for the steward that
+ * counts it.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -62,51 +63,51 @@
 		expected: ['supports', 'renews 77', 'supports'],
 	},
 	{
-		name: 'answers the newest of requests out of order',
+		name: 'answers the newest of several requests that arrive out of order',
 		events: [...supporterOfB, offered(1650, b, 78), offered(1651, b, 77), sent(1900, b), offered(1901, b, 77), sent(1950, b)],
 		expected: ['supports', 'renews 78'],
 	},
 	{
-		name: 'renews no support for another',
+		name: 'does not renew support for an instance that it does not support',
 		events: [...supporterOfB, offered(1650, c, 77), sent(1900, c), asked(1901, c, 10)],
 		expected: ['supports', 'refuses'],
 	},
-	{name: 'renews nothing with a request to another', events: [...supporterOfB, offered(1650, b, 77), sent(1900, c)], expected: ['supports']},
+	{name: 'renews nothing with a lease request to another instance', events: [...supporterOfB, offered(1650, b, 77), sent(1900, c)], expected: ['supports']},
 	{
-		name: 'renews nothing with a request to another life',
+		name: 'renews nothing with a lease request to another incarnation',
 		events: [...supporterOfB, offered(1650, b, 77), sent(1900, record('b', 2))],
 		expected: ['supports'],
 	},
 	{
-		name: 'renews nothing once its promise is over',
+		name: 'renews nothing once its promise has expired',
 		events: [...supporterOfB, offered(1650, b, 77), sent(3131, b), asked(3132, c, 10)],
 		expected: ['supports', 'supports'],
 	},
 	{
-		name: 'renews nothing after it switched',
+		name: 'renews nothing after it switched to another candidate',
 		events: [...supporterOfB, offered(1650, b, 77), asked(3200, c, 10), sent(3201, b), asked(3202, b, 10)],
 		expected: ['supports', 'supports', 'refuses'],
 	},
-	{name: 'promises nothing while it is silent', events: [table(0, 10), offered(1, b, 77), sent(250, b), asked(251, b, 10)], expected: ['refuses']},
-	{name: 'renews nothing that was not asked for', events: [...supporterOfB, offered(1650, b), sent(1900, b)], expected: ['supports']},
+	{name: 'promises nothing during its first term', events: [table(0, 10), offered(1, b, 77), sent(250, b), asked(251, b, 10)], expected: ['refuses']},
+	{name: 'renews nothing without a request for support', events: [...supporterOfB, offered(1650, b), sent(1900, b)], expected: ['supports']},
 ];
 
-/** What is left of the support is told by the lease that `a` gives at 3000 ms, when `b` has to have renewed. */
+/** The lease that `a` grants itself at 3000 ms is as long as its remaining support, which depends on a renewal by `b`. */
 const left = (...events: readonly StewardEvent[]) => [...election, ...rounds(1850, 2100, 2350), ...events, tick(2600), lease(3000, a, 10)];
 
 const stewardCases: readonly Case[] = [
 	{
-		name: 'asks with each answer',
+		name: 'requests support with each lease answer',
 		events: [...election, lease(1650, b, 10), lease(1651, c, 9)],
 		expected: ['asks b', 'asks c', '1000 asked at 1650', '0 asked at 1651'],
 	},
 	{
-		name: 'asks for nothing while it is not elected',
+		name: 'requests no support with lease answers while it is not elected',
 		events: [table(0, 10), tick(1600), lease(1601, b, 10)],
 		expected: ['asks b', 'asks c', '0 asked at no time'],
 	},
 	{
-		name: 'asks for nothing once it resigned',
+		name: 'requests no support with lease answers once it resigned',
 		events: [...election, resigned, lease(1603, b, 10)],
 		expected: ['asks b', 'asks c', '1000 asked at no time'],
 	},
@@ -115,49 +116,49 @@
 const counted = (name: string, events: readonly StewardEvent[], milliseconds: number) => ({name, events, milliseconds});
 const countedCases = [
 	counted('without a renewal', left(), 85),
-	counted('from when it asked, not from when the renewal came', left(renewedBy(2500, b, 1650)), 135),
-	counted('of a member whose support it did not have', left(renewedBy(2500, c, 1700)), 185),
-	counted('twice', left(renewedBy(2500, b, 1700), renewedBy(2510, b, 1700)), 185),
-	counted('out of order', left(renewedBy(2500, b, 1900), renewedBy(2510, b, 1700)), 385),
-	counted('for an earlier life of the steward', left(renewedBy(2500, b, 1900, record('a', 0))), 85),
+	counted('from the time of the request, not of the renewal', left(renewedBy(2500, b, 1650)), 135),
+	counted('of a member that did not support it before', left(renewedBy(2500, c, 1700)), 185),
+	counted('of a renewal that arrives twice', left(renewedBy(2500, b, 1700), renewedBy(2510, b, 1700)), 185),
+	counted('of renewals that arrive out of order', left(renewedBy(2500, b, 1900), renewedBy(2510, b, 1700)), 385),
+	counted('for an earlier incarnation of the steward', left(renewedBy(2500, b, 1900, record('a', 0))), 85),
 	counted('for another steward', left(renewedBy(2500, b, 1900, c)), 85),
-	counted('asked for later than now', left(renewedBy(2500, b, 2501)), 85),
-	counted('by an earlier life of a member', left(renewedBy(2500, record('b', 0), 1900)), 85),
-	counted('by another life of a member', left(renewedBy(2500, record('b', 2), 1900)), 85),
+	counted('requested at a time in the future', left(renewedBy(2500, b, 2501)), 85),
+	counted('by an earlier incarnation of a member', left(renewedBy(2500, record('b', 0), 1900)), 85),
+	counted('by a later incarnation of a member', left(renewedBy(2500, record('b', 2), 1900)), 85),
 	counted('after it resigned', left(resigned, renewedBy(2500, b, 1900)), 85),
 	counted('after its tenure', [...election, renewedBy(3100, b, 2900), lease(3101, a, 10)], 0),
 ];
 
-/** `b` acknowledged 10 and `c` nothing, so that only the renewal lets a majority have acknowledged 20. */
+/** `b` acknowledged 10 and `c` nothing, so that a majority has acknowledged 20 only if the renewal counts. */
 const acknowledged = (renewal: StewardEvent) => [...election, table(2400, 20), tick(2401), lease(2402, a, 20), renewal, tick(2700)];
 
 const acknowledgedCases = [
 	{name: 'with the support that it renews', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1700})), drained: 20},
-	{name: 'with none that was asked for before the tenure', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1600})), drained: 10},
-	{name: 'with none for an earlier life', events: acknowledged(renewing(2403, c, 20, {steward: record('a', 0), askedAt: 1700})), drained: 10},
+	{name: 'with none that was requested before the tenure', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1600})), drained: 10},
+	{name: 'with none for an earlier incarnation', events: acknowledged(renewing(2403, c, 20, {steward: record('a', 0), askedAt: 1700})), drained: 10},
 	{name: 'with no support', events: acknowledged(lease(2403, c, 20)), drained: 10},
 ];
 
 const roundCases: readonly Case[] = [
-	{name: 'asks all in an election', events: [table(0, 10), tick(1600), tick(1850)], expected: ['asks b', 'asks c', 'asks b', 'asks c']},
-	{name: 'asks only those that have not renewed', events: [...election, ...rounds(1850, 2100)], expected: ['asks b', 'asks c', 'asks c', 'asks c']},
+	{name: 'requests support of all members in an election', events: [table(0, 10), tick(1600), tick(1850)], expected: ['asks b', 'asks c', 'asks b', 'asks c']},
+	{name: 'requests support only of members that have not renewed', events: [...election, ...rounds(1850, 2100)], expected: ['asks b', 'asks c', 'asks c', 'asks c']},
 	{
-		name: 'asks as soon as a renewal is late',
+		name: 'requests support as soon as a renewal is overdue',
 		events: [...election, ...rounds(1850, 2100, 2149, 2150)],
 		expected: ['asks b', 'asks c', 'asks c', 'asks c', 'asks b', 'asks c'],
 	},
 	{
-		name: 'asks no supporter whose renewals come',
+		name: 'makes no calls to supporters that renew with lease requests',
 		events: [...election, granted(1602, 1600, c, 10), ...rounds(1850), renewedBy(2000, b, 1750), renewedBy(2000, c, 1750), ...rounds(2100, 2150, 2299)],
 		expected: ['asks b', 'asks c', '1000 asked at 2000', '1000 asked at 2000'],
 	},
 	{
-		name: 'goes on asking one that is silent, once in a round',
+		name: 'continues to request support of an unresponsive member, once a round',
 		events: [...election, ...rounds(1850, 2100, 2150, 2175, 2400)],
 		expected: ['asks b', 'asks c', 'asks c', 'asks c', 'asks b', 'asks c', 'asks b', 'asks c'],
 	},
 	{
-		name: 'asks a newcomer ahead of its seat',
+		name: 'requests support of a newcomer before it is seated',
 		events: [...election, lease(1700, record('d'), 10), ...rounds(1850), renewedBy(1851, record('d'), 1700), ...rounds(2100)],
 		expected: ['asks b', 'asks c', '1000 asked at 1700', 'asks c', 'asks d', '1000 asked at 1851', 'asks c'],
 	},
@@ -183,7 +184,7 @@
 	});
 }
 
-test('renewal: a late renewal is due before the next round', () => {
+test('renewal: a tick is due when a renewal becomes overdue, before the next round', () => {
 	const {state} = run([...election, ...rounds(1850, 2100)]);
 	assert.equal(stewardDueAt({...state, delegationAskedAt: Infinity}, 2101), 2150);
 });
--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -1,5 +1,5 @@
 /**
- * Sole ownership over seeded schedules of faults.
+ * Property test of exclusive ownership under seeded schedules of faults.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -108,7 +108,7 @@
 ];
 
 for (const {name, plan} of shapes) {
-	test(`schedule: one upstream at a time works on a key: ${name} (seed ${seed}, ${runs} runs)`, () => {
+	test(`schedule: at most one upstream at a time works on a key: ${name} (seed ${seed}, ${runs} runs)`, () => {
 		let works = 0;
 		let moves = 0;
 		let renewals = 0;
@@ -131,8 +131,8 @@
 		fc.assert(property, {
 			seed, numRuns: runs, endOnFailure: true, includeErrorInReport: true,
 		});
-		console.log(`${name}: ${works} requests sent, ${moves} log entries, ${renewals} supports renewed with leases, ${questions} questions`);
-		assert.ok(works > runs * 100, 'too little was sent to prove anything');
-		assert.ok(plan.perZone === 1 || renewals > questions, 'too few supports were renewed with leases');
+		console.log(`${name}: ${works} requests sent, ${moves} log entries, ${renewals} renewals with lease requests, ${questions} calls for support`);
+		assert.ok(works > runs * 100, 'too few requests were sent for a meaningful run');
+		assert.ok(plan.perZone === 1 || renewals > questions, 'too few renewals were piggybacked on lease requests');
 	});
 }
--- a/packages/ownership/test/test-served-again.ts
+++ b/packages/ownership/test/test-served-again.ts
@@ -1,6 +1,6 @@
 /**
- * The time from the loss of an upstream until each of its keys is sent to
- * another one, at the default terms and the default longest deadline.
+ * Measures the time from the loss of an upstream until each of its keys is sent
+ * to another one, with the default terms and the default longest deadline.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
--- a/packages/ownership/test/test-table.ts
+++ b/packages/ownership/test/test-table.ts
@@ -32,7 +32,7 @@
 	return {kind: 'assignmentsReleased', service, releases: [{slot: 0, revokedAt}]};
 }
 
-/** Applies each command as the entry with its place in the list, from 1. */
+/** Applies the commands as log entries, numbered from 1 by their position in the list. */
 function applyAll(commands: readonly OwnershipCommand[]): {readonly state: OwnershipState; readonly refused: readonly string[]} {
 	let state = emptyOwnership;
 	const refused: string[] = [];
@@ -54,13 +54,13 @@
 	readonly refused?: readonly string[];
 	readonly slots?: Readonly<Record<number, string>>;
 }> = [
-	{name: 'a service opens vacant', commands: [opened], slots: {0: 'vacant', 3: 'vacant'}},
-	{name: 'a service opens once', commands: [opened, opened], refused: ['2 conflict']},
-	{name: 'a service needs a slot', commands: [{...opened, slots: 0}], refused: ['1 malformed']},
+	{name: 'a service opens with vacant slots', commands: [opened], slots: {0: 'vacant', 3: 'vacant'}},
+	{name: 'a service that is open is not opened again', commands: [opened, opened], refused: ['2 conflict']},
+	{name: 'a service needs at least one slot', commands: [{...opened, slots: 0}], refused: ['1 malformed']},
 	{name: 'the fence is the index of the grant', commands: [opened, granted], slots: {0: 'first@2', 1: 'second@2'}},
-	{name: 'a granted slot is granted to nobody else', commands: [opened, granted, granted], refused: ['3 conflict']},
+	{name: 'a granted slot is not granted again', commands: [opened, granted, granted], refused: ['3 conflict']},
 	{
-		name: 'nothing of a refused command stands', commands: [opened, halfWrong], refused: ['2 conflict'], slots: {2: 'vacant'},
+		name: 'a refused command changes nothing', commands: [opened, halfWrong], refused: ['2 conflict'], slots: {2: 'vacant'},
 	},
 	{name: 'a slot that is being revoked keeps its owner', commands: [opened, granted, revoked], slots: {0: 'first@2 revoked@3'}},
 	{name: 'a vacant slot is not revoked', commands: [opened, revoked], refused: ['2 conflict']},
@@ -71,30 +71,30 @@
 	{
 		name: 'evidence for an earlier revocation is refused', commands: [opened, granted, revoked, moved, revoked, moved], refused: ['6 conflict'], slots: {0: 'second@4 revoked@5'},
 	},
-	{name: 'a release ends a revocation', commands: [opened, granted, revoked, released(3)], slots: {0: 'vacant'}},
-	{name: 'a release names its revocation', commands: [opened, granted, revoked, released(2)], refused: ['4 conflict']},
+	{name: 'a release completes a revocation', commands: [opened, granted, revoked, released(3)], slots: {0: 'vacant'}},
+	{name: 'a release that names another revocation is refused', commands: [opened, granted, revoked, released(2)], refused: ['4 conflict']},
 	{name: 'a service with owners does not close', commands: [opened, granted, {kind: 'serviceClosed', service}], refused: ['3 conflict']},
 	{name: 'a vacant service closes', commands: [opened, {kind: 'serviceClosed', service}, granted], refused: ['3 not-found']},
 	{name: 'a pinned key and its slot keep the owner under a new fence', commands: [opened, granted, pinned], slots: {0: 'first@3', 4: 'first@3'}},
 	{name: 'a key is not pinned out of a slot under revocation', commands: [opened, granted, revoked, pinned], refused: ['4 conflict']},
 	{name: 'a key is pinned once', commands: [opened, granted, pinned, pinned], refused: ['4 conflict']},
 	{name: 'a key is not pinned out of a pinned slot', commands: [opened, granted, pinned, {...pinned, key: 'B', home: 4}], refused: ['4 conflict']},
-	{name: 'a key goes back under a new fence', commands: [opened, granted, pinned, {kind: 'keyUnpinned', service, key: 'A2'}], slots: {0: 'first@4', 4: 'vacant'}},
-	{name: 'a key with another owner does not go back', commands: [opened, granted, pinned, revoked, {kind: 'keyUnpinned', service, key: 'A2'}], refused: ['5 conflict']},
-	{name: 'an instance has one seat', commands: [seated, {...seated, record: {...record, zone: 'b'}}], refused: ['2 conflict']},
-	{name: 'of two changes to one roster the first stands', commands: [seated, {...seated, record: {...record, name: 'a2'}}], refused: ['2 conflict']},
+	{name: 'an unpinned key and its slot get a new fence', commands: [opened, granted, pinned, {kind: 'keyUnpinned', service, key: 'A2'}], slots: {0: 'first@4', 4: 'vacant'}},
+	{name: 'a key whose assignment differs from its slot is not unpinned', commands: [opened, granted, pinned, revoked, {kind: 'keyUnpinned', service, key: 'A2'}], refused: ['5 conflict']},
+	{name: 'an instance is not seated twice', commands: [seated, {...seated, record: {...record, zone: 'b'}}], refused: ['2 conflict']},
+	{name: 'of two concurrent changes to one roster only the first is applied', commands: [seated, {...seated, record: {...record, name: 'a2'}}], refused: ['2 conflict']},
 	{
-		name: 'a release is about the roster that it names', commands: [seated, {
+		name: 'a zone release that names another version of the roster is refused', commands: [seated, {
 			kind: 'zoneReleased', zone: 'a', reason: 'withheld', changedAt: 0,
 		}], refused: ['2 conflict'],
 	},
-	{name: 'an operator releases whatever the roster is', commands: [seated, {kind: 'zoneReleased', zone: 'a', reason: 'declared-lost'}]},
-	{name: 'only the life that is seated is unseated', commands: [seated, laterUnseated], refused: ['2 not-found']},
-	{name: 'a settled roster names its change', commands: [seated, {kind: 'rosterSettled', zone: 'a', changedAt: 0}], refused: ['2 conflict']},
-	{name: 'a roster is settled at its change', commands: [seated, {kind: 'rosterSettled', zone: 'a', changedAt: 1}]},
-	{name: 'only a known roster is settled', commands: [{kind: 'rosterSettled', zone: 'a', changedAt: 1}], refused: ['1 not-found']},
-	{name: 'only a known zone is released', commands: [{kind: 'zoneReleased', zone: 'a', reason: 'declared-lost'}], refused: ['1 not-found']},
-	{name: 'a settled policy names its change', commands: [opened, {kind: 'policyChanged', service, policy}, {kind: 'policySettled', service, changedAt: 1}], refused: ['3 conflict']},
+	{name: 'an operator\'s release applies to any version of the roster', commands: [seated, {kind: 'zoneReleased', zone: 'a', reason: 'declared-lost'}]},
+	{name: 'only the seated incarnation is unseated', commands: [seated, laterUnseated], refused: ['2 not-found']},
+	{name: 'settling a roster at another change is refused', commands: [seated, {kind: 'rosterSettled', zone: 'a', changedAt: 0}], refused: ['2 conflict']},
+	{name: 'a roster is settled at its last change', commands: [seated, {kind: 'rosterSettled', zone: 'a', changedAt: 1}]},
+	{name: 'settling an unknown roster is refused', commands: [{kind: 'rosterSettled', zone: 'a', changedAt: 1}], refused: ['1 not-found']},
+	{name: 'releasing an unknown zone is refused', commands: [{kind: 'zoneReleased', zone: 'a', reason: 'declared-lost'}], refused: ['1 not-found']},
+	{name: 'settling a policy at another change is refused', commands: [opened, {kind: 'policyChanged', service, policy}, {kind: 'policySettled', service, changedAt: 1}], refused: ['3 conflict']},
 ];
 
 function shown(state: OwnershipState, slot: number): string {
@@ -124,7 +124,7 @@
 	assert.deepEqual([slotFor(assignments, 0, 'A2'), slotFor(assignments, 0, 'A3'), slotFor(assignments, 1, 'A2')], [4, 0, 1]);
 });
 
-test('table: a change shares what it leaves alone', () => {
+test('table: a change shares the unchanged parts of the state', () => {
 	const {state} = applyAll([opened, {...opened, service: 'other'}, granted]);
 	const result = applyOwnership(state, revoked, 4);
 	assert.ok(result.isOk);
--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -1,9 +1,10 @@
 /**
- * What a schedule runs in: true time, clocks that drift, processes that pause
- * and crash, and a network that loses, delays, doubles and reorders.
+ * The simulated environment of a schedule: true time, clocks that drift,
+ * processes that pause and crash, and a network that loses, delays, duplicates
+ * and reorders messages.
  */
 
-/** A source of random numbers from 0 to 1 that a seed fixes (Park and Miller's generator). */
+/** Creates a seeded generator of pseudorandom numbers between 0 and 1 (Park and Miller's). */
 export function randomFrom(seed: number): () => number {
 	const modulus = 2_147_483_647;
 	let state = (Math.abs(seed) % (modulus - 1)) + 1;
@@ -13,7 +14,7 @@
 	};
 }
 
-/** A process, of which one life runs at a time. */
+/** A process, of which one incarnation runs at a time. */
 export class Process {
 	life = 1;
 	paused = false;
@@ -21,7 +22,7 @@
 
 	constructor(readonly name: string, readonly zone: string, readonly clock: {readonly offset: number; readonly rate: number}) {}
 
-	/** Runs work of one life, or keeps it until the process goes on. */
+	/** Runs work of one incarnation, or queues it until a paused process resumes. Work of an earlier incarnation is dropped. */
 	run(life: number, work: () => void): void {
 		if (life !== this.life) {
 			return;
@@ -44,7 +45,7 @@
 		}
 	}
 
-	/** Ends this life; the next begins at once. */
+	/** Ends this incarnation and starts the next one at once. */
 	restart(): void {
 		this.life += 1;
 		this.paused = false;
@@ -52,14 +53,14 @@
 	}
 }
 
-/** The grain of true time. */
+/** The resolution of true time. */
 const ticksPerMillisecond = 4;
 
 /** True time and the network. */
 export class World {
 	time = 0;
 	readonly random: () => number;
-	/** Zones and processes that reach only those of the same number. */
+	/** Partition numbers of zones and processes, which reach only those with the same number. The default is 0. */
 	readonly sides = new Map<string, number>();
 	readonly #agenda = new Map<number, Array<() => void>>();
 	#tick = 0;
@@ -90,7 +91,7 @@
 		}
 	}
 
-	/** Runs work of a process's present life, later. */
+	/** Schedules work of a process's current incarnation. */
 	afterIn(process: Process, milliseconds: number, work: () => void): void {
 		const {life} = process;
 		this.after(milliseconds, () => {
@@ -98,7 +99,7 @@
 		});
 	}
 
-	/** Hands work to a process through the network, once, twice or never. */
+	/** Delivers work to a process through the network once, twice or never. */
 	send(from: Process, to: Process, work: () => void): void {
 		const copies = this.random() < this.loss ? 2 : 1;
 		for (let copy = 0; copy < copies; copy += 1) {
@@ -106,7 +107,7 @@
 		}
 	}
 
-	/** Asks a process and brings the answer back. */
+	/** Sends a request to a process and delivers its answer. */
 	call<Answer>(from: Process, to: Process, ask: () => Answer | undefined, take: (answer: Answer) => void): void {
 		const {life} = from;
 		this.send(from, to, () => {
@@ -121,7 +122,7 @@
 		});
 	}
 
-	/** Cuts zones and processes off from everyone else for a time. */
+	/** Partitions zones and processes from all others for a duration. */
 	cut(names: readonly string[], milliseconds: number): void {
 		for (const name of names) {
 			this.sides.set(name, 1);
