--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -18,8 +18,8 @@
 
 function seatedIncarnation(table: OwnershipState, {name, zone}: InstanceRecord): Incarnation {
 	const roster = table.rosters[zone];
-	const lives = [...roster?.members ?? [], ...roster?.previousMembers ?? []].filter(member => member.name === name);
-	return lives.reduce((latest, member) => Math.max(latest, member.incarnation), -Infinity);
+	const incarnations = [...roster?.members ?? [], ...roster?.previousMembers ?? []].filter(member => member.name === name);
+	return incarnations.reduce((latest, member) => Math.max(latest, member.incarnation), -Infinity);
 }
 
 /** Records a seat request. The first observation of a later incarnation is kept until that incarnation is seated. */
