--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -25,9 +25,9 @@
 /** Records a seat request. The first observation of a later incarnation is kept until that incarnation is seated. */
 export function noteSeatRequest(sightings: SeatSightings, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatSightings {
 	const {instance} = request;
-	const known = sightings[instance.name];
-	const stands = known !== undefined && known.incarnation > seatedIncarnation(table, instance);
-	if (stands || (known !== undefined && instance.incarnation <= known.incarnation)) {
+	const recorded = sightings[instance.name];
+	const stands = recorded !== undefined && recorded.incarnation > seatedIncarnation(table, instance);
+	if (stands || (recorded !== undefined && instance.incarnation <= recorded.incarnation)) {
 		return sightings;
 	}
 
