--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -26,8 +26,8 @@
 export function noteSeatRequest(sightings: SeatSightings, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatSightings {
 	const {instance} = request;
 	const recorded = sightings[instance.name];
-	const stands = recorded !== undefined && recorded.incarnation > seatedIncarnation(table, instance);
-	if (stands || (recorded !== undefined && instance.incarnation <= recorded.incarnation)) {
+	const isUnseated = recorded !== undefined && recorded.incarnation > seatedIncarnation(table, instance);
+	if (isUnseated || (recorded !== undefined && instance.incarnation <= recorded.incarnation)) {
 		return sightings;
 	}
 
