--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -35,8 +35,8 @@
 }
 
 function meetsEveryMajority(members: readonly InstanceRecord[], sightings: SeatSightings): boolean {
-	const over = members.filter(member => (sightings[member.name]?.incarnation ?? -Infinity) > member.incarnation);
-	return members.length === 0 || over.length > members.length - majorityOf(members.length);
+	const restarted = members.filter(member => (sightings[member.name]?.incarnation ?? -Infinity) > member.incarnation);
+	return members.length === 0 || restarted.length > members.length - majorityOf(members.length);
 }
 
 /**
