--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -34,7 +34,7 @@
 	return {...sightings, [instance.name]: {incarnation: instance.incarnation, heardAt: now}};
 }
 
-function meetsEveryMajority(members: readonly InstanceRecord[], sightings: SeatSightings): boolean {
+function intersectsEveryMajority(members: readonly InstanceRecord[], sightings: SeatSightings): boolean {
 	const restarted = members.filter(member => (sightings[member.name]?.incarnation ?? -Infinity) > member.incarnation);
 	return members.length === 0 || restarted.length > members.length - majorityOf(members.length);
 }
@@ -45,6 +45,6 @@
  */
 export function withheldEvidence(roster: ZoneRoster, sightings: SeatSightings): boolean {
 	return roster.members.length + roster.previousMembers.length > 0
-		&& meetsEveryMajority(roster.members, sightings)
-		&& meetsEveryMajority(roster.previousMembers, sightings);
+		&& intersectsEveryMajority(roster.members, sightings)
+		&& intersectsEveryMajority(roster.previousMembers, sightings);
 }
