--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -12,7 +12,7 @@
 import {
 	type GrantorState, isReleased, releaseWaited, zoneOf,
 } from './grantor.js';
-import {withheldEvidence} from './sighting.js';
+import {hasLostMajority} from './sighting.js';
 import {longestDeadlineOf, type OwnershipState, type ZoneRoster} from './state.js';
 
 /** The number of seats in a zone. Its other instances get leases, but support no steward. */
@@ -82,7 +82,7 @@
 /** Proposes the release of a zone if no majority of former incarnations is left. */
 function proposeRelease(grantor: GrantorState, roster: ZoneRoster): OwnershipCommand | undefined {
 	const canGoOn = mayChangeRoster(grantor, roster) || standsAlone(roster);
-	return !canGoOn && withheldEvidence(roster, grantor.sightings)
+	return !canGoOn && hasLostMajority(roster, grantor.sightings)
 		? {
 			kind: 'zoneReleased', zone: roster.zone, reason: ReleaseReason.withheld, changedAt: roster.changedAt,
 		}
--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -43,7 +43,7 @@
  * Whether so many members have restarted that no majority can support a steward
  * any more, neither of the current roster nor of the previous one.
  */
-export function withheldEvidence(roster: ZoneRoster, sightings: SeatSightings): boolean {
+export function hasLostMajority(roster: ZoneRoster, sightings: SeatSightings): boolean {
 	return roster.members.length + roster.previousMembers.length > 0
 		&& intersectsEveryMajority(roster.members, sightings)
 		&& intersectsEveryMajority(roster.previousMembers, sightings);
