--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -9,7 +9,7 @@
 import {type DelegationAnswer, type DelegationRequest, type SeatRequest} from '@dogwooddeck/model/lease';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {type ServicePolicy, someMayHold, waitedDeadline} from './policy.js';
-import {noteSeatRequest, type SeatSightings} from './sighting.js';
+import {recordSeatRequest, type SeatSightings} from './sighting.js';
 import {
 	assignmentOf, type OwnershipState, revokedAtOf, type ZoneRoster,
 } from './state.js';
@@ -108,7 +108,7 @@
 }
 
 function seatRequested(event: Extract<GrantorEvent, {readonly kind: 'seatRequested'}>, grantor: GrantorState): GrantorTransition {
-	const sightings = noteSeatRequest(grantor.sightings, event.request, event.table, event.now);
+	const sightings = recordSeatRequest(grantor.sightings, event.request, event.table, event.now);
 	return {state: {...grantor, sightings}, effects: []};
 }
 
--- a/packages/ownership/src/sighting.ts
+++ b/packages/ownership/src/sighting.ts
@@ -23,7 +23,7 @@
 }
 
 /** Records a seat request. The first observation of a later incarnation is kept until that incarnation is seated. */
-export function noteSeatRequest(sightings: SeatSightings, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatSightings {
+export function recordSeatRequest(sightings: SeatSightings, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatSightings {
 	const {instance} = request;
 	const recorded = sightings[instance.name];
 	const isUnseated = recorded !== undefined && recorded.incarnation > seatedIncarnation(table, instance);
