--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -17,7 +17,7 @@
 /** The promise of a member. */
 export type Supporter = {
 	/** The member promises nothing before this time, because a promise of its earlier incarnation may still be in force. */
-	readonly silentUntil: MonotonicTime;
+	readonly supportsFrom: MonotonicTime;
 	readonly supported?: InstanceIdentity;
 	/** When the promise ends on the member's own clock. */
 	readonly supportedUntil: MonotonicTime;
@@ -25,7 +25,7 @@
 
 /** Creates the state of a member whose process starts now. */
 export function createSupporter(now: MonotonicTime, terms: LeaseTerms): Supporter {
-	return {silentUntil: now + grantorWait(terms.stewardTermMilliseconds, terms), supportedUntil: -Infinity};
+	return {supportsFrom: now + grantorWait(terms.stewardTermMilliseconds, terms), supportedUntil: -Infinity};
 }
 
 /** Returns the candidate that the member supports now. */
@@ -35,7 +35,7 @@
 
 /** Returns from when the member may support itself, if no candidate requests its support before. */
 export function freeFrom(supporter: Supporter): MonotonicTime {
-	return Math.max(supporter.silentUntil, supporter.supportedUntil);
+	return Math.max(supporter.supportsFrom, supporter.supportedUntil);
 }
 
 /** A request for a member's support. */
@@ -55,7 +55,7 @@
 		return sameInstance(current, question.candidate);
 	}
 
-	return question.now >= supporter.silentUntil && question.candidateApplied >= question.ownApplied;
+	return question.now >= supporter.supportsFrom && question.candidateApplied >= question.ownApplied;
 }
 
 /** Handles a request for support. Returns the member's new state and whether it supports the candidate. */
@@ -71,7 +71,7 @@
 
 /** Withdraws the promise that a candidate made to itself. Allowed only if the candidate was never elected on it. */
 export function withdrawn(supporter: Supporter): Supporter {
-	return {silentUntil: supporter.silentUntil, supportedUntil: -Infinity};
+	return {supportsFrom: supporter.supportsFrom, supportedUntil: -Infinity};
 }
 
 /** The support of one member for a candidate. */
