--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -14,7 +14,7 @@
 	type StewardEffect, type StewardEvent, type StewardState, type StewardTransition,
 } from './steward-state.js';
 import {
-	freeFrom, support, supportedNow, withdrawn, withSupport,
+	freeToSupportFrom, support, supportedNow, withdrawn, withSupport,
 } from './support.js';
 import {
 	elected, isSeated, isSteward, settled,
@@ -92,7 +92,7 @@
 /** Returns when the instance next starts, renews or ends a candidacy, if no event occurs before. Infinity while it has no seat. */
 export function standingDueAt(state: StewardState): MonotonicTime {
 	if (state.stoodAt === undefined) {
-		return isSeated(state) ? Math.max(freeFrom(state.supporter), state.standsFrom) + turn(state) : Infinity;
+		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.standsFrom) + turn(state) : Infinity;
 	}
 
 	const renewal = state.supportAskedAt + state.terms.renewMilliseconds;
--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -34,7 +34,7 @@
 }
 
 /** Returns from when the member may support itself, if no candidate requests its support before. */
-export function freeFrom(supporter: Supporter): MonotonicTime {
+export function freeToSupportFrom(supporter: Supporter): MonotonicTime {
 	return Math.max(supporter.supportsFrom, supporter.supportedUntil);
 }
 
