--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -49,13 +49,13 @@
 };
 
 /** Whether a member may support a candidate. A renewal doesn't depend on what the candidate has applied. */
-function maySupport(supporter: Supporter, question: SupportQuestion): boolean {
-	const current = supportedNow(supporter, question.now);
+function maySupport(supporter: Supporter, query: SupportQuestion): boolean {
+	const current = supportedNow(supporter, query.now);
 	if (current !== undefined) {
-		return sameInstance(current, question.candidate);
+		return sameInstance(current, query.candidate);
 	}
 
-	return question.now >= supporter.supportsFrom && question.candidateApplied >= question.ownApplied;
+	return query.now >= supporter.supportsFrom && query.candidateApplied >= query.ownApplied;
 }
 
 /** Handles a request for support. Returns the member's new state and whether it supports the candidate. */
