--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -59,13 +59,13 @@
 }
 
 /** Handles a request for support. Returns the member's new state and whether it supports the candidate. */
-export function support(supporter: Supporter, question: SupportQuestion, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
-	if (!maySupport(supporter, question)) {
+export function support(supporter: Supporter, query: SupportQuestion, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
+	if (!maySupport(supporter, query)) {
 		return {supporter, granted: false};
 	}
 
-	const supportedUntil = question.now + grantorWait(terms.stewardTermMilliseconds, terms);
-	const {name, incarnation} = question.candidate;
+	const supportedUntil = query.now + grantorWait(terms.stewardTermMilliseconds, terms);
+	const {name, incarnation} = query.candidate;
 	return {supporter: {...supporter, supported: {name, incarnation}, supportedUntil}, granted: true};
 }
 
