--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -37,10 +37,10 @@
 }
 
 function withOwnSupport(state: StewardState, now: MonotonicTime): StewardState {
-	const question = {
+	const query = {
 		now, candidate: state.self, candidateApplied: state.applied, ownApplied: state.applied,
 	};
-	const {supporter, granted} = support(state.supporter, question, state.terms);
+	const {supporter, granted} = support(state.supporter, query, state.terms);
 	if (!granted) {
 		return state;
 	}
