--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -148,11 +148,11 @@
 export function supportRequested(event: EventOf<'supportRequested'>, before: StewardState): StewardTransition {
 	const state = settled(before, event.now);
 	const {now, request} = event;
-	const question = {
+	const query = {
 		now, candidate: request.candidate, candidateApplied: request.applied, ownApplied: state.applied,
 	};
 	const own = request.zone === state.self.zone;
-	const {supporter, granted} = own ? support(state.supporter, question, state.terms) : {supporter: state.supporter, granted: false};
+	const {supporter, granted} = own ? support(state.supporter, query, state.terms) : {supporter: state.supporter, granted: false};
 	const supported = supportedNow(supporter, now);
 	const answer: SupportAnswer = {
 		granted, supporter: identityOf(state), applied: state.applied, ...(supported !== undefined && {supported}),
