--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -83,12 +83,12 @@
 		return {state, effects: []};
 	}
 
-	const question = {
+	const query = {
 		now, candidate: to, candidateApplied: applied, ownApplied: applied,
 	};
 	const {steward, askedAt} = askedSupport;
 	return {
-		state: {...state, supporter: support(supporter, question, terms).supporter, askedSupport: {...askedSupport, isAnswered: true}},
+		state: {...state, supporter: support(supporter, query, terms).supporter, askedSupport: {...askedSupport, isAnswered: true}},
 		effects: [{kind: 'renewSupport', renewal: {steward, askedAt}}],
 	};
 }
