--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -39,7 +39,7 @@
 }
 
 /** A request for a member's support. */
-export type SupportQuestion = {
+export type SupportQuery = {
 	readonly now: MonotonicTime;
 	readonly candidate: InstanceIdentity;
 	/** The newest entry that the candidate has applied. */
@@ -49,7 +49,7 @@
 };
 
 /** Whether a member may support a candidate. A renewal doesn't depend on what the candidate has applied. */
-function maySupport(supporter: Supporter, query: SupportQuestion): boolean {
+function maySupport(supporter: Supporter, query: SupportQuery): boolean {
 	const current = supportedNow(supporter, query.now);
 	if (current !== undefined) {
 		return sameInstance(current, query.candidate);
@@ -59,7 +59,7 @@
 }
 
 /** Handles a request for support. Returns the member's new state and whether it supports the candidate. */
-export function support(supporter: Supporter, query: SupportQuestion, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
+export function support(supporter: Supporter, query: SupportQuery, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
 	if (!maySupport(supporter, query)) {
 		return {supporter, granted: false};
 	}
