--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -12,7 +12,7 @@
 import {type LeaseRequest, type SupportRenewal} from '@dogwooddeck/model/lease';
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {
-	support, supportedNow, type SupportRecord, withSupport,
+	decideSupport, supportedNow, type SupportRecord, withSupport,
 } from './support.js';
 import {isSteward} from './tenure.js';
 import {holderTerm, type LeaseTerms} from './terms.js';
@@ -88,7 +88,7 @@
 	};
 	const {steward, askedAt} = askedSupport;
 	return {
-		state: {...state, supporter: support(supporter, query, terms).supporter, askedSupport: {...askedSupport, isAnswered: true}},
+		state: {...state, supporter: decideSupport(supporter, query, terms).supporter, askedSupport: {...askedSupport, isAnswered: true}},
 		effects: [{kind: 'renewSupport', renewal: {steward, askedAt}}],
 	};
 }
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -14,7 +14,7 @@
 	type StewardEffect, type StewardEvent, type StewardState, type StewardTransition,
 } from './steward-state.js';
 import {
-	freeToSupportFrom, support, supportedNow, withdrawn, withSupport,
+	freeToSupportFrom, decideSupport, supportedNow, withdrawn, withSupport,
 } from './support.js';
 import {
 	elected, isSeated, isSteward, settled,
@@ -40,7 +40,7 @@
 	const query = {
 		now, candidate: state.self, candidateApplied: state.applied, ownApplied: state.applied,
 	};
-	const {supporter, granted} = support(state.supporter, query, state.terms);
+	const {supporter, granted} = decideSupport(state.supporter, query, state.terms);
 	if (!granted) {
 		return state;
 	}
@@ -152,7 +152,7 @@
 		now, candidate: request.candidate, candidateApplied: request.applied, ownApplied: state.applied,
 	};
 	const own = request.zone === state.self.zone;
-	const {supporter, granted} = own ? support(state.supporter, query, state.terms) : {supporter: state.supporter, granted: false};
+	const {supporter, granted} = own ? decideSupport(state.supporter, query, state.terms) : {supporter: state.supporter, granted: false};
 	const supported = supportedNow(supporter, now);
 	const answer: SupportAnswer = {
 		granted, supporter: identityOf(state), applied: state.applied, ...(supported !== undefined && {supported}),
--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -59,7 +59,7 @@
 }
 
 /** Handles a request for support. Returns the member's new state and whether it supports the candidate. */
-export function support(supporter: Supporter, query: SupportQuery, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
+export function decideSupport(supporter: Supporter, query: SupportQuery, terms: LeaseTerms): {readonly supporter: Supporter; readonly granted: boolean} {
 	if (!maySupport(supporter, query)) {
 		return {supporter, granted: false};
 	}
