--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -14,7 +14,7 @@
 	type StewardEffect, type StewardEvent, type StewardState, type StewardTransition,
 } from './steward-state.js';
 import {
-	freeToSupportFrom, decideSupport, supportedNow, withdrawn, withSupport,
+	freeToSupportFrom, decideSupport, supportedNow, withdrawSelfSupport, withSupport,
 } from './support.js';
 import {
 	elected, isSeated, isSteward, settled,
@@ -83,7 +83,7 @@
 	const {stoodAt: _stoodAt, ...rest} = state;
 	return {
 		...rest,
-		supporter: withdrawn(state.supporter),
+		supporter: withdrawSelfSupport(state.supporter),
 		records: {},
 		standsFrom: now + state.terms.renewMilliseconds,
 	};
--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -70,7 +70,7 @@
 }
 
 /** Withdraws the promise that a candidate made to itself. Allowed only if the candidate was never elected on it. */
-export function withdrawn(supporter: Supporter): Supporter {
+export function withdrawSelfSupport(supporter: Supporter): Supporter {
 	return {supportsFrom: supporter.supportsFrom, supportedUntil: -Infinity};
 }
 
