--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -101,14 +101,14 @@
 }
 
 /** Records a member's support or acknowledgement. An older record never shortens or lowers a newer one. */
-export function withSupport(records: SupportRecords, member: InstanceIdentity, news: SupportRecord): SupportRecords {
+export function withSupport(records: SupportRecords, member: InstanceIdentity, update: SupportRecord): SupportRecords {
 	const key = incarnationKey(member);
 	const before = records[key];
 	return {
 		...records,
 		[key]: {
-			until: Math.max(news.until, before?.until ?? -Infinity),
-			acknowledged: Math.max(news.acknowledged, before?.acknowledged ?? 0),
+			until: Math.max(update.until, before?.until ?? -Infinity),
+			acknowledged: Math.max(update.acknowledged, before?.acknowledged ?? 0),
 		},
 	};
 }
