--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -103,12 +103,12 @@
 /** Records a member's support or acknowledgement. An older record never shortens or lowers a newer one. */
 export function withSupport(records: SupportRecords, member: InstanceIdentity, update: SupportRecord): SupportRecords {
 	const key = incarnationKey(member);
-	const before = records[key];
+	const previous = records[key];
 	return {
 		...records,
 		[key]: {
-			until: Math.max(update.until, before?.until ?? -Infinity),
-			acknowledged: Math.max(update.acknowledged, before?.acknowledged ?? 0),
+			until: Math.max(update.until, previous?.until ?? -Infinity),
+			acknowledged: Math.max(update.acknowledged, previous?.acknowledged ?? 0),
 		},
 	};
 }
