--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -12,7 +12,7 @@
 import {type LeaseRequest, type SupportRenewal} from '@dogwooddeck/model/lease';
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {
-	decideSupport, supportedNow, type SupportRecord, withSupport,
+	decideSupport, supportedCandidate, type SupportRecord, withSupport,
 } from './support.js';
 import {isSteward} from './tenure.js';
 import {holderTerm, type LeaseTerms} from './terms.js';
@@ -77,7 +77,7 @@
  */
 export function leaseSent({now, to}: EventOf<'leaseSent'>, state: StewardState): StewardTransition {
 	const {askedSupport, supporter, applied, terms} = state;
-	const current = supportedNow(supporter, now);
+	const current = supportedCandidate(supporter, now);
 	const isAsked = askedSupport !== undefined && !askedSupport.isAnswered && sameInstance(askedSupport.steward, to);
 	if (!isAsked || current === undefined || !sameInstance(current, to)) {
 		return {state, effects: []};
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -14,7 +14,7 @@
 	type StewardEffect, type StewardEvent, type StewardState, type StewardTransition,
 } from './steward-state.js';
 import {
-	freeToSupportFrom, decideSupport, supportedNow, withdrawSelfSupport, withSupport,
+	freeToSupportFrom, decideSupport, supportedCandidate, withdrawSelfSupport, withSupport,
 } from './support.js';
 import {
 	elected, isSeated, isSteward, settled,
@@ -153,7 +153,7 @@
 	};
 	const own = request.zone === state.self.zone;
 	const {supporter, granted} = own ? decideSupport(state.supporter, query, state.terms) : {supporter: state.supporter, granted: false};
-	const supported = supportedNow(supporter, now);
+	const supported = supportedCandidate(supporter, now);
 	const answer: SupportAnswer = {
 		granted, supporter: identityOf(state), applied: state.applied, ...(supported !== undefined && {supported}),
 	};
--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -29,7 +29,7 @@
 }
 
 /** Returns the candidate that the member supports now. */
-export function supportedNow(supporter: Supporter, now: MonotonicTime): InstanceIdentity | undefined {
+export function supportedCandidate(supporter: Supporter, now: MonotonicTime): InstanceIdentity | undefined {
 	return now < supporter.supportedUntil ? supporter.supported : undefined;
 }
 
@@ -50,7 +50,7 @@
 
 /** Whether a member may support a candidate. A renewal doesn't depend on what the candidate has applied. */
 function maySupport(supporter: Supporter, query: SupportQuery): boolean {
-	const current = supportedNow(supporter, query.now);
+	const current = supportedCandidate(supporter, query.now);
 	if (current !== undefined) {
 		return sameInstance(current, query.candidate);
 	}
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -19,7 +19,7 @@
 import {routedDeadline} from '@dogwooddeck/ownership/policy';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
-import {supportedNow} from '@dogwooddeck/ownership/support';
+import {supportedCandidate} from '@dogwooddeck/ownership/support';
 import {
 	applyOwnership, assignmentOf, emptyOwnership, type OwnershipCommand, type OwnershipState, slotFor,
 } from '@dogwooddeck/ownership/table';
@@ -204,7 +204,7 @@
 	}
 
 	#stewardFor(instance: Instance, now: number): Instance {
-		const name = supportedNow(instance.steward.supporter, now)?.name;
+		const name = supportedCandidate(instance.steward.supporter, now)?.name;
 		const peers = this.instances.filter(other => other.zone === instance.zone);
 		return peers.find(other => other.name === name) ?? this.world.pick(peers)!;
 	}
