--- a/packages/ownership/src/support.ts
+++ b/packages/ownership/src/support.ts
@@ -91,7 +91,7 @@
 }
 
 /** Returns until when a majority of the members supports the candidate. */
-export function supportedUntil(members: readonly InstanceIdentity[], records: SupportRecords): MonotonicTime {
+export function majoritySupportUntil(members: readonly InstanceIdentity[], records: SupportRecords): MonotonicTime {
 	return majorityValue(members, key => records[key]?.until ?? -Infinity);
 }
 
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -5,7 +5,7 @@
 import {includesInstance, type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {countedHolders, lowestDrained} from './holders.js';
 import {type StewardState} from './steward-state.js';
-import {acknowledgedIndex, supportedUntil} from './support.js';
+import {acknowledgedIndex, majoritySupportUntil} from './support.js';
 import {grantorWait} from './terms.js';
 
 /** Whether an instance is in its zone's roster, in the table that it has applied. */
@@ -15,7 +15,7 @@
 
 /** Returns when the support of a majority ends. */
 export function supportEnd(state: StewardState): MonotonicTime {
-	return supportedUntil(state.members, state.records);
+	return majoritySupportUntil(state.members, state.records);
 }
 
 /** Whether the instance is its zone's steward now. */
