--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -11,7 +11,7 @@
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {withSupport} from './support.js';
 import {
-	isSteward, settled, supportEnd, zoneDrained,
+	isSteward, endExpiredTenure, supportEnd, zoneDrained,
 } from './tenure.js';
 import {holderTerm} from './terms.js';
 
@@ -69,7 +69,7 @@
 /** Answers a lease request, with a lease of 0 ms if it is refused. */
 export function leaseRequested(event: EventOf<'leaseRequested'>, before: StewardState): StewardTransition {
 	const {now, request} = event;
-	const state = noted(settled(before, now), request, now);
+	const state = noted(endExpiredTenure(before, now), request, now);
 	if (!mayHaveLease(state, request, now)) {
 		return {state, effects: [{kind: 'answerLease', answer: answerFor(state, now, {hold: 0, control: 0})}]};
 	}
@@ -126,7 +126,7 @@
  */
 export function delegationAnswered(event: EventOf<'delegationAnswered'>, before: StewardState): StewardTransition {
 	const {now, sentAt, answer} = event;
-	const state = settled(before, now);
+	const state = endExpiredTenure(before, now);
 	if (state.electedAt === undefined || sentAt < state.electedAt || answer.termMilliseconds <= 0) {
 		return {state, effects: []};
 	}
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -17,7 +17,7 @@
 	freeToSupportFrom, decideSupport, supportedCandidate, withdrawSelfSupport, withSupport,
 } from './support.js';
 import {
-	elected, isSeated, isSteward, settled,
+	elected, isSeated, isSteward, endExpiredTenure,
 } from './tenure.js';
 import {holderTerm} from './terms.js';
 
@@ -121,14 +121,14 @@
 
 /** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
 export function ticked(event: EventOf<'ticked'>, before: StewardState): StewardTransition {
-	const standing = stand(settled(before, event.now), event.now);
+	const standing = stand(endExpiredTenure(before, event.now), event.now);
 	const asking = delegationRequest(standing.state, event.now);
 	return {state: asking.state, effects: [...standing.effects, ...asking.effects]};
 }
 
 /** Adopts the roster and the deadlines of a newer table. */
 export function tableChanged(event: EventOf<'tableChanged'>, before: StewardState): StewardTransition {
-	const state = settled(before, event.now);
+	const state = endExpiredTenure(before, event.now);
 	if (event.applied <= state.applied) {
 		return {state, effects: []};
 	}
@@ -141,12 +141,12 @@
 		newcomers: state.newcomers.filter(newcomer => !members.some(member => member.name === newcomer.name)),
 		longestDeadlineMilliseconds: longestDeadlineOf(event.table),
 	};
-	return {state: settled(changed, event.now), effects: []};
+	return {state: endExpiredTenure(changed, event.now), effects: []};
 }
 
 /** Answers a candidate's request for support. */
 export function supportRequested(event: EventOf<'supportRequested'>, before: StewardState): StewardTransition {
-	const state = settled(before, event.now);
+	const state = endExpiredTenure(before, event.now);
 	const {now, request} = event;
 	const query = {
 		now, candidate: request.candidate, candidateApplied: request.applied, ownApplied: state.applied,
@@ -168,7 +168,7 @@
 
 /** Counts an answer to a request for support, unless it belongs to an earlier candidacy. */
 export function supportAnswered(event: EventOf<'supportAnswered'>, before: StewardState): StewardTransition {
-	const state = settled(before, event.now);
+	const state = endExpiredTenure(before, event.now);
 	const {now, sentAt, answer} = event;
 	if (state.stoodAt === undefined || sentAt < state.stoodAt) {
 		return {state, effects: []};
@@ -185,6 +185,6 @@
 
 /** Stops starting candidacies and renewing support. A current tenure ends when its support expires. */
 export function resigned(event: EventOf<'resigned'>, before: StewardState): StewardTransition {
-	const state = settled(before, event.now);
+	const state = endExpiredTenure(before, event.now);
 	return {state: {...state, standsFrom: Infinity}, effects: []};
 }
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -24,7 +24,7 @@
 }
 
 /** Ends a tenure whose support has expired by `now`. */
-export function settled(state: StewardState, now: MonotonicTime): StewardState {
+export function endExpiredTenure(state: StewardState, now: MonotonicTime): StewardState {
 	if (state.electedAt === undefined || now < supportEnd(state)) {
 		return state;
 	}
