--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -17,7 +17,7 @@
 	freeToSupportFrom, decideSupport, supportedCandidate, withdrawSelfSupport, withSupport,
 } from './support.js';
 import {
-	elected, isSeated, isSteward, endExpiredTenure,
+	startTenureIfElected, isSeated, isSteward, endExpiredTenure,
 } from './tenure.js';
 import {holderTerm} from './terms.js';
 
@@ -74,7 +74,7 @@
 }
 
 function asked(state: StewardState, now: MonotonicTime): StewardTransition {
-	const next = elected(withOwnSupport({...state, supportAskedAt: now}, now), now);
+	const next = startTenureIfElected(withOwnSupport({...state, supportAskedAt: now}, now), now);
 	return {state: next, effects: askOthers(next, now)};
 }
 
@@ -180,7 +180,7 @@
 
 	const until = sentAt + holderTerm(state.terms.stewardTermMilliseconds, state.terms);
 	const records = withSupport(state.records, answer.supporter, {until, acknowledged: answer.applied});
-	return {state: elected({...state, records}, now), effects: []};
+	return {state: startTenureIfElected({...state, records}, now), effects: []};
 }
 
 /** Stops starting candidacies and renewing support. A current tenure ends when its support expires. */
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -34,7 +34,7 @@
 }
 
 /** Starts a tenure if a majority supports the candidate at `now`. */
-export function elected(state: StewardState, now: MonotonicTime): StewardState {
+export function startTenureIfElected(state: StewardState, now: MonotonicTime): StewardState {
 	if (state.electedAt !== undefined || now >= supportEnd(state)) {
 		return state;
 	}
