--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -66,7 +66,7 @@
 }
 
 /** Returns when `zoneDrained` may next grow by the passage of time alone. */
-export function drainedGrowsAt(state: StewardState, now: MonotonicTime): MonotonicTime {
+export function drainedAdvancesAt(state: StewardState, now: MonotonicTime): MonotonicTime {
 	const wait = grantorWait(state.longestDeadlineMilliseconds, state.terms);
 	if (state.electedAt === undefined || now < state.electedAt + wait) {
 		return (state.electedAt ?? Infinity) + wait;
