--- a/packages/ownership/src/due.ts
+++ b/packages/ownership/src/due.ts
@@ -6,7 +6,7 @@
 import {delegationDueAt} from './leasing.js';
 import {standingDueAt} from './standing.js';
 import {type StewardState} from './steward-state.js';
-import {drainedAdvancesAt, supportEnd} from './tenure.js';
+import {drainedAdvancesAt, supportEndsAt} from './tenure.js';
 
 /**
  * Returns the earliest time at which a tick may have an effect, provided that no
@@ -17,5 +17,5 @@
 	const standing = standingDueAt(state);
 	return state.electedAt === undefined
 		? standing
-		: Math.min(standing, supportEnd(state), delegationDueAt(state, now), drainedAdvancesAt(state, now));
+		: Math.min(standing, supportEndsAt(state), delegationDueAt(state, now), drainedAdvancesAt(state, now));
 }
--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -11,7 +11,7 @@
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {withSupport} from './support.js';
 import {
-	isSteward, endExpiredTenure, supportEnd, zoneDrained,
+	isSteward, endExpiredTenure, supportEndsAt, zoneDrained,
 } from './tenure.js';
 import {holderTerm} from './terms.js';
 
@@ -74,7 +74,7 @@
 		return {state, effects: [{kind: 'answerLease', answer: answerFor(state, now, {hold: 0, control: 0})}]};
 	}
 
-	const hold = remaining(supportEnd(state), now, state.terms.leaseMilliseconds);
+	const hold = remaining(supportEndsAt(state), now, state.terms.leaseMilliseconds);
 	const control = remaining(state.delegatedUntil, now, hold);
 	const given = {
 		now, instance: request.instance, drained: Math.min(request.drained, request.applied), milliseconds: hold,
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -14,18 +14,18 @@
 }
 
 /** Returns when the support of a majority ends. */
-export function supportEnd(state: StewardState): MonotonicTime {
+export function supportEndsAt(state: StewardState): MonotonicTime {
 	return majoritySupportUntil(state.members, state.records);
 }
 
 /** Whether the instance is its zone's steward now. */
 export function isSteward(state: StewardState, now: MonotonicTime): boolean {
-	return state.electedAt !== undefined && now < supportEnd(state);
+	return state.electedAt !== undefined && now < supportEndsAt(state);
 }
 
 /** Ends a tenure whose support has expired by `now`. */
 export function endExpiredTenure(state: StewardState, now: MonotonicTime): StewardState {
-	if (state.electedAt === undefined || now < supportEnd(state)) {
+	if (state.electedAt === undefined || now < supportEndsAt(state)) {
 		return state;
 	}
 
@@ -35,7 +35,7 @@
 
 /** Starts a tenure if a majority supports the candidate at `now`. */
 export function startTenureIfElected(state: StewardState, now: MonotonicTime): StewardState {
-	if (state.electedAt !== undefined || now >= supportEnd(state)) {
+	if (state.electedAt !== undefined || now >= supportEndsAt(state)) {
 		return state;
 	}
 
