--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -80,7 +80,7 @@
 
 /** Ends a candidacy that found no majority, and backs off so that others can run. */
 function withdraw(state: StewardState, now: MonotonicTime): StewardState {
-	const {stoodAt: _stoodAt, ...rest} = state;
+	const {candidateSince: _stoodAt, ...rest} = state;
 	return {
 		...rest,
 		supporter: withdrawSelfSupport(state.supporter),
@@ -91,7 +91,7 @@
 
 /** Returns when the instance next starts, renews or ends a candidacy, if no event occurs before. Infinity while it has no seat. */
 export function standingDueAt(state: StewardState): MonotonicTime {
-	if (state.stoodAt === undefined) {
+	if (state.candidateSince === undefined) {
 		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.standsFrom) + turn(state) : Infinity;
 	}
 
@@ -101,7 +101,7 @@
 		: Math.max(Math.min(renewal, nextLateAt(state)), state.standsFrom);
 }
 
-function withdrawalAt({stoodAt = Infinity, terms}: StewardState): MonotonicTime {
+function withdrawalAt({candidateSince: stoodAt = Infinity, terms}: StewardState): MonotonicTime {
 	return stoodAt + (2 * terms.renewMilliseconds);
 }
 
@@ -110,8 +110,8 @@
 		return {state, effects: []};
 	}
 
-	if (state.stoodAt === undefined) {
-		return asked({...state, stoodAt: now}, now);
+	if (state.candidateSince === undefined) {
+		return asked({...state, candidateSince: now}, now);
 	}
 
 	return state.electedAt === undefined && now >= withdrawalAt(state)
@@ -170,7 +170,7 @@
 export function supportAnswered(event: EventOf<'supportAnswered'>, before: StewardState): StewardTransition {
 	const state = endExpiredTenure(before, event.now);
 	const {now, sentAt, answer} = event;
-	if (state.stoodAt === undefined || sentAt < state.stoodAt) {
+	if (state.candidateSince === undefined || sentAt < state.candidateSince) {
 		return {state, effects: []};
 	}
 
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -36,7 +36,7 @@
 	/** The support that this instance has received as a candidate or steward. */
 	readonly records: SupportRecords;
 	/** When its candidacy started; absent if it is neither candidate nor steward. */
-	readonly stoodAt?: MonotonicTime;
+	readonly candidateSince?: MonotonicTime;
 	/** It neither starts a candidacy nor renews its support before this time. */
 	readonly standsFrom: MonotonicTime;
 	readonly supportAskedAt: MonotonicTime;
