--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -21,7 +21,7 @@
 
 /** Whether a steward requests support with its lease answers. One that has resigned doesn't. */
 export function asksWithLeases(state: StewardState, now: MonotonicTime): boolean {
-	return isSteward(state, now) && now >= state.standsFrom;
+	return isSteward(state, now) && now >= state.candidacyNotBefore;
 }
 
 function isAskedBy(state: StewardState, {steward, askedAt}: SupportRenewal, now: MonotonicTime): boolean {
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -85,20 +85,20 @@
 		...rest,
 		supporter: withdrawSelfSupport(state.supporter),
 		records: {},
-		standsFrom: now + state.terms.renewMilliseconds,
+		candidacyNotBefore: now + state.terms.renewMilliseconds,
 	};
 }
 
 /** Returns when the instance next starts, renews or ends a candidacy, if no event occurs before. Infinity while it has no seat. */
 export function standingDueAt(state: StewardState): MonotonicTime {
 	if (state.candidateSince === undefined) {
-		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.standsFrom) + turn(state) : Infinity;
+		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.candidacyNotBefore) + turn(state) : Infinity;
 	}
 
 	const renewal = state.supportAskedAt + state.terms.renewMilliseconds;
 	return state.electedAt === undefined
-		? Math.min(Math.max(renewal, state.standsFrom), withdrawalAt(state))
-		: Math.max(Math.min(renewal, nextLateAt(state)), state.standsFrom);
+		? Math.min(Math.max(renewal, state.candidacyNotBefore), withdrawalAt(state))
+		: Math.max(Math.min(renewal, nextLateAt(state)), state.candidacyNotBefore);
 }
 
 function withdrawalAt({candidateSince: stoodAt = Infinity, terms}: StewardState): MonotonicTime {
@@ -186,5 +186,5 @@
 /** Stops starting candidacies and renewing support. A current tenure ends when its support expires. */
 export function resigned(event: EventOf<'resigned'>, before: StewardState): StewardTransition {
 	const state = endExpiredTenure(before, event.now);
-	return {state: {...state, standsFrom: Infinity}, effects: []};
+	return {state: {...state, candidacyNotBefore: Infinity}, effects: []};
 }
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -38,7 +38,7 @@
 	/** When its candidacy started; absent if it is neither candidate nor steward. */
 	readonly candidateSince?: MonotonicTime;
 	/** It neither starts a candidacy nor renews its support before this time. */
-	readonly standsFrom: MonotonicTime;
+	readonly candidacyNotBefore: MonotonicTime;
 	readonly supportAskedAt: MonotonicTime;
 	/** When its current tenure as steward started; absent if it isn't steward. */
 	readonly electedAt?: MonotonicTime;
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -32,7 +32,7 @@
 		longestDeadlineMilliseconds: 0,
 		supporter: createSupporter(now, terms),
 		records: {},
-		standsFrom: -Infinity,
+		candidacyNotBefore: -Infinity,
 		supportAskedAt: -Infinity,
 		floor: 0,
 		holders: {},
