--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -16,7 +16,7 @@
 import {type LeaseTerms} from './terms.js';
 
 /** A request for support that was received with a lease answer. */
-export type AskedSupport = SupportRenewal & {
+export type ReceivedSupportRequest = SupportRenewal & {
 	/** Whether a lease request has carried the renewal. */
 	readonly isAnswered: boolean;
 };
@@ -32,7 +32,7 @@
 	readonly longestDeadlineMilliseconds: Milliseconds;
 	readonly supporter: Supporter;
 	/** The newest request for support that was received with a lease answer. */
-	readonly askedSupport?: AskedSupport;
+	readonly askedSupport?: ReceivedSupportRequest;
 	/** The support that this instance has received as a candidate or steward. */
 	readonly records: SupportRecords;
 	/** When its candidacy started; absent if it is neither candidate nor steward. */
