--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -62,11 +62,11 @@
 
 /** Stores the request for support in a lease answer. Answers may arrive late, twice or out of order. */
 export function leaseAnswered({answer: {steward, supportAskedAt}}: EventOf<'leaseAnswered'>, state: StewardState): StewardTransition {
-	const {askedSupport} = state;
+	const {receivedSupportRequest: askedSupport} = state;
 	const isNews = supportAskedAt !== undefined
 		&& (askedSupport === undefined || !sameInstance(askedSupport.steward, steward) || askedSupport.askedAt < supportAskedAt);
 	return {
-		state: isNews ? {...state, askedSupport: {steward, askedAt: supportAskedAt, isAnswered: false}} : state,
+		state: isNews ? {...state, receivedSupportRequest: {steward, askedAt: supportAskedAt, isAnswered: false}} : state,
 		effects: [],
 	};
 }
@@ -76,7 +76,7 @@
  * for support is answered once, so that a promise to a lost steward isn't extended.
  */
 export function leaseSent({now, to}: EventOf<'leaseSent'>, state: StewardState): StewardTransition {
-	const {askedSupport, supporter, applied, terms} = state;
+	const {receivedSupportRequest: askedSupport, supporter, applied, terms} = state;
 	const current = supportedCandidate(supporter, now);
 	const isAsked = askedSupport !== undefined && !askedSupport.isAnswered && sameInstance(askedSupport.steward, to);
 	if (!isAsked || current === undefined || !sameInstance(current, to)) {
@@ -88,7 +88,7 @@
 	};
 	const {steward, askedAt} = askedSupport;
 	return {
-		state: {...state, supporter: decideSupport(supporter, query, terms).supporter, askedSupport: {...askedSupport, isAnswered: true}},
+		state: {...state, supporter: decideSupport(supporter, query, terms).supporter, receivedSupportRequest: {...askedSupport, isAnswered: true}},
 		effects: [{kind: 'renewSupport', renewal: {steward, askedAt}}],
 	};
 }
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -32,7 +32,7 @@
 	readonly longestDeadlineMilliseconds: Milliseconds;
 	readonly supporter: Supporter;
 	/** The newest request for support that was received with a lease answer. */
-	readonly askedSupport?: ReceivedSupportRequest;
+	readonly receivedSupportRequest?: ReceivedSupportRequest;
 	/** The support that this instance has received as a candidate or steward. */
 	readonly records: SupportRecords;
 	/** When its candidacy started; absent if it is neither candidate nor steward. */
