--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -45,13 +45,13 @@
 
 /** Records a supporter's applied index as an acknowledgement while it supports this steward. */
 function withAcknowledgement(state: StewardState, request: LeaseRequest, now: MonotonicTime): StewardState {
-	const record = state.records[incarnationKey(request.instance)];
+	const record = state.supportRecords[incarnationKey(request.instance)];
 	if (record === undefined || now >= record.until) {
 		return state;
 	}
 
 	const acknowledged = request.applied;
-	return {...state, records: withSupport(state.records, request.instance, {until: record.until, acknowledged})};
+	return {...state, supportRecords: withSupport(state.supportRecords, request.instance, {until: record.until, acknowledged})};
 }
 
 /** The largest number of newcomers that are recorded. */
--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -47,7 +47,7 @@
 	}
 
 	const until = supportRenewal.askedAt + holderTerm(state.terms.stewardTermMilliseconds, state.terms);
-	return {...state, records: withSupport(state.records, instance, {until, acknowledged: applied})};
+	return {...state, supportRecords: withSupport(state.supportRecords, instance, {until, acknowledged: applied})};
 }
 
 /** Returns when a supporter's renewal is overdue, so that the steward requests it in a separate call. */
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -46,7 +46,7 @@
 	}
 
 	const until = now + holderTerm(state.terms.stewardTermMilliseconds, state.terms);
-	return {...state, supporter, records: withSupport(state.records, state.self, {until, acknowledged: state.applied})};
+	return {...state, supporter, supportRecords: withSupport(state.supportRecords, state.self, {until, acknowledged: state.applied})};
 }
 
 /** Returns the other instances whose support a steward requests. */
@@ -55,7 +55,7 @@
 }
 
 function lateAt(state: StewardState, other: InstanceRecord): MonotonicTime {
-	return renewalLateAt(state.records[incarnationKey(other)], state.terms);
+	return renewalLateAt(state.supportRecords[incarnationKey(other)], state.terms);
 }
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
@@ -84,7 +84,7 @@
 	return {
 		...rest,
 		supporter: withdrawSelfSupport(state.supporter),
-		records: {},
+		supportRecords: {},
 		candidacyNotBefore: now + state.terms.renewMilliseconds,
 	};
 }
@@ -179,8 +179,8 @@
 	}
 
 	const until = sentAt + holderTerm(state.terms.stewardTermMilliseconds, state.terms);
-	const records = withSupport(state.records, answer.supporter, {until, acknowledged: answer.applied});
-	return {state: startTenureIfElected({...state, records}, now), effects: []};
+	const records = withSupport(state.supportRecords, answer.supporter, {until, acknowledged: answer.applied});
+	return {state: startTenureIfElected({...state, supportRecords: records}, now), effects: []};
 }
 
 /** Stops starting candidacies and renewing support. A current tenure ends when its support expires. */
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -34,7 +34,7 @@
 	/** The newest request for support that was received with a lease answer. */
 	readonly receivedSupportRequest?: ReceivedSupportRequest;
 	/** The support that this instance has received as a candidate or steward. */
-	readonly records: SupportRecords;
+	readonly supportRecords: SupportRecords;
 	/** When its candidacy started; absent if it is neither candidate nor steward. */
 	readonly candidateSince?: MonotonicTime;
 	/** It neither starts a candidacy nor renews its support before this time. */
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -31,7 +31,7 @@
 		members: [],
 		longestDeadlineMilliseconds: 0,
 		supporter: createSupporter(now, terms),
-		records: {},
+		supportRecords: {},
 		candidacyNotBefore: -Infinity,
 		supportAskedAt: -Infinity,
 		floor: 0,
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -15,7 +15,7 @@
 
 /** Returns when the support of a majority ends. */
 export function supportEndsAt(state: StewardState): MonotonicTime {
-	return majoritySupportUntil(state.members, state.records);
+	return majoritySupportUntil(state.members, state.supportRecords);
 }
 
 /** Whether the instance is its zone's steward now. */
@@ -30,7 +30,7 @@
 	}
 
 	const {electedAt: _electedAt, candidateSince: _stoodAt, ...rest} = state;
-	return {...rest, records: {}};
+	return {...rest, supportRecords: {}};
 }
 
 /** Starts a tenure if a majority supports the candidate at `now`. */
@@ -62,7 +62,7 @@
 	}
 
 	const counted = countedHolders(state.holders, now, state.longestDeadlineMilliseconds, state.terms);
-	return Math.min(state.applied, acknowledgedIndex(state.members, state.records), lowestDrained(counted));
+	return Math.min(state.applied, acknowledgedIndex(state.members, state.supportRecords), lowestDrained(counted));
 }
 
 /** Returns when `zoneDrained` may next grow by the passage of time alone. */
