--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -60,7 +60,7 @@
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
 function nextLateAt(state: StewardState): MonotonicTime {
-	return Math.min(...others(state).map(other => lateAt(state, other)).filter(late => late > state.supportAskedAt));
+	return Math.min(...others(state).map(other => lateAt(state, other)).filter(late => late > state.supportRequestedAt));
 }
 
 function askOthers(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
@@ -74,7 +74,7 @@
 }
 
 function asked(state: StewardState, now: MonotonicTime): StewardTransition {
-	const next = startTenureIfElected(withOwnSupport({...state, supportAskedAt: now}, now), now);
+	const next = startTenureIfElected(withOwnSupport({...state, supportRequestedAt: now}, now), now);
 	return {state: next, effects: askOthers(next, now)};
 }
 
@@ -95,7 +95,7 @@
 		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.candidacyNotBefore) + turn(state) : Infinity;
 	}
 
-	const renewal = state.supportAskedAt + state.terms.renewMilliseconds;
+	const renewal = state.supportRequestedAt + state.terms.renewMilliseconds;
 	return state.electedAt === undefined
 		? Math.min(Math.max(renewal, state.candidacyNotBefore), withdrawalAt(state))
 		: Math.max(Math.min(renewal, nextLateAt(state)), state.candidacyNotBefore);
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -39,7 +39,7 @@
 	readonly candidateSince?: MonotonicTime;
 	/** It neither starts a candidacy nor renews its support before this time. */
 	readonly candidacyNotBefore: MonotonicTime;
-	readonly supportAskedAt: MonotonicTime;
+	readonly supportRequestedAt: MonotonicTime;
 	/** When its current tenure as steward started; absent if it isn't steward. */
 	readonly electedAt?: MonotonicTime;
 	/** The lowest applied index with which an instance may get a lease. */
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -33,7 +33,7 @@
 		supporter: createSupporter(now, terms),
 		supportRecords: {},
 		candidacyNotBefore: -Infinity,
-		supportAskedAt: -Infinity,
+		supportRequestedAt: -Infinity,
 		floor: 0,
 		holders: {},
 		newcomers: [],
