--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -90,7 +90,7 @@
 
 /** Returns when a steward next requests the delegation from control, if no event occurs before. */
 export function delegationDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
-	const {delegationAskedAt, terms} = state;
+	const {delegationRequestedAt: delegationAskedAt, terms} = state;
 	const [renewal, urgent] = [delegationAskedAt + terms.renewMilliseconds, delegationAskedAt + terms.urgentMilliseconds];
 	if (drainedNow(state, now) > state.askedDrained) {
 		return urgent;
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -49,7 +49,7 @@
 	readonly newcomers: readonly InstanceRecord[];
 	/** The end of the zone's delegation, according to the answers that this steward received. */
 	readonly delegatedUntil: MonotonicTime;
-	readonly delegationAskedAt: MonotonicTime;
+	readonly delegationRequestedAt: MonotonicTime;
 	readonly askedDrained: LogIndex;
 	readonly askedApplied: LogIndex;
 };
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -38,7 +38,7 @@
 		holders: {},
 		newcomers: [],
 		delegatedUntil: -Infinity,
-		delegationAskedAt: -Infinity,
+		delegationRequestedAt: -Infinity,
 		askedDrained: 0,
 		askedApplied: 0,
 	};
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -45,7 +45,7 @@
 		floor: state.applied,
 		holders: {},
 		delegatedUntil: -Infinity,
-		delegationAskedAt: -Infinity,
+		delegationRequestedAt: -Infinity,
 		askedDrained: 0,
 		askedApplied: 0,
 	};
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -186,5 +186,5 @@
 
 test('renewal: a tick is due when a renewal becomes overdue, before the next round', () => {
 	const {state} = run([...election, ...rounds(1850, 2100)]);
-	assert.equal(stewardDueAt({...state, delegationAskedAt: Infinity}, 2101), 2150);
+	assert.equal(stewardDueAt({...state, delegationRequestedAt: Infinity}, 2101), 2150);
 });
