--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -90,8 +90,8 @@
 
 /** Returns when a steward next requests the delegation from control, if no event occurs before. */
 export function delegationDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
-	const {delegationRequestedAt: delegationAskedAt, terms} = state;
-	const [renewal, urgent] = [delegationAskedAt + terms.renewMilliseconds, delegationAskedAt + terms.urgentMilliseconds];
+	const {delegationRequestedAt: delegationRequestedAt, terms} = state;
+	const [renewal, urgent] = [delegationRequestedAt + terms.renewMilliseconds, delegationRequestedAt + terms.urgentMilliseconds];
 	if (drainedNow(state, now) > state.askedDrained) {
 		return urgent;
 	}
