--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -25,7 +25,7 @@
 function mayHaveLease(state: StewardState, request: LeaseRequest, now: MonotonicTime): boolean {
 	return isSteward(state, now)
 		&& request.instance.zone === state.self.zone
-		&& request.applied >= Math.max(state.floor, state.askedDrained);
+		&& request.applied >= Math.max(state.floor, state.reportedDrained);
 }
 
 function answerFor(state: StewardState, now: MonotonicTime, given: {readonly hold: Milliseconds; readonly control: Milliseconds}): LeaseAnswer {
@@ -85,14 +85,14 @@
 }
 
 function drainedNow(state: StewardState, now: MonotonicTime): LogIndex {
-	return Math.max(state.askedDrained, zoneDrained(state, now));
+	return Math.max(state.reportedDrained, zoneDrained(state, now));
 }
 
 /** Returns when a steward next requests the delegation from control, if no event occurs before. */
 export function delegationDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
 	const {delegationRequestedAt: delegationRequestedAt, terms} = state;
 	const [renewal, urgent] = [delegationRequestedAt + terms.renewMilliseconds, delegationRequestedAt + terms.urgentMilliseconds];
-	if (drainedNow(state, now) > state.askedDrained) {
+	if (drainedNow(state, now) > state.reportedDrained) {
 		return urgent;
 	}
 
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -50,7 +50,7 @@
 	/** The end of the zone's delegation, according to the answers that this steward received. */
 	readonly delegatedUntil: MonotonicTime;
 	readonly delegationRequestedAt: MonotonicTime;
-	readonly askedDrained: LogIndex;
+	readonly reportedDrained: LogIndex;
 	readonly askedApplied: LogIndex;
 };
 
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -39,7 +39,7 @@
 		newcomers: [],
 		delegatedUntil: -Infinity,
 		delegationRequestedAt: -Infinity,
-		askedDrained: 0,
+		reportedDrained: 0,
 		askedApplied: 0,
 	};
 }
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -46,7 +46,7 @@
 		holders: {},
 		delegatedUntil: -Infinity,
 		delegationRequestedAt: -Infinity,
-		askedDrained: 0,
+		reportedDrained: 0,
 		askedApplied: 0,
 	};
 }
