--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -96,7 +96,7 @@
 		return urgent;
 	}
 
-	return state.applied > state.askedApplied ? Math.min(renewal, Math.max(urgent, state.delegatedUntil)) : renewal;
+	return state.applied > state.reportedApplied ? Math.min(renewal, Math.max(urgent, state.delegatedUntil)) : renewal;
 }
 
 /** Requests the delegation from control if that is due. */
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -51,7 +51,7 @@
 	readonly delegatedUntil: MonotonicTime;
 	readonly delegationRequestedAt: MonotonicTime;
 	readonly reportedDrained: LogIndex;
-	readonly askedApplied: LogIndex;
+	readonly reportedApplied: LogIndex;
 };
 
 /** An event that a steward handles. Times are on its own monotonic clock. */
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -40,7 +40,7 @@
 		delegatedUntil: -Infinity,
 		delegationRequestedAt: -Infinity,
 		reportedDrained: 0,
-		askedApplied: 0,
+		reportedApplied: 0,
 	};
 }
 
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -47,7 +47,7 @@
 		delegatedUntil: -Infinity,
 		delegationRequestedAt: -Infinity,
 		reportedDrained: 0,
-		askedApplied: 0,
+		reportedApplied: 0,
 	};
 }
 
