--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -25,7 +25,7 @@
 function mayHaveLease(state: StewardState, request: LeaseRequest, now: MonotonicTime): boolean {
 	return isSteward(state, now)
 		&& request.instance.zone === state.self.zone
-		&& request.applied >= Math.max(state.floor, state.reportedDrained);
+		&& request.applied >= Math.max(state.minimumApplied, state.reportedDrained);
 }
 
 function answerFor(state: StewardState, now: MonotonicTime, given: {readonly hold: Milliseconds; readonly control: Milliseconds}): LeaseAnswer {
@@ -132,7 +132,7 @@
 	}
 
 	const lapsed = now >= state.delegatedUntil;
-	const floor = lapsed ? Math.max(state.floor, event.applied) : state.floor;
+	const floor = lapsed ? Math.max(state.minimumApplied, event.applied) : state.minimumApplied;
 	const until = sentAt + holderTerm(answer.termMilliseconds, state.terms);
-	return {state: {...state, floor, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
+	return {state: {...state, minimumApplied: floor, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
 }
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -43,7 +43,7 @@
 	/** When its current tenure as steward started; absent if it isn't steward. */
 	readonly electedAt?: MonotonicTime;
 	/** The lowest applied index with which an instance may get a lease. */
-	readonly floor: LogIndex;
+	readonly minimumApplied: LogIndex;
 	readonly holders: LeaseHolders;
 	/** Instances of the zone that requested a lease and have no seat yet. The steward requests their support before they are seated. */
 	readonly newcomers: readonly InstanceRecord[];
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -34,7 +34,7 @@
 		supportRecords: {},
 		candidacyNotBefore: -Infinity,
 		supportRequestedAt: -Infinity,
-		floor: 0,
+		minimumApplied: 0,
 		holders: {},
 		newcomers: [],
 		delegatedUntil: -Infinity,
--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -42,7 +42,7 @@
 	return {
 		...state,
 		electedAt: now,
-		floor: state.applied,
+		minimumApplied: state.applied,
 		holders: {},
 		delegatedUntil: -Infinity,
 		delegationRequestedAt: -Infinity,
