--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -132,7 +132,7 @@
 	}
 
 	const lapsed = now >= state.delegatedUntil;
-	const floor = lapsed ? Math.max(state.minimumApplied, event.applied) : state.minimumApplied;
+	const minimumApplied = lapsed ? Math.max(state.minimumApplied, event.applied) : state.minimumApplied;
 	const until = sentAt + holderTerm(answer.termMilliseconds, state.terms);
-	return {state: {...state, minimumApplied: floor, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
+	return {state: {...state, minimumApplied: minimumApplied, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
 }
