--- a/packages/ownership/src/holders.ts
+++ b/packages/ownership/src/holders.ts
@@ -19,7 +19,7 @@
 export type LeaseHolders = Readonly<Record<string, LeaseHolder>>;
 
 /** A lease that a steward grants, with the drained index that its holder reported. */
-export type GivenLease = {
+export type GrantedLease = {
 	readonly now: MonotonicTime;
 	readonly instance: InstanceIdentity;
 	readonly drained: LogIndex;
@@ -27,7 +27,7 @@
 };
 
 /** Records a lease. A later report never lowers the drained index or shortens the lease. */
-export function withHolder(holders: LeaseHolders, given: GivenLease, terms: LeaseTerms): LeaseHolders {
+export function withHolder(holders: LeaseHolders, given: GrantedLease, terms: LeaseTerms): LeaseHolders {
 	const key = incarnationKey(given.instance);
 	const before = holders[key];
 	return {
