--- a/packages/ownership/src/holders.ts
+++ b/packages/ownership/src/holders.ts
@@ -29,12 +29,12 @@
 /** Records a lease. A later report never lowers the drained index or shortens the lease. */
 export function withHolder(holders: LeaseHolders, granted: GrantedLease, terms: LeaseTerms): LeaseHolders {
 	const key = incarnationKey(granted.instance);
-	const before = holders[key];
+	const previous = holders[key];
 	return {
 		...holders,
 		[key]: {
-			drained: Math.max(granted.drained, before?.drained ?? 0),
-			leaseUntil: Math.max(granted.now + grantorWait(granted.milliseconds, terms), before?.leaseUntil ?? -Infinity),
+			drained: Math.max(granted.drained, previous?.drained ?? 0),
+			leaseUntil: Math.max(granted.now + grantorWait(granted.milliseconds, terms), previous?.leaseUntil ?? -Infinity),
 		},
 	};
 }
