--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -11,7 +11,7 @@
 import {type OwnershipState} from './state.js';
 import {grantorWait} from './terms.js';
 
-function everyZoneKnows(grantor: GrantorState, table: OwnershipState, policy: ServicePolicy, now: MonotonicTime): boolean {
+function everyZoneApplied(grantor: GrantorState, table: OwnershipState, policy: ServicePolicy, now: MonotonicTime): boolean {
 	return Object.values(table.rosters).every(roster =>
 		zoneOf(grantor, roster.zone).drained >= policy.changedAt
 		|| (isReleased(roster) && releaseWaited(grantor, roster, waitedDeadline(policy), now)));
@@ -29,7 +29,7 @@
 	now: MonotonicTime,
 ): {readonly grantor: GrantorState; readonly commands: readonly PolicySettled[]} {
 	const unsettled = Object.values(table.policies).filter(policy => policy.former !== undefined);
-	const known = unsettled.filter(policy => everyZoneKnows(grantor, table, policy, now));
+	const known = unsettled.filter(policy => everyZoneApplied(grantor, table, policy, now));
 	const entries = known.map(policy => [policy, settlingSince(grantor, policy, now)] as const);
 	const over = entries.filter(([policy, {since}]) => now >= since + grantorWait(waitedDeadline(policy), grantor.terms));
 	const commands = over.map(([{service, changedAt}]): PolicySettled => ({kind: 'policySettled', service, changedAt}));
