--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -17,7 +17,7 @@
 		|| (isReleased(roster) && releaseWaited(grantor, roster, waitedDeadline(policy), now)));
 }
 
-function settlingSince(grantor: GrantorState, policy: ServicePolicy, now: MonotonicTime): SettlingPolicy {
+function settlingOf(grantor: GrantorState, policy: ServicePolicy, now: MonotonicTime): SettlingPolicy {
 	const known = grantor.settling[policy.service];
 	return known?.changedAt === policy.changedAt ? known : {changedAt: policy.changedAt, since: now};
 }
@@ -30,7 +30,7 @@
 ): {readonly grantor: GrantorState; readonly commands: readonly PolicySettled[]} {
 	const unsettled = Object.values(table.policies).filter(policy => policy.former !== undefined);
 	const known = unsettled.filter(policy => everyZoneApplied(grantor, table, policy, now));
-	const entries = known.map(policy => [policy, settlingSince(grantor, policy, now)] as const);
+	const entries = known.map(policy => [policy, settlingOf(grantor, policy, now)] as const);
 	const over = entries.filter(([policy, {since}]) => now >= since + grantorWait(waitedDeadline(policy), grantor.terms));
 	const commands = over.map(([{service, changedAt}]): PolicySettled => ({kind: 'policySettled', service, changedAt}));
 	const settling = Object.fromEntries(entries.map(([{service}, since]) => [service, since]));
