--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -18,8 +18,8 @@
 }
 
 function settlingOf(grantor: GrantorState, policy: ServicePolicy, now: MonotonicTime): SettlingPolicy {
-	const known = grantor.settling[policy.service];
-	return known?.changedAt === policy.changedAt ? known : {changedAt: policy.changedAt, since: now};
+	const recorded = grantor.settling[policy.service];
+	return recorded?.changedAt === policy.changedAt ? recorded : {changedAt: policy.changedAt, since: now};
 }
 
 /** Returns the commands for the policy changes that can be settled now, and the next grantor state. */
