--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -29,8 +29,8 @@
 	now: MonotonicTime,
 ): {readonly grantor: GrantorState; readonly commands: readonly PolicySettled[]} {
 	const unsettled = Object.values(table.policies).filter(policy => policy.former !== undefined);
-	const known = unsettled.filter(policy => everyZoneApplied(grantor, table, policy, now));
-	const entries = known.map(policy => [policy, settlingOf(grantor, policy, now)] as const);
+	const applied = unsettled.filter(policy => everyZoneApplied(grantor, table, policy, now));
+	const entries = applied.map(policy => [policy, settlingOf(grantor, policy, now)] as const);
 	const over = entries.filter(([policy, {since}]) => now >= since + grantorWait(waitedDeadline(policy), grantor.terms));
 	const commands = over.map(([{service, changedAt}]): PolicySettled => ({kind: 'policySettled', service, changedAt}));
 	const settling = Object.fromEntries(entries.map(([{service}, since]) => [service, since]));
