--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -31,8 +31,8 @@
 	const unsettled = Object.values(table.policies).filter(policy => policy.former !== undefined);
 	const applied = unsettled.filter(policy => everyZoneApplied(grantor, table, policy, now));
 	const entries = applied.map(policy => [policy, settlingOf(grantor, policy, now)] as const);
-	const over = entries.filter(([policy, {since}]) => now >= since + grantorWait(waitedDeadline(policy), grantor.terms));
-	const commands = over.map(([{service, changedAt}]): PolicySettled => ({kind: 'policySettled', service, changedAt}));
+	const expired = entries.filter(([policy, {since}]) => now >= since + grantorWait(waitedDeadline(policy), grantor.terms));
+	const commands = expired.map(([{service, changedAt}]): PolicySettled => ({kind: 'policySettled', service, changedAt}));
 	const settling = Object.fromEntries(entries.map(([{service}, since]) => [service, since]));
 	return {grantor: {...grantor, settling}, commands};
 }
