--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -43,7 +43,7 @@
  * take the first seat at once, because it gives no support for as long as the
  * leases of the earlier incarnation can last.
  */
-function isHeir({members, previousMembers}: ZoneRoster, instance: InstanceRecord): boolean {
+function isSuccessor({members, previousMembers}: ZoneRoster, instance: InstanceRecord): boolean {
 	const [last] = previousMembers;
 	return members.length === 0 && previousMembers.length === 1
 		&& last?.name === instance.name && instance.incarnation > last.incarnation;
@@ -100,7 +100,7 @@
 		return {kind: 'instanceSeated', record, changedAt: 0};
 	}
 
-	if (isHeir(roster, record) || isOpen(grantor, table, roster, now)) {
+	if (isSuccessor(roster, record) || isOpen(grantor, table, roster, now)) {
 		return {kind: 'instanceSeated', record, changedAt: roster.changedAt};
 	}
 
