--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -50,7 +50,7 @@
 }
 
 /** Whether any instance may take the first seat: all leases and requests that earlier members allowed have expired. */
-function isOpen(grantor: GrantorState, table: OwnershipState, roster: ZoneRoster, now: MonotonicTime): boolean {
+function isFirstSeatOpen(grantor: GrantorState, table: OwnershipState, roster: ZoneRoster, now: MonotonicTime): boolean {
 	return isReleased(roster) && releaseWaited(grantor, roster, longestDeadlineOf(table), now);
 }
 
@@ -100,7 +100,7 @@
 		return {kind: 'instanceSeated', record, changedAt: 0};
 	}
 
-	if (isSuccessor(roster, record) || isOpen(grantor, table, roster, now)) {
+	if (isSuccessor(roster, record) || isFirstSeatOpen(grantor, table, roster, now)) {
 		return {kind: 'instanceSeated', record, changedAt: roster.changedAt};
 	}
 
