--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -55,7 +55,7 @@
 }
 
 /** Whether a roster has a single member that is also in every majority of the previous roster. */
-function standsAlone({members, previousMembers}: ZoneRoster): boolean {
+function hasSoleCommonMember({members, previousMembers}: ZoneRoster): boolean {
 	const inPrevious = previousMembers.some(other => other.name === members[0]?.name);
 	return members.length === 1 && (previousMembers.length === 0 || (previousMembers.length <= 2 && inPrevious));
 }
@@ -71,7 +71,7 @@
 	}
 
 	const {name, incarnation} = member;
-	const may = mayChangeRoster(grantor, roster) || standsAlone(roster);
+	const may = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
 	return may
 		? {
 			kind: 'instanceUnseated', zone: roster.zone, instance: {name, incarnation}, changedAt: roster.changedAt,
@@ -81,7 +81,7 @@
 
 /** Proposes the release of a zone if no majority of former incarnations is left. */
 function proposeRelease(grantor: GrantorState, roster: ZoneRoster): OwnershipCommand | undefined {
-	const canGoOn = mayChangeRoster(grantor, roster) || standsAlone(roster);
+	const canGoOn = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
 	return !canGoOn && hasLostMajority(roster, grantor.sightings)
 		? {
 			kind: 'zoneReleased', zone: roster.zone, reason: ReleaseReason.withheld, changedAt: roster.changedAt,
