--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -60,7 +60,7 @@
 	return members.length === 1 && (previousMembers.length === 0 || (previousMembers.length <= 2 && inPrevious));
 }
 
-function seatNew(grantor: GrantorState, roster: ZoneRoster, record: InstanceRecord): OwnershipCommand | undefined {
+function proposeNewSeat(grantor: GrantorState, roster: ZoneRoster, record: InstanceRecord): OwnershipCommand | undefined {
 	const free = roster.members.length > 0 && roster.members.length < seatsPerZone;
 	return free && mayChangeRoster(grantor, roster) ? {kind: 'instanceSeated', record, changedAt: roster.changedAt} : undefined;
 }
@@ -106,5 +106,5 @@
 
 	const member = roster.members.find(other => other.name === record.name);
 	return proposeRelease(grantor, roster)
-		?? (member === undefined ? seatNew(grantor, roster, record) : replace(grantor, roster, member, record));
+		?? (member === undefined ? proposeNewSeat(grantor, roster, record) : replace(grantor, roster, member, record));
 }
