--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -65,7 +65,7 @@
 	return free && mayChangeRoster(grantor, roster) ? {kind: 'instanceSeated', record, changedAt: roster.changedAt} : undefined;
 }
 
-function replace(grantor: GrantorState, roster: ZoneRoster, member: InstanceRecord, record: InstanceRecord): OwnershipCommand | undefined {
+function proposeReplacement(grantor: GrantorState, roster: ZoneRoster, member: InstanceRecord, record: InstanceRecord): OwnershipCommand | undefined {
 	if (record.incarnation <= member.incarnation) {
 		return undefined;
 	}
@@ -106,5 +106,5 @@
 
 	const member = roster.members.find(other => other.name === record.name);
 	return proposeRelease(grantor, roster)
-		?? (member === undefined ? proposeNewSeat(grantor, roster, record) : replace(grantor, roster, member, record));
+		?? (member === undefined ? proposeNewSeat(grantor, roster, record) : proposeReplacement(grantor, roster, member, record));
 }
