--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -81,8 +81,8 @@
 
 /** Proposes the release of a zone if no majority of former incarnations is left. */
 function proposeRelease(grantor: GrantorState, roster: ZoneRoster): OwnershipCommand | undefined {
-	const canGoOn = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
-	return !canGoOn && hasLostMajority(roster, grantor.sightings)
+	const canChange = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
+	return !canChange && hasLostMajority(roster, grantor.sightings)
 		? {
 			kind: 'zoneReleased', zone: roster.zone, reason: ReleaseReason.withheld, changedAt: roster.changedAt,
 		}
