--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -71,8 +71,8 @@
 	}
 
 	const {name, incarnation} = member;
-	const may = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
-	return may
+	const isAllowed = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
+	return isAllowed
 		? {
 			kind: 'instanceUnseated', zone: roster.zone, instance: {name, incarnation}, changedAt: roster.changedAt,
 		}
