--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -61,8 +61,8 @@
 }
 
 function proposeNewSeat(grantor: GrantorState, roster: ZoneRoster, record: InstanceRecord): OwnershipCommand | undefined {
-	const free = roster.members.length > 0 && roster.members.length < seatsPerZone;
-	return free && mayChangeRoster(grantor, roster) ? {kind: 'instanceSeated', record, changedAt: roster.changedAt} : undefined;
+	const hasFreeSeat = roster.members.length > 0 && roster.members.length < seatsPerZone;
+	return hasFreeSeat && mayChangeRoster(grantor, roster) ? {kind: 'instanceSeated', record, changedAt: roster.changedAt} : undefined;
 }
 
 function proposeReplacement(grantor: GrantorState, roster: ZoneRoster, member: InstanceRecord, record: InstanceRecord): OwnershipCommand | undefined {
