--- a/packages/ownership/src/due.ts
+++ b/packages/ownership/src/due.ts
@@ -4,7 +4,7 @@
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {delegationDueAt} from './leasing.js';
-import {standingDueAt} from './standing.js';
+import {candidacyDueAt} from './standing.js';
 import {type StewardState} from './steward-state.js';
 import {drainedAdvancesAt, supportEndsAt} from './tenure.js';
 
@@ -14,7 +14,7 @@
  * only an event can have an effect.
  */
 export function stewardDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
-	const standing = standingDueAt(state);
+	const standing = candidacyDueAt(state);
 	return state.electedAt === undefined
 		? standing
 		: Math.min(standing, supportEndsAt(state), delegationDueAt(state, now), drainedAdvancesAt(state, now));
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -90,7 +90,7 @@
 }
 
 /** Returns when the instance next starts, renews or ends a candidacy, if no event occurs before. Infinity while it has no seat. */
-export function standingDueAt(state: StewardState): MonotonicTime {
+export function candidacyDueAt(state: StewardState): MonotonicTime {
 	if (state.candidateSince === undefined) {
 		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.candidacyNotBefore) + turn(state) : Infinity;
 	}
@@ -106,7 +106,7 @@
 }
 
 function stand(state: StewardState, now: MonotonicTime): StewardTransition {
-	if (now < standingDueAt(state)) {
+	if (now < candidacyDueAt(state)) {
 		return {state, effects: []};
 	}
 
