--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -31,7 +31,7 @@
 }
 
 /** Returns how long the instance delays its candidacy, by its rank among the members, so that members don't run at the same time. */
-function turn(state: StewardState): Milliseconds {
+function candidacyDelay(state: StewardState): Milliseconds {
 	const names = state.members.map(member => member.name).sort();
 	return (names.indexOf(state.self.name) % distinctRanks) * 2 * state.terms.urgentMilliseconds;
 }
@@ -92,7 +92,7 @@
 /** Returns when the instance next starts, renews or ends a candidacy, if no event occurs before. Infinity while it has no seat. */
 export function candidacyDueAt(state: StewardState): MonotonicTime {
 	if (state.candidateSince === undefined) {
-		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.candidacyNotBefore) + turn(state) : Infinity;
+		return isSeated(state) ? Math.max(freeToSupportFrom(state.supporter), state.candidacyNotBefore) + candidacyDelay(state) : Infinity;
 	}
 
 	const renewal = state.supportRequestedAt + state.terms.renewMilliseconds;
