--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -24,7 +24,7 @@
 type EventOf<Kind extends StewardEvent['kind']> = Extract<StewardEvent, {readonly kind: Kind}>;
 
 /** The number of distinct candidacy delays. In a larger roster, members share a delay and may run at the same time. */
-const distinctRanks = 16;
+const distinctDelays = 16;
 
 function identityOf(state: StewardState): InstanceIdentity {
 	return {name: state.self.name, incarnation: state.self.incarnation};
@@ -33,7 +33,7 @@
 /** Returns how long the instance delays its candidacy, by its rank among the members, so that members don't run at the same time. */
 function candidacyDelay(state: StewardState): Milliseconds {
 	const names = state.members.map(member => member.name).sort();
-	return (names.indexOf(state.self.name) % distinctRanks) * 2 * state.terms.urgentMilliseconds;
+	return (names.indexOf(state.self.name) % distinctDelays) * 2 * state.terms.urgentMilliseconds;
 }
 
 function withOwnSupport(state: StewardState, now: MonotonicTime): StewardState {
