--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -50,7 +50,7 @@
 }
 
 /** Returns the other instances whose support a steward requests. */
-function others(state: StewardState): readonly InstanceRecord[] {
+function supportTargets(state: StewardState): readonly InstanceRecord[] {
 	return [...state.members, ...state.newcomers].filter(member => member.name !== state.self.name);
 }
 
@@ -60,13 +60,13 @@
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
 function nextLateAt(state: StewardState): MonotonicTime {
-	return Math.min(...others(state).map(other => lateAt(state, other)).filter(late => late > state.supportRequestedAt));
+	return Math.min(...supportTargets(state).map(other => lateAt(state, other)).filter(late => late > state.supportRequestedAt));
 }
 
 function askOthers(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
 	const request = {zone: state.self.zone, candidate: identityOf(state), applied: state.applied};
 	const asked = isSteward(state, now)
-		? others(state).filter(other => lateAt(state, other) <= now)
+		? supportTargets(state).filter(other => lateAt(state, other) <= now)
 		: state.members.filter(member => member.name !== state.self.name);
 	return asked.map(to => ({
 		kind: 'askSupport', to, sentAt: now, request,
