--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -51,7 +51,7 @@
 }
 
 /** Returns when a supporter's renewal is overdue, so that the steward requests it in a separate call. */
-export function renewalLateAt(record: SupportRecord | undefined, terms: LeaseTerms): MonotonicTime {
+export function renewalOverdueAt(record: SupportRecord | undefined, terms: LeaseTerms): MonotonicTime {
 	if (record === undefined) {
 		return -Infinity;
 	}
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -8,7 +8,7 @@
 import {type SupportAnswer} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {delegationRequest} from './leasing.js';
-import {renewalLateAt} from './renewal.js';
+import {renewalOverdueAt} from './renewal.js';
 import {longestDeadlineOf} from './state.js';
 import {
 	type StewardEffect, type StewardEvent, type StewardState, type StewardTransition,
@@ -55,7 +55,7 @@
 }
 
 function lateAt(state: StewardState, other: InstanceRecord): MonotonicTime {
-	return renewalLateAt(state.supportRecords[incarnationKey(other)], state.terms);
+	return renewalOverdueAt(state.supportRecords[incarnationKey(other)], state.terms);
 }
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
