--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -54,19 +54,19 @@
 	return [...state.members, ...state.newcomers].filter(member => member.name !== state.self.name);
 }
 
-function lateAt(state: StewardState, other: InstanceRecord): MonotonicTime {
+function overdueAt(state: StewardState, other: InstanceRecord): MonotonicTime {
 	return renewalOverdueAt(state.supportRecords[incarnationKey(other)], state.terms);
 }
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
 function nextLateAt(state: StewardState): MonotonicTime {
-	return Math.min(...supportTargets(state).map(other => lateAt(state, other)).filter(late => late > state.supportRequestedAt));
+	return Math.min(...supportTargets(state).map(other => overdueAt(state, other)).filter(late => late > state.supportRequestedAt));
 }
 
 function askOthers(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
 	const request = {zone: state.self.zone, candidate: identityOf(state), applied: state.applied};
 	const asked = isSteward(state, now)
-		? supportTargets(state).filter(other => lateAt(state, other) <= now)
+		? supportTargets(state).filter(other => overdueAt(state, other) <= now)
 		: state.members.filter(member => member.name !== state.self.name);
 	return asked.map(to => ({
 		kind: 'askSupport', to, sentAt: now, request,
