--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -59,7 +59,7 @@
 }
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
-function nextLateAt(state: StewardState): MonotonicTime {
+function nextOverdueAt(state: StewardState): MonotonicTime {
 	return Math.min(...supportTargets(state).map(other => overdueAt(state, other)).filter(late => late > state.supportRequestedAt));
 }
 
@@ -98,7 +98,7 @@
 	const renewal = state.supportRequestedAt + state.terms.renewMilliseconds;
 	return state.electedAt === undefined
 		? Math.min(Math.max(renewal, state.candidacyNotBefore), withdrawalAt(state))
-		: Math.max(Math.min(renewal, nextLateAt(state)), state.candidacyNotBefore);
+		: Math.max(Math.min(renewal, nextOverdueAt(state)), state.candidacyNotBefore);
 }
 
 function withdrawalAt({candidateSince: stoodAt = Infinity, terms}: StewardState): MonotonicTime {
