--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -60,7 +60,7 @@
 
 /** Returns when the next renewal becomes overdue that wasn't overdue in the last round of requests. */
 function nextOverdueAt(state: StewardState): MonotonicTime {
-	return Math.min(...supportTargets(state).map(other => overdueAt(state, other)).filter(late => late > state.supportRequestedAt));
+	return Math.min(...supportTargets(state).map(other => overdueAt(state, other)).filter(time => time > state.supportRequestedAt));
 }
 
 function askOthers(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
