--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -65,10 +65,10 @@
 
 function askOthers(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
 	const request = {zone: state.self.zone, candidate: identityOf(state), applied: state.applied};
-	const asked = isSteward(state, now)
+	const targets = isSteward(state, now)
 		? supportTargets(state).filter(other => overdueAt(state, other) <= now)
 		: state.members.filter(member => member.name !== state.self.name);
-	return asked.map(to => ({
+	return targets.map(to => ({
 		kind: 'askSupport', to, sentAt: now, request,
 	}));
 }
