--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -63,7 +63,7 @@
 	return Math.min(...supportTargets(state).map(other => overdueAt(state, other)).filter(time => time > state.supportRequestedAt));
 }
 
-function askOthers(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
+function supportRequests(state: StewardState, now: MonotonicTime): readonly StewardEffect[] {
 	const request = {zone: state.self.zone, candidate: identityOf(state), applied: state.applied};
 	const targets = isSteward(state, now)
 		? supportTargets(state).filter(other => overdueAt(state, other) <= now)
@@ -75,7 +75,7 @@
 
 function asked(state: StewardState, now: MonotonicTime): StewardTransition {
 	const next = startTenureIfElected(withOwnSupport({...state, supportRequestedAt: now}, now), now);
-	return {state: next, effects: askOthers(next, now)};
+	return {state: next, effects: supportRequests(next, now)};
 }
 
 /** Ends a candidacy that found no majority, and backs off so that others can run. */
