--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -73,7 +73,7 @@
 	}));
 }
 
-function asked(state: StewardState, now: MonotonicTime): StewardTransition {
+function requestSupport(state: StewardState, now: MonotonicTime): StewardTransition {
 	const next = startTenureIfElected(withOwnSupport({...state, supportRequestedAt: now}, now), now);
 	return {state: next, effects: supportRequests(next, now)};
 }
@@ -111,12 +111,12 @@
 	}
 
 	if (state.candidateSince === undefined) {
-		return asked({...state, candidateSince: now}, now);
+		return requestSupport({...state, candidateSince: now}, now);
 	}
 
 	return state.electedAt === undefined && now >= withdrawalAt(state)
 		? {state: withdraw(state, now), effects: []}
-		: asked(state, now);
+		: requestSupport(state, now);
 }
 
 /** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
