--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -79,7 +79,7 @@
 }
 
 /** Ends a candidacy that found no majority, and backs off so that others can run. */
-function withdraw(state: StewardState, now: MonotonicTime): StewardState {
+function withdrawCandidacy(state: StewardState, now: MonotonicTime): StewardState {
 	const {candidateSince: _stoodAt, ...rest} = state;
 	return {
 		...rest,
@@ -115,7 +115,7 @@
 	}
 
 	return state.electedAt === undefined && now >= withdrawalAt(state)
-		? {state: withdraw(state, now), effects: []}
+		? {state: withdrawCandidacy(state, now), effects: []}
 		: requestSupport(state, now);
 }
 
@@ -163,7 +163,7 @@
 function refused(state: StewardState, answer: SupportAnswer, now: MonotonicTime): StewardState {
 	const other = answer.supported !== undefined && !sameInstance(answer.supported, state.self);
 	const behind = answer.applied > state.applied;
-	return state.electedAt === undefined && (other || behind) ? withdraw(state, now) : state;
+	return state.electedAt === undefined && (other || behind) ? withdrawCandidacy(state, now) : state;
 }
 
 /** Counts an answer to a request for support, unless it belongs to an earlier candidacy. */
