--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -105,7 +105,7 @@
 	return stoodAt + (2 * terms.renewMilliseconds);
 }
 
-function stand(state: StewardState, now: MonotonicTime): StewardTransition {
+function advanceCandidacy(state: StewardState, now: MonotonicTime): StewardTransition {
 	if (now < candidacyDueAt(state)) {
 		return {state, effects: []};
 	}
@@ -121,7 +121,7 @@
 
 /** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
 export function ticked(event: EventOf<'ticked'>, before: StewardState): StewardTransition {
-	const standing = stand(endExpiredTenure(before, event.now), event.now);
+	const standing = advanceCandidacy(endExpiredTenure(before, event.now), event.now);
 	const asking = delegationRequest(standing.state, event.now);
 	return {state: asking.state, effects: [...standing.effects, ...asking.effects]};
 }
