--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -121,9 +121,9 @@
 
 /** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
 export function ticked(event: EventOf<'ticked'>, before: StewardState): StewardTransition {
-	const standing = advanceCandidacy(endExpiredTenure(before, event.now), event.now);
-	const asking = delegationRequest(standing.state, event.now);
-	return {state: asking.state, effects: [...standing.effects, ...asking.effects]};
+	const candidacy = advanceCandidacy(endExpiredTenure(before, event.now), event.now);
+	const asking = delegationRequest(candidacy.state, event.now);
+	return {state: asking.state, effects: [...candidacy.effects, ...asking.effects]};
 }
 
 /** Adopts the roster and the deadlines of a newer table. */
