--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -122,8 +122,8 @@
 /** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
 export function ticked(event: EventOf<'ticked'>, before: StewardState): StewardTransition {
 	const candidacy = advanceCandidacy(endExpiredTenure(before, event.now), event.now);
-	const asking = delegationRequest(candidacy.state, event.now);
-	return {state: asking.state, effects: [...candidacy.effects, ...asking.effects]};
+	const delegation = delegationRequest(candidacy.state, event.now);
+	return {state: delegation.state, effects: [...candidacy.effects, ...delegation.effects]};
 }
 
 /** Adopts the roster and the deadlines of a newer table. */
