--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -151,8 +151,8 @@
 	const query = {
 		now, candidate: request.candidate, candidateApplied: request.applied, ownApplied: state.applied,
 	};
-	const own = request.zone === state.self.zone;
-	const {supporter, granted} = own ? decideSupport(state.supporter, query, state.terms) : {supporter: state.supporter, granted: false};
+	const isOwnZone = request.zone === state.self.zone;
+	const {supporter, granted} = isOwnZone ? decideSupport(state.supporter, query, state.terms) : {supporter: state.supporter, granted: false};
 	const supported = supportedCandidate(supporter, now);
 	const answer: SupportAnswer = {
 		granted, supporter: identityOf(state), applied: state.applied, ...(supported !== undefined && {supported}),
