--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -160,7 +160,7 @@
 	return {state: {...state, supporter}, effects: [{kind: 'answerSupport', answer}]};
 }
 
-function refused(state: StewardState, answer: SupportAnswer, now: MonotonicTime): StewardState {
+function afterRefusal(state: StewardState, answer: SupportAnswer, now: MonotonicTime): StewardState {
 	const other = answer.supported !== undefined && !sameInstance(answer.supported, state.self);
 	const behind = answer.applied > state.applied;
 	return state.electedAt === undefined && (other || behind) ? withdrawCandidacy(state, now) : state;
@@ -175,7 +175,7 @@
 	}
 
 	if (!answer.granted) {
-		return {state: refused(state, answer, now), effects: []};
+		return {state: afterRefusal(state, answer, now), effects: []};
 	}
 
 	const until = sentAt + holderTerm(state.terms.stewardTermMilliseconds, state.terms);
