--- a/packages/ownership/src/due.ts
+++ b/packages/ownership/src/due.ts
@@ -14,8 +14,8 @@
  * only an event can have an effect.
  */
 export function stewardDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
-	const standing = candidacyDueAt(state);
+	const candidacyDue = candidacyDueAt(state);
 	return state.electedAt === undefined
-		? standing
-		: Math.min(standing, supportEndsAt(state), delegationDueAt(state, now), drainedAdvancesAt(state, now));
+		? candidacyDue
+		: Math.min(candidacyDue, supportEndsAt(state), delegationDueAt(state, now), drainedAdvancesAt(state, now));
 }
