--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -7,7 +7,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {emptyReport, type LeaseAnswer, type LeaseRequest} from '@dogwooddeck/model/lease';
 import {countedHolders, withHolder} from './holders.js';
-import {asksWithLeases, isKnown, withRenewal} from './renewal.js';
+import {requestsSupportWithLeases, isKnown, withRenewal} from './renewal.js';
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {withSupport} from './support.js';
 import {
@@ -34,7 +34,7 @@
 		holdMilliseconds: given.hold,
 		controlMilliseconds: given.control,
 		shares: [],
-		...(asksWithLeases(state, now) && {supportAskedAt: now}),
+		...(requestsSupportWithLeases(state, now) && {supportAskedAt: now}),
 	};
 }
 
--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -20,7 +20,7 @@
 type EventOf<Kind extends StewardEvent['kind']> = Extract<StewardEvent, {readonly kind: Kind}>;
 
 /** Whether a steward requests support with its lease answers. One that has resigned doesn't. */
-export function asksWithLeases(state: StewardState, now: MonotonicTime): boolean {
+export function requestsSupportWithLeases(state: StewardState, now: MonotonicTime): boolean {
 	return isSteward(state, now) && now >= state.candidacyNotBefore;
 }
 
@@ -39,7 +39,7 @@
  */
 export function withRenewal(state: StewardState, {instance, applied, supportRenewal}: LeaseRequest, now: MonotonicTime): StewardState {
 	const counts = supportRenewal !== undefined
-		&& asksWithLeases(state, now)
+		&& requestsSupportWithLeases(state, now)
 		&& isAskedBy(state, supportRenewal, now)
 		&& isKnown(state, instance);
 	if (!counts) {
