--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -24,7 +24,7 @@
 	return isSteward(state, now) && now >= state.candidacyNotBefore;
 }
 
-function isAskedBy(state: StewardState, {steward, askedAt}: SupportRenewal, now: MonotonicTime): boolean {
+function isRequestedBy(state: StewardState, {steward, askedAt}: SupportRenewal, now: MonotonicTime): boolean {
 	return sameInstance(steward, state.self) && askedAt >= (state.electedAt ?? Infinity) && askedAt <= now;
 }
 
@@ -40,7 +40,7 @@
 export function withRenewal(state: StewardState, {instance, applied, supportRenewal}: LeaseRequest, now: MonotonicTime): StewardState {
 	const counts = supportRenewal !== undefined
 		&& requestsSupportWithLeases(state, now)
-		&& isAskedBy(state, supportRenewal, now)
+		&& isRequestedBy(state, supportRenewal, now)
 		&& isKnown(state, instance);
 	if (!counts) {
 		return state;
