--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -7,7 +7,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {emptyReport, type LeaseAnswer, type LeaseRequest} from '@dogwooddeck/model/lease';
 import {countedHolders, withHolder} from './holders.js';
-import {requestsSupportWithLeases, isKnown, withRenewal} from './renewal.js';
+import {requestsSupportWithLeases, isMemberOrNewcomer, withRenewal} from './renewal.js';
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {withSupport} from './support.js';
 import {
@@ -58,7 +58,7 @@
 const newcomersAtMost = 9;
 
 function withNewcomer(state: StewardState, {instance}: LeaseRequest): StewardState {
-	if (isKnown(state, instance) || instance.zone !== state.self.zone) {
+	if (isMemberOrNewcomer(state, instance) || instance.zone !== state.self.zone) {
 		return state;
 	}
 
--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -29,7 +29,7 @@
 }
 
 /** Whether an instance is in the roster, or requested a lease before it was seated. */
-export function isKnown({members, newcomers}: StewardState, instance: InstanceIdentity): boolean {
+export function isMemberOrNewcomer({members, newcomers}: StewardState, instance: InstanceIdentity): boolean {
 	return includesInstance(members, instance) || includesInstance(newcomers, instance);
 }
 
@@ -41,7 +41,7 @@
 	const counts = supportRenewal !== undefined
 		&& requestsSupportWithLeases(state, now)
 		&& isRequestedBy(state, supportRenewal, now)
-		&& isKnown(state, instance);
+		&& isMemberOrNewcomer(state, instance);
 	if (!counts) {
 		return state;
 	}
