--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -38,11 +38,11 @@
  * another incarnation of the steward or in an earlier tenure is ignored.
  */
 export function withRenewal(state: StewardState, {instance, applied, supportRenewal}: LeaseRequest, now: MonotonicTime): StewardState {
-	const counts = supportRenewal !== undefined
+	const isCounted = supportRenewal !== undefined
 		&& requestsSupportWithLeases(state, now)
 		&& isRequestedBy(state, supportRenewal, now)
 		&& isMemberOrNewcomer(state, instance);
-	if (!counts) {
+	if (!isCounted) {
 		return state;
 	}
 
