--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -78,8 +78,8 @@
 export function leaseSent({now, to}: EventOf<'leaseSent'>, state: StewardState): StewardTransition {
 	const {receivedSupportRequest: askedSupport, supporter, applied, terms} = state;
 	const current = supportedCandidate(supporter, now);
-	const isAsked = askedSupport !== undefined && !askedSupport.isAnswered && sameInstance(askedSupport.steward, to);
-	if (!isAsked || current === undefined || !sameInstance(current, to)) {
+	const isRequested = askedSupport !== undefined && !askedSupport.isAnswered && sameInstance(askedSupport.steward, to);
+	if (!isRequested || current === undefined || !sameInstance(current, to)) {
 		return {state, effects: []};
 	}
 
