--- a/packages/ownership/src/lease.ts
+++ b/packages/ownership/src/lease.ts
@@ -34,8 +34,8 @@
 /** Returns when the next request is due: at the renewal interval, or earlier if there is progress that a revocation may be waiting for. */
 export function requestDueAt(lease: LeaseState, applied: LogIndex, drained: LogIndex): MonotonicTime {
 	const {renewMilliseconds, urgentMilliseconds} = lease.terms;
-	const isNews = drained > lease.sentDrained || applied > lease.sentApplied;
-	return lease.sentAt + (isNews ? Math.min(renewMilliseconds, urgentMilliseconds) : renewMilliseconds);
+	const hasProgress = drained > lease.sentDrained || applied > lease.sentApplied;
+	return lease.sentAt + (hasProgress ? Math.min(renewMilliseconds, urgentMilliseconds) : renewMilliseconds);
 }
 
 /** Whether a request is due now. */
