--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -39,7 +39,7 @@
 }
 
 /** Records what a lease request carries about its sender: its renewed support, its acknowledgement and its presence. */
-function noted(state: StewardState, request: LeaseRequest, now: MonotonicTime): StewardState {
+function withRequest(state: StewardState, request: LeaseRequest, now: MonotonicTime): StewardState {
 	return withNewcomer(withAcknowledgement(withRenewal(state, request, now), request, now), request);
 }
 
@@ -69,7 +69,7 @@
 /** Answers a lease request, with a lease of 0 ms if it is refused. */
 export function leaseRequested(event: EventOf<'leaseRequested'>, before: StewardState): StewardTransition {
 	const {now, request} = event;
-	const state = noted(endExpiredTenure(before, now), request, now);
+	const state = withRequest(endExpiredTenure(before, now), request, now);
 	if (!mayHaveLease(state, request, now)) {
 		return {state, effects: [{kind: 'answerLease', answer: answerFor(state, now, {hold: 0, control: 0})}]};
 	}
