--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -28,7 +28,7 @@
 		&& request.applied >= Math.max(state.minimumApplied, state.reportedDrained);
 }
 
-function answerFor(state: StewardState, now: MonotonicTime, given: {readonly hold: Milliseconds; readonly control: Milliseconds}): LeaseAnswer {
+function createLeaseAnswer(state: StewardState, now: MonotonicTime, given: {readonly hold: Milliseconds; readonly control: Milliseconds}): LeaseAnswer {
 	return {
 		steward: {name: state.self.name, incarnation: state.self.incarnation},
 		holdMilliseconds: given.hold,
@@ -71,7 +71,7 @@
 	const {now, request} = event;
 	const state = withRequest(endExpiredTenure(before, now), request, now);
 	if (!mayHaveLease(state, request, now)) {
-		return {state, effects: [{kind: 'answerLease', answer: answerFor(state, now, {hold: 0, control: 0})}]};
+		return {state, effects: [{kind: 'answerLease', answer: createLeaseAnswer(state, now, {hold: 0, control: 0})}]};
 	}
 
 	const hold = remaining(supportEndsAt(state), now, state.terms.leaseMilliseconds);
@@ -81,7 +81,7 @@
 	};
 	const counted = countedHolders(state.holders, now, state.longestDeadlineMilliseconds, state.terms);
 	const holders = withHolder(counted, given, state.terms);
-	return {state: {...state, holders}, effects: [{kind: 'answerLease', answer: answerFor(state, now, {hold, control})}]};
+	return {state: {...state, holders}, effects: [{kind: 'answerLease', answer: createLeaseAnswer(state, now, {hold, control})}]};
 }
 
 function drainedNow(state: StewardState, now: MonotonicTime): LogIndex {
