--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -28,11 +28,11 @@
 		&& request.applied >= Math.max(state.minimumApplied, state.reportedDrained);
 }
 
-function createLeaseAnswer(state: StewardState, now: MonotonicTime, given: {readonly hold: Milliseconds; readonly control: Milliseconds}): LeaseAnswer {
+function createLeaseAnswer(state: StewardState, now: MonotonicTime, milliseconds: {readonly hold: Milliseconds; readonly control: Milliseconds}): LeaseAnswer {
 	return {
 		steward: {name: state.self.name, incarnation: state.self.incarnation},
-		holdMilliseconds: given.hold,
-		controlMilliseconds: given.control,
+		holdMilliseconds: milliseconds.hold,
+		controlMilliseconds: milliseconds.control,
 		shares: [],
 		...(requestsSupportWithLeases(state, now) && {supportAskedAt: now}),
 	};
