--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -76,11 +76,11 @@
 
 	const hold = remaining(supportEndsAt(state), now, state.terms.leaseMilliseconds);
 	const control = remaining(state.delegatedUntil, now, hold);
-	const given = {
+	const granted = {
 		now, instance: request.instance, drained: Math.min(request.drained, request.applied), milliseconds: hold,
 	};
 	const counted = countedHolders(state.holders, now, state.longestDeadlineMilliseconds, state.terms);
-	const holders = withHolder(counted, given, state.terms);
+	const holders = withHolder(counted, granted, state.terms);
 	return {state: {...state, holders}, effects: [{kind: 'answerLease', answer: createLeaseAnswer(state, now, {hold, control})}]};
 }
 
