--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -55,7 +55,7 @@
 }
 
 /** The largest number of newcomers that are recorded. */
-const newcomersAtMost = 9;
+const maximumNewcomers = 9;
 
 function withNewcomer(state: StewardState, {instance}: LeaseRequest): StewardState {
 	if (isMemberOrNewcomer(state, instance) || instance.zone !== state.self.zone) {
@@ -63,7 +63,7 @@
 	}
 
 	const others = state.newcomers.filter(newcomer => newcomer.name !== instance.name);
-	return {...state, newcomers: [...others, instance].slice(-newcomersAtMost)};
+	return {...state, newcomers: [...others, instance].slice(-maximumNewcomers)};
 }
 
 /** Answers a lease request, with a lease of 0 ms if it is refused. */
