--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -17,8 +17,8 @@
 
 type EventOf<Kind extends StewardEvent['kind']> = Extract<StewardEvent, {readonly kind: Kind}>;
 
-function remaining(until: MonotonicTime, now: MonotonicTime, most: Milliseconds): Milliseconds {
-	return Math.max(0, Math.min(most, until - now));
+function remaining(until: MonotonicTime, now: MonotonicTime, limit: Milliseconds): Milliseconds {
+	return Math.max(0, Math.min(limit, until - now));
 }
 
 /** Whether an instance may have a lease. Its table must not be older than the index that the zone last reported as drained. */
