--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -131,8 +131,8 @@
 		return {state, effects: []};
 	}
 
-	const lapsed = now >= state.delegatedUntil;
-	const minimumApplied = lapsed ? Math.max(state.minimumApplied, event.applied) : state.minimumApplied;
+	const hasLapsed = now >= state.delegatedUntil;
+	const minimumApplied = hasLapsed ? Math.max(state.minimumApplied, event.applied) : state.minimumApplied;
 	const until = sentAt + holderTerm(answer.termMilliseconds, state.terms);
 	return {state: {...state, minimumApplied: minimumApplied, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
 }
