--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -100,7 +100,7 @@
 }
 
 /** Requests the delegation from control if that is due. */
-export function delegationRequest(state: StewardState, now: MonotonicTime): StewardTransition {
+export function requestDelegation(state: StewardState, now: MonotonicTime): StewardTransition {
 	if (!isSteward(state, now) || now < delegationDueAt(state, now)) {
 		return {state, effects: []};
 	}
--- a/packages/ownership/src/standing.ts
+++ b/packages/ownership/src/standing.ts
@@ -7,7 +7,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {type SupportAnswer} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
-import {delegationRequest} from './leasing.js';
+import {requestDelegation} from './leasing.js';
 import {renewalOverdueAt} from './renewal.js';
 import {longestDeadlineOf} from './state.js';
 import {
@@ -122,7 +122,7 @@
 /** Starts, renews or ends a candidacy and requests the delegation, each when it is due. */
 export function ticked(event: EventOf<'ticked'>, before: StewardState): StewardTransition {
 	const candidacy = advanceCandidacy(endExpiredTenure(before, event.now), event.now);
-	const delegation = delegationRequest(candidacy.state, event.now);
+	const delegation = requestDelegation(candidacy.state, event.now);
 	return {state: delegation.state, effects: [...candidacy.effects, ...delegation.effects]};
 }
 
