--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -79,8 +79,8 @@
 	};
 }
 
-function withZone(grantor: GrantorState, zone: ZoneName, known: ZoneDelegation): GrantorState {
-	return {...grantor, zones: {...grantor.zones, [zone]: known}};
+function withZone(grantor: GrantorState, zone: ZoneName, delegation: ZoneDelegation): GrantorState {
+	return {...grantor, zones: {...grantor.zones, [zone]: delegation}};
 }
 
 function termFor(grantor: GrantorState, event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>): Milliseconds {
