--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -95,13 +95,13 @@
 
 function delegationRequested(event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>, grantor: GrantorState): GrantorTransition {
 	const {request, now} = event;
-	const known = zoneOf(grantor, request.zone);
+	const delegation = zoneOf(grantor, request.zone);
 	const termMilliseconds = termFor(grantor, event);
 	const until = termMilliseconds > 0 ? now + grantorWait(termMilliseconds, grantor.terms) : -Infinity;
 	const next = {
-		delegatedUntil: Math.max(known.delegatedUntil, until),
-		drained: Math.max(known.drained, request.drained),
-		floor: known.floor,
+		delegatedUntil: Math.max(delegation.delegatedUntil, until),
+		drained: Math.max(delegation.drained, request.drained),
+		floor: delegation.floor,
 	};
 	const answer = {termMilliseconds, shares: []};
 	return {state: withZone(grantor, request.zone, next), effects: [{kind: 'answerDelegation', answer}]};
