--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -198,9 +198,9 @@
 function raiseFloors(grantor: GrantorState, table: OwnershipState, revokedAt: LogIndex): GrantorState {
 	let next = grantor;
 	for (const {zone} of Object.values(table.rosters)) {
-		const known = zoneOf(next, zone);
-		if (known.drained < revokedAt && known.floor < revokedAt) {
-			next = withZone(next, zone, {...known, floor: revokedAt});
+		const delegation = zoneOf(next, zone);
+		if (delegation.drained < revokedAt && delegation.floor < revokedAt) {
+			next = withZone(next, zone, {...delegation, floor: revokedAt});
 		}
 	}
 
