--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -83,7 +83,7 @@
 	return {...grantor, zones: {...grantor.zones, [zone]: delegation}};
 }
 
-function termFor(grantor: GrantorState, event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>): Milliseconds {
+function delegationTerm(grantor: GrantorState, event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>): Milliseconds {
 	const {request, table} = event;
 	const seated = (table.rosters[request.zone]?.members.length ?? 0) > 0;
 	if (!seated || request.applied < zoneOf(grantor, request.zone).floor) {
@@ -96,7 +96,7 @@
 function delegationRequested(event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>, grantor: GrantorState): GrantorTransition {
 	const {request, now} = event;
 	const delegation = zoneOf(grantor, request.zone);
-	const termMilliseconds = termFor(grantor, event);
+	const termMilliseconds = delegationTerm(grantor, event);
 	const until = termMilliseconds > 0 ? now + grantorWait(termMilliseconds, grantor.terms) : -Infinity;
 	const next = {
 		delegatedUntil: Math.max(delegation.delegatedUntil, until),
