--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -85,8 +85,8 @@
 
 function delegationTerm(grantor: GrantorState, event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>): Milliseconds {
 	const {request, table} = event;
-	const seated = (table.rosters[request.zone]?.members.length ?? 0) > 0;
-	if (!seated || request.applied < zoneOf(grantor, request.zone).floor) {
+	const hasSeats = (table.rosters[request.zone]?.members.length ?? 0) > 0;
+	if (!hasSeats || request.applied < zoneOf(grantor, request.zone).floor) {
 		return 0;
 	}
 
