--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -113,13 +113,13 @@
 }
 
 function tableChanged(event: Extract<GrantorEvent, {readonly kind: 'tableChanged'}>, grantor: GrantorState): GrantorTransition {
-	const fresh = Object.values(event.table.rosters).filter(({zone, releasedAt}) =>
+	const newReleases = Object.values(event.table.rosters).filter(({zone, releasedAt}) =>
 		releasedAt !== undefined && grantor.releases[zone]?.releasedAt !== releasedAt);
-	if (fresh.length === 0) {
+	if (newReleases.length === 0) {
 		return {state: grantor, effects: []};
 	}
 
-	const seen = fresh.map(({zone, releasedAt = 0}) => [zone, {releasedAt, seenAt: event.now}] as const);
+	const seen = newReleases.map(({zone, releasedAt = 0}) => [zone, {releasedAt, seenAt: event.now}] as const);
 	return {state: {...grantor, releases: {...grantor.releases, ...Object.fromEntries(seen)}}, effects: []};
 }
 
