--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -119,8 +119,8 @@
 		return {state: grantor, effects: []};
 	}
 
-	const seen = newReleases.map(({zone, releasedAt = 0}) => [zone, {releasedAt, seenAt: event.now}] as const);
-	return {state: {...grantor, releases: {...grantor.releases, ...Object.fromEntries(seen)}}, effects: []};
+	const observed = newReleases.map(({zone, releasedAt = 0}) => [zone, {releasedAt, seenAt: event.now}] as const);
+	return {state: {...grantor, releases: {...grantor.releases, ...Object.fromEntries(observed)}}, effects: []};
 }
 
 const handlers: HandlerTable<GrantorEvent, [GrantorState], GrantorTransition> = {
