--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -141,13 +141,13 @@
 
 /** Whether all leases and requests that a released roster allowed have expired: a steward's term and the longest deadline have passed. */
 export function releaseWaited(grantor: GrantorState, roster: ZoneRoster, longestDeadline: Milliseconds, now: MonotonicTime): boolean {
-	const seen = grantor.releases[roster.zone];
-	if (seen === undefined || seen.releasedAt !== roster.releasedAt) {
+	const observed = grantor.releases[roster.zone];
+	if (observed === undefined || observed.releasedAt !== roster.releasedAt) {
 		return false;
 	}
 
 	const wait = grantor.terms.stewardTermMilliseconds + longestDeadline;
-	return now >= seen.seenAt + grantorWait(wait, grantor.terms);
+	return now >= observed.seenAt + grantorWait(wait, grantor.terms);
 }
 
 /** A slot under revocation, with the zone of its owner. */
