--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -26,7 +26,7 @@
 };
 
 /** When the leader observed a zone's release. */
-export type ReleaseSighting = {readonly releasedAt: LogIndex; readonly seenAt: MonotonicTime};
+export type ReleaseObservation = {readonly releasedAt: LogIndex; readonly seenAt: MonotonicTime};
 
 /** A policy change that every zone has applied, with the time at which the leader observed that. */
 export type SettlingPolicy = {readonly changedAt: LogIndex; readonly since: MonotonicTime};
@@ -38,7 +38,7 @@
 	/** The last index of the leader's log when it was elected. */
 	readonly startIndex: LogIndex;
 	readonly zones: Readonly<Record<ZoneName, ZoneDelegation>>;
-	readonly releases: Readonly<Record<ZoneName, ReleaseSighting>>;
+	readonly releases: Readonly<Record<ZoneName, ReleaseObservation>>;
 	readonly sightings: SeatSightings;
 	/** The policy changes that every zone has applied and that aren't settled yet, by service. */
 	readonly settling: Readonly<Record<ServiceName, SettlingPolicy>>;
