--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -26,7 +26,7 @@
 };
 
 /** When the leader observed a zone's release. */
-export type ReleaseObservation = {readonly releasedAt: LogIndex; readonly seenAt: MonotonicTime};
+export type ReleaseObservation = {readonly releasedAt: LogIndex; readonly observedAt: MonotonicTime};
 
 /** A policy change that every zone has applied, with the time at which the leader observed that. */
 export type SettlingPolicy = {readonly changedAt: LogIndex; readonly since: MonotonicTime};
@@ -147,7 +147,7 @@
 	}
 
 	const wait = grantor.terms.stewardTermMilliseconds + longestDeadline;
-	return now >= observed.seenAt + grantorWait(wait, grantor.terms);
+	return now >= observed.observedAt + grantorWait(wait, grantor.terms);
 }
 
 /** A slot under revocation, with the zone of its owner. */
