--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -119,7 +119,7 @@
 		return {state: grantor, effects: []};
 	}
 
-	const observed = newReleases.map(({zone, releasedAt = 0}) => [zone, {releasedAt, seenAt: event.now}] as const);
+	const observed = newReleases.map(({zone, releasedAt = 0}) => [zone, {releasedAt, observedAt: event.now}] as const);
 	return {state: {...grantor, releases: {...grantor.releases, ...Object.fromEntries(observed)}}, effects: []};
 }
 
