--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -158,19 +158,19 @@
 	readonly ownerZone?: ZoneName;
 };
 
-type Case = {
+type RevocationCheck = {
 	readonly policy: ServicePolicy;
 	readonly revokedAt: LogIndex;
 	readonly ownerZone?: ZoneName;
 	readonly now: MonotonicTime;
 };
 
-function clearedByRelease(grantor: GrantorState, roster: ZoneRoster, {policy, revokedAt, now}: Case): boolean {
+function clearedByRelease(grantor: GrantorState, roster: ZoneRoster, {policy, revokedAt, now}: RevocationCheck): boolean {
 	const covers = isReleased(roster) || revokedAt <= (roster.releasedAt ?? 0);
 	return covers && releaseWaited(grantor, roster, waitedDeadline(policy), now);
 }
 
-function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: Case): boolean {
+function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: RevocationCheck): boolean {
 	const holds = roster.zone === (ownerZone ?? roster.zone) && someMayHold(policy);
 	const wait = grantorWait(waitedDeadline(policy), grantor.terms);
 	return !holds && now >= zoneOf(grantor, roster.zone).delegatedUntil + wait;
