--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -177,7 +177,7 @@
 }
 
 /** Returns the zones that block a move because an instance there may still send requests to the old owner. */
-export function zonesInTheWay(grantor: GrantorState, table: OwnershipState, revocation: Revocation, now: MonotonicTime): readonly ZoneName[] {
+export function blockingZones(grantor: GrantorState, table: OwnershipState, revocation: Revocation, now: MonotonicTime): readonly ZoneName[] {
 	const policy = table.policies[revocation.service];
 	const revokedAt = revokedAtOf(assignmentOf(table, revocation.service, revocation.slot));
 	const zones = Object.values(table.rosters);
@@ -220,7 +220,7 @@
 	now: MonotonicTime,
 ): {readonly grantor: GrantorState; readonly cleared: boolean} {
 	const revokedAt = revokedAtOf(assignmentOf(table, revocation.service, revocation.slot));
-	if (revokedAt === undefined || zonesInTheWay(grantor, table, revocation, now).length > 0) {
+	if (revokedAt === undefined || blockingZones(grantor, table, revocation, now).length > 0) {
 		return {grantor, cleared: false};
 	}
 
--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -12,7 +12,7 @@
 import {emptyReport} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	clear, createGrantor, type GrantorEvent, type GrantorState, stepGrantor, zonesInTheWay,
+	clear, createGrantor, type GrantorEvent, type GrantorState, stepGrantor, blockingZones,
 } from '@dogwooddeck/ownership/grantor';
 import {proposeSeat} from '@dogwooddeck/ownership/seat';
 import {settlePolicies} from '@dogwooddeck/ownership/settling';
@@ -99,7 +99,7 @@
 	return (grantor, table) => {
 		const revocation = {service, slot: 0, ...(isZoneKnown && {ownerZone: 'n1'})};
 		const result = clear(grantor, table, revocation, now);
-		return {grantor: result.grantor, shown: result.cleared ? 'cleared' : zonesInTheWay(grantor, table, revocation, now).join(' ')};
+		return {grantor: result.grantor, shown: result.cleared ? 'cleared' : blockingZones(grantor, table, revocation, now).join(' ')};
 	};
 }
 
