--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -195,7 +195,7 @@
 		.map(roster => roster.zone);
 }
 
-function raiseFloors(grantor: GrantorState, table: OwnershipState, revokedAt: LogIndex): GrantorState {
+function raiseMinimumApplied(grantor: GrantorState, table: OwnershipState, revokedAt: LogIndex): GrantorState {
 	let next = grantor;
 	for (const {zone} of Object.values(table.rosters)) {
 		const delegation = zoneOf(next, zone);
@@ -224,5 +224,5 @@
 		return {grantor, cleared: false};
 	}
 
-	return {grantor: raiseFloors(grantor, table, revokedAt), cleared: true};
+	return {grantor: raiseMinimumApplied(grantor, table, revokedAt), cleared: true};
 }
