--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -185,13 +185,13 @@
 		return zones.map(roster => roster.zone);
 	}
 
-	const wanted = {
+	const check = {
 		...revocation, policy, revokedAt, now,
 	};
 	return zones
 		.filter(roster => zoneOf(grantor, roster.zone).drained < revokedAt
-			&& !clearedByRelease(grantor, roster, wanted)
-			&& !clearedByExpiry(grantor, roster, wanted))
+			&& !clearedByRelease(grantor, roster, check)
+			&& !clearedByExpiry(grantor, roster, check))
 		.map(roster => roster.zone);
 }
 
