--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -22,7 +22,7 @@
 	/** The largest index up to which the zone reported itself drained. */
 	readonly drained: LogIndex;
 	/** The lowest applied index with which a steward may get a delegation. */
-	readonly floor: LogIndex;
+	readonly minimumApplied: LogIndex;
 };
 
 /** When the leader observed a zone's release. */
@@ -75,7 +75,7 @@
 	return grantor.zones[zone] ?? {
 		delegatedUntil: grantor.startedAt + grantorWait(grantor.terms.delegationMilliseconds, grantor.terms),
 		drained: 0,
-		floor: grantor.startIndex,
+		minimumApplied: grantor.startIndex,
 	};
 }
 
@@ -86,7 +86,7 @@
 function delegationTerm(grantor: GrantorState, event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>): Milliseconds {
 	const {request, table} = event;
 	const hasSeats = (table.rosters[request.zone]?.members.length ?? 0) > 0;
-	if (!hasSeats || request.applied < zoneOf(grantor, request.zone).floor) {
+	if (!hasSeats || request.applied < zoneOf(grantor, request.zone).minimumApplied) {
 		return 0;
 	}
 
@@ -101,7 +101,7 @@
 	const next = {
 		delegatedUntil: Math.max(delegation.delegatedUntil, until),
 		drained: Math.max(delegation.drained, request.drained),
-		floor: delegation.floor,
+		floor: delegation.minimumApplied,
 	};
 	const answer = {termMilliseconds, shares: []};
 	return {state: withZone(grantor, request.zone, next), effects: [{kind: 'answerDelegation', answer}]};
@@ -199,8 +199,8 @@
 	let next = grantor;
 	for (const {zone} of Object.values(table.rosters)) {
 		const delegation = zoneOf(next, zone);
-		if (delegation.drained < revokedAt && delegation.floor < revokedAt) {
-			next = withZone(next, zone, {...delegation, floor: revokedAt});
+		if (delegation.drained < revokedAt && delegation.minimumApplied < revokedAt) {
+			next = withZone(next, zone, {...delegation, minimumApplied: revokedAt});
 		}
 	}
 
