--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -101,7 +101,7 @@
 	const next = {
 		delegatedUntil: Math.max(delegation.delegatedUntil, until),
 		drained: Math.max(delegation.drained, request.drained),
-		floor: delegation.minimumApplied,
+		minimumApplied: delegation.minimumApplied,
 	};
 	const answer = {termMilliseconds, shares: []};
 	return {state: withZone(grantor, request.zone, next), effects: [{kind: 'answerDelegation', answer}]};
