--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -39,8 +39,8 @@
 };
 
 /** Whether any of the requests may still be running. */
-function running(flight: InFlightRequests, now: MonotonicTime): boolean {
-	return (flight.inFlight > 0 && now < flight.pastDeadlineAt) || now < flight.abandonedUntil;
+function running(requests: InFlightRequests, now: MonotonicTime): boolean {
+	return (requests.inFlight > 0 && now < requests.pastDeadlineAt) || now < requests.abandonedUntil;
 }
 
 /** Returns the index up to which the instance counts as drained in spite of these requests. */
