--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -44,10 +44,10 @@
 }
 
 /** Returns the index up to which the instance counts as drained in spite of these requests. */
-function drainedBefore(flight: InFlightRequests, state: OwnershipState): LogIndex {
-	const assignment = assignmentOf(state, flight.service, flight.slot);
-	if (assignment === undefined || assignment.phase === AssignmentPhase.vacant || assignment.fence !== flight.fence) {
-		return flight.fence;
+function drainedBefore(requests: InFlightRequests, state: OwnershipState): LogIndex {
+	const assignment = assignmentOf(state, requests.service, requests.slot);
+	if (assignment === undefined || assignment.phase === AssignmentPhase.vacant || assignment.fence !== requests.fence) {
+		return requests.fence;
 	}
 
 	return assignment.phase === AssignmentPhase.revoking ? assignment.revokedAt - 1 : Infinity;
