--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -56,13 +56,13 @@
 type SlotFlights = Map<Slot, InFlightRequests[]>;
 
 function flightFor(slots: SlotFlights, service: ServiceName, slot: Slot, fence: FenceNumber): InFlightRequests {
-	let flights = slots.get(slot);
-	if (flights === undefined) {
-		flights = [];
-		slots.set(slot, flights);
+	let entries = slots.get(slot);
+	if (entries === undefined) {
+		entries = [];
+		slots.set(slot, entries);
 	}
 
-	for (const flight of flights) {
+	for (const flight of entries) {
 		if (flight.fence === fence) {
 			return flight;
 		}
@@ -71,7 +71,7 @@
 	const flight = {
 		service, slot, fence, inFlight: 0, pastDeadlineAt: -Infinity, abandonedUntil: -Infinity,
 	};
-	flights.push(flight);
+	entries.push(flight);
 	return flight;
 }
 
