--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -62,9 +62,9 @@
 		slots.set(slot, entries);
 	}
 
-	for (const flight of entries) {
-		if (flight.fence === fence) {
-			return flight;
+	for (const entry of entries) {
+		if (entry.fence === fence) {
+			return entry;
 		}
 	}
 
