--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -68,11 +68,11 @@
 		}
 	}
 
-	const flight = {
+	const entry = {
 		service, slot, fence, inFlight: 0, pastDeadlineAt: -Infinity, abandonedUntil: -Infinity,
 	};
-	entries.push(flight);
-	return flight;
+	entries.push(entry);
+	return entry;
 }
 
 /** Creates a tracker without in-flight requests. */
