--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -87,11 +87,11 @@
 			services.set(service, slots);
 		}
 
-		const flight = flightFor(slots, service, slot, fence);
-		flight.inFlight += 1;
-		flight.pastDeadlineAt = Math.max(flight.pastDeadlineAt, now + grantorWait(deadline - now, terms));
+		const requests = flightFor(slots, service, slot, fence);
+		requests.inFlight += 1;
+		requests.pastDeadlineAt = Math.max(requests.pastDeadlineAt, now + grantorWait(deadline - now, terms));
 		inFlight += 1;
-		return flight;
+		return requests;
 	}
 
 	function ended(flight: InFlightRequests): void {
