--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -94,8 +94,8 @@
 		return requests;
 	}
 
-	function ended(flight: InFlightRequests): void {
-		flight.inFlight -= 1;
+	function ended(requests: InFlightRequests): void {
+		requests.inFlight -= 1;
 		inFlight -= 1;
 	}
 
