--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -99,9 +99,9 @@
 		inFlight -= 1;
 	}
 
-	function abandoned(flight: InFlightRequests): void {
-		flight.abandonedUntil = flight.pastDeadlineAt;
-		ended(flight);
+	function abandoned(requests: InFlightRequests): void {
+		requests.abandonedUntil = requests.pastDeadlineAt;
+		ended(requests);
 	}
 
 	function drained(state: OwnershipState, applied: LogIndex, now: MonotonicTime): LogIndex {
