--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -107,8 +107,8 @@
 	function drained(state: OwnershipState, applied: LogIndex, now: MonotonicTime): LogIndex {
 		let lowest = applied;
 		for (const slots of services.values()) {
-			for (const [slot, flights] of slots) {
-				const kept = flights.filter(flight => flight.inFlight > 0 || running(flight, now));
+			for (const [slot, entries] of slots) {
+				const kept = entries.filter(flight => flight.inFlight > 0 || running(flight, now));
 				for (const flight of kept) {
 					lowest = running(flight, now) ? Math.min(lowest, drainedBefore(flight, state)) : lowest;
 				}
