--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -108,7 +108,7 @@
 		let lowest = applied;
 		for (const slots of services.values()) {
 			for (const [slot, entries] of slots) {
-				const kept = entries.filter(flight => flight.inFlight > 0 || running(flight, now));
+				const kept = entries.filter(entry => entry.inFlight > 0 || running(entry, now));
 				for (const flight of kept) {
 					lowest = running(flight, now) ? Math.min(lowest, drainedBefore(flight, state)) : lowest;
 				}
