--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -109,8 +109,8 @@
 		for (const slots of services.values()) {
 			for (const [slot, entries] of slots) {
 				const kept = entries.filter(entry => entry.inFlight > 0 || running(entry, now));
-				for (const flight of kept) {
-					lowest = running(flight, now) ? Math.min(lowest, drainedBefore(flight, state)) : lowest;
+				for (const entry of kept) {
+					lowest = running(entry, now) ? Math.min(lowest, drainedBefore(entry, state)) : lowest;
 				}
 
 				if (kept.length === 0) {
