--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -108,15 +108,15 @@
 		let lowest = applied;
 		for (const slots of services.values()) {
 			for (const [slot, entries] of slots) {
-				const kept = entries.filter(entry => entry.inFlight > 0 || running(entry, now));
-				for (const entry of kept) {
+				const remaining = entries.filter(entry => entry.inFlight > 0 || running(entry, now));
+				for (const entry of remaining) {
 					lowest = running(entry, now) ? Math.min(lowest, drainedBefore(entry, state)) : lowest;
 				}
 
-				if (kept.length === 0) {
+				if (remaining.length === 0) {
 					slots.delete(slot);
 				} else {
-					slots.set(slot, kept);
+					slots.set(slot, remaining);
 				}
 			}
 		}
