--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -29,7 +29,7 @@
 	/** Records that a request is about to be written to the socket. Its deadline is on this instance's clock. */
 	readonly started: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => InFlightRequests;
 	/** Records that the upstream is done with a request: it sent a complete answer, or it certainly didn't run the request. */
-	readonly ended: (flight: InFlightRequests) => void;
+	readonly ended: (requests: InFlightRequests) => void;
 	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
 	readonly abandoned: (flight: InFlightRequests) => void;
 	/** Returns the largest index such that no in-flight request was allowed by an earlier entry but isn't allowed by the table. */
