--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -53,9 +53,9 @@
 	return assignment.phase === AssignmentPhase.revoking ? assignment.revokedAt - 1 : Infinity;
 }
 
-type SlotFlights = Map<Slot, InFlightRequests[]>;
+type RequestsBySlot = Map<Slot, InFlightRequests[]>;
 
-function flightFor(slots: SlotFlights, service: ServiceName, slot: Slot, fence: FenceNumber): InFlightRequests {
+function flightFor(slots: RequestsBySlot, service: ServiceName, slot: Slot, fence: FenceNumber): InFlightRequests {
 	let entries = slots.get(slot);
 	if (entries === undefined) {
 		entries = [];
@@ -77,7 +77,7 @@
 
 /** Creates a tracker without in-flight requests. */
 export function createInFlightTracker(terms: LeaseTerms): InFlightTracker {
-	const services = new Map<ServiceName, SlotFlights>();
+	const services = new Map<ServiceName, RequestsBySlot>();
 	let inFlight = 0;
 
 	function started(service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime): InFlightRequests {
