--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -55,7 +55,7 @@
 
 type RequestsBySlot = Map<Slot, InFlightRequests[]>;
 
-function flightFor(slots: RequestsBySlot, service: ServiceName, slot: Slot, fence: FenceNumber): InFlightRequests {
+function requestsFor(slots: RequestsBySlot, service: ServiceName, slot: Slot, fence: FenceNumber): InFlightRequests {
 	let entries = slots.get(slot);
 	if (entries === undefined) {
 		entries = [];
@@ -87,7 +87,7 @@
 			services.set(service, slots);
 		}
 
-		const requests = flightFor(slots, service, slot, fence);
+		const requests = requestsFor(slots, service, slot, fence);
 		requests.inFlight += 1;
 		requests.pastDeadlineAt = Math.max(requests.pastDeadlineAt, now + grantorWait(deadline - now, terms));
 		inFlight += 1;
