--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -44,7 +44,7 @@
 }
 
 /** Returns the index up to which the instance counts as drained in spite of these requests. */
-function drainedBefore(requests: InFlightRequests, state: OwnershipState): LogIndex {
+function drainedUpTo(requests: InFlightRequests, state: OwnershipState): LogIndex {
 	const assignment = assignmentOf(state, requests.service, requests.slot);
 	if (assignment === undefined || assignment.phase === AssignmentPhase.vacant || assignment.fence !== requests.fence) {
 		return requests.fence;
@@ -110,7 +110,7 @@
 			for (const [slot, entries] of slots) {
 				const remaining = entries.filter(entry => entry.inFlight > 0 || running(entry, now));
 				for (const entry of remaining) {
-					lowest = running(entry, now) ? Math.min(lowest, drainedBefore(entry, state)) : lowest;
+					lowest = running(entry, now) ? Math.min(lowest, drainedUpTo(entry, state)) : lowest;
 				}
 
 				if (remaining.length === 0) {
