--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -39,7 +39,7 @@
 };
 
 /** Whether any of the requests may still be running. */
-function running(requests: InFlightRequests, now: MonotonicTime): boolean {
+function mayBeRunning(requests: InFlightRequests, now: MonotonicTime): boolean {
 	return (requests.inFlight > 0 && now < requests.pastDeadlineAt) || now < requests.abandonedUntil;
 }
 
@@ -108,9 +108,9 @@
 		let lowest = applied;
 		for (const slots of services.values()) {
 			for (const [slot, entries] of slots) {
-				const remaining = entries.filter(entry => entry.inFlight > 0 || running(entry, now));
+				const remaining = entries.filter(entry => entry.inFlight > 0 || mayBeRunning(entry, now));
 				for (const entry of remaining) {
-					lowest = running(entry, now) ? Math.min(lowest, drainedUpTo(entry, state)) : lowest;
+					lowest = mayBeRunning(entry, now) ? Math.min(lowest, drainedUpTo(entry, state)) : lowest;
 				}
 
 				if (remaining.length === 0) {
