--- a/packages/ownership/src/assigning.ts
+++ b/packages/ownership/src/assigning.ts
@@ -13,7 +13,7 @@
 import {unknownService, withService} from './services.js';
 import {type OwnershipState, revokedAtOf} from './state.js';
 
-type Change = (assignment: Assignment) => Assignment | undefined;
+type AssignmentChange = (assignment: Assignment) => Assignment | undefined;
 
 function conflict(service: ServiceName, slot: Slot, wanted: string): Failure {
 	return failure(FailureKind.conflict, `slot ${slot} of ${service} is not ${wanted}`);
@@ -22,7 +22,7 @@
 function changeSlots(
 	state: OwnershipState,
 	service: ServiceName,
-	changes: ReadonlyArray<readonly [Slot, Change]>,
+	changes: ReadonlyArray<readonly [Slot, AssignmentChange]>,
 	wanted: string,
 ): Result<OwnershipState, Failure> {
 	const before = state.services[service];
@@ -44,7 +44,7 @@
 	return ok(withService(state, {...before, assignments}));
 }
 
-function grantChange(grant: Grant, index: LogIndex): Change {
+function grantChange(grant: Grant, index: LogIndex): AssignmentChange {
 	return assignment => {
 		const grantable = assignment.phase !== AssignmentPhase.granted && revokedAtOf(assignment) === grant.revokedAt;
 		return grantable
@@ -61,7 +61,7 @@
 	return changeSlots(state, command.service, changes, 'vacant or under the revocation that the grant names');
 }
 
-function revokeChange(index: LogIndex): Change {
+function revokeChange(index: LogIndex): AssignmentChange {
 	return assignment => assignment.phase === AssignmentPhase.granted
 		? {...assignment, phase: AssignmentPhase.revoking, revokedAt: index}
 		: undefined;
@@ -73,7 +73,7 @@
 	return changeSlots(state, command.service, changes, 'granted');
 }
 
-function releaseChange(revokedAt: LogIndex): Change {
+function releaseChange(revokedAt: LogIndex): AssignmentChange {
 	return assignment => revokedAtOf(assignment) === revokedAt
 		? {phase: AssignmentPhase.vacant, slot: assignment.slot}
 		: undefined;
