--- a/packages/ownership/src/assigning.ts
+++ b/packages/ownership/src/assigning.ts
@@ -15,8 +15,8 @@
 
 type AssignmentChange = (assignment: Assignment) => Assignment | undefined;
 
-function conflict(service: ServiceName, slot: Slot, wanted: string): Failure {
-	return failure(FailureKind.conflict, `slot ${slot} of ${service} is not ${wanted}`);
+function conflict(service: ServiceName, slot: Slot, expected: string): Failure {
+	return failure(FailureKind.conflict, `slot ${slot} of ${service} is not ${expected}`);
 }
 
 function changeSlots(
