--- a/packages/ownership/src/assigning.ts
+++ b/packages/ownership/src/assigning.ts
@@ -23,7 +23,7 @@
 	state: OwnershipState,
 	service: ServiceName,
 	changes: ReadonlyArray<readonly [Slot, AssignmentChange]>,
-	wanted: string,
+	expected: string,
 ): Result<OwnershipState, Failure> {
 	const before = state.services[service];
 	if (before === undefined) {
@@ -35,7 +35,7 @@
 		const assignment = assignments[slot];
 		const changed = assignment === undefined ? undefined : change(assignment);
 		if (changed === undefined) {
-			return err(conflict(service, slot, wanted));
+			return err(conflict(service, slot, expected));
 		}
 
 		assignments[slot] = changed;
