--- a/packages/ownership/src/assigning.ts
+++ b/packages/ownership/src/assigning.ts
@@ -25,12 +25,12 @@
 	changes: ReadonlyArray<readonly [Slot, AssignmentChange]>,
 	expected: string,
 ): Result<OwnershipState, Failure> {
-	const before = state.services[service];
-	if (before === undefined) {
+	const current = state.services[service];
+	if (current === undefined) {
 		return err(unknownService(service));
 	}
 
-	const assignments = [...before.assignments];
+	const assignments = [...current.assignments];
 	for (const [slot, change] of changes) {
 		const assignment = assignments[slot];
 		const changed = assignment === undefined ? undefined : change(assignment);
@@ -41,7 +41,7 @@
 		assignments[slot] = changed;
 	}
 
-	return ok(withService(state, {...before, assignments}));
+	return ok(withService(state, {...current, assignments}));
 }
 
 function grantChange(grant: Grant, index: LogIndex): AssignmentChange {
