--- a/packages/ownership/src/pinning.ts
+++ b/packages/ownership/src/pinning.ts
@@ -17,7 +17,7 @@
 import {unknownService, withService} from './services.js';
 import {type OwnershipState} from './state.js';
 
-function refused(detail: string): Result<OwnershipState, Failure> {
+function conflict(detail: string): Result<OwnershipState, Failure> {
 	return err(failure(FailureKind.conflict, detail));
 }
 
@@ -56,11 +56,11 @@
 
 	const home = command.home < policy.slots ? service.assignments[command.home] : undefined;
 	if (home === undefined || home.phase === AssignmentPhase.revoking) {
-		return refused(`slot ${command.home} can't be split: it is unknown, holds a pinned key or is being revoked`);
+		return conflict(`slot ${command.home} can't be split: it is unknown, holds a pinned key or is being revoked`);
 	}
 
 	if (service.pinned.some(pinned => pinned.key === command.key)) {
-		return refused('the key is already pinned');
+		return conflict('the key is already pinned');
 	}
 
 	const slot = freeSlot(service, policy.slots);
@@ -88,7 +88,7 @@
 	const home = service.assignments[key.home];
 	const own = service.assignments[key.slot];
 	if (home === undefined || own === undefined || !canJoin(home, own)) {
-		return refused('the key and its slot have different owners');
+		return conflict('the key and its slot have different owners');
 	}
 
 	const changed: readonly Assignment[] = [renewed(home, key.home, index), {phase: AssignmentPhase.vacant, slot: key.slot}];
