--- a/packages/ownership/src/pinning.ts
+++ b/packages/ownership/src/pinning.ts
@@ -21,7 +21,7 @@
 	return err(failure(FailureKind.conflict, detail));
 }
 
-function renewed(assignment: Assignment, slot: Slot, index: LogIndex): Assignment {
+function withNewFence(assignment: Assignment, slot: Slot, index: LogIndex): Assignment {
 	return assignment.phase === AssignmentPhase.granted
 		? {...assignment, slot, fence: index}
 		: {phase: AssignmentPhase.vacant, slot};
@@ -65,7 +65,7 @@
 
 	const slot = freeSlot(service, policy.slots);
 	const pinned = [...service.pinned, {key: command.key, home: command.home, slot}];
-	const changed = [renewed(home, command.home, index), renewed(home, slot, index)];
+	const changed = [withNewFence(home, command.home, index), withNewFence(home, slot, index)];
 	return ok(withService(state, withAssignments(service, changed, pinned)));
 }
 
@@ -91,7 +91,7 @@
 		return conflict('the key and its slot have different owners');
 	}
 
-	const changed: readonly Assignment[] = [renewed(home, key.home, index), {phase: AssignmentPhase.vacant, slot: key.slot}];
+	const changed: readonly Assignment[] = [withNewFence(home, key.home, index), {phase: AssignmentPhase.vacant, slot: key.slot}];
 	const pinned = service.pinned.filter(other => other !== key);
 	return ok(withService(state, withAssignments(service, changed, pinned)));
 }
