--- a/packages/ownership/src/pinning.ts
+++ b/packages/ownership/src/pinning.ts
@@ -27,7 +27,7 @@
 		: {phase: AssignmentPhase.vacant, slot};
 }
 
-function freeSlot(service: ServiceAssignments, slots: number): Slot {
+function firstFreeSlot(service: ServiceAssignments, slots: number): Slot {
 	const used = new Set(service.pinned.map(pinned => pinned.slot));
 	let slot = slots;
 	while (used.has(slot)) {
@@ -63,7 +63,7 @@
 		return conflict('the key is already pinned');
 	}
 
-	const slot = freeSlot(service, policy.slots);
+	const slot = firstFreeSlot(service, policy.slots);
 	const pinned = [...service.pinned, {key: command.key, home: command.home, slot}];
 	const changed = [withNewFence(home, command.home, index), withNewFence(home, slot, index)];
 	return ok(withService(state, withAssignments(service, changed, pinned)));
