--- a/packages/ownership/src/pinning.ts
+++ b/packages/ownership/src/pinning.ts
@@ -69,7 +69,7 @@
 	return ok(withService(state, withAssignments(service, changed, pinned)));
 }
 
-function canJoin(one: Assignment, other: Assignment): boolean {
+function canMerge(one: Assignment, other: Assignment): boolean {
 	if (one.phase === AssignmentPhase.granted && other.phase === AssignmentPhase.granted) {
 		return sameUpstream(one.owner, other.owner);
 	}
@@ -87,7 +87,7 @@
 
 	const home = service.assignments[key.home];
 	const own = service.assignments[key.slot];
-	if (home === undefined || own === undefined || !canJoin(home, own)) {
+	if (home === undefined || own === undefined || !canMerge(home, own)) {
 		return conflict('the key and its slot have different owners');
 	}
 
