--- a/packages/ownership/src/pinning.ts
+++ b/packages/ownership/src/pinning.ts
@@ -80,18 +80,18 @@
 /** Merges a key back into its slot. Both must have the same owner, or none. */
 export function unpinKey(command: KeyUnpinned, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const service = state.services[command.service];
-	const key = service?.pinned.find(pinned => pinned.key === command.key);
-	if (service === undefined || key === undefined) {
+	const pinnedKey = service?.pinned.find(pinned => pinned.key === command.key);
+	if (service === undefined || pinnedKey === undefined) {
 		return err(failure(FailureKind.notFound, 'the key is not pinned'));
 	}
 
-	const home = service.assignments[key.home];
-	const own = service.assignments[key.slot];
+	const home = service.assignments[pinnedKey.home];
+	const own = service.assignments[pinnedKey.slot];
 	if (home === undefined || own === undefined || !canMerge(home, own)) {
 		return conflict('the key and its slot have different owners');
 	}
 
-	const changed: readonly Assignment[] = [withNewFence(home, key.home, index), {phase: AssignmentPhase.vacant, slot: key.slot}];
-	const pinned = service.pinned.filter(other => other !== key);
+	const changed: readonly Assignment[] = [withNewFence(home, pinnedKey.home, index), {phase: AssignmentPhase.vacant, slot: pinnedKey.slot}];
+	const pinned = service.pinned.filter(other => other !== pinnedKey);
 	return ok(withService(state, withAssignments(service, changed, pinned)));
 }
