--- a/packages/ownership/src/roster.ts
+++ b/packages/ownership/src/roster.ts
@@ -18,7 +18,7 @@
 	return {...state, rosters: {...state.rosters, [roster.zone]: roster}};
 }
 
-function firstRoster(record: InstanceRecord): ZoneRoster {
+function emptyRoster(record: InstanceRecord): ZoneRoster {
 	return {
 		zone: record.zone, region: record.region, members: [], previousMembers: [], changedAt: 0,
 	};
@@ -47,7 +47,7 @@
 		return err(failure(FailureKind.conflict, `instance ${record.name} has a seat already`));
 	}
 
-	const roster = rosterOf(state, record.zone) ?? firstRoster(record);
+	const roster = rosterOf(state, record.zone) ?? emptyRoster(record);
 	if (roster.changedAt !== command.changedAt) {
 		return err(outdated(roster));
 	}
