--- a/packages/ownership/src/roster.ts
+++ b/packages/ownership/src/roster.ts
@@ -29,7 +29,7 @@
 	return Object.hasOwn(state.rosters, zone) ? state.rosters[zone] : undefined;
 }
 
-function changed(roster: ZoneRoster, members: readonly InstanceRecord[], index: LogIndex): ZoneRoster {
+function withMembers(roster: ZoneRoster, members: readonly InstanceRecord[], index: LogIndex): ZoneRoster {
 	return {
 		...roster, members, previousMembers: roster.members, changedAt: index,
 	};
@@ -52,7 +52,7 @@
 		return err(outdated(roster));
 	}
 
-	return ok(withRoster(state, changed(roster, [...roster.members, record], index)));
+	return ok(withRoster(state, withMembers(roster, [...roster.members, record], index)));
 }
 
 /** Removes a member. */
@@ -67,7 +67,7 @@
 		return err(outdated(roster));
 	}
 
-	return ok(withRoster(state, changed(roster, roster.members.filter(other => other !== member), index)));
+	return ok(withRoster(state, withMembers(roster, roster.members.filter(other => other !== member), index)));
 }
 
 /** Records that the zone's steward reported the roster's last change. */
