--- a/packages/ownership/src/roster.ts
+++ b/packages/ownership/src/roster.ts
@@ -35,7 +35,7 @@
 	};
 }
 
-function outdated(roster: ZoneRoster): Failure {
+function staleRosterFailure(roster: ZoneRoster): Failure {
 	return failure(FailureKind.conflict, `the roster of zone ${roster.zone} changed at ${roster.changedAt}`);
 }
 
@@ -49,7 +49,7 @@
 
 	const roster = rosterOf(state, record.zone) ?? emptyRoster(record);
 	if (roster.changedAt !== command.changedAt) {
-		return err(outdated(roster));
+		return err(staleRosterFailure(roster));
 	}
 
 	return ok(withRoster(state, withMembers(roster, [...roster.members, record], index)));
@@ -64,7 +64,7 @@
 	}
 
 	if (roster.changedAt !== command.changedAt) {
-		return err(outdated(roster));
+		return err(staleRosterFailure(roster));
 	}
 
 	return ok(withRoster(state, withMembers(roster, roster.members.filter(other => other !== member), index)));
@@ -79,7 +79,7 @@
 
 	return roster.changedAt === command.changedAt
 		? ok(withRoster(state, {...roster, settledAt: command.changedAt}))
-		: err(outdated(roster));
+		: err(staleRosterFailure(roster));
 }
 
 /** Empties a roster and records that the zone no longer holds any slots. */
@@ -90,7 +90,7 @@
 	}
 
 	if (roster.changedAt !== (command.changedAt ?? roster.changedAt)) {
-		return err(outdated(roster));
+		return err(staleRosterFailure(roster));
 	}
 
 	return ok(withRoster(state, {
