--- a/packages/ownership/src/roster.ts
+++ b/packages/ownership/src/roster.ts
@@ -42,8 +42,8 @@
 /** Adds a member. An instance name has at most one seat in the whole deployment. */
 export function seatInstance(command: InstanceSeated, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const {record} = command;
-	const seated = Object.values(state.rosters).some(roster => roster.members.some(member => member.name === record.name));
-	if (seated) {
+	const isSeated = Object.values(state.rosters).some(roster => roster.members.some(member => member.name === record.name));
+	if (isSeated) {
 		return err(failure(FailureKind.conflict, `instance ${record.name} has a seat already`));
 	}
 
