--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -9,7 +9,7 @@
 import {type DelegationAnswer, type DelegationRequest, type SeatRequest} from '@dogwooddeck/model/lease';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {type ServicePolicy, someMayHold, waitedDeadline} from './policy.js';
-import {recordSeatRequest, type SeatSightings} from './sighting.js';
+import {recordSeatRequest, type SeatSightings} from './observation.js';
 import {
 	assignmentOf, type OwnershipState, revokedAtOf, type ZoneRoster,
 } from './state.js';
--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -12,7 +12,7 @@
 import {
 	type GrantorState, isReleased, releaseWaited, zoneOf,
 } from './grantor.js';
-import {hasLostMajority} from './sighting.js';
+import {hasLostMajority} from './observation.js';
 import {longestDeadlineOf, type OwnershipState, type ZoneRoster} from './state.js';
 
 /** The number of seats in a zone. Its other instances get leases, but support no steward. */
