--- a/packages/ownership/src/due.ts
+++ b/packages/ownership/src/due.ts
@@ -4,7 +4,7 @@
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {delegationDueAt} from './leasing.js';
-import {candidacyDueAt} from './standing.js';
+import {candidacyDueAt} from './candidacy.js';
 import {type StewardState} from './steward-state.js';
 import {drainedAdvancesAt, supportEndsAt} from './tenure.js';
 
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -17,7 +17,7 @@
 import {leaseAnswered, leaseSent} from './renewal.js';
 import {
 	resigned, supportAnswered, supportRequested, tableChanged, ticked,
-} from './standing.js';
+} from './candidacy.js';
 import {type StewardEvent, type StewardState, type StewardTransition} from './steward-state.js';
 import {createSupporter} from './support.js';
 import {type LeaseTerms} from './terms.js';
