--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -90,7 +90,7 @@
 
 /** Returns when a steward next requests the delegation from control, if no event occurs before. */
 export function delegationDueAt(state: StewardState, now: MonotonicTime): MonotonicTime {
-	const {delegationRequestedAt: delegationRequestedAt, terms} = state;
+	const {delegationRequestedAt, terms} = state;
 	const [renewal, urgent] = [delegationRequestedAt + terms.renewMilliseconds, delegationRequestedAt + terms.urgentMilliseconds];
 	if (drainedNow(state, now) > state.reportedDrained) {
 		return urgent;
@@ -134,5 +134,5 @@
 	const hasLapsed = now >= state.delegatedUntil;
 	const minimumApplied = hasLapsed ? Math.max(state.minimumApplied, event.applied) : state.minimumApplied;
 	const until = sentAt + holderTerm(answer.termMilliseconds, state.terms);
-	return {state: {...state, minimumApplied: minimumApplied, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
+	return {state: {...state, minimumApplied, delegatedUntil: Math.max(state.delegatedUntil, until)}, effects: []};
 }
