--- a/packages/ownership/src/leasing.ts
+++ b/packages/ownership/src/leasing.ts
@@ -114,7 +114,7 @@
 		report: emptyReport,
 	};
 	const next = {
-		...state, delegationAskedAt: now, reportedDrained: drained, reportedApplied: state.applied,
+		...state, delegationRequestedAt: now, reportedDrained: drained, reportedApplied: state.applied,
 	};
 	return {state: next, effects: [{kind: 'askDelegation', sentAt: now, request}]};
 }
