--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -66,7 +66,7 @@
 	const leader = createLeader(now, control, defaultLeaseTerms, () => 0);
 	const delegations = zones.map(zone => {
 		const {drained, isCut} = known[zone];
-		return [zone, {drained, floor: 0, delegatedUntil: isCut ? 0 : now + 1000}] as const;
+		return [zone, {drained, minimumApplied: 0, delegatedUntil: isCut ? 0 : now + 1000}] as const;
 	});
 	return {...leader, grantor: {...leader.grantor, zones: Object.fromEntries(delegations)}};
 }
