--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -31,7 +31,7 @@
 	/** Records that the upstream is done with a request: it sent a complete answer, or it certainly didn't run the request. */
 	readonly ended: (requests: InFlightRequests) => void;
 	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
-	readonly abandoned: (flight: InFlightRequests) => void;
+	readonly abandoned: (requests: InFlightRequests) => void;
 	/** Returns the largest index such that no in-flight request was allowed by an earlier entry but isn't allowed by the table. */
 	readonly drained: (state: OwnershipState, applied: LogIndex, now: MonotonicTime) => LogIndex;
 	/** Returns the number of in-flight requests. */
