--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -62,9 +62,9 @@
 
 /** Stores the request for support in a lease answer. Answers may arrive late, twice or out of order. */
 export function leaseAnswered({answer: {steward, supportAskedAt}}: EventOf<'leaseAnswered'>, state: StewardState): StewardTransition {
-	const {receivedSupportRequest: askedSupport} = state;
+	const {receivedSupportRequest: received} = state;
 	const isNewer = supportAskedAt !== undefined
-		&& (askedSupport === undefined || !sameInstance(askedSupport.steward, steward) || askedSupport.askedAt < supportAskedAt);
+		&& (received === undefined || !sameInstance(received.steward, steward) || received.askedAt < supportAskedAt);
 	return {
 		state: isNewer ? {...state, receivedSupportRequest: {steward, askedAt: supportAskedAt, isAnswered: false}} : state,
 		effects: [],
