--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -76,9 +76,9 @@
  * for support is answered once, so that a promise to a lost steward isn't extended.
  */
 export function leaseSent({now, to}: EventOf<'leaseSent'>, state: StewardState): StewardTransition {
-	const {receivedSupportRequest: askedSupport, supporter, applied, terms} = state;
+	const {receivedSupportRequest: received, supporter, applied, terms} = state;
 	const current = supportedCandidate(supporter, now);
-	const isRequested = askedSupport !== undefined && !askedSupport.isAnswered && sameInstance(askedSupport.steward, to);
+	const isRequested = received !== undefined && !received.isAnswered && sameInstance(received.steward, to);
 	if (!isRequested || current === undefined || !sameInstance(current, to)) {
 		return {state, effects: []};
 	}
@@ -86,9 +86,9 @@
 	const query = {
 		now, candidate: to, candidateApplied: applied, ownApplied: applied,
 	};
-	const {steward, askedAt} = askedSupport;
+	const {steward, askedAt} = received;
 	return {
-		state: {...state, supporter: decideSupport(supporter, query, terms).supporter, receivedSupportRequest: {...askedSupport, isAnswered: true}},
+		state: {...state, supporter: decideSupport(supporter, query, terms).supporter, receivedSupportRequest: {...received, isAnswered: true}},
 		effects: [{kind: 'renewSupport', renewal: {steward, askedAt}}],
 	};
 }
