--- a/packages/ownership/src/renewal.ts
+++ b/packages/ownership/src/renewal.ts
@@ -24,8 +24,8 @@
 	return isSteward(state, now) && now >= state.candidacyNotBefore;
 }
 
-function isRequestedBy(state: StewardState, {steward, askedAt}: SupportRenewal, now: MonotonicTime): boolean {
-	return sameInstance(steward, state.self) && askedAt >= (state.electedAt ?? Infinity) && askedAt <= now;
+function isRequestedBy(state: StewardState, {steward, askedAt: requestedAt}: SupportRenewal, now: MonotonicTime): boolean {
+	return sameInstance(steward, state.self) && requestedAt >= (state.electedAt ?? Infinity) && requestedAt <= now;
 }
 
 /** Whether an instance is in the roster, or requested a lease before it was seated. */
