--- a/packages/ownership/src/candidacy.ts
+++ b/packages/ownership/src/candidacy.ts
@@ -80,7 +80,7 @@
 
 /** Ends a candidacy that found no majority, and backs off so that others can run. */
 function withdrawCandidacy(state: StewardState, now: MonotonicTime): StewardState {
-	const {candidateSince: _stoodAt, ...rest} = state;
+	const {candidateSince: _candidateSince, ...rest} = state;
 	return {
 		...rest,
 		supporter: withdrawSelfSupport(state.supporter),
