--- a/packages/ownership/src/candidacy.ts
+++ b/packages/ownership/src/candidacy.ts
@@ -101,8 +101,8 @@
 		: Math.max(Math.min(renewal, nextOverdueAt(state)), state.candidacyNotBefore);
 }
 
-function withdrawalAt({candidateSince: stoodAt = Infinity, terms}: StewardState): MonotonicTime {
-	return stoodAt + (2 * terms.renewMilliseconds);
+function withdrawalAt({candidateSince: candidateSince = Infinity, terms}: StewardState): MonotonicTime {
+	return candidateSince + (2 * terms.renewMilliseconds);
 }
 
 function advanceCandidacy(state: StewardState, now: MonotonicTime): StewardTransition {
