--- a/packages/ownership/src/tenure.ts
+++ b/packages/ownership/src/tenure.ts
@@ -29,7 +29,7 @@
 		return state;
 	}
 
-	const {electedAt: _electedAt, candidateSince: _stoodAt, ...rest} = state;
+	const {electedAt: _electedAt, candidateSince: _candidateSince, ...rest} = state;
 	return {...rest, supportRecords: {}};
 }
 
