--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -171,9 +171,9 @@
 }
 
 function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: RevocationCheck): boolean {
-	const holds = roster.zone === (ownerZone ?? roster.zone) && someMayHold(policy);
+	const mayBeHeld = roster.zone === (ownerZone ?? roster.zone) && someMayHold(policy);
 	const wait = grantorWait(waitedDeadline(policy), grantor.terms);
-	return !holds && now >= zoneOf(grantor, roster.zone).delegatedUntil + wait;
+	return !mayBeHeld && now >= zoneOf(grantor, roster.zone).delegatedUntil + wait;
 }
 
 /** Returns the zones that block a move because an instance there may still send requests to the old owner. */
