--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -166,8 +166,8 @@
 };
 
 function clearedByRelease(grantor: GrantorState, roster: ZoneRoster, {policy, revokedAt, now}: RevocationCheck): boolean {
-	const covers = isReleased(roster) || revokedAt <= (roster.releasedAt ?? 0);
-	return covers && releaseWaited(grantor, roster, waitedDeadline(policy), now);
+	const isCovered = isReleased(roster) || revokedAt <= (roster.releasedAt ?? 0);
+	return isCovered && releaseWaited(grantor, roster, waitedDeadline(policy), now);
 }
 
 function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: RevocationCheck): boolean {
