--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -56,8 +56,8 @@
 
 /** Whether a roster has a single member that is also in every majority of the previous roster. */
 function hasSoleCommonMember({members, previousMembers}: ZoneRoster): boolean {
-	const inPrevious = previousMembers.some(other => other.name === members[0]?.name);
-	return members.length === 1 && (previousMembers.length === 0 || (previousMembers.length <= 2 && inPrevious));
+	const isInPrevious = previousMembers.some(other => other.name === members[0]?.name);
+	return members.length === 1 && (previousMembers.length === 0 || (previousMembers.length <= 2 && isInPrevious));
 }
 
 function proposeNewSeat(grantor: GrantorState, roster: ZoneRoster, record: InstanceRecord): OwnershipCommand | undefined {
