--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -7,7 +7,7 @@
 import {type InstanceIdentity, type LogIndex} from '@dogwooddeck/model/identifiers';
 import {emptyReport} from '@dogwooddeck/model/lease';
 import {Leadership} from './leadership.js';
-import {World} from './world.js';
+import {Simulation} from './world.js';
 import {
 	Instance, type Plan, type Refusal, services, slotCount, Upstream, type Work,
 } from './actors.js';
@@ -27,7 +27,7 @@
 
 /** A simulated deployment. */
 export class Schedule {
-	readonly world: World;
+	readonly world: Simulation;
 	readonly states: OwnershipState[] = [emptyOwnership];
 	readonly instances: Instance[] = [];
 	readonly upstreams: Upstream[] = [];
@@ -42,7 +42,7 @@
 	readonly #active = new Map<string, Work[]>();
 
 	constructor(readonly plan: Plan) {
-		this.world = new World(plan.seed, plan.loss);
+		this.world = new Simulation(plan.seed, plan.loss);
 		for (const zone of plan.zones) {
 			for (let number = 0; number < plan.perZone; number += 1) {
 				this.#addInstance(zone, number);
--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -57,7 +57,7 @@
 const ticksPerMillisecond = 4;
 
 /** True time and the network. */
-export class World {
+export class Simulation {
 	time = 0;
 	readonly random: () => number;
 	/** Partition numbers of zones and processes, which reach only those with the same number. The default is 0. */
