--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -72,7 +72,7 @@
 	/** Starts the current incarnation of an instance with fresh state. */
 	boot(instance: Instance): void {
 		const now = this.world.now(instance);
-		instance.record = {...instance.record, incarnation: instance.life};
+		instance.record = {...instance.record, incarnation: instance.incarnation};
 		instance.steward = createSteward(instance.record, now, terms);
 		instance.lease = createLease(terms);
 		instance.flights = createInFlightTracker(terms);
@@ -119,7 +119,7 @@
 		assert.ok(now >= dueAt || !hasChanged, `a tick at ${now} had an effect before it was due at ${dueAt}`);
 		this.#askLease(instance, now);
 		const seated = this.states[instance.applied]!.rosters[instance.zone]?.members
-			.some(member => member.name === instance.name && member.incarnation === instance.life);
+			.some(member => member.name === instance.name && member.incarnation === instance.incarnation);
 		if (seated !== true && now - instance.seatAskedAt > 400) {
 			instance.seatAskedAt = now;
 			this.#askSeat(instance);
--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -16,7 +16,7 @@
 
 /** A process, of which one incarnation runs at a time. */
 export class Process {
-	life = 1;
+	incarnation = 1;
 	paused = false;
 	readonly #backlog: Array<() => void> = [];
 
@@ -24,7 +24,7 @@
 
 	/** Runs work of one incarnation, or queues it until a paused process resumes. Work of an earlier incarnation is dropped. */
 	run(life: number, work: () => void): void {
-		if (life !== this.life) {
+		if (life !== this.incarnation) {
 			return;
 		}
 
@@ -47,7 +47,7 @@
 
 	/** Ends this incarnation and starts the next one at once. */
 	restart(): void {
-		this.life += 1;
+		this.incarnation += 1;
 		this.paused = false;
 		this.#backlog.length = 0;
 	}
@@ -93,7 +93,7 @@
 
 	/** Schedules work of a process's current incarnation. */
 	afterIn(process: Process, milliseconds: number, work: () => void): void {
-		const {life} = process;
+		const {incarnation: life} = process;
 		this.after(milliseconds, () => {
 			process.run(life, work);
 		});
@@ -109,7 +109,7 @@
 
 	/** Sends a request to a process and delivers its answer. */
 	call<Answer>(from: Process, to: Process, ask: () => Answer | undefined, take: (answer: Answer) => void): void {
-		const {life} = from;
+		const {incarnation: life} = from;
 		this.send(from, to, () => {
 			const answer = ask();
 			if (answer !== undefined) {
@@ -156,7 +156,7 @@
 			return;
 		}
 
-		const {life} = to;
+		const {incarnation: life} = to;
 		this.after(this.#delay(from.zone, to.zone), () => {
 			if (this.reaches(from, to)) {
 				to.run(life, work);
