--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -23,14 +23,14 @@
 	constructor(readonly name: string, readonly zone: string, readonly clock: {readonly offset: number; readonly rate: number}) {}
 
 	/** Runs work of one incarnation, or queues it until a paused process resumes. Work of an earlier incarnation is dropped. */
-	run(life: number, work: () => void): void {
-		if (life !== this.incarnation) {
+	run(incarnation: number, work: () => void): void {
+		if (incarnation !== this.incarnation) {
 			return;
 		}
 
 		if (this.paused) {
 			this.#backlog.push(() => {
-				this.run(life, work);
+				this.run(incarnation, work);
 			});
 			return;
 		}
