--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -93,9 +93,9 @@
 
 	/** Schedules work of a process's current incarnation. */
 	afterIn(process: Process, milliseconds: number, work: () => void): void {
-		const {incarnation: life} = process;
+		const {incarnation: incarnation} = process;
 		this.after(milliseconds, () => {
-			process.run(life, work);
+			process.run(incarnation, work);
 		});
 	}
 
