--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -109,12 +109,12 @@
 
 	/** Sends a request to a process and delivers its answer. */
 	call<Answer>(from: Process, to: Process, ask: () => Answer | undefined, take: (answer: Answer) => void): void {
-		const {incarnation: life} = from;
+		const {incarnation: incarnation} = from;
 		this.send(from, to, () => {
 			const answer = ask();
 			if (answer !== undefined) {
 				this.send(to, from, () => {
-					from.run(life, () => {
+					from.run(incarnation, () => {
 						take(answer);
 					});
 				});
