--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -156,10 +156,10 @@
 			return;
 		}
 
-		const {incarnation: life} = to;
+		const {incarnation: incarnation} = to;
 		this.after(this.#delay(from.zone, to.zone), () => {
 			if (this.reaches(from, to)) {
-				to.run(life, work);
+				to.run(incarnation, work);
 			}
 		});
 	}
