--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -61,7 +61,7 @@
 	time = 0;
 	readonly random: () => number;
 	/** Partition numbers of zones and processes, which reach only those with the same number. The default is 0. */
-	readonly sides = new Map<string, number>();
+	readonly partitionNumbers = new Map<string, number>();
 	readonly #agenda = new Map<number, Array<() => void>>();
 	#tick = 0;
 
@@ -125,12 +125,12 @@
 	/** Partitions zones and processes from all others for a duration. */
 	cut(names: readonly string[], milliseconds: number): void {
 		for (const name of names) {
-			this.sides.set(name, 1);
+			this.partitionNumbers.set(name, 1);
 		}
 
 		this.after(milliseconds, () => {
 			for (const name of names) {
-				this.sides.delete(name);
+				this.partitionNumbers.delete(name);
 			}
 		});
 	}
@@ -148,7 +148,7 @@
 	}
 
 	#sideOf(process: Process): number {
-		return this.sides.get(process.name) ?? this.sides.get(process.zone) ?? 0;
+		return this.partitionNumbers.get(process.name) ?? this.partitionNumbers.get(process.zone) ?? 0;
 	}
 
 	#sendOnce(from: Process, to: Process, work: () => void): void {
