--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -78,7 +78,7 @@
 	}
 
 	reaches(from: Process, to: Process): boolean {
-		return this.#sideOf(from) === this.#sideOf(to);
+		return this.#partitionOf(from) === this.#partitionOf(to);
 	}
 
 	after(milliseconds: number, work: () => void): void {
@@ -147,7 +147,7 @@
 		}
 	}
 
-	#sideOf(process: Process): number {
+	#partitionOf(process: Process): number {
 		return this.partitionNumbers.get(process.name) ?? this.partitionNumbers.get(process.zone) ?? 0;
 	}
 
