--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -108,7 +108,7 @@
 		leadership.depose(voter => voter.zone === leaderIn);
 		const beyond = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
 		world.after(cutAt, () => {
-			world.cut(cut, healAt - cutAt);
+			world.partition(cut, healAt - cutAt);
 		});
 		world.after(cutAt + 1000, () => {
 			for (const upstream of beyond) {
--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -58,14 +58,14 @@
 		});
 	},
 	cutZone(schedule: Schedule, fault: Fault) {
-		schedule.world.cut([member(schedule.plan.zones, fault.target)], fault.milliseconds);
+		schedule.world.partition([member(schedule.plan.zones, fault.target)], fault.milliseconds);
 	},
 	cutRegion(schedule: Schedule, fault: Fault) {
 		const region = member(schedule.plan.zones, fault.target)[0];
-		schedule.world.cut(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
+		schedule.world.partition(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
 	},
 	cutInstance(schedule: Schedule, fault: Fault) {
-		schedule.world.cut([member(schedule.instances, fault.target).name], fault.milliseconds);
+		schedule.world.partition([member(schedule.instances, fault.target).name], fault.milliseconds);
 	},
 	pauseSteward(schedule: Schedule, fault: Fault) {
 		const stewards = schedule.instances.filter(instance => instance.steward.electedAt !== undefined);
--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -123,7 +123,7 @@
 	}
 
 	/** Partitions zones and processes from all others for a duration. */
-	cut(names: readonly string[], milliseconds: number): void {
+	partition(names: readonly string[], milliseconds: number): void {
 		for (const name of names) {
 			this.partitionNumbers.set(name, 1);
 		}
