--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -108,14 +108,14 @@
 	}
 
 	/** Sends a request to a process and delivers its answer. */
-	call<Answer>(from: Process, to: Process, handle: () => Answer | undefined, take: (answer: Answer) => void): void {
+	call<Answer>(from: Process, to: Process, handle: () => Answer | undefined, onAnswer: (answer: Answer) => void): void {
 		const {incarnation: incarnation} = from;
 		this.send(from, to, () => {
 			const answer = handle();
 			if (answer !== undefined) {
 				this.send(to, from, () => {
 					from.run(incarnation, () => {
-						take(answer);
+						onAnswer(answer);
 					});
 				});
 			}
