--- a/packages/ownership/test/world.ts
+++ b/packages/ownership/test/world.ts
@@ -165,8 +165,8 @@
 	}
 
 	#delay(from: string, to: string): number {
-		const late = this.random() < this.loss ? this.random() * 2500 : 0;
+		const extraDelay = this.random() < this.loss ? this.random() * 2500 : 0;
 		const region = from.at(0) === to.at(0) ? 1.5 : 30;
-		return (from === to ? 0.3 : region) + (this.random() * 2) + late;
+		return (from === to ? 0.3 : region) + (this.random() * 2) + extraDelay;
 	}
 }
