--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -44,7 +44,7 @@
 	#accepting: Array<() => void> = [];
 
 	constructor(readonly schedule: Schedule) {
-		const {world, plan} = schedule;
+		const {simulation: world, plan} = schedule;
 		const zones = plan.zones.length > 1 ? plan.zones : ['a1', 'a1', 'a1'];
 		this.voters = Array.from({length: 3}, (_, number) => {
 			const drift = plan.driftRatio * ((2 * world.random()) - 1);
@@ -65,7 +65,7 @@
 	/** Elects another leader without notifying the old one. Proposals in transit may still be committed. */
 	depose(suits: (voter: Process) => boolean = () => true): void {
 		const others = this.voters.filter(voter => voter !== this.#leader && suits(voter) && this.#hasQuorum(voter));
-		const next = this.schedule.world.pick(others);
+		const next = this.schedule.simulation.pick(others);
 		if (next !== undefined) {
 			this.#elect(next);
 		}
@@ -75,7 +75,7 @@
 		this.#ask(instance, (voter, leading) => {
 			const {state, effects} = stepGrantor(leading.grantor, {
 				kind: 'delegationRequested',
-				now: this.schedule.world.now(voter),
+				now: this.schedule.simulation.now(voter),
 				quorumHeardAt: leading.quorumHeardAt,
 				table: this.#tableOf(leading),
 				request,
@@ -89,7 +89,7 @@
 
 	askSeat(instance: Instance, request: SeatRequest, take: (applied: LogIndex) => void): void {
 		this.#ask(instance, (voter, leading) => {
-			const now = this.schedule.world.now(voter);
+			const now = this.schedule.simulation.now(voter);
 			const table = this.#tableOf(leading);
 			leading.grantor = stepGrantor(leading.grantor, {
 				kind: 'seatRequested', now, table, request,
@@ -102,9 +102,9 @@
 
 	#ask<Answer>(instance: Instance, handle: (voter: Voter, leading: Leading) => Answer, take: (answer: Answer) => void): void {
 		const believers = this.voters.filter(voter => voter.leading !== undefined);
-		const voter = this.schedule.world.random() < 0.8 ? this.#leader : this.schedule.world.pick(believers);
+		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(believers);
 		if (voter !== undefined) {
-			this.schedule.world.call(instance, voter, () => voter.leading && handle(voter, voter.leading), take);
+			this.schedule.simulation.call(instance, voter, () => voter.leading && handle(voter, voter.leading), take);
 		}
 	}
 
@@ -113,12 +113,12 @@
 	}
 
 	#hasQuorum(voter: Voter): boolean {
-		const heard = this.voters.filter(other => !other.paused && this.schedule.world.reaches(voter, other));
+		const heard = this.voters.filter(other => !other.paused && this.schedule.simulation.reaches(voter, other));
 		return !voter.paused && heard.length >= 2;
 	}
 
 	#elect(voter: Voter): void {
-		const {world, states} = this.schedule;
+		const {simulation: world, states} = this.schedule;
 		for (const accept of this.#accepting.splice(0)) {
 			if (world.random() < 0.5) {
 				accept();
@@ -135,7 +135,7 @@
 
 	#supervise(): void {
 		const leader = this.#leader;
-		const {world} = this.schedule;
+		const {simulation: world} = this.schedule;
 		if (leader !== undefined && this.#hasQuorum(leader)) {
 			this.#missedSince = world.time;
 		} else if (world.time - this.#missedSince > electionMilliseconds) {
@@ -148,7 +148,7 @@
 	}
 
 	#beat(voter: Voter): void {
-		const {world} = this.schedule;
+		const {simulation: world} = this.schedule;
 		if (voter.leading !== undefined) {
 			this.#lead(voter, voter.leading);
 		}
@@ -159,7 +159,7 @@
 	}
 
 	#lead(voter: Voter, leading: Leading): void {
-		const now = this.schedule.world.now(voter);
+		const now = this.schedule.simulation.now(voter);
 		if (leading.term === this.#term && this.#hasQuorum(voter)) {
 			leading.quorumHeardAt = now;
 			leading.applied = this.schedule.states.length - 1;
@@ -191,7 +191,7 @@
 		};
 
 		this.#accepting.push(accept);
-		this.schedule.world.after(3 + (this.schedule.world.random() * 60), () => {
+		this.schedule.simulation.after(3 + (this.schedule.simulation.random() * 60), () => {
 			leading.busy = false;
 			if (leading.term === this.#term && this.#hasQuorum(voter) && this.#accepting.includes(accept)) {
 				this.#accepting = this.#accepting.filter(other => other !== accept);
@@ -211,7 +211,7 @@
 					? clear(leading.grantor, table, {service, slot, ownerZone}, now)
 					: {grantor: leading.grantor, cleared: phase === 'vacant' && pinned};
 				leading.grantor = result.grantor;
-				const next = this.#nextOwner(phase === 'vacant' ? 2 * slot : Math.floor(this.schedule.world.random() * 100));
+				const next = this.#nextOwner(phase === 'vacant' ? 2 * slot : Math.floor(this.schedule.simulation.random() * 100));
 				if (result.cleared && next !== undefined) {
 					const owner = {service, name: next.name, incarnation: 1};
 					const grant = phase === 'revoking' ? {slot, owner, revokedAt: assignment.revokedAt} : {slot, owner};
@@ -229,7 +229,7 @@
 	}
 
 	#changes(table: OwnershipState): readonly OwnershipCommand[] {
-		const {random} = this.schedule.world;
+		const {random} = this.schedule.simulation;
 		const commands: OwnershipCommand[] = [];
 		for (const {service} of services) {
 			const assignments = table.services[service]?.assignments ?? [];
@@ -253,7 +253,7 @@
 
 	/** Unseats random instances, which may be alive and then request a seat again. */
 	#unseatings(leading: Leading, table: OwnershipState): readonly OwnershipCommand[] {
-		const {world, plan} = this.schedule;
+		const {simulation: world, plan} = this.schedule;
 		return Object.values(table.rosters)
 			.filter(roster => roster.members.length > 1 && mayChangeRoster(leading.grantor, roster) && world.random() < plan.moves / 400)
 			.map(({zone, members, changedAt}) => {
@@ -265,13 +265,13 @@
 	}
 
 	#policy(): PolicyTerms {
-		const {world, plan} = this.schedule;
+		const {simulation: world, plan} = this.schedule;
 		const whenCut = world.random() < 0.5 ? PartitionPolicy.hold : PartitionPolicy.takeOver;
 		return {whenCut, longestDeadlineMilliseconds: plan.longestDeadlineMilliseconds * (0.2 + world.random())};
 	}
 
 	#pinning(table: OwnershipState, service: string): OwnershipCommand {
-		const {world} = this.schedule;
+		const {simulation: world} = this.schedule;
 		const pinned = world.pick(table.services[service]?.pinned ?? []);
 		if (pinned !== undefined && world.random() < 0.5) {
 			return {kind: 'keyUnpinned', service, key: pinned.key};
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -27,7 +27,7 @@
 
 /** A simulated deployment. */
 export class Schedule {
-	readonly world: Simulation;
+	readonly simulation: Simulation;
 	readonly states: OwnershipState[] = [emptyOwnership];
 	readonly instances: Instance[] = [];
 	readonly upstreams: Upstream[] = [];
@@ -42,7 +42,7 @@
 	readonly #active = new Map<string, Work[]>();
 
 	constructor(readonly plan: Plan) {
-		this.world = new Simulation(plan.seed, plan.loss);
+		this.simulation = new Simulation(plan.seed, plan.loss);
 		for (const zone of plan.zones) {
 			for (let number = 0; number < plan.perZone; number += 1) {
 				this.#addInstance(zone, number);
@@ -71,7 +71,7 @@
 
 	/** Starts the current incarnation of an instance with fresh state. */
 	boot(instance: Instance): void {
-		const now = this.world.now(instance);
+		const now = this.simulation.now(instance);
 		instance.record = {...instance.record, incarnation: instance.incarnation};
 		instance.steward = createSteward(instance.record, now, terms);
 		instance.lease = createLease(terms);
@@ -89,12 +89,12 @@
 	}
 
 	run(until: number): this {
-		this.world.runUntil(until);
+		this.simulation.runUntil(until);
 		return this;
 	}
 
 	#addInstance(zone: string, number: number): void {
-		const {random} = this.world;
+		const {random} = this.simulation;
 		const drift = this.plan.driftRatio * ((2 * random()) - 1);
 		const instance = new Instance(`${zone}${number}`, zone, {offset: random() * 1e6, rate: 1 + drift});
 		instance.record = {
@@ -105,13 +105,13 @@
 
 	#beat(instance: Instance): void {
 		this.#tick(instance);
-		this.world.afterIn(instance, 20 + (this.world.random() * 10), () => {
+		this.simulation.afterIn(instance, 20 + (this.simulation.random() * 10), () => {
 			this.#beat(instance);
 		});
 	}
 
 	#tick(instance: Instance): void {
-		const now = this.world.now(instance);
+		const now = this.simulation.now(instance);
 		const {dueAt} = instance;
 		const wasSteward = instance.steward.electedAt !== undefined;
 		const effects = this.#step(instance, {kind: 'ticked', now});
@@ -130,9 +130,9 @@
 		if (applied > instance.applied) {
 			instance.applied = applied;
 			this.#step(instance, {
-				kind: 'tableChanged', now: this.world.now(instance), applied, table: this.states[applied]!,
+				kind: 'tableChanged', now: this.simulation.now(instance), applied, table: this.states[applied]!,
 			});
-			this.#askLease(instance, this.world.now(instance));
+			this.#askLease(instance, this.simulation.now(instance));
 		}
 	}
 
@@ -151,18 +151,18 @@
 		if (effect.kind === 'askSupport') {
 			this.questions += 1;
 			const to = this.instances.find(other => other.name === effect.to.name)!;
-			this.world.call(instance, to, () => {
-				const answers = this.#step(to, {kind: 'supportRequested', now: this.world.now(to), request: effect.request});
+			this.simulation.call(instance, to, () => {
+				const answers = this.#step(to, {kind: 'supportRequested', now: this.simulation.now(to), request: effect.request});
 				return answers.find(answer => answer.kind === 'answerSupport')?.answer;
 			}, answer => {
 				this.#step(instance, {
-					kind: 'supportAnswered', now: this.world.now(instance), sentAt: effect.sentAt, answer,
+					kind: 'supportAnswered', now: this.simulation.now(instance), sentAt: effect.sentAt, answer,
 				});
 			});
 		} else if (effect.kind === 'askDelegation') {
 			this.leadership.askDelegation(instance, effect.request, (answer, applied) => {
 				this.#step(instance, {
-					kind: 'delegationAnswered', now: this.world.now(instance), sentAt: effect.sentAt, applied: effect.request.applied, answer,
+					kind: 'delegationAnswered', now: this.simulation.now(instance), sentAt: effect.sentAt, applied: effect.request.applied, answer,
 				});
 				this.#catchUp(instance, applied);
 			});
@@ -185,28 +185,28 @@
 			instance: instance.record, applied, drained, report: emptyReport, ...(renewal && {supportRenewal: renewal}),
 		};
 		const ask = () => {
-			const answers = this.#step(steward, {kind: 'leaseRequested', now: this.world.now(steward), request});
+			const answers = this.#step(steward, {kind: 'leaseRequested', now: this.simulation.now(steward), request});
 			const answer = answers.find(effect => effect.kind === 'answerLease')?.answer;
 			return answer === undefined ? undefined : {answer, applied: steward.applied};
 		};
 
 		const take = (result: {readonly answer: Parameters<typeof answered>[1]['answer']; readonly applied: LogIndex}) => {
 			instance.lease = answered(instance.lease, {sentAt: now, answer: result.answer});
-			this.#step(instance, {kind: 'leaseAnswered', now: this.world.now(instance), answer: result.answer});
+			this.#step(instance, {kind: 'leaseAnswered', now: this.simulation.now(instance), answer: result.answer});
 			this.#catchUp(instance, result.applied);
 		};
 
 		if (steward === instance) {
 			take(ask()!);
 		} else {
-			this.world.call(instance, steward, ask, take);
+			this.simulation.call(instance, steward, ask, take);
 		}
 	}
 
 	#stewardFor(instance: Instance, now: number): Instance {
 		const name = supportedCandidate(instance.steward.supporter, now)?.name;
 		const peers = this.instances.filter(other => other.zone === instance.zone);
-		return peers.find(other => other.name === name) ?? this.world.pick(peers)!;
+		return peers.find(other => other.name === name) ?? this.simulation.pick(peers)!;
 	}
 
 	/** Returns the incarnation of a steward that an instance's table names. */
@@ -224,15 +224,15 @@
 	/** Generates callers' requests to one instance. */
 	#offer(instance: Instance): void {
 		this.#request(instance);
-		this.world.afterIn(instance, 5 + (this.world.random() * 20), () => {
+		this.simulation.afterIn(instance, 5 + (this.simulation.random() * 20), () => {
 			this.#offer(instance);
 		});
 	}
 
 	#request(instance: Instance): void {
-		const {service} = this.world.pick(services)!;
-		const home = Math.floor(this.world.random() * slotCount);
-		const key = `${service}/${home}/${Math.floor(this.world.random() * 2)}`;
+		const {service} = this.simulation.pick(services)!;
+		const home = Math.floor(this.simulation.random() * slotCount);
+		const key = `${service}/${home}/${Math.floor(this.simulation.random() * 2)}`;
 		const table = this.states[instance.applied]!;
 		const assignments = table.services[service];
 		const assignment = assignments && assignmentOf(table, service, slotFor(assignments, home, key));
@@ -242,17 +242,17 @@
 
 		const upstream = this.upstreamOf(assignment.owner.name);
 		const held = isHeld(table.policies[service]!, upstream.zone, instance.zone);
-		if (mayStart(instance.lease, this.world.now(instance), assignment, held)) {
+		if (mayStart(instance.lease, this.simulation.now(instance), assignment, held)) {
 			this.#start(instance, key, {service, slot: assignment.slot, fence: assignment.fence}, upstream);
 		} else {
 			this.refused.push({
-				at: this.world.time, zone: instance.zone, service, ownerZone: upstream.zone, kind: assignment.phase === 'granted' ? FailureKind.noLease : FailureKind.noOwner,
+				at: this.simulation.time, zone: instance.zone, service, ownerZone: upstream.zone, kind: assignment.phase === 'granted' ? FailureKind.noLease : FailureKind.noOwner,
 			});
 		}
 	}
 
 	#start(instance: Instance, key: string, {service, slot, fence}: {service: string; slot: number; fence: number}, upstream: Upstream): void {
-		const {world} = this;
+		const {simulation: world} = this;
 		const now = world.now(instance);
 		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * world.random()));
 		const flight = instance.flights.started(service, slot, fence, now, now + deadline);
@@ -296,14 +296,14 @@
 		}
 
 		upstream.highestFence.set(key, Math.max(fence, highest));
-		this.world.afterIn(upstream, stay, () => {
-			work.until = Math.min(work.until, this.world.time);
+		this.simulation.afterIn(upstream, stay, () => {
+			work.until = Math.min(work.until, this.simulation.time);
 			answer();
 		});
 	}
 
 	#watch(work: Work): void {
-		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.world.time);
+		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.simulation.time);
 		const clash = active.find(other => other.upstream !== work.upstream);
 		if (clash !== undefined) {
 			this.violations.push(`at ${work.startedAt} zone ${work.from} sent ${work.key} to ${work.upstream.name}, while `
--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -104,7 +104,7 @@
 		const schedule = new Schedule({
 			seed: 7, zones, perZone: 3, loss: 0, moves: 0, driftRatio: 0.01, longestDeadlineMilliseconds: 800,
 		});
-		const {world, leadership} = schedule;
+		const {simulation: world, leadership} = schedule;
 		leadership.depose(voter => voter.zone === leaderIn);
 		const beyond = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
 		world.after(cutAt, () => {
--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -15,7 +15,7 @@
 
 function pause(schedule: Schedule, target: {paused: boolean; proceed: () => void}, milliseconds: number): void {
 	target.paused = true;
-	schedule.world.after(milliseconds, () => {
+	schedule.simulation.after(milliseconds, () => {
 		target.proceed();
 	});
 }
@@ -42,7 +42,7 @@
 	restartZone(schedule: Schedule, fault: Fault) {
 		const zone = member(schedule.plan.zones, fault.target);
 		for (const instance of schedule.instances.filter(other => other.zone === zone)) {
-			schedule.world.after(schedule.world.random() * 300, () => {
+			schedule.simulation.after(schedule.simulation.random() * 300, () => {
 				restart(schedule, instance);
 			});
 		}
@@ -50,22 +50,22 @@
 	freezeUpstream(schedule: Schedule, fault: Fault) {
 		const upstream = member(schedule.upstreams, fault.target);
 		pause(schedule, upstream, fault.milliseconds);
-		schedule.world.after(1000, () => {
+		schedule.simulation.after(1000, () => {
 			schedule.leadership.lost.add(upstream.name);
 		});
-		schedule.world.after(fault.milliseconds + 1000, () => {
+		schedule.simulation.after(fault.milliseconds + 1000, () => {
 			schedule.leadership.lost.delete(upstream.name);
 		});
 	},
 	cutZone(schedule: Schedule, fault: Fault) {
-		schedule.world.partition([member(schedule.plan.zones, fault.target)], fault.milliseconds);
+		schedule.simulation.partition([member(schedule.plan.zones, fault.target)], fault.milliseconds);
 	},
 	cutRegion(schedule: Schedule, fault: Fault) {
 		const region = member(schedule.plan.zones, fault.target)[0];
-		schedule.world.partition(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
+		schedule.simulation.partition(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
 	},
 	cutInstance(schedule: Schedule, fault: Fault) {
-		schedule.world.partition([member(schedule.instances, fault.target).name], fault.milliseconds);
+		schedule.simulation.partition([member(schedule.instances, fault.target).name], fault.milliseconds);
 	},
 	pauseSteward(schedule: Schedule, fault: Fault) {
 		const stewards = schedule.instances.filter(instance => instance.steward.electedAt !== undefined);
@@ -116,7 +116,7 @@
 		const property = fc.property(fc.integer({min: 1, max: 1e9}), fc.array(faultArbitrary, {maxLength: 10}), (runSeed, faults) => {
 			const schedule = new Schedule({...plan, seed: runSeed});
 			for (const fault of faults) {
-				schedule.world.after(fault.at, () => {
+				schedule.simulation.after(fault.at, () => {
 					faultTable[fault.kind](schedule, fault);
 				});
 			}
--- a/packages/ownership/test/test-served-again.ts
+++ b/packages/ownership/test/test-served-again.ts
@@ -39,7 +39,7 @@
 	const lost = schedule.upstreams[runSeed % schedule.upstreams.length]!;
 	lost.paused = true;
 	const keys = new Set(schedule.works.filter(work => work.startedAt > lostAt - 1000 && work.upstream === lost).map(work => work.key));
-	schedule.world.after(detectionMilliseconds, () => {
+	schedule.simulation.after(detectionMilliseconds, () => {
 		schedule.leadership.lost.add(lost.name);
 		if (withLeader) {
 			schedule.leadership.depose();
