--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -252,12 +252,12 @@
 	}
 
 	#start(instance: Instance, key: string, {service, slot, fence}: {service: string; slot: number; fence: number}, upstream: Upstream): void {
-		const {simulation: world} = this;
-		const now = world.now(instance);
-		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * world.random()));
+		const {simulation: simulation} = this;
+		const now = simulation.now(instance);
+		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
 		const flight = instance.flights.started(service, slot, fence, now, now + deadline);
 		const work = {
-			key, service, from: instance.zone, upstream, startedAt: world.time, until: world.time + (deadline / instance.clock.rate),
+			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
 		this.#watch(work);
 		const {flights} = instance;
@@ -269,19 +269,19 @@
 			}
 		};
 
-		if (world.random() < 0.1) {
-			world.afterIn(instance, world.random() * deadline, () => {
+		if (simulation.random() < 0.1) {
+			simulation.afterIn(instance, simulation.random() * deadline, () => {
 				end(flights.abandoned);
 			});
 		}
 
-		world.afterIn(instance, deadline, () => {
+		simulation.afterIn(instance, deadline, () => {
 			end(flights.abandoned);
 		});
-		const stay = world.random() < 0.03 ? deadline : world.random() * 40;
-		world.send(instance, upstream, () => {
+		const stay = simulation.random() < 0.03 ? deadline : simulation.random() * 40;
+		simulation.send(instance, upstream, () => {
 			this.#execute(work, fence, stay, () => {
-				world.send(upstream, instance, () => {
+				simulation.send(upstream, instance, () => {
 					end(flights.ended);
 				});
 			});
