--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -44,11 +44,11 @@
 	#accepting: Array<() => void> = [];
 
 	constructor(readonly schedule: Schedule) {
-		const {simulation: world, plan} = schedule;
+		const {simulation: simulation, plan} = schedule;
 		const zones = plan.zones.length > 1 ? plan.zones : ['a1', 'a1', 'a1'];
 		this.voters = Array.from({length: 3}, (_, number) => {
-			const drift = plan.driftRatio * ((2 * world.random()) - 1);
-			return new Voter(`voter${number}`, zones[number % zones.length]!, {offset: world.random() * 1e6, rate: 1 + drift});
+			const drift = plan.driftRatio * ((2 * simulation.random()) - 1);
+			return new Voter(`voter${number}`, zones[number % zones.length]!, {offset: simulation.random() * 1e6, rate: 1 + drift});
 		});
 		for (const voter of this.voters) {
 			this.#beat(voter);
