--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -118,15 +118,15 @@
 	}
 
 	#elect(voter: Voter): void {
-		const {simulation: world, states} = this.schedule;
+		const {simulation: simulation, states} = this.schedule;
 		for (const accept of this.#accepting.splice(0)) {
-			if (world.random() < 0.5) {
+			if (simulation.random() < 0.5) {
 				accept();
 			}
 		}
 
 		this.#term += 1;
-		const now = world.now(voter);
+		const now = simulation.now(voter);
 		const startIndex = Math.max(0, states.length - 1);
 		voter.leading = {
 			term: this.#term, grantor: createGrantor(now, startIndex, terms), quorumHeardAt: now, applied: startIndex, busy: false,
