--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -135,14 +135,14 @@
 
 	#supervise(): void {
 		const leader = this.#leader;
-		const {simulation: world} = this.schedule;
+		const {simulation: simulation} = this.schedule;
 		if (leader !== undefined && this.#hasQuorum(leader)) {
-			this.#missedSince = world.time;
-		} else if (world.time - this.#missedSince > electionMilliseconds) {
+			this.#missedSince = simulation.time;
+		} else if (simulation.time - this.#missedSince > electionMilliseconds) {
 			this.depose();
 		}
 
-		world.after(50, () => {
+		simulation.after(50, () => {
 			this.#supervise();
 		});
 	}
