--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -148,12 +148,12 @@
 	}
 
 	#beat(voter: Voter): void {
-		const {simulation: world} = this.schedule;
+		const {simulation: simulation} = this.schedule;
 		if (voter.leading !== undefined) {
 			this.#lead(voter, voter.leading);
 		}
 
-		world.afterIn(voter, 25, () => {
+		simulation.afterIn(voter, 25, () => {
 			this.#beat(voter);
 		});
 	}
