--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -253,11 +253,11 @@
 
 	/** Unseats random instances, which may be alive and then request a seat again. */
 	#unseatings(leading: Leading, table: OwnershipState): readonly OwnershipCommand[] {
-		const {simulation: world, plan} = this.schedule;
+		const {simulation: simulation, plan} = this.schedule;
 		return Object.values(table.rosters)
-			.filter(roster => roster.members.length > 1 && mayChangeRoster(leading.grantor, roster) && world.random() < plan.moves / 400)
+			.filter(roster => roster.members.length > 1 && mayChangeRoster(leading.grantor, roster) && simulation.random() < plan.moves / 400)
 			.map(({zone, members, changedAt}) => {
-				const {name, incarnation} = world.pick(members)!;
+				const {name, incarnation} = simulation.pick(members)!;
 				return {
 					kind: 'instanceUnseated', zone, instance: {name, incarnation}, changedAt,
 				};
