--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -265,9 +265,9 @@
 	}
 
 	#policy(): PolicyTerms {
-		const {simulation: world, plan} = this.schedule;
-		const whenCut = world.random() < 0.5 ? PartitionPolicy.hold : PartitionPolicy.takeOver;
-		return {whenCut, longestDeadlineMilliseconds: plan.longestDeadlineMilliseconds * (0.2 + world.random())};
+		const {simulation: simulation, plan} = this.schedule;
+		const whenCut = simulation.random() < 0.5 ? PartitionPolicy.hold : PartitionPolicy.takeOver;
+		return {whenCut, longestDeadlineMilliseconds: plan.longestDeadlineMilliseconds * (0.2 + simulation.random())};
 	}
 
 	#pinning(table: OwnershipState, service: string): OwnershipCommand {
