--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -271,13 +271,13 @@
 	}
 
 	#pinning(table: OwnershipState, service: string): OwnershipCommand {
-		const {simulation: world} = this.schedule;
-		const pinned = world.pick(table.services[service]?.pinned ?? []);
-		if (pinned !== undefined && world.random() < 0.5) {
+		const {simulation: simulation} = this.schedule;
+		const pinned = simulation.pick(table.services[service]?.pinned ?? []);
+		if (pinned !== undefined && simulation.random() < 0.5) {
 			return {kind: 'keyUnpinned', service, key: pinned.key};
 		}
 
-		const home = Math.floor(world.random() * slotCount);
+		const home = Math.floor(simulation.random() * slotCount);
 		return {
 			kind: 'keyPinned', service, key: `${service}/${home}/0`, home,
 		};
