--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -104,13 +104,13 @@
 		const schedule = new Schedule({
 			seed: 7, zones, perZone: 3, loss: 0, moves: 0, driftRatio: 0.01, longestDeadlineMilliseconds: 800,
 		});
-		const {simulation: world, leadership} = schedule;
+		const {simulation: simulation, leadership} = schedule;
 		leadership.depose(voter => voter.zone === leaderIn);
 		const beyond = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
-		world.after(cutAt, () => {
-			world.partition(cut, healAt - cutAt);
+		simulation.after(cutAt, () => {
+			simulation.partition(cut, healAt - cutAt);
 		});
-		world.after(cutAt + 1000, () => {
+		simulation.after(cutAt + 1000, () => {
 			for (const upstream of beyond) {
 				leadership.lost.add(upstream);
 			}
@@ -120,7 +120,7 @@
 				schedule.boot(instance);
 			}
 		});
-		world.after(healAt, () => {
+		simulation.after(healAt, () => {
 			leadership.lost.clear();
 		});
 		schedule.run(healAt + healedWithin + 2000);
