--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -65,7 +65,7 @@
 	record!: InstanceRecord;
 	steward!: StewardState;
 	lease!: LeaseState;
-	flights!: InFlightTracker;
+	inFlightTracker!: InFlightTracker;
 	applied: LogIndex = 0;
 	seatAskedAt = -Infinity;
 	/** When the steward's next tick is due, as computed after its last event. */
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -75,7 +75,7 @@
 		instance.record = {...instance.record, incarnation: instance.incarnation};
 		instance.steward = createSteward(instance.record, now, terms);
 		instance.lease = createLease(terms);
-		instance.flights = createInFlightTracker(terms);
+		instance.inFlightTracker = createInFlightTracker(terms);
 		instance.applied = 0;
 		instance.seatAskedAt = -Infinity;
 		instance.dueAt = -Infinity;
@@ -171,7 +171,7 @@
 
 	#askLease(instance: Instance, now: number): void {
 		const {applied} = instance;
-		const drained = instance.flights.drained(this.states[applied]!, applied, now);
+		const drained = instance.inFlightTracker.drained(this.states[applied]!, applied, now);
 		if (!requestDue(instance.lease, now, applied, drained)) {
 			return;
 		}
@@ -255,12 +255,12 @@
 		const {simulation: simulation} = this;
 		const now = simulation.now(instance);
 		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
-		const flight = instance.flights.started(service, slot, fence, now, now + deadline);
+		const flight = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
 		const work = {
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
 		this.#watch(work);
-		const {flights} = instance;
+		const {inFlightTracker: flights} = instance;
 		let over = false;
 		const end = (finish: (of: typeof flight) => void) => {
 			if (!over) {
