--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -67,7 +67,7 @@
 	lease!: LeaseState;
 	inFlightTracker!: InFlightTracker;
 	applied: LogIndex = 0;
-	seatAskedAt = -Infinity;
+	seatRequestedAt = -Infinity;
 	/** When the steward's next tick is due, as computed after its last event. */
 	dueAt = -Infinity;
 }
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -77,7 +77,7 @@
 		instance.lease = createLease(terms);
 		instance.inFlightTracker = createInFlightTracker(terms);
 		instance.applied = 0;
-		instance.seatAskedAt = -Infinity;
+		instance.seatRequestedAt = -Infinity;
 		instance.dueAt = -Infinity;
 		this.#beat(instance);
 		this.#offer(instance);
@@ -120,8 +120,8 @@
 		this.#askLease(instance, now);
 		const seated = this.states[instance.applied]!.rosters[instance.zone]?.members
 			.some(member => member.name === instance.name && member.incarnation === instance.incarnation);
-		if (seated !== true && now - instance.seatAskedAt > 400) {
-			instance.seatAskedAt = now;
+		if (seated !== true && now - instance.seatRequestedAt > 400) {
+			instance.seatRequestedAt = now;
 			this.#askSeat(instance);
 		}
 	}
