--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -41,7 +41,7 @@
 };
 
 /** One request that was sent upstream. */
-export type Work = {
+export type SentRequest = {
 	readonly key: string;
 	readonly service: string;
 	readonly from: string;
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -9,7 +9,7 @@
 import {Leadership} from './leadership.js';
 import {Simulation} from './world.js';
 import {
-	Instance, type Plan, type Refusal, services, slotCount, Upstream, type Work,
+	Instance, type Plan, type Refusal, services, slotCount, Upstream, type SentRequest,
 } from './actors.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createInFlightTracker} from '@dogwooddeck/ownership/drain';
@@ -33,13 +33,13 @@
 	readonly upstreams: Upstream[] = [];
 	readonly leadership: Leadership;
 	readonly violations: string[] = [];
-	readonly works: Work[] = [];
+	readonly works: SentRequest[] = [];
 	readonly refused: Refusal[] = [];
 	/** The number of support renewals that were piggybacked on lease requests. */
 	renewals = 0;
 	/** The number of separate calls that requested support. */
 	questions = 0;
-	readonly #active = new Map<string, Work[]>();
+	readonly #active = new Map<string, SentRequest[]>();
 
 	constructor(readonly plan: Plan) {
 		this.simulation = new Simulation(plan.seed, plan.loss);
@@ -288,7 +288,7 @@
 		});
 	}
 
-	#execute(work: Work, fence: number, stay: number, answer: () => void): void {
+	#execute(work: SentRequest, fence: number, stay: number, answer: () => void): void {
 		const {upstream, key} = work;
 		const highest = upstream.highestFence.get(key) ?? 0;
 		if (upstream.checksFence && fence < highest) {
@@ -302,7 +302,7 @@
 		});
 	}
 
-	#watch(work: Work): void {
+	#watch(work: SentRequest): void {
 		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.simulation.time);
 		const clash = active.find(other => other.upstream !== work.upstream);
 		if (clash !== undefined) {
