--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -33,7 +33,7 @@
 	readonly upstreams: Upstream[] = [];
 	readonly leadership: Leadership;
 	readonly violations: string[] = [];
-	readonly works: SentRequest[] = [];
+	readonly sentRequests: SentRequest[] = [];
 	readonly refused: Refusal[] = [];
 	/** The number of support renewals that were piggybacked on lease requests. */
 	renewals = 0;
@@ -312,6 +312,6 @@
 
 		active.push(work);
 		this.#active.set(work.key, active);
-		this.works.push(work);
+		this.sentRequests.push(work);
 	}
 }
--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -85,7 +85,7 @@
 		return cell;
 	};
 
-	for (const work of schedule.works.filter(({startedAt}) => startedAt >= from && startedAt < until)) {
+	for (const work of schedule.sentRequests.filter(({startedAt}) => startedAt >= from && startedAt < until)) {
 		cellOf(work.from, work.service, work.upstream.zone).served = true;
 	}
 
--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -122,7 +122,7 @@
 			}
 
 			schedule.run(20_000);
-			works += schedule.works.length;
+			works += schedule.sentRequests.length;
 			moves += schedule.states.length;
 			renewals += schedule.renewals;
 			questions += schedule.questions;
