--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -38,7 +38,7 @@
 	/** The number of support renewals that were piggybacked on lease requests. */
 	renewals = 0;
 	/** The number of separate calls that requested support. */
-	questions = 0;
+	supportCalls = 0;
 	readonly #active = new Map<string, SentRequest[]>();
 
 	constructor(readonly plan: Plan) {
@@ -149,7 +149,7 @@
 
 	#carryOut(instance: Instance, effect: StewardEffect): void {
 		if (effect.kind === 'askSupport') {
-			this.questions += 1;
+			this.supportCalls += 1;
 			const to = this.instances.find(other => other.name === effect.to.name)!;
 			this.simulation.call(instance, to, () => {
 				const answers = this.#step(to, {kind: 'supportRequested', now: this.simulation.now(to), request: effect.request});
--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -125,7 +125,7 @@
 			works += schedule.sentRequests.length;
 			moves += schedule.states.length;
 			renewals += schedule.renewals;
-			questions += schedule.questions;
+			questions += schedule.supportCalls;
 			assert.equal(schedule.violations[0], undefined);
 		});
 		fc.assert(property, {
