--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -79,7 +79,7 @@
 		instance.applied = 0;
 		instance.seatRequestedAt = -Infinity;
 		instance.dueAt = -Infinity;
-		this.#beat(instance);
+		this.#scheduleTick(instance);
 		this.#offer(instance);
 	}
 
@@ -103,10 +103,10 @@
 		this.instances.push(instance);
 	}
 
-	#beat(instance: Instance): void {
+	#scheduleTick(instance: Instance): void {
 		this.#tick(instance);
 		this.simulation.afterIn(instance, 20 + (this.simulation.random() * 10), () => {
-			this.#beat(instance);
+			this.#scheduleTick(instance);
 		});
 	}
 
