--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -80,7 +80,7 @@
 		instance.seatRequestedAt = -Infinity;
 		instance.dueAt = -Infinity;
 		this.#scheduleTick(instance);
-		this.#offer(instance);
+		this.#generateRequests(instance);
 	}
 
 	/** Returns the upstream that a table names as an owner. */
@@ -222,10 +222,10 @@
 	}
 
 	/** Generates callers' requests to one instance. */
-	#offer(instance: Instance): void {
+	#generateRequests(instance: Instance): void {
 		this.#request(instance);
 		this.simulation.afterIn(instance, 5 + (this.simulation.random() * 20), () => {
-			this.#offer(instance);
+			this.#generateRequests(instance);
 		});
 	}
 
