--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -223,13 +223,13 @@
 
 	/** Generates callers' requests to one instance. */
 	#generateRequests(instance: Instance): void {
-		this.#request(instance);
+		this.#sendRequest(instance);
 		this.simulation.afterIn(instance, 5 + (this.simulation.random() * 20), () => {
 			this.#generateRequests(instance);
 		});
 	}
 
-	#request(instance: Instance): void {
+	#sendRequest(instance: Instance): void {
 		const {service} = this.simulation.pick(services)!;
 		const home = Math.floor(this.simulation.random() * slotCount);
 		const key = `${service}/${home}/${Math.floor(this.simulation.random() * 2)}`;
