--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -117,7 +117,7 @@
 		const effects = this.#step(instance, {kind: 'ticked', now});
 		const hasChanged = effects.length > 0 || wasSteward !== (instance.steward.electedAt !== undefined);
 		assert.ok(now >= dueAt || !hasChanged, `a tick at ${now} had an effect before it was due at ${dueAt}`);
-		this.#askLease(instance, now);
+		this.#requestLease(instance, now);
 		const seated = this.states[instance.applied]!.rosters[instance.zone]?.members
 			.some(member => member.name === instance.name && member.incarnation === instance.incarnation);
 		if (seated !== true && now - instance.seatRequestedAt > 400) {
@@ -132,7 +132,7 @@
 			this.#step(instance, {
 				kind: 'tableChanged', now: this.simulation.now(instance), applied, table: this.states[applied]!,
 			});
-			this.#askLease(instance, this.simulation.now(instance));
+			this.#requestLease(instance, this.simulation.now(instance));
 		}
 	}
 
@@ -169,7 +169,7 @@
 		}
 	}
 
-	#askLease(instance: Instance, now: number): void {
+	#requestLease(instance: Instance, now: number): void {
 		const {applied} = instance;
 		const drained = instance.inFlightTracker.drained(this.states[applied]!, applied, now);
 		if (!requestDue(instance.lease, now, applied, drained)) {
