--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -122,7 +122,7 @@
 			.some(member => member.name === instance.name && member.incarnation === instance.incarnation);
 		if (seated !== true && now - instance.seatRequestedAt > 400) {
 			instance.seatRequestedAt = now;
-			this.#askSeat(instance);
+			this.#requestSeat(instance);
 		}
 	}
 
@@ -215,7 +215,7 @@
 		return members?.find(member => member.name === name) ?? record;
 	}
 
-	#askSeat(instance: Instance): void {
+	#requestSeat(instance: Instance): void {
 		this.leadership.askSeat(instance, {instance: instance.record, applied: instance.applied}, applied => {
 			this.#catchUp(instance, applied);
 		});
