--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -178,7 +178,7 @@
 
 		instance.lease = requestSent(instance.lease, {now, applied, drained});
 		const steward = this.#stewardFor(instance, now);
-		const sent = steward === instance ? [] : this.#step(instance, {kind: 'leaseSent', now, to: this.#knownLife(instance, steward)});
+		const sent = steward === instance ? [] : this.#step(instance, {kind: 'leaseSent', now, to: this.#recordedIdentity(instance, steward)});
 		const renewal = sent.find(effect => effect.kind === 'renewSupport')?.renewal;
 		this.renewals += renewal === undefined ? 0 : 1;
 		const request = {
@@ -210,7 +210,7 @@
 	}
 
 	/** Returns the incarnation of a steward that an instance's table names. */
-	#knownLife(instance: Instance, {name, record}: Instance): InstanceIdentity {
+	#recordedIdentity(instance: Instance, {name, record}: Instance): InstanceIdentity {
 		const members = this.states[instance.applied]!.rosters[instance.zone]?.members;
 		return members?.find(member => member.name === name) ?? record;
 	}
