--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -259,7 +259,7 @@
 		const work = {
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
-		this.#watch(work);
+		this.#checkExclusive(work);
 		const {inFlightTracker: flights} = instance;
 		let over = false;
 		const end = (finish: (of: typeof flight) => void) => {
@@ -302,7 +302,7 @@
 		});
 	}
 
-	#watch(work: SentRequest): void {
+	#checkExclusive(work: SentRequest): void {
 		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.simulation.time);
 		const clash = active.find(other => other.upstream !== work.upstream);
 		if (clash !== undefined) {
