--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -184,7 +184,7 @@
 		const request = {
 			instance: instance.record, applied, drained, report: emptyReport, ...(renewal && {supportRenewal: renewal}),
 		};
-		const ask = () => {
+		const handle = () => {
 			const answers = this.#step(steward, {kind: 'leaseRequested', now: this.simulation.now(steward), request});
 			const answer = answers.find(effect => effect.kind === 'answerLease')?.answer;
 			return answer === undefined ? undefined : {answer, applied: steward.applied};
@@ -197,9 +197,9 @@
 		};
 
 		if (steward === instance) {
-			take(ask()!);
+			take(handle()!);
 		} else {
-			this.simulation.call(instance, steward, ask, take);
+			this.simulation.call(instance, steward, handle, take);
 		}
 	}
 
