--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -190,16 +190,16 @@
 			return answer === undefined ? undefined : {answer, applied: steward.applied};
 		};
 
-		const take = (result: {readonly answer: Parameters<typeof answered>[1]['answer']; readonly applied: LogIndex}) => {
+		const onAnswer = (result: {readonly answer: Parameters<typeof answered>[1]['answer']; readonly applied: LogIndex}) => {
 			instance.lease = answered(instance.lease, {sentAt: now, answer: result.answer});
 			this.#step(instance, {kind: 'leaseAnswered', now: this.simulation.now(instance), answer: result.answer});
 			this.#catchUp(instance, result.applied);
 		};
 
 		if (steward === instance) {
-			take(handle()!);
+			onAnswer(handle()!);
 		} else {
-			this.simulation.call(instance, steward, handle, take);
+			this.simulation.call(instance, steward, handle, onAnswer);
 		}
 	}
 
