--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -261,10 +261,10 @@
 		};
 		this.#checkExclusive(work);
 		const {inFlightTracker: flights} = instance;
-		let over = false;
+		let hasEnded = false;
 		const end = (finish: (of: typeof flight) => void) => {
-			if (!over) {
-				over = true;
+			if (!hasEnded) {
+				hasEnded = true;
 				finish(flight);
 			}
 		};
