--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -278,9 +278,9 @@
 		simulation.afterIn(instance, deadline, () => {
 			end(flights.abandoned);
 		});
-		const stay = simulation.random() < 0.03 ? deadline : simulation.random() * 40;
+		const executionMilliseconds = simulation.random() < 0.03 ? deadline : simulation.random() * 40;
 		simulation.send(instance, upstream, () => {
-			this.#execute(work, fence, stay, () => {
+			this.#execute(work, fence, executionMilliseconds, () => {
 				simulation.send(upstream, instance, () => {
 					end(flights.ended);
 				});
