--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -288,7 +288,7 @@
 		});
 	}
 
-	#execute(work: SentRequest, fence: number, stay: number, answer: () => void): void {
+	#execute(work: SentRequest, fence: number, executionMilliseconds: number, answer: () => void): void {
 		const {upstream, key} = work;
 		const highest = upstream.highestFence.get(key) ?? 0;
 		if (upstream.checksFence && fence < highest) {
@@ -296,7 +296,7 @@
 		}
 
 		upstream.highestFence.set(key, Math.max(fence, highest));
-		this.simulation.afterIn(upstream, stay, () => {
+		this.simulation.afterIn(upstream, executionMilliseconds, () => {
 			work.until = Math.min(work.until, this.simulation.time);
 			answer();
 		});
