--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -304,10 +304,10 @@
 
 	#checkExclusive(work: SentRequest): void {
 		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.simulation.time);
-		const clash = active.find(other => other.upstream !== work.upstream);
-		if (clash !== undefined) {
+		const conflict = active.find(other => other.upstream !== work.upstream);
+		if (conflict !== undefined) {
 			this.violations.push(`at ${work.startedAt} zone ${work.from} sent ${work.key} to ${work.upstream.name}, while `
-				+ `${clash.upstream.name} worked on it for zone ${clash.from} from ${clash.startedAt} until ${clash.until}`);
+				+ `${conflict.upstream.name} worked on it for zone ${conflict.from} from ${conflict.startedAt} until ${conflict.until}`);
 		}
 
 		active.push(work);
