--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -255,17 +255,17 @@
 		const {simulation: simulation} = this;
 		const now = simulation.now(instance);
 		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
-		const flight = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
+		const tracked = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
 		const work = {
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
 		this.#checkExclusive(work);
 		const {inFlightTracker: flights} = instance;
 		let hasEnded = false;
-		const end = (finish: (of: typeof flight) => void) => {
+		const end = (finish: (of: typeof tracked) => void) => {
 			if (!hasEnded) {
 				hasEnded = true;
-				finish(flight);
+				finish(tracked);
 			}
 		};
 
