--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -260,7 +260,7 @@
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
 		this.#checkExclusive(work);
-		const {inFlightTracker: flights} = instance;
+		const {inFlightTracker: inFlightTracker} = instance;
 		let hasEnded = false;
 		const end = (finish: (of: typeof tracked) => void) => {
 			if (!hasEnded) {
@@ -271,18 +271,18 @@
 
 		if (simulation.random() < 0.1) {
 			simulation.afterIn(instance, simulation.random() * deadline, () => {
-				end(flights.abandoned);
+				end(inFlightTracker.abandoned);
 			});
 		}
 
 		simulation.afterIn(instance, deadline, () => {
-			end(flights.abandoned);
+			end(inFlightTracker.abandoned);
 		});
 		const executionMilliseconds = simulation.random() < 0.03 ? deadline : simulation.random() * 40;
 		simulation.send(instance, upstream, () => {
 			this.#execute(work, fence, executionMilliseconds, () => {
 				simulation.send(upstream, instance, () => {
-					end(flights.ended);
+					end(inFlightTracker.ended);
 				});
 			});
 		});
