--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -256,10 +256,10 @@
 		const now = simulation.now(instance);
 		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
 		const tracked = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
-		const work = {
+		const sentRequest = {
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
-		this.#checkExclusive(work);
+		this.#checkExclusive(sentRequest);
 		const {inFlightTracker: inFlightTracker} = instance;
 		let hasEnded = false;
 		const end = (finish: (of: typeof tracked) => void) => {
@@ -280,7 +280,7 @@
 		});
 		const executionMilliseconds = simulation.random() < 0.03 ? deadline : simulation.random() * 40;
 		simulation.send(instance, upstream, () => {
-			this.#execute(work, fence, executionMilliseconds, () => {
+			this.#execute(sentRequest, fence, executionMilliseconds, () => {
 				simulation.send(upstream, instance, () => {
 					end(inFlightTracker.ended);
 				});
