--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -288,8 +288,8 @@
 		});
 	}
 
-	#execute(work: SentRequest, fence: number, executionMilliseconds: number, answer: () => void): void {
-		const {upstream, key} = work;
+	#execute(sentRequest: SentRequest, fence: number, executionMilliseconds: number, answer: () => void): void {
+		const {upstream, key} = sentRequest;
 		const highest = upstream.highestFence.get(key) ?? 0;
 		if (upstream.checksFence && fence < highest) {
 			return;
@@ -297,7 +297,7 @@
 
 		upstream.highestFence.set(key, Math.max(fence, highest));
 		this.simulation.afterIn(upstream, executionMilliseconds, () => {
-			work.until = Math.min(work.until, this.simulation.time);
+			sentRequest.until = Math.min(sentRequest.until, this.simulation.time);
 			answer();
 		});
 	}
