--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -302,16 +302,16 @@
 		});
 	}
 
-	#checkExclusive(work: SentRequest): void {
-		const active = (this.#active.get(work.key) ?? []).filter(other => other.until > this.simulation.time);
-		const conflict = active.find(other => other.upstream !== work.upstream);
+	#checkExclusive(sentRequest: SentRequest): void {
+		const active = (this.#active.get(sentRequest.key) ?? []).filter(other => other.until > this.simulation.time);
+		const conflict = active.find(other => other.upstream !== sentRequest.upstream);
 		if (conflict !== undefined) {
-			this.violations.push(`at ${work.startedAt} zone ${work.from} sent ${work.key} to ${work.upstream.name}, while `
+			this.violations.push(`at ${sentRequest.startedAt} zone ${sentRequest.from} sent ${sentRequest.key} to ${sentRequest.upstream.name}, while `
 				+ `${conflict.upstream.name} worked on it for zone ${conflict.from} from ${conflict.startedAt} until ${conflict.until}`);
 		}
 
-		active.push(work);
-		this.#active.set(work.key, active);
-		this.sentRequests.push(work);
+		active.push(sentRequest);
+		this.#active.set(sentRequest.key, active);
+		this.sentRequests.push(sentRequest);
 	}
 }
