--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -19,7 +19,7 @@
 import {type OwnershipCommand, type OwnershipState} from '@dogwooddeck/ownership/table';
 import {defaultLeaseTerms as terms} from '@dogwooddeck/ownership/terms';
 
-type Leading = {
+type LeaderState = {
 	readonly term: number;
 	grantor: GrantorState;
 	quorumHeardAt: number;
@@ -28,7 +28,7 @@
 };
 
 class Voter extends Process {
-	leading: Leading | undefined;
+	leading: LeaderState | undefined;
 }
 
 /** How long the voters are without a leader that has a quorum before another is elected. */
@@ -100,7 +100,7 @@
 		}, take);
 	}
 
-	#ask<Answer>(instance: Instance, handle: (voter: Voter, leading: Leading) => Answer, take: (answer: Answer) => void): void {
+	#ask<Answer>(instance: Instance, handle: (voter: Voter, leading: LeaderState) => Answer, take: (answer: Answer) => void): void {
 		const believers = this.voters.filter(voter => voter.leading !== undefined);
 		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(believers);
 		if (voter !== undefined) {
@@ -108,7 +108,7 @@
 		}
 	}
 
-	#tableOf(leading: Leading): OwnershipState {
+	#tableOf(leading: LeaderState): OwnershipState {
 		return this.schedule.states[leading.applied]!;
 	}
 
@@ -158,7 +158,7 @@
 		});
 	}
 
-	#lead(voter: Voter, leading: Leading): void {
+	#lead(voter: Voter, leading: LeaderState): void {
 		const now = this.schedule.simulation.now(voter);
 		if (leading.term === this.#term && this.#hasQuorum(voter)) {
 			leading.quorumHeardAt = now;
@@ -178,7 +178,7 @@
 		}
 	}
 
-	#propose(voter: Voter, leading: Leading, commands: readonly OwnershipCommand[]): void {
+	#propose(voter: Voter, leading: LeaderState, commands: readonly OwnershipCommand[]): void {
 		if (commands.length === 0 || leading.busy) {
 			return;
 		}
@@ -200,7 +200,7 @@
 		});
 	}
 
-	#grants(leading: Leading, table: OwnershipState, now: number): readonly OwnershipCommand[] {
+	#grants(leading: LeaderState, table: OwnershipState, now: number): readonly OwnershipCommand[] {
 		const commands: OwnershipCommand[] = [];
 		for (const {service} of services) {
 			for (const assignment of table.services[service]?.assignments ?? []) {
@@ -252,7 +252,7 @@
 	}
 
 	/** Unseats random instances, which may be alive and then request a seat again. */
-	#unseatings(leading: Leading, table: OwnershipState): readonly OwnershipCommand[] {
+	#unseatings(leading: LeaderState, table: OwnershipState): readonly OwnershipCommand[] {
 		const {simulation: simulation, plan} = this.schedule;
 		return Object.values(table.rosters)
 			.filter(roster => roster.members.length > 1 && mayChangeRoster(leading.grantor, roster) && simulation.random() < plan.moves / 400)
