--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -28,7 +28,7 @@
 };
 
 class Voter extends Process {
-	leading: LeaderState | undefined;
+	leaderState: LeaderState | undefined;
 }
 
 /** How long the voters are without a leader that has a quorum before another is elected. */
@@ -59,7 +59,7 @@
 	}
 
 	get #leader(): Voter | undefined {
-		return this.voters.find(voter => voter.leading?.term === this.#term);
+		return this.voters.find(voter => voter.leaderState?.term === this.#term);
 	}
 
 	/** Elects another leader without notifying the old one. Proposals in transit may still be committed. */
@@ -101,10 +101,10 @@
 	}
 
 	#ask<Answer>(instance: Instance, handle: (voter: Voter, leading: LeaderState) => Answer, take: (answer: Answer) => void): void {
-		const believers = this.voters.filter(voter => voter.leading !== undefined);
+		const believers = this.voters.filter(voter => voter.leaderState !== undefined);
 		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(believers);
 		if (voter !== undefined) {
-			this.schedule.simulation.call(instance, voter, () => voter.leading && handle(voter, voter.leading), take);
+			this.schedule.simulation.call(instance, voter, () => voter.leaderState && handle(voter, voter.leaderState), take);
 		}
 	}
 
@@ -128,7 +128,7 @@
 		this.#term += 1;
 		const now = simulation.now(voter);
 		const startIndex = Math.max(0, states.length - 1);
-		voter.leading = {
+		voter.leaderState = {
 			term: this.#term, grantor: createGrantor(now, startIndex, terms), quorumHeardAt: now, applied: startIndex, busy: false,
 		};
 	}
@@ -149,8 +149,8 @@
 
 	#beat(voter: Voter): void {
 		const {simulation: simulation} = this.schedule;
-		if (voter.leading !== undefined) {
-			this.#lead(voter, voter.leading);
+		if (voter.leaderState !== undefined) {
+			this.#lead(voter, voter.leaderState);
 		}
 
 		simulation.afterIn(voter, 25, () => {
@@ -164,7 +164,7 @@
 			leading.quorumHeardAt = now;
 			leading.applied = this.schedule.states.length - 1;
 		} else if (now - leading.quorumHeardAt > 2500) {
-			voter.leading = undefined;
+			voter.leaderState = undefined;
 			return;
 		}
 
