--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -72,16 +72,16 @@
 	}
 
 	askDelegation(instance: Instance, request: DelegationRequest, take: (answer: DelegationAnswer, applied: LogIndex) => void): void {
-		this.#ask(instance, (voter, leading) => {
-			const {state, effects} = stepGrantor(leading.grantor, {
+		this.#ask(instance, (voter, leaderState) => {
+			const {state, effects} = stepGrantor(leaderState.grantor, {
 				kind: 'delegationRequested',
 				now: this.schedule.simulation.now(voter),
-				quorumHeardAt: leading.quorumHeardAt,
-				table: this.#tableOf(leading),
+				quorumHeardAt: leaderState.quorumHeardAt,
+				table: this.#tableOf(leaderState),
 				request,
 			});
-			leading.grantor = state;
-			return {answer: effects[0]!.answer, applied: leading.applied};
+			leaderState.grantor = state;
+			return {answer: effects[0]!.answer, applied: leaderState.applied};
 		}, ({answer, applied}) => {
 			take(answer, applied);
 		});
