--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -88,15 +88,15 @@
 	}
 
 	askSeat(instance: Instance, request: SeatRequest, take: (applied: LogIndex) => void): void {
-		this.#ask(instance, (voter, leading) => {
+		this.#ask(instance, (voter, leaderState) => {
 			const now = this.schedule.simulation.now(voter);
-			const table = this.#tableOf(leading);
-			leading.grantor = stepGrantor(leading.grantor, {
+			const table = this.#tableOf(leaderState);
+			leaderState.grantor = stepGrantor(leaderState.grantor, {
 				kind: 'seatRequested', now, table, request,
 			}).state;
-			const command = proposeSeat(leading.grantor, table, request.instance, now);
-			this.#propose(voter, leading, command === undefined ? [] : [command]);
-			return leading.applied;
+			const command = proposeSeat(leaderState.grantor, table, request.instance, now);
+			this.#propose(voter, leaderState, command === undefined ? [] : [command]);
+			return leaderState.applied;
 		}, take);
 	}
 
