--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -100,7 +100,7 @@
 		}, take);
 	}
 
-	#ask<Answer>(instance: Instance, handle: (voter: Voter, leading: LeaderState) => Answer, take: (answer: Answer) => void): void {
+	#ask<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, take: (answer: Answer) => void): void {
 		const believers = this.voters.filter(voter => voter.leaderState !== undefined);
 		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(believers);
 		if (voter !== undefined) {
