--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -108,8 +108,8 @@
 		}
 	}
 
-	#tableOf(leading: LeaderState): OwnershipState {
-		return this.schedule.states[leading.applied]!;
+	#tableOf(leaderState: LeaderState): OwnershipState {
+		return this.schedule.states[leaderState.applied]!;
 	}
 
 	#hasQuorum(voter: Voter): boolean {
