--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -158,23 +158,23 @@
 		});
 	}
 
-	#lead(voter: Voter, leading: LeaderState): void {
+	#lead(voter: Voter, leaderState: LeaderState): void {
 		const now = this.schedule.simulation.now(voter);
-		if (leading.term === this.#term && this.#hasQuorum(voter)) {
-			leading.quorumHeardAt = now;
-			leading.applied = this.schedule.states.length - 1;
-		} else if (now - leading.quorumHeardAt > 2500) {
+		if (leaderState.term === this.#term && this.#hasQuorum(voter)) {
+			leaderState.quorumHeardAt = now;
+			leaderState.applied = this.schedule.states.length - 1;
+		} else if (now - leaderState.quorumHeardAt > 2500) {
 			voter.leaderState = undefined;
 			return;
 		}
 
-		const table = this.#tableOf(leading);
-		leading.grantor = stepGrantor(leading.grantor, {kind: 'tableChanged', now, table}).state;
-		if (!leading.busy) {
-			const {grantor, commands} = settlePolicies(leading.grantor, table, now);
-			leading.grantor = grantor;
+		const table = this.#tableOf(leaderState);
+		leaderState.grantor = stepGrantor(leaderState.grantor, {kind: 'tableChanged', now, table}).state;
+		if (!leaderState.busy) {
+			const {grantor, commands} = settlePolicies(leaderState.grantor, table, now);
+			leaderState.grantor = grantor;
 			const settled = settleRosters(grantor, table);
-			this.#propose(voter, leading, [...commands, ...settled, ...this.#grants(leading, table, now), ...this.#changes(table), ...this.#unseatings(leading, table)].slice(0, 4));
+			this.#propose(voter, leaderState, [...commands, ...settled, ...this.#grants(leaderState, table, now), ...this.#changes(table), ...this.#unseatings(leaderState, table)].slice(0, 4));
 		}
 	}
 
