--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -178,12 +178,12 @@
 		}
 	}
 
-	#propose(voter: Voter, leading: LeaderState, commands: readonly OwnershipCommand[]): void {
-		if (commands.length === 0 || leading.busy) {
+	#propose(voter: Voter, leaderState: LeaderState, commands: readonly OwnershipCommand[]): void {
+		if (commands.length === 0 || leaderState.busy) {
 			return;
 		}
 
-		leading.busy = true;
+		leaderState.busy = true;
 		const accept = () => {
 			for (const command of commands) {
 				this.schedule.append(command);
@@ -192,8 +192,8 @@
 
 		this.#accepting.push(accept);
 		this.schedule.simulation.after(3 + (this.schedule.simulation.random() * 60), () => {
-			leading.busy = false;
-			if (leading.term === this.#term && this.#hasQuorum(voter) && this.#accepting.includes(accept)) {
+			leaderState.busy = false;
+			if (leaderState.term === this.#term && this.#hasQuorum(voter) && this.#accepting.includes(accept)) {
 				this.#accepting = this.#accepting.filter(other => other !== accept);
 				accept();
 			}
