--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -200,7 +200,7 @@
 		});
 	}
 
-	#grants(leading: LeaderState, table: OwnershipState, now: number): readonly OwnershipCommand[] {
+	#grants(leaderState: LeaderState, table: OwnershipState, now: number): readonly OwnershipCommand[] {
 		const commands: OwnershipCommand[] = [];
 		for (const {service} of services) {
 			for (const assignment of table.services[service]?.assignments ?? []) {
@@ -208,9 +208,9 @@
 				const pinned = slot < slotCount || table.services[service]!.pinned.some(key => key.slot === slot);
 				const ownerZone = phase === 'vacant' ? '' : this.schedule.upstreamOf(assignment.owner.name).zone;
 				const result = phase === 'revoking'
-					? clear(leading.grantor, table, {service, slot, ownerZone}, now)
-					: {grantor: leading.grantor, cleared: phase === 'vacant' && pinned};
-				leading.grantor = result.grantor;
+					? clear(leaderState.grantor, table, {service, slot, ownerZone}, now)
+					: {grantor: leaderState.grantor, cleared: phase === 'vacant' && pinned};
+				leaderState.grantor = result.grantor;
 				const next = this.#nextOwner(phase === 'vacant' ? 2 * slot : Math.floor(this.schedule.simulation.random() * 100));
 				if (result.cleared && next !== undefined) {
 					const owner = {service, name: next.name, incarnation: 1};
