--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -252,10 +252,10 @@
 	}
 
 	/** Unseats random instances, which may be alive and then request a seat again. */
-	#unseatings(leading: LeaderState, table: OwnershipState): readonly OwnershipCommand[] {
+	#unseatings(leaderState: LeaderState, table: OwnershipState): readonly OwnershipCommand[] {
 		const {simulation: simulation, plan} = this.schedule;
 		return Object.values(table.rosters)
-			.filter(roster => roster.members.length > 1 && mayChangeRoster(leading.grantor, roster) && simulation.random() < plan.moves / 400)
+			.filter(roster => roster.members.length > 1 && mayChangeRoster(leaderState.grantor, roster) && simulation.random() < plan.moves / 400)
 			.map(({zone, members, changedAt}) => {
 				const {name, incarnation} = simulation.pick(members)!;
 				return {
