--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -63,8 +63,8 @@
 	}
 
 	/** Elects another leader without notifying the old one. Proposals in transit may still be committed. */
-	depose(suits: (voter: Process) => boolean = () => true): void {
-		const others = this.voters.filter(voter => voter !== this.#leader && suits(voter) && this.#hasQuorum(voter));
+	depose(isEligible: (voter: Process) => boolean = () => true): void {
+		const others = this.voters.filter(voter => voter !== this.#leader && isEligible(voter) && this.#hasQuorum(voter));
 		const next = this.schedule.simulation.pick(others);
 		if (next !== undefined) {
 			this.#elect(next);
