--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -71,7 +71,7 @@
 		}
 	}
 
-	askDelegation(instance: Instance, request: DelegationRequest, take: (answer: DelegationAnswer, applied: LogIndex) => void): void {
+	askDelegation(instance: Instance, request: DelegationRequest, onAnswer: (answer: DelegationAnswer, applied: LogIndex) => void): void {
 		this.#ask(instance, (voter, leaderState) => {
 			const {state, effects} = stepGrantor(leaderState.grantor, {
 				kind: 'delegationRequested',
@@ -83,7 +83,7 @@
 			leaderState.grantor = state;
 			return {answer: effects[0]!.answer, applied: leaderState.applied};
 		}, ({answer, applied}) => {
-			take(answer, applied);
+			onAnswer(answer, applied);
 		});
 	}
 
