--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -87,7 +87,7 @@
 		});
 	}
 
-	askSeat(instance: Instance, request: SeatRequest, take: (applied: LogIndex) => void): void {
+	askSeat(instance: Instance, request: SeatRequest, onAnswer: (applied: LogIndex) => void): void {
 		this.#ask(instance, (voter, leaderState) => {
 			const now = this.schedule.simulation.now(voter);
 			const table = this.#tableOf(leaderState);
@@ -97,7 +97,7 @@
 			const command = proposeSeat(leaderState.grantor, table, request.instance, now);
 			this.#propose(voter, leaderState, command === undefined ? [] : [command]);
 			return leaderState.applied;
-		}, take);
+		}, onAnswer);
 	}
 
 	#ask<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, take: (answer: Answer) => void): void {
