--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -100,11 +100,11 @@
 		}, onAnswer);
 	}
 
-	#ask<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, take: (answer: Answer) => void): void {
+	#ask<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, onAnswer: (answer: Answer) => void): void {
 		const believers = this.voters.filter(voter => voter.leaderState !== undefined);
 		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(believers);
 		if (voter !== undefined) {
-			this.schedule.simulation.call(instance, voter, () => voter.leaderState && handle(voter, voter.leaderState), take);
+			this.schedule.simulation.call(instance, voter, () => voter.leaderState && handle(voter, voter.leaderState), onAnswer);
 		}
 	}
 
