--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -101,8 +101,8 @@
 	}
 
 	#ask<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, onAnswer: (answer: Answer) => void): void {
-		const believers = this.voters.filter(voter => voter.leaderState !== undefined);
-		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(believers);
+		const assumedLeaders = this.voters.filter(voter => voter.leaderState !== undefined);
+		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(assumedLeaders);
 		if (voter !== undefined) {
 			this.schedule.simulation.call(instance, voter, () => voter.leaderState && handle(voter, voter.leaderState), onAnswer);
 		}
