--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -113,8 +113,8 @@
 	}
 
 	#hasQuorum(voter: Voter): boolean {
-		const heard = this.voters.filter(other => !other.paused && this.schedule.simulation.reaches(voter, other));
-		return !voter.paused && heard.length >= 2;
+		const reachable = this.voters.filter(other => !other.paused && this.schedule.simulation.reaches(voter, other));
+		return !voter.paused && reachable.length >= 2;
 	}
 
 	#elect(voter: Voter): void {
