--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -40,7 +40,7 @@
 	/** The upstreams that are declared lost. */
 	readonly lost = new Set<string>();
 	#term = 0;
-	#missedSince = 0;
+	#leaderlessSince = 0;
 	#accepting: Array<() => void> = [];
 
 	constructor(readonly schedule: Schedule) {
@@ -137,8 +137,8 @@
 		const leader = this.#leader;
 		const {simulation: simulation} = this.schedule;
 		if (leader !== undefined && this.#hasQuorum(leader)) {
-			this.#missedSince = simulation.time;
-		} else if (simulation.time - this.#missedSince > electionMilliseconds) {
+			this.#leaderlessSince = simulation.time;
+		} else if (simulation.time - this.#leaderlessSince > electionMilliseconds) {
 			this.depose();
 		}
 
