--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -51,7 +51,7 @@
 			return new Voter(`voter${number}`, zones[number % zones.length]!, {offset: simulation.random() * 1e6, rate: 1 + drift});
 		});
 		for (const voter of this.voters) {
-			this.#beat(voter);
+			this.#scheduleHeartbeat(voter);
 		}
 
 		this.#elect(this.voters[0]!);
@@ -147,14 +147,14 @@
 		});
 	}
 
-	#beat(voter: Voter): void {
+	#scheduleHeartbeat(voter: Voter): void {
 		const {simulation: simulation} = this.schedule;
 		if (voter.leaderState !== undefined) {
 			this.#lead(voter, voter.leaderState);
 		}
 
 		simulation.afterIn(voter, 25, () => {
-			this.#beat(voter);
+			this.#scheduleHeartbeat(voter);
 		});
 	}
 
