--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -150,7 +150,7 @@
 	#scheduleHeartbeat(voter: Voter): void {
 		const {simulation: simulation} = this.schedule;
 		if (voter.leaderState !== undefined) {
-			this.#lead(voter, voter.leaderState);
+			this.#runLeader(voter, voter.leaderState);
 		}
 
 		simulation.afterIn(voter, 25, () => {
@@ -158,7 +158,7 @@
 		});
 	}
 
-	#lead(voter: Voter, leaderState: LeaderState): void {
+	#runLeader(voter: Voter, leaderState: LeaderState): void {
 		const now = this.schedule.simulation.now(voter);
 		if (leaderState.term === this.#term && this.#hasQuorum(voter)) {
 			leaderState.quorumHeardAt = now;
