--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -41,7 +41,7 @@
 	readonly lost = new Set<string>();
 	#term = 0;
 	#leaderlessSince = 0;
-	#accepting: Array<() => void> = [];
+	#pendingCommits: Array<() => void> = [];
 
 	constructor(readonly schedule: Schedule) {
 		const {simulation: simulation, plan} = schedule;
@@ -119,7 +119,7 @@
 
 	#elect(voter: Voter): void {
 		const {simulation: simulation, states} = this.schedule;
-		for (const accept of this.#accepting.splice(0)) {
+		for (const accept of this.#pendingCommits.splice(0)) {
 			if (simulation.random() < 0.5) {
 				accept();
 			}
@@ -190,11 +190,11 @@
 			}
 		};
 
-		this.#accepting.push(accept);
+		this.#pendingCommits.push(accept);
 		this.schedule.simulation.after(3 + (this.schedule.simulation.random() * 60), () => {
 			leaderState.busy = false;
-			if (leaderState.term === this.#term && this.#hasQuorum(voter) && this.#accepting.includes(accept)) {
-				this.#accepting = this.#accepting.filter(other => other !== accept);
+			if (leaderState.term === this.#term && this.#hasQuorum(voter) && this.#pendingCommits.includes(accept)) {
+				this.#pendingCommits = this.#pendingCommits.filter(other => other !== accept);
 				accept();
 			}
 		});
