--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -119,9 +119,9 @@
 
 	#elect(voter: Voter): void {
 		const {simulation: simulation, states} = this.schedule;
-		for (const accept of this.#pendingCommits.splice(0)) {
+		for (const commit of this.#pendingCommits.splice(0)) {
 			if (simulation.random() < 0.5) {
-				accept();
+				commit();
 			}
 		}
 
