--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -184,18 +184,18 @@
 		}
 
 		leaderState.busy = true;
-		const accept = () => {
+		const commit = () => {
 			for (const command of commands) {
 				this.schedule.append(command);
 			}
 		};
 
-		this.#pendingCommits.push(accept);
+		this.#pendingCommits.push(commit);
 		this.schedule.simulation.after(3 + (this.schedule.simulation.random() * 60), () => {
 			leaderState.busy = false;
-			if (leaderState.term === this.#term && this.#hasQuorum(voter) && this.#pendingCommits.includes(accept)) {
-				this.#pendingCommits = this.#pendingCommits.filter(other => other !== accept);
-				accept();
+			if (leaderState.term === this.#term && this.#hasQuorum(voter) && this.#pendingCommits.includes(commit)) {
+				this.#pendingCommits = this.#pendingCommits.filter(other => other !== commit);
+				commit();
 			}
 		});
 	}
