--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -173,8 +173,8 @@
 		if (!leaderState.busy) {
 			const {grantor, commands} = settlePolicies(leaderState.grantor, table, now);
 			leaderState.grantor = grantor;
-			const settled = settleRosters(grantor, table);
-			this.#propose(voter, leaderState, [...commands, ...settled, ...this.#grants(leaderState, table, now), ...this.#changes(table), ...this.#unseatings(leaderState, table)].slice(0, 4));
+			const settlements = settleRosters(grantor, table);
+			this.#propose(voter, leaderState, [...commands, ...settlements, ...this.#grants(leaderState, table, now), ...this.#changes(table), ...this.#unseatings(leaderState, table)].slice(0, 4));
 		}
 	}
 
