--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -72,7 +72,7 @@
 	}
 
 	askDelegation(instance: Instance, request: DelegationRequest, onAnswer: (answer: DelegationAnswer, applied: LogIndex) => void): void {
-		this.#ask(instance, (voter, leaderState) => {
+		this.#request(instance, (voter, leaderState) => {
 			const {state, effects} = stepGrantor(leaderState.grantor, {
 				kind: 'delegationRequested',
 				now: this.schedule.simulation.now(voter),
@@ -88,7 +88,7 @@
 	}
 
 	askSeat(instance: Instance, request: SeatRequest, onAnswer: (applied: LogIndex) => void): void {
-		this.#ask(instance, (voter, leaderState) => {
+		this.#request(instance, (voter, leaderState) => {
 			const now = this.schedule.simulation.now(voter);
 			const table = this.#tableOf(leaderState);
 			leaderState.grantor = stepGrantor(leaderState.grantor, {
@@ -100,7 +100,7 @@
 		}, onAnswer);
 	}
 
-	#ask<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, onAnswer: (answer: Answer) => void): void {
+	#request<Answer>(instance: Instance, handle: (voter: Voter, leaderState: LeaderState) => Answer, onAnswer: (answer: Answer) => void): void {
 		const assumedLeaders = this.voters.filter(voter => voter.leaderState !== undefined);
 		const voter = this.schedule.simulation.random() < 0.8 ? this.#leader : this.schedule.simulation.pick(assumedLeaders);
 		if (voter !== undefined) {
