--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -71,7 +71,7 @@
 		}
 	}
 
-	askDelegation(instance: Instance, request: DelegationRequest, onAnswer: (answer: DelegationAnswer, applied: LogIndex) => void): void {
+	requestDelegation(instance: Instance, request: DelegationRequest, onAnswer: (answer: DelegationAnswer, applied: LogIndex) => void): void {
 		this.#request(instance, (voter, leaderState) => {
 			const {state, effects} = stepGrantor(leaderState.grantor, {
 				kind: 'delegationRequested',
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -160,7 +160,7 @@
 				});
 			});
 		} else if (effect.kind === 'askDelegation') {
-			this.leadership.askDelegation(instance, effect.request, (answer, applied) => {
+			this.leadership.requestDelegation(instance, effect.request, (answer, applied) => {
 				this.#step(instance, {
 					kind: 'delegationAnswered', now: this.simulation.now(instance), sentAt: effect.sentAt, applied: effect.request.applied, answer,
 				});
