--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -87,7 +87,7 @@
 		});
 	}
 
-	askSeat(instance: Instance, request: SeatRequest, onAnswer: (applied: LogIndex) => void): void {
+	requestSeat(instance: Instance, request: SeatRequest, onAnswer: (applied: LogIndex) => void): void {
 		this.#request(instance, (voter, leaderState) => {
 			const now = this.schedule.simulation.now(voter);
 			const table = this.#tableOf(leaderState);
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -216,7 +216,7 @@
 	}
 
 	#requestSeat(instance: Instance): void {
-		this.leadership.askSeat(instance, {instance: instance.record, applied: instance.applied}, applied => {
+		this.leadership.requestSeat(instance, {instance: instance.record, applied: instance.applied}, applied => {
 			this.#catchUp(instance, applied);
 		});
 	}
