--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -24,7 +24,7 @@
 	grantor: GrantorState;
 	quorumHeardAt: number;
 	applied: LogIndex;
-	busy: boolean;
+	isProposing: boolean;
 };
 
 class Voter extends Process {
@@ -129,7 +129,7 @@
 		const now = simulation.now(voter);
 		const startIndex = Math.max(0, states.length - 1);
 		voter.leaderState = {
-			term: this.#term, grantor: createGrantor(now, startIndex, terms), quorumHeardAt: now, applied: startIndex, busy: false,
+			term: this.#term, grantor: createGrantor(now, startIndex, terms), quorumHeardAt: now, applied: startIndex, isProposing: false,
 		};
 	}
 
@@ -170,7 +170,7 @@
 
 		const table = this.#tableOf(leaderState);
 		leaderState.grantor = stepGrantor(leaderState.grantor, {kind: 'tableChanged', now, table}).state;
-		if (!leaderState.busy) {
+		if (!leaderState.isProposing) {
 			const {grantor, commands} = settlePolicies(leaderState.grantor, table, now);
 			leaderState.grantor = grantor;
 			const settlements = settleRosters(grantor, table);
@@ -179,11 +179,11 @@
 	}
 
 	#propose(voter: Voter, leaderState: LeaderState, commands: readonly OwnershipCommand[]): void {
-		if (commands.length === 0 || leaderState.busy) {
+		if (commands.length === 0 || leaderState.isProposing) {
 			return;
 		}
 
-		leaderState.busy = true;
+		leaderState.isProposing = true;
 		const commit = () => {
 			for (const command of commands) {
 				this.schedule.append(command);
@@ -192,7 +192,7 @@
 
 		this.#pendingCommits.push(commit);
 		this.schedule.simulation.after(3 + (this.schedule.simulation.random() * 60), () => {
-			leaderState.busy = false;
+			leaderState.isProposing = false;
 			if (leaderState.term === this.#term && this.#hasQuorum(voter) && this.#pendingCommits.includes(commit)) {
 				this.#pendingCommits = this.#pendingCommits.filter(other => other !== commit);
 				commit();
