--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -22,7 +22,7 @@
 type LeaderState = {
 	readonly term: number;
 	grantor: GrantorState;
-	quorumHeardAt: number;
+	quorumContactAt: number;
 	applied: LogIndex;
 	isProposing: boolean;
 };
@@ -76,7 +76,7 @@
 			const {state, effects} = stepGrantor(leaderState.grantor, {
 				kind: 'delegationRequested',
 				now: this.schedule.simulation.now(voter),
-				quorumHeardAt: leaderState.quorumHeardAt,
+				quorumHeardAt: leaderState.quorumContactAt,
 				table: this.#tableOf(leaderState),
 				request,
 			});
@@ -129,7 +129,7 @@
 		const now = simulation.now(voter);
 		const startIndex = Math.max(0, states.length - 1);
 		voter.leaderState = {
-			term: this.#term, grantor: createGrantor(now, startIndex, terms), quorumHeardAt: now, applied: startIndex, isProposing: false,
+			term: this.#term, grantor: createGrantor(now, startIndex, terms), quorumContactAt: now, applied: startIndex, isProposing: false,
 		};
 	}
 
@@ -161,9 +161,9 @@
 	#runLeader(voter: Voter, leaderState: LeaderState): void {
 		const now = this.schedule.simulation.now(voter);
 		if (leaderState.term === this.#term && this.#hasQuorum(voter)) {
-			leaderState.quorumHeardAt = now;
+			leaderState.quorumContactAt = now;
 			leaderState.applied = this.schedule.states.length - 1;
-		} else if (now - leaderState.quorumHeardAt > 2500) {
+		} else if (now - leaderState.quorumContactAt > 2500) {
 			voter.leaderState = undefined;
 			return;
 		}
