--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {Schedule} from './schedule.js';
 
-const cutAt = 9000;
+const partitionedAt = 9000;
 const healAt = 20_000;
 /** From the start of the partition until the control leases have expired and control's side has moved the slots that it may. */
 const settlingMilliseconds = 4500;
@@ -107,10 +107,10 @@
 		const {simulation: simulation, leadership} = schedule;
 		leadership.depose(voter => voter.zone === leaderIn);
 		const beyond = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
-		simulation.after(cutAt, () => {
-			simulation.partition(cut, healAt - cutAt);
+		simulation.after(partitionedAt, () => {
+			simulation.partition(cut, healAt - partitionedAt);
 		});
-		simulation.after(cutAt + 1000, () => {
+		simulation.after(partitionedAt + 1000, () => {
 			for (const upstream of beyond) {
 				leadership.lost.add(upstream);
 			}
@@ -124,7 +124,7 @@
 			leadership.lost.clear();
 		});
 		schedule.run(healAt + healedWithin + 2000);
-		const during = observe(schedule, cut, cutAt + settlingMilliseconds, healAt);
+		const during = observe(schedule, cut, partitionedAt + settlingMilliseconds, healAt);
 		const after = observe(schedule, cut, healAt + healedWithin, healAt + healedWithin + 2000);
 		assert.deepEqual(schedule.violations, []);
 		assert.deepEqual({...during}, expected);
