--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -15,7 +15,7 @@
 
 type Expected = Readonly<Record<string, string>>;
 
-const cutOff: Expected = {
+const whenPartitioned: Expected = {
 	'inside: held of the same zone': 'served',
 	'inside: held of another zone': 'no-lease',
 	'inside: taken of the same zone': 'no-lease',
@@ -38,20 +38,20 @@
 	readonly healedWithin: number;
 }> = [
 	{
-		name: 'a zone without the leader', zones: ['n1', 'n2', 'z1'], cut: ['z1'], expected: cutOff, healedWithin: 3000,
+		name: 'a zone without the leader', zones: ['n1', 'n2', 'z1'], cut: ['z1'], expected: whenPartitioned, healedWithin: 3000,
 	},
 	{
-		name: 'the zone with the leader', zones: ['n1', 'n2', 'z1'], cut: ['n1'], expected: cutOff, healedWithin: 3000,
+		name: 'the zone with the leader', zones: ['n1', 'n2', 'z1'], cut: ['n1'], expected: whenPartitioned, healedWithin: 3000,
 	},
 	{
-		name: 'the region with the smaller part of the voters', zones: ['n1', 'n2', 'z1', 'z2'], cut: ['z1', 'z2'], expected: cutOff, healedWithin: 3000,
+		name: 'the region with the smaller part of the voters', zones: ['n1', 'n2', 'z1', 'z2'], cut: ['z1', 'z2'], expected: whenPartitioned, healedWithin: 3000,
 	},
 	{
 		name: 'the region with the leader, but the smaller part of the voters',
 		zones: ['n1', 'n2', 'z1', 'z2'],
 		cut: ['z1', 'z2'],
 		leaderIn: 'z1',
-		expected: cutOff,
+		expected: whenPartitioned,
 		healedWithin: 3000,
 	},
 	{
