--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -106,12 +106,12 @@
 		});
 		const {simulation: simulation, leadership} = schedule;
 		leadership.depose(voter => voter.zone === leaderIn);
-		const beyond = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
+		const partitionedUpstreams = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
 		simulation.after(partitionedAt, () => {
 			simulation.partition(cut, healAt - partitionedAt);
 		});
 		simulation.after(partitionedAt + 1000, () => {
-			for (const upstream of beyond) {
+			for (const upstream of partitionedUpstreams) {
 				leadership.lost.add(upstream);
 			}
 
