--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -30,7 +30,7 @@
 const cases: ReadonlyArray<{
 	readonly name: string;
 	readonly zones: readonly string[];
-	readonly cut: readonly string[];
+	readonly partitioned: readonly string[];
 	readonly leaderIn?: string;
 	readonly restartInside?: boolean;
 	readonly expected: Expected;
@@ -38,24 +38,24 @@
 	readonly healedWithin: number;
 }> = [
 	{
-		name: 'a zone without the leader', zones: ['n1', 'n2', 'z1'], cut: ['z1'], expected: whenPartitioned, healedWithin: 3000,
+		name: 'a zone without the leader', zones: ['n1', 'n2', 'z1'], partitioned: ['z1'], expected: whenPartitioned, healedWithin: 3000,
 	},
 	{
-		name: 'the zone with the leader', zones: ['n1', 'n2', 'z1'], cut: ['n1'], expected: whenPartitioned, healedWithin: 3000,
+		name: 'the zone with the leader', zones: ['n1', 'n2', 'z1'], partitioned: ['n1'], expected: whenPartitioned, healedWithin: 3000,
 	},
 	{
-		name: 'the region with the smaller part of the voters', zones: ['n1', 'n2', 'z1', 'z2'], cut: ['z1', 'z2'], expected: whenPartitioned, healedWithin: 3000,
+		name: 'the region with the smaller part of the voters', zones: ['n1', 'n2', 'z1', 'z2'], partitioned: ['z1', 'z2'], expected: whenPartitioned, healedWithin: 3000,
 	},
 	{
 		name: 'the region with the leader, but the smaller part of the voters',
 		zones: ['n1', 'n2', 'z1', 'z2'],
-		cut: ['z1', 'z2'],
+		partitioned: ['z1', 'z2'],
 		leaderIn: 'z1',
 		expected: whenPartitioned,
 		healedWithin: 3000,
 	},
 	{
-		name: 'a zone that restarts while it is partitioned', zones: ['n1', 'n2', 'z1'], cut: ['z1'], restartInside: true,
+		name: 'a zone that restarts while it is partitioned', zones: ['n1', 'n2', 'z1'], partitioned: ['z1'], restartInside: true,
 		expected: {
 			'outside: held of a zone inside': 'no-owner',
 			'outside: held of a zone outside': 'served',
@@ -99,7 +99,7 @@
 	}));
 }
 
-for (const {name, zones, cut, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
+for (const {name, zones, partitioned: cut, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
 	test(`partition: ${name}`, () => {
 		const schedule = new Schedule({
 			seed: 7, zones, perZone: 3, loss: 0, moves: 0, driftRatio: 0.01, longestDeadlineMilliseconds: 800,
