--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -67,12 +67,12 @@
 
 type Cell = {served: boolean; readonly refused: Set<string>};
 
-function cellName(cut: readonly string[], zone: string, service: string, ownerZone: string): string {
-	if (cut.includes(zone)) {
+function cellName(partitioned: readonly string[], zone: string, service: string, ownerZone: string): string {
+	if (partitioned.includes(zone)) {
 		return `inside: ${service} of ${zone === ownerZone ? 'the same zone' : 'another zone'}`;
 	}
 
-	return `outside: ${service} of a zone ${cut.includes(ownerZone) ? 'inside' : 'outside'}`;
+	return `outside: ${service} of a zone ${partitioned.includes(ownerZone) ? 'inside' : 'outside'}`;
 }
 
 /** Returns the outcomes of the requests in a time window, by the side of the requester, the service and the owner's zone. */
