--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -76,10 +76,10 @@
 }
 
 /** Returns the outcomes of the requests in a time window, by the side of the requester, the service and the owner's zone. */
-function observe(schedule: Schedule, cut: readonly string[], from: number, until: number): Expected {
+function observe(schedule: Schedule, partitioned: readonly string[], from: number, until: number): Expected {
 	const cells = new Map<string, Cell>();
 	const cellOf = (zone: string, service: string, ownerZone: string) => {
-		const name = cellName(cut, zone, service, ownerZone);
+		const name = cellName(partitioned, zone, service, ownerZone);
 		const cell = cells.get(name) ?? {served: false, refused: new Set<string>()};
 		cells.set(name, cell);
 		return cell;
