--- a/packages/ownership/test/test-cut.ts
+++ b/packages/ownership/test/test-cut.ts
@@ -99,23 +99,23 @@
 	}));
 }
 
-for (const {name, zones, partitioned: cut, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
+for (const {name, zones, partitioned: partitioned, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
 	test(`partition: ${name}`, () => {
 		const schedule = new Schedule({
 			seed: 7, zones, perZone: 3, loss: 0, moves: 0, driftRatio: 0.01, longestDeadlineMilliseconds: 800,
 		});
 		const {simulation: simulation, leadership} = schedule;
 		leadership.depose(voter => voter.zone === leaderIn);
-		const partitionedUpstreams = schedule.upstreams.filter(upstream => cut.includes(upstream.zone)).map(upstream => upstream.name);
+		const partitionedUpstreams = schedule.upstreams.filter(upstream => partitioned.includes(upstream.zone)).map(upstream => upstream.name);
 		simulation.after(partitionedAt, () => {
-			simulation.partition(cut, healAt - partitionedAt);
+			simulation.partition(partitioned, healAt - partitionedAt);
 		});
 		simulation.after(partitionedAt + 1000, () => {
 			for (const upstream of partitionedUpstreams) {
 				leadership.lost.add(upstream);
 			}
 
-			for (const instance of restartInside ? schedule.instances.filter(({zone}) => cut.includes(zone)) : []) {
+			for (const instance of restartInside ? schedule.instances.filter(({zone}) => partitioned.includes(zone)) : []) {
 				instance.restart();
 				schedule.boot(instance);
 			}
@@ -124,8 +124,8 @@
 			leadership.lost.clear();
 		});
 		schedule.run(healAt + healedWithin + 2000);
-		const during = observe(schedule, cut, partitionedAt + settlingMilliseconds, healAt);
-		const after = observe(schedule, cut, healAt + healedWithin, healAt + healedWithin + 2000);
+		const during = observe(schedule, partitioned, partitionedAt + settlingMilliseconds, healAt);
+		const after = observe(schedule, partitioned, healAt + healedWithin, healAt + healedWithin + 2000);
 		assert.deepEqual(schedule.violations, []);
 		assert.deepEqual({...during}, expected);
 		assert.deepEqual([...new Set(Object.values(after))], ['served'], allServed);
