--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -57,7 +57,7 @@
 			schedule.leadership.lost.delete(upstream.name);
 		});
 	},
-	cutZone(schedule: Schedule, fault: Fault) {
+	partitionZone(schedule: Schedule, fault: Fault) {
 		schedule.simulation.partition([member(schedule.plan.zones, fault.target)], fault.milliseconds);
 	},
 	cutRegion(schedule: Schedule, fault: Fault) {
