--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -60,7 +60,7 @@
 	partitionZone(schedule: Schedule, fault: Fault) {
 		schedule.simulation.partition([member(schedule.plan.zones, fault.target)], fault.milliseconds);
 	},
-	cutRegion(schedule: Schedule, fault: Fault) {
+	partitionRegion(schedule: Schedule, fault: Fault) {
 		const region = member(schedule.plan.zones, fault.target)[0];
 		schedule.simulation.partition(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
 	},
