--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -64,7 +64,7 @@
 		const region = member(schedule.plan.zones, fault.target)[0];
 		schedule.simulation.partition(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
 	},
-	cutInstance(schedule: Schedule, fault: Fault) {
+	partitionInstance(schedule: Schedule, fault: Fault) {
 		schedule.simulation.partition([member(schedule.instances, fault.target).name], fault.milliseconds);
 	},
 	pauseSteward(schedule: Schedule, fault: Fault) {
