--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -109,7 +109,7 @@
 
 for (const {name, plan} of shapes) {
 	test(`schedule: at most one upstream at a time works on a key: ${name} (seed ${seed}, ${runs} runs)`, () => {
-		let works = 0;
+		let requests = 0;
 		let moves = 0;
 		let renewals = 0;
 		let questions = 0;
@@ -122,7 +122,7 @@
 			}
 
 			schedule.run(20_000);
-			works += schedule.sentRequests.length;
+			requests += schedule.sentRequests.length;
 			moves += schedule.states.length;
 			renewals += schedule.renewals;
 			questions += schedule.supportCalls;
@@ -131,8 +131,8 @@
 		fc.assert(property, {
 			seed, numRuns: runs, endOnFailure: true, includeErrorInReport: true,
 		});
-		console.log(`${name}: ${works} requests sent, ${moves} log entries, ${renewals} renewals with lease requests, ${questions} calls for support`);
-		assert.ok(works > runs * 100, 'too few requests were sent for a meaningful run');
+		console.log(`${name}: ${requests} requests sent, ${moves} log entries, ${renewals} renewals with lease requests, ${questions} calls for support`);
+		assert.ok(requests > runs * 100, 'too few requests were sent for a meaningful run');
 		assert.ok(plan.perZone === 1 || renewals > questions, 'too few renewals were piggybacked on lease requests');
 	});
 }
