--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -112,7 +112,7 @@
 		let requests = 0;
 		let moves = 0;
 		let renewals = 0;
-		let questions = 0;
+		let supportCalls = 0;
 		const property = fc.property(fc.integer({min: 1, max: 1e9}), fc.array(faultArbitrary, {maxLength: 10}), (runSeed, faults) => {
 			const schedule = new Schedule({...plan, seed: runSeed});
 			for (const fault of faults) {
@@ -125,14 +125,14 @@
 			requests += schedule.sentRequests.length;
 			moves += schedule.states.length;
 			renewals += schedule.renewals;
-			questions += schedule.supportCalls;
+			supportCalls += schedule.supportCalls;
 			assert.equal(schedule.violations[0], undefined);
 		});
 		fc.assert(property, {
 			seed, numRuns: runs, endOnFailure: true, includeErrorInReport: true,
 		});
-		console.log(`${name}: ${requests} requests sent, ${moves} log entries, ${renewals} renewals with lease requests, ${questions} calls for support`);
+		console.log(`${name}: ${requests} requests sent, ${moves} log entries, ${renewals} renewals with lease requests, ${supportCalls} calls for support`);
 		assert.ok(requests > runs * 100, 'too few requests were sent for a meaningful run');
-		assert.ok(plan.perZone === 1 || renewals > questions, 'too few renewals were piggybacked on lease requests');
+		assert.ok(plan.perZone === 1 || renewals > supportCalls, 'too few renewals were piggybacked on lease requests');
 	});
 }
