--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -20,7 +20,7 @@
 	});
 }
 
-function member<Item>(items: readonly Item[], target: number): Item {
+function itemAt<Item>(items: readonly Item[], target: number): Item {
 	return items[target % items.length]!;
 }
 
@@ -31,16 +31,16 @@
 
 const faultTable = {
 	pauseInstance(schedule: Schedule, fault: Fault) {
-		pause(schedule, member(schedule.instances, fault.target), fault.milliseconds);
+		pause(schedule, itemAt(schedule.instances, fault.target), fault.milliseconds);
 	},
 	pauseVoter(schedule: Schedule, fault: Fault) {
-		pause(schedule, member(schedule.leadership.voters, fault.target), fault.milliseconds);
+		pause(schedule, itemAt(schedule.leadership.voters, fault.target), fault.milliseconds);
 	},
 	restartInstance(schedule: Schedule, fault: Fault) {
-		restart(schedule, member(schedule.instances, fault.target));
+		restart(schedule, itemAt(schedule.instances, fault.target));
 	},
 	restartZone(schedule: Schedule, fault: Fault) {
-		const zone = member(schedule.plan.zones, fault.target);
+		const zone = itemAt(schedule.plan.zones, fault.target);
 		for (const instance of schedule.instances.filter(other => other.zone === zone)) {
 			schedule.simulation.after(schedule.simulation.random() * 300, () => {
 				restart(schedule, instance);
@@ -48,7 +48,7 @@
 		}
 	},
 	freezeUpstream(schedule: Schedule, fault: Fault) {
-		const upstream = member(schedule.upstreams, fault.target);
+		const upstream = itemAt(schedule.upstreams, fault.target);
 		pause(schedule, upstream, fault.milliseconds);
 		schedule.simulation.after(1000, () => {
 			schedule.leadership.lost.add(upstream.name);
@@ -58,19 +58,19 @@
 		});
 	},
 	partitionZone(schedule: Schedule, fault: Fault) {
-		schedule.simulation.partition([member(schedule.plan.zones, fault.target)], fault.milliseconds);
+		schedule.simulation.partition([itemAt(schedule.plan.zones, fault.target)], fault.milliseconds);
 	},
 	partitionRegion(schedule: Schedule, fault: Fault) {
-		const region = member(schedule.plan.zones, fault.target)[0];
+		const region = itemAt(schedule.plan.zones, fault.target)[0];
 		schedule.simulation.partition(schedule.plan.zones.filter(zone => zone.startsWith(region!)), fault.milliseconds);
 	},
 	partitionInstance(schedule: Schedule, fault: Fault) {
-		schedule.simulation.partition([member(schedule.instances, fault.target).name], fault.milliseconds);
+		schedule.simulation.partition([itemAt(schedule.instances, fault.target).name], fault.milliseconds);
 	},
 	pauseSteward(schedule: Schedule, fault: Fault) {
 		const stewards = schedule.instances.filter(instance => instance.steward.electedAt !== undefined);
 		if (stewards.length > 0) {
-			pause(schedule, member(stewards, fault.target), fault.milliseconds);
+			pause(schedule, itemAt(stewards, fault.target), fault.milliseconds);
 		}
 	},
 	depose(schedule: Schedule) {
