--- a/packages/ownership/test/test-schedule.ts
+++ b/packages/ownership/test/test-schedule.ts
@@ -86,7 +86,7 @@
 	target: fc.nat({max: 100}),
 });
 
-const shapes: ReadonlyArray<{readonly name: string; readonly plan: Omit<Plan, 'seed'>}> = [
+const topologies: ReadonlyArray<{readonly name: string; readonly plan: Omit<Plan, 'seed'>}> = [
 	{
 		name: 'three zones of three instances in two regions',
 		plan: {
@@ -107,7 +107,7 @@
 	},
 ];
 
-for (const {name, plan} of shapes) {
+for (const {name, plan} of topologies) {
 	test(`schedule: at most one upstream at a time works on a key: ${name} (seed ${seed}, ${runs} runs)`, () => {
 		let requests = 0;
 		let moves = 0;
