--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -65,7 +65,7 @@
 	return {grantor: state, ...(effect !== undefined && {shown: `${effect.answer.termMilliseconds}`})};
 }
 
-function asks(now: number, zone: string, applied: number, drained: number, quorumHeardAt = now): Step {
+function requestDelegation(now: number, zone: string, applied: number, drained: number, quorumHeardAt = now): Step {
 	const request = {
 		zone, steward: x, applied, drained, report: emptyReport,
 	};
@@ -115,37 +115,37 @@
 	},
 	{
 		name: 'reports of all zones are evidence', table: usual,
-		steps: [asks(10, 'n1', 25, 20), asks(10, 'n2', 25, 19), clears(20, 'held'), asks(30, 'n2', 25, 20), clears(30, 'held')],
+		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 19), clears(20, 'held'), requestDelegation(30, 'n2', 25, 20), clears(30, 'held')],
 		expected: ['1500', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
 		name: 'an owner whose zone is not recorded may have been in any zone', table: usual,
-		steps: [clears(2350, 'taken', false), clears(99_999, 'held', false), asks(100_000, 'n1', 25, 20), clears(100_000, 'held', false), asks(100_001, 'n2', 25, 20), clears(100_001, 'held', false)],
+		steps: [clears(2350, 'taken', false), clears(99_999, 'held', false), requestDelegation(100_000, 'n1', 25, 20), clears(100_000, 'held', false), requestDelegation(100_001, 'n2', 25, 20), clears(100_001, 'held', false)],
 		expected: ['cleared', 'n1 n2', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
 		name: 'an older report that arrives late does not replace a newer one', table: usual,
-		steps: [asks(10, 'n1', 25, 20), asks(10, 'n2', 25, 20), asks(20, 'n2', 25, 15), clears(30, 'held')],
+		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 20), requestDelegation(20, 'n2', 25, 15), clears(30, 'held')],
 		expected: ['1500', '1500', '1500', 'cleared'],
 	},
 	{
 		name: 'evidence by expiry waits for the last delegation', table: usual,
-		steps: [asks(1000, 'n1', 9, 9), clears(3346, 'taken'), clears(3347, 'taken')], expected: ['1500', 'n1', 'cleared'],
+		steps: [requestDelegation(1000, 'n1', 9, 9), clears(3346, 'taken'), clears(3347, 'taken')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
 		name: 'a delegation is counted from the last contact with a quorum', table: usual,
-		steps: [asks(1000, 'n1', 9, 9, 600), asks(3000, 'n1', 9, 9, 600)], expected: ['1100', '0'],
+		steps: [requestDelegation(1000, 'n1', 9, 9, 600), requestDelegation(3000, 'n1', 9, 9, 600)], expected: ['1100', '0'],
 	},
 	{
 		name: 'a steward that applied less than a new leader gets no delegation', table: usual,
-		steps: [asks(10, 'n1', 8, 8), asks(20, 'n1', 9, 8)], expected: ['0', '1500'],
+		steps: [requestDelegation(10, 'n1', 8, 8), requestDelegation(20, 'n1', 9, 8)], expected: ['0', '1500'],
 	},
 	{
 		name: 'a zone whose delegation expired gets a new one only after applying the revocation', table: usual,
-		steps: [clears(2350, 'taken'), asks(2400, 'n2', 19, 9), asks(2450, 'n2', 20, 9)], expected: ['cleared', '0', '1500'],
+		steps: [clears(2350, 'taken'), requestDelegation(2400, 'n2', 19, 9), requestDelegation(2450, 'n2', 20, 9)], expected: ['cleared', '0', '1500'],
 	},
 	{
-		name: 'a zone without a roster gets no delegation', table: usual, steps: [asks(10, 'n3', 25, 9)], expected: ['0'],
+		name: 'a zone without a roster gets no delegation', table: usual, steps: [requestDelegation(10, 'n3', 25, 9)], expected: ['0'],
 	},
 	{
 		name: 'a former hold policy counts while some zone may not have applied the change', table: unsettled,
@@ -153,24 +153,24 @@
 	},
 	{
 		name: 'a policy is settled a longest deadline after every zone has applied it', table: unsettled,
-		steps: [asks(10, 'n1', 9, 9), settles(20), asks(30, 'n2', 9, 1), settles(1000), settles(1816), settles(1817)],
+		steps: [requestDelegation(10, 'n1', 9, 9), settles(20), requestDelegation(30, 'n2', 9, 1), settles(1000), settles(1816), settles(1817)],
 		expected: ['1500', 'settles ', '1500', 'settles ', 'settles ', 'settles held taken'],
 	},
 	{
 		name: 'a release is evidence a term and a deadline after the leader observed it', table: released,
-		steps: [asks(10, 'n2', 25, 20), sees(1000), clears(3346, 'held'), clears(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
+		steps: [requestDelegation(10, 'n2', 25, 20), sees(1000), clears(3346, 'held'), clears(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
 		name: 'a release covers earlier revocations, also once the zone has members again', table: reseated,
-		steps: [asks(10, 'n2', 25, 20), sees(0), clears(2347, 'held')], expected: ['1500', 'cleared'],
+		steps: [requestDelegation(10, 'n2', 25, 20), sees(0), clears(2347, 'held')], expected: ['1500', 'cleared'],
 	},
 	{
 		name: 'a release covers no revocation after the zone got members again', table: releasedBefore,
-		steps: [asks(10, 'n2', 25, 20), sees(0), clears(99_999, 'held')], expected: ['1500', 'n1'],
+		steps: [requestDelegation(10, 'n2', 25, 20), sees(0), clears(99_999, 'held')], expected: ['1500', 'n1'],
 	},
 	{
 		name: 'an earlier release does not cover a roster that became empty later', table: emptiedLater,
-		steps: [asks(10, 'n2', 25, 20), sees(0), clears(99_999, 'held'), seat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
+		steps: [requestDelegation(10, 'n2', 25, 20), sees(0), clears(99_999, 'held'), seat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
 	},
 	{
 		name: 'the first instance of a zone is seated at once', table: usual,
@@ -178,12 +178,12 @@
 	},
 	{
 		name: 'the next change of a roster waits until the last one is reported', table: usual,
-		steps: [seat(10, record('d')), asks(20, 'n1', 9, 4), seat(30, record('d')), asks(40, 'n1', 9, 5), seat(50, record('d'))],
+		steps: [seat(10, record('d')), requestDelegation(20, 'n1', 9, 4), seat(30, record('d')), requestDelegation(40, 'n1', 9, 5), seat(50, record('d'))],
 		expected: ['nothing', '1500', 'nothing', '1500', 'instanceSeated'],
 	},
 	{
 		name: 'a later incarnation replaces an earlier one', table: usual,
-		steps: [asks(10, 'n1', 9, 9), seat(20, record('b', 2)), seat(20, record('b', 1)), seat(20, record('b', 0))],
+		steps: [requestDelegation(10, 'n1', 9, 9), seat(20, record('b', 2)), seat(20, record('b', 1)), seat(20, record('b', 0))],
 		expected: ['1500', 'instanceUnseated', 'nothing', 'nothing'],
 	},
 	{
@@ -192,7 +192,7 @@
 	},
 	{
 		name: 'a zone that still reports is not released', table: usual,
-		steps: [asks(5, 'n1', 9, 9), seat(10, record('b', 2)), seat(20, record('c', 2))], expected: ['1500', 'instanceUnseated', 'instanceUnseated'],
+		steps: [requestDelegation(5, 'n1', 9, 9), seat(10, record('b', 2)), seat(20, record('c', 2))], expected: ['1500', 'instanceUnseated', 'instanceUnseated'],
 	},
 	{
 		name: 'a majority of the previous roster counts too', table: tableOf(rosterOf('n1', [a, b], {previousMembers: [a, b, c]})),
