--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -74,7 +74,7 @@
 	});
 }
 
-function sees(now: number): Step {
+function observeTable(now: number): Step {
 	return (grantor, table) => stepped(grantor, {kind: 'tableChanged', now, table});
 }
 
@@ -158,19 +158,19 @@
 	},
 	{
 		name: 'a release is evidence a term and a deadline after the leader observed it', table: released,
-		steps: [requestDelegation(10, 'n2', 25, 20), sees(1000), clears(3346, 'held'), clears(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(1000), clears(3346, 'held'), clears(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
 		name: 'a release covers earlier revocations, also once the zone has members again', table: reseated,
-		steps: [requestDelegation(10, 'n2', 25, 20), sees(0), clears(2347, 'held')], expected: ['1500', 'cleared'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(2347, 'held')], expected: ['1500', 'cleared'],
 	},
 	{
 		name: 'a release covers no revocation after the zone got members again', table: releasedBefore,
-		steps: [requestDelegation(10, 'n2', 25, 20), sees(0), clears(99_999, 'held')], expected: ['1500', 'n1'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(99_999, 'held')], expected: ['1500', 'n1'],
 	},
 	{
 		name: 'an earlier release does not cover a roster that became empty later', table: emptiedLater,
-		steps: [requestDelegation(10, 'n2', 25, 20), sees(0), clears(99_999, 'held'), seat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(99_999, 'held'), seat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
 	},
 	{
 		name: 'the first instance of a zone is seated at once', table: usual,
@@ -212,7 +212,7 @@
 	},
 	{
 		name: 'any instance takes the first seat a term and a deadline after a release', table: released,
-		steps: [sees(1000), seat(3300, record('d')), seat(3347, record('d'))], expected: ['nothing', 'instanceSeated'],
+		steps: [observeTable(1000), seat(3300, record('d')), seat(3347, record('d'))], expected: ['nothing', 'instanceSeated'],
 	},
 ];
 
