--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -78,7 +78,7 @@
 	return (grantor, table) => stepped(grantor, {kind: 'tableChanged', now, table});
 }
 
-function seat(now: number, instance: InstanceRecord): Step {
+function requestSeat(now: number, instance: InstanceRecord): Step {
 	return (grantor, table) => {
 		const next = stepped(grantor, {
 			kind: 'seatRequested', now, table, request: {instance, applied: 0},
@@ -170,49 +170,49 @@
 	},
 	{
 		name: 'an earlier release does not cover a roster that became empty later', table: emptiedLater,
-		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(99_999, 'held'), seat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(99_999, 'held'), requestSeat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
 	},
 	{
 		name: 'the first instance of a zone is seated at once', table: usual,
-		steps: [seat(10, record('q', 1, 'n9'))], expected: ['instanceSeated'],
+		steps: [requestSeat(10, record('q', 1, 'n9'))], expected: ['instanceSeated'],
 	},
 	{
 		name: 'the next change of a roster waits until the last one is reported', table: usual,
-		steps: [seat(10, record('d')), requestDelegation(20, 'n1', 9, 4), seat(30, record('d')), requestDelegation(40, 'n1', 9, 5), seat(50, record('d'))],
+		steps: [requestSeat(10, record('d')), requestDelegation(20, 'n1', 9, 4), requestSeat(30, record('d')), requestDelegation(40, 'n1', 9, 5), requestSeat(50, record('d'))],
 		expected: ['nothing', '1500', 'nothing', '1500', 'instanceSeated'],
 	},
 	{
 		name: 'a later incarnation replaces an earlier one', table: usual,
-		steps: [requestDelegation(10, 'n1', 9, 9), seat(20, record('b', 2)), seat(20, record('b', 1)), seat(20, record('b', 0))],
+		steps: [requestDelegation(10, 'n1', 9, 9), requestSeat(20, record('b', 2)), requestSeat(20, record('b', 1)), requestSeat(20, record('b', 0))],
 		expected: ['1500', 'instanceUnseated', 'nothing', 'nothing'],
 	},
 	{
 		name: 'a zone is released when no majority of former incarnations is left', table: usual,
-		steps: [seat(10, record('b', 2)), seat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
+		steps: [requestSeat(10, record('b', 2)), requestSeat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
 	},
 	{
 		name: 'a zone that still reports is not released', table: usual,
-		steps: [requestDelegation(5, 'n1', 9, 9), seat(10, record('b', 2)), seat(20, record('c', 2))], expected: ['1500', 'instanceUnseated', 'instanceUnseated'],
+		steps: [requestDelegation(5, 'n1', 9, 9), requestSeat(10, record('b', 2)), requestSeat(20, record('c', 2))], expected: ['1500', 'instanceUnseated', 'instanceUnseated'],
 	},
 	{
 		name: 'a majority of the previous roster counts too', table: tableOf(rosterOf('n1', [a, b], {previousMembers: [a, b, c]})),
-		steps: [seat(10, record('a', 2)), seat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
+		steps: [requestSeat(10, record('a', 2)), requestSeat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
 	},
 	{
 		name: 'the only member of a roster is replaced by its later incarnation', table: tableOf(rosterOf('n1', [a])),
-		steps: [seat(10, record('d')), seat(20, record('a', 2))], expected: ['nothing', 'instanceUnseated'],
+		steps: [requestSeat(10, record('d')), requestSeat(20, record('a', 2))], expected: ['nothing', 'instanceUnseated'],
 	},
 	{
 		name: 'only a later incarnation takes the seat of an only member', table: tableOf(rosterOf('n1', [], {previousMembers: [a]})),
-		steps: [seat(99_999, record('d')), seat(20, record('a', 1)), seat(20, record('a', 2))], expected: ['nothing', 'nothing', 'instanceSeated'],
+		steps: [requestSeat(99_999, record('d')), requestSeat(20, record('a', 1)), requestSeat(20, record('a', 2))], expected: ['nothing', 'nothing', 'instanceSeated'],
 	},
 	{
 		name: 'a roster that lost its last member is released once former incarnations can form no majority', table: tableOf(rosterOf('n1', [], {previousMembers: [a, b]})),
-		steps: [seat(10, record('d')), seat(20, record('b', 2)), seat(30, record('d'))], expected: ['nothing', 'zoneReleased', 'zoneReleased'],
+		steps: [requestSeat(10, record('d')), requestSeat(20, record('b', 2)), requestSeat(30, record('d'))], expected: ['nothing', 'zoneReleased', 'zoneReleased'],
 	},
 	{
 		name: 'any instance takes the first seat a term and a deadline after a release', table: released,
-		steps: [observeTable(1000), seat(3300, record('d')), seat(3347, record('d'))], expected: ['nothing', 'instanceSeated'],
+		steps: [observeTable(1000), requestSeat(3300, record('d')), requestSeat(3347, record('d'))], expected: ['nothing', 'instanceSeated'],
 	},
 ];
 
