--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -88,7 +88,7 @@
 	};
 }
 
-function settles(now: number): Step {
+function settle(now: number): Step {
 	return (grantor, table) => {
 		const result = settlePolicies(grantor, table, now);
 		return {grantor: result.grantor, shown: `settles ${result.commands.map(command => command.service).join(' ')}`};
@@ -153,7 +153,7 @@
 	},
 	{
 		name: 'a policy is settled a longest deadline after every zone has applied it', table: unsettled,
-		steps: [requestDelegation(10, 'n1', 9, 9), settles(20), requestDelegation(30, 'n2', 9, 1), settles(1000), settles(1816), settles(1817)],
+		steps: [requestDelegation(10, 'n1', 9, 9), settle(20), requestDelegation(30, 'n2', 9, 1), settle(1000), settle(1816), settle(1817)],
 		expected: ['1500', 'settles ', '1500', 'settles ', 'settles ', 'settles held taken'],
 	},
 	{
