--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -95,7 +95,7 @@
 	};
 }
 
-function clears(now: number, service: string, isZoneKnown = true): Step {
+function checkRevocation(now: number, service: string, isZoneKnown = true): Step {
 	return (grantor, table) => {
 		const revocation = {service, slot: 0, ...(isZoneKnown && {ownerZone: 'n1'})};
 		const result = clear(grantor, table, revocation, now);
@@ -111,26 +111,26 @@
 }> = [
 	{
 		name: 'a new leader waits for delegations of earlier leaders to expire', table: usual,
-		steps: [clears(2340, 'taken'), clears(2350, 'taken'), clears(99_999, 'held')], expected: ['n1 n2', 'cleared', 'n1'],
+		steps: [checkRevocation(2340, 'taken'), checkRevocation(2350, 'taken'), checkRevocation(99_999, 'held')], expected: ['n1 n2', 'cleared', 'n1'],
 	},
 	{
 		name: 'reports of all zones are evidence', table: usual,
-		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 19), clears(20, 'held'), requestDelegation(30, 'n2', 25, 20), clears(30, 'held')],
+		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 19), checkRevocation(20, 'held'), requestDelegation(30, 'n2', 25, 20), checkRevocation(30, 'held')],
 		expected: ['1500', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
 		name: 'an owner whose zone is not recorded may have been in any zone', table: usual,
-		steps: [clears(2350, 'taken', false), clears(99_999, 'held', false), requestDelegation(100_000, 'n1', 25, 20), clears(100_000, 'held', false), requestDelegation(100_001, 'n2', 25, 20), clears(100_001, 'held', false)],
+		steps: [checkRevocation(2350, 'taken', false), checkRevocation(99_999, 'held', false), requestDelegation(100_000, 'n1', 25, 20), checkRevocation(100_000, 'held', false), requestDelegation(100_001, 'n2', 25, 20), checkRevocation(100_001, 'held', false)],
 		expected: ['cleared', 'n1 n2', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
 		name: 'an older report that arrives late does not replace a newer one', table: usual,
-		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 20), requestDelegation(20, 'n2', 25, 15), clears(30, 'held')],
+		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 20), requestDelegation(20, 'n2', 25, 15), checkRevocation(30, 'held')],
 		expected: ['1500', '1500', '1500', 'cleared'],
 	},
 	{
 		name: 'evidence by expiry waits for the last delegation', table: usual,
-		steps: [requestDelegation(1000, 'n1', 9, 9), clears(3346, 'taken'), clears(3347, 'taken')], expected: ['1500', 'n1', 'cleared'],
+		steps: [requestDelegation(1000, 'n1', 9, 9), checkRevocation(3346, 'taken'), checkRevocation(3347, 'taken')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
 		name: 'a delegation is counted from the last contact with a quorum', table: usual,
@@ -142,14 +142,14 @@
 	},
 	{
 		name: 'a zone whose delegation expired gets a new one only after applying the revocation', table: usual,
-		steps: [clears(2350, 'taken'), requestDelegation(2400, 'n2', 19, 9), requestDelegation(2450, 'n2', 20, 9)], expected: ['cleared', '0', '1500'],
+		steps: [checkRevocation(2350, 'taken'), requestDelegation(2400, 'n2', 19, 9), requestDelegation(2450, 'n2', 20, 9)], expected: ['cleared', '0', '1500'],
 	},
 	{
 		name: 'a zone without a roster gets no delegation', table: usual, steps: [requestDelegation(10, 'n3', 25, 9)], expected: ['0'],
 	},
 	{
 		name: 'a former hold policy counts while some zone may not have applied the change', table: unsettled,
-		steps: [clears(99_999, 'taken')], expected: ['n1'],
+		steps: [checkRevocation(99_999, 'taken')], expected: ['n1'],
 	},
 	{
 		name: 'a policy is settled a longest deadline after every zone has applied it', table: unsettled,
@@ -158,19 +158,19 @@
 	},
 	{
 		name: 'a release is evidence a term and a deadline after the leader observed it', table: released,
-		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(1000), clears(3346, 'held'), clears(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(1000), checkRevocation(3346, 'held'), checkRevocation(3347, 'held')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
 		name: 'a release covers earlier revocations, also once the zone has members again', table: reseated,
-		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(2347, 'held')], expected: ['1500', 'cleared'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), checkRevocation(2347, 'held')], expected: ['1500', 'cleared'],
 	},
 	{
 		name: 'a release covers no revocation after the zone got members again', table: releasedBefore,
-		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(99_999, 'held')], expected: ['1500', 'n1'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), checkRevocation(99_999, 'held')], expected: ['1500', 'n1'],
 	},
 	{
 		name: 'an earlier release does not cover a roster that became empty later', table: emptiedLater,
-		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), clears(99_999, 'held'), requestSeat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
+		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), checkRevocation(99_999, 'held'), requestSeat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
 	},
 	{
 		name: 'the first instance of a zone is seated at once', table: usual,
