--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -50,7 +50,7 @@
 	};
 }
 
-const usual = tableOf(rosterOf('n1', [a, b, c]));
+const defaultTable = tableOf(rosterOf('n1', [a, b, c]));
 const unsettled = tableOf(rosterOf('n1', [a, b, c]), PartitionPolicy.hold);
 const released = tableOf(rosterOf('n1', [], {releasedAt: 30, changedAt: 30}));
 const reseated = tableOf(rosterOf('n1', [a], {releasedAt: 30, changedAt: 31}));
@@ -110,42 +110,42 @@
 	readonly expected: readonly string[];
 }> = [
 	{
-		name: 'a new leader waits for delegations of earlier leaders to expire', table: usual,
+		name: 'a new leader waits for delegations of earlier leaders to expire', table: defaultTable,
 		steps: [checkRevocation(2340, 'taken'), checkRevocation(2350, 'taken'), checkRevocation(99_999, 'held')], expected: ['n1 n2', 'cleared', 'n1'],
 	},
 	{
-		name: 'reports of all zones are evidence', table: usual,
+		name: 'reports of all zones are evidence', table: defaultTable,
 		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 19), checkRevocation(20, 'held'), requestDelegation(30, 'n2', 25, 20), checkRevocation(30, 'held')],
 		expected: ['1500', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
-		name: 'an owner whose zone is not recorded may have been in any zone', table: usual,
+		name: 'an owner whose zone is not recorded may have been in any zone', table: defaultTable,
 		steps: [checkRevocation(2350, 'taken', false), checkRevocation(99_999, 'held', false), requestDelegation(100_000, 'n1', 25, 20), checkRevocation(100_000, 'held', false), requestDelegation(100_001, 'n2', 25, 20), checkRevocation(100_001, 'held', false)],
 		expected: ['cleared', 'n1 n2', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
-		name: 'an older report that arrives late does not replace a newer one', table: usual,
+		name: 'an older report that arrives late does not replace a newer one', table: defaultTable,
 		steps: [requestDelegation(10, 'n1', 25, 20), requestDelegation(10, 'n2', 25, 20), requestDelegation(20, 'n2', 25, 15), checkRevocation(30, 'held')],
 		expected: ['1500', '1500', '1500', 'cleared'],
 	},
 	{
-		name: 'evidence by expiry waits for the last delegation', table: usual,
+		name: 'evidence by expiry waits for the last delegation', table: defaultTable,
 		steps: [requestDelegation(1000, 'n1', 9, 9), checkRevocation(3346, 'taken'), checkRevocation(3347, 'taken')], expected: ['1500', 'n1', 'cleared'],
 	},
 	{
-		name: 'a delegation is counted from the last contact with a quorum', table: usual,
+		name: 'a delegation is counted from the last contact with a quorum', table: defaultTable,
 		steps: [requestDelegation(1000, 'n1', 9, 9, 600), requestDelegation(3000, 'n1', 9, 9, 600)], expected: ['1100', '0'],
 	},
 	{
-		name: 'a steward that applied less than a new leader gets no delegation', table: usual,
+		name: 'a steward that applied less than a new leader gets no delegation', table: defaultTable,
 		steps: [requestDelegation(10, 'n1', 8, 8), requestDelegation(20, 'n1', 9, 8)], expected: ['0', '1500'],
 	},
 	{
-		name: 'a zone whose delegation expired gets a new one only after applying the revocation', table: usual,
+		name: 'a zone whose delegation expired gets a new one only after applying the revocation', table: defaultTable,
 		steps: [checkRevocation(2350, 'taken'), requestDelegation(2400, 'n2', 19, 9), requestDelegation(2450, 'n2', 20, 9)], expected: ['cleared', '0', '1500'],
 	},
 	{
-		name: 'a zone without a roster gets no delegation', table: usual, steps: [requestDelegation(10, 'n3', 25, 9)], expected: ['0'],
+		name: 'a zone without a roster gets no delegation', table: defaultTable, steps: [requestDelegation(10, 'n3', 25, 9)], expected: ['0'],
 	},
 	{
 		name: 'a former hold policy counts while some zone may not have applied the change', table: unsettled,
@@ -173,25 +173,25 @@
 		steps: [requestDelegation(10, 'n2', 25, 20), observeTable(0), checkRevocation(99_999, 'held'), requestSeat(99_999, record('d'))], expected: ['1500', 'n1', 'nothing'],
 	},
 	{
-		name: 'the first instance of a zone is seated at once', table: usual,
+		name: 'the first instance of a zone is seated at once', table: defaultTable,
 		steps: [requestSeat(10, record('q', 1, 'n9'))], expected: ['instanceSeated'],
 	},
 	{
-		name: 'the next change of a roster waits until the last one is reported', table: usual,
+		name: 'the next change of a roster waits until the last one is reported', table: defaultTable,
 		steps: [requestSeat(10, record('d')), requestDelegation(20, 'n1', 9, 4), requestSeat(30, record('d')), requestDelegation(40, 'n1', 9, 5), requestSeat(50, record('d'))],
 		expected: ['nothing', '1500', 'nothing', '1500', 'instanceSeated'],
 	},
 	{
-		name: 'a later incarnation replaces an earlier one', table: usual,
+		name: 'a later incarnation replaces an earlier one', table: defaultTable,
 		steps: [requestDelegation(10, 'n1', 9, 9), requestSeat(20, record('b', 2)), requestSeat(20, record('b', 1)), requestSeat(20, record('b', 0))],
 		expected: ['1500', 'instanceUnseated', 'nothing', 'nothing'],
 	},
 	{
-		name: 'a zone is released when no majority of former incarnations is left', table: usual,
+		name: 'a zone is released when no majority of former incarnations is left', table: defaultTable,
 		steps: [requestSeat(10, record('b', 2)), requestSeat(20, record('c', 2))], expected: ['nothing', 'zoneReleased'],
 	},
 	{
-		name: 'a zone that still reports is not released', table: usual,
+		name: 'a zone that still reports is not released', table: defaultTable,
 		steps: [requestDelegation(5, 'n1', 9, 9), requestSeat(10, record('b', 2)), requestSeat(20, record('c', 2))], expected: ['1500', 'instanceUnseated', 'instanceUnseated'],
 	},
 	{
