--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -13,7 +13,7 @@
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
 import {defaultLeaseTerms as terms} from '@dogwooddeck/ownership/terms';
 
-function shown(effect: StewardEffect): readonly string[] {
+function describeEffect(effect: StewardEffect): readonly string[] {
 	const texts = {
 		askSupport: () => [],
 		answerSupport: () => [effect.kind === 'answerSupport' && effect.answer.granted ? 'supports' : 'refuses'],
@@ -112,7 +112,7 @@
 		const effects = events.flatMap(event => {
 			const next = stepSteward(state, event);
 			state = next.state;
-			return next.effects.flatMap(effect => shown(effect));
+			return next.effects.flatMap(effect => describeEffect(effect));
 		});
 		assert.deepEqual(effects, expected);
 	});
