--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -26,7 +26,7 @@
 
 const rounds = (...moments: readonly number[]) => moments.map(now => tick(now));
 
-function shown(effect: StewardEffect): readonly string[] {
+function describeEffect(effect: StewardEffect): readonly string[] {
 	const texts = {
 		askSupport: () => effect.kind === 'askSupport' ? [`asks ${effect.to.name}`] : [],
 		answerSupport: () => [effect.kind === 'answerSupport' && effect.answer.granted ? 'supports' : 'refuses'],
@@ -42,7 +42,7 @@
 	const effects = events.flatMap(event => {
 		const next = stepSteward(state, event);
 		state = next.state;
-		return next.effects.flatMap(effect => shown(effect));
+		return next.effects.flatMap(effect => describeEffect(effect));
 	});
 	return {state, effects};
 }
