--- a/packages/ownership/test/test-table.ts
+++ b/packages/ownership/test/test-table.ts
@@ -97,7 +97,7 @@
 	{name: 'settling a policy at another change is refused', commands: [opened, {kind: 'policyChanged', service, policy}, {kind: 'policySettled', service, changedAt: 1}], refused: ['3 conflict']},
 ];
 
-function shown(state: OwnershipState, slot: number): string {
+function describeSlot(state: OwnershipState, slot: number): string {
 	const assignment = assignmentOf(state, service, slot);
 	if (assignment === undefined || assignment.phase === 'vacant') {
 		return assignment?.phase ?? 'none';
@@ -112,7 +112,7 @@
 		const result = applyAll(commands);
 		assert.deepEqual(result.refused, refused);
 		for (const [slot, expected] of Object.entries(slots)) {
-			assert.equal(shown(result.state, Number(slot)), expected, `slot ${slot}`);
+			assert.equal(describeSlot(result.state, Number(slot)), expected, `slot ${slot}`);
 		}
 	});
 }
