--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -17,7 +17,7 @@
 
 const resigned: StewardEvent = {kind: 'resigned', now: 1602};
 const leaseSent = (now: number, to: InstanceRecord): StewardEvent => ({kind: 'leaseSent', now, to});
-const offered = (now: number, steward: InstanceRecord, supportAskedAt?: number): StewardEvent => ({
+const leaseAnswered = (now: number, steward: InstanceRecord, supportAskedAt?: number): StewardEvent => ({
 	kind: 'leaseAnswered', now, answer: {
 		steward, holdMilliseconds: 0, controlMilliseconds: 0, shares: [], ...(supportAskedAt !== undefined && {supportAskedAt}),
 	},
@@ -54,42 +54,42 @@
 const memberCases: readonly Case[] = [
 	{
 		name: 'renews with the next request, and its promise lasts from then',
-		events: [...supporterOfB, offered(1650, b, 77), leaseSent(1900, b), asked(3200, c, 10), asked(3430, c, 10), asked(3431, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, b), asked(3200, c, 10), asked(3430, c, 10), asked(3431, c, 10)],
 		expected: ['supports', 'renews 77', 'refuses', 'refuses', 'supports'],
 	},
 	{
 		name: 'answers each request once',
-		events: [...supporterOfB, offered(1650, b, 77), leaseSent(1900, b), leaseSent(1925, b), offered(1930, b, 77), leaseSent(2150, b), asked(3431, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, b), leaseSent(1925, b), leaseAnswered(1930, b, 77), leaseSent(2150, b), asked(3431, c, 10)],
 		expected: ['supports', 'renews 77', 'supports'],
 	},
 	{
 		name: 'answers the newest of several requests that arrive out of order',
-		events: [...supporterOfB, offered(1650, b, 78), offered(1651, b, 77), leaseSent(1900, b), offered(1901, b, 77), leaseSent(1950, b)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 78), leaseAnswered(1651, b, 77), leaseSent(1900, b), leaseAnswered(1901, b, 77), leaseSent(1950, b)],
 		expected: ['supports', 'renews 78'],
 	},
 	{
 		name: 'does not renew support for an instance that it does not support',
-		events: [...supporterOfB, offered(1650, c, 77), leaseSent(1900, c), asked(1901, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, c, 77), leaseSent(1900, c), asked(1901, c, 10)],
 		expected: ['supports', 'refuses'],
 	},
-	{name: 'renews nothing with a lease request to another instance', events: [...supporterOfB, offered(1650, b, 77), leaseSent(1900, c)], expected: ['supports']},
+	{name: 'renews nothing with a lease request to another instance', events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, c)], expected: ['supports']},
 	{
 		name: 'renews nothing with a lease request to another incarnation',
-		events: [...supporterOfB, offered(1650, b, 77), leaseSent(1900, record('b', 2))],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, record('b', 2))],
 		expected: ['supports'],
 	},
 	{
 		name: 'renews nothing once its promise has expired',
-		events: [...supporterOfB, offered(1650, b, 77), leaseSent(3131, b), asked(3132, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(3131, b), asked(3132, c, 10)],
 		expected: ['supports', 'supports'],
 	},
 	{
 		name: 'renews nothing after it switched to another candidate',
-		events: [...supporterOfB, offered(1650, b, 77), asked(3200, c, 10), leaseSent(3201, b), asked(3202, b, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), asked(3200, c, 10), leaseSent(3201, b), asked(3202, b, 10)],
 		expected: ['supports', 'supports', 'refuses'],
 	},
-	{name: 'promises nothing during its first term', events: [table(0, 10), offered(1, b, 77), leaseSent(250, b), asked(251, b, 10)], expected: ['refuses']},
-	{name: 'renews nothing without a request for support', events: [...supporterOfB, offered(1650, b), leaseSent(1900, b)], expected: ['supports']},
+	{name: 'promises nothing during its first term', events: [table(0, 10), leaseAnswered(1, b, 77), leaseSent(250, b), asked(251, b, 10)], expected: ['refuses']},
+	{name: 'renews nothing without a request for support', events: [...supporterOfB, leaseAnswered(1650, b), leaseSent(1900, b)], expected: ['supports']},
 ];
 
 /** The lease that `a` grants itself at 3000 ms is as long as its remaining support, which depends on a renewal by `b`. */
