--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -22,7 +22,7 @@
 		steward, holdMilliseconds: 0, controlMilliseconds: 0, shares: [], ...(supportAskedAt !== undefined && {supportAskedAt}),
 	},
 });
-const renewedBy = (now: number, instance: InstanceRecord, askedAt: number, steward = a) => renewing(now, instance, 10, {steward, askedAt});
+const renewalBy = (now: number, instance: InstanceRecord, askedAt: number, steward = a) => renewing(now, instance, 10, {steward, askedAt});
 
 const rounds = (...moments: readonly number[]) => moments.map(now => tick(now));
 
@@ -116,17 +116,17 @@
 const counted = (name: string, events: readonly StewardEvent[], milliseconds: number) => ({name, events, milliseconds});
 const countedCases = [
 	counted('without a renewal', left(), 85),
-	counted('from the time of the request, not of the renewal', left(renewedBy(2500, b, 1650)), 135),
-	counted('of a member that did not support it before', left(renewedBy(2500, c, 1700)), 185),
-	counted('of a renewal that arrives twice', left(renewedBy(2500, b, 1700), renewedBy(2510, b, 1700)), 185),
-	counted('of renewals that arrive out of order', left(renewedBy(2500, b, 1900), renewedBy(2510, b, 1700)), 385),
-	counted('for an earlier incarnation of the steward', left(renewedBy(2500, b, 1900, record('a', 0))), 85),
-	counted('for another steward', left(renewedBy(2500, b, 1900, c)), 85),
-	counted('requested at a time in the future', left(renewedBy(2500, b, 2501)), 85),
-	counted('by an earlier incarnation of a member', left(renewedBy(2500, record('b', 0), 1900)), 85),
-	counted('by a later incarnation of a member', left(renewedBy(2500, record('b', 2), 1900)), 85),
-	counted('after it resigned', left(resigned, renewedBy(2500, b, 1900)), 85),
-	counted('after its tenure', [...election, renewedBy(3100, b, 2900), lease(3101, a, 10)], 0),
+	counted('from the time of the request, not of the renewal', left(renewalBy(2500, b, 1650)), 135),
+	counted('of a member that did not support it before', left(renewalBy(2500, c, 1700)), 185),
+	counted('of a renewal that arrives twice', left(renewalBy(2500, b, 1700), renewalBy(2510, b, 1700)), 185),
+	counted('of renewals that arrive out of order', left(renewalBy(2500, b, 1900), renewalBy(2510, b, 1700)), 385),
+	counted('for an earlier incarnation of the steward', left(renewalBy(2500, b, 1900, record('a', 0))), 85),
+	counted('for another steward', left(renewalBy(2500, b, 1900, c)), 85),
+	counted('requested at a time in the future', left(renewalBy(2500, b, 2501)), 85),
+	counted('by an earlier incarnation of a member', left(renewalBy(2500, record('b', 0), 1900)), 85),
+	counted('by a later incarnation of a member', left(renewalBy(2500, record('b', 2), 1900)), 85),
+	counted('after it resigned', left(resigned, renewalBy(2500, b, 1900)), 85),
+	counted('after its tenure', [...election, renewalBy(3100, b, 2900), lease(3101, a, 10)], 0),
 ];
 
 /** `b` acknowledged 10 and `c` nothing, so that a majority has acknowledged 20 only if the renewal counts. */
@@ -149,7 +149,7 @@
 	},
 	{
 		name: 'makes no calls to supporters that renew with lease requests',
-		events: [...election, granted(1602, 1600, c, 10), ...rounds(1850), renewedBy(2000, b, 1750), renewedBy(2000, c, 1750), ...rounds(2100, 2150, 2299)],
+		events: [...election, granted(1602, 1600, c, 10), ...rounds(1850), renewalBy(2000, b, 1750), renewalBy(2000, c, 1750), ...rounds(2100, 2150, 2299)],
 		expected: ['asks b', 'asks c', '1000 asked at 2000', '1000 asked at 2000'],
 	},
 	{
@@ -159,7 +159,7 @@
 	},
 	{
 		name: 'requests support of a newcomer before it is seated',
-		events: [...election, lease(1700, record('d'), 10), ...rounds(1850), renewedBy(1851, record('d'), 1700), ...rounds(2100)],
+		events: [...election, lease(1700, record('d'), 10), ...rounds(1850), renewalBy(1851, record('d'), 1700), ...rounds(2100)],
 		expected: ['asks b', 'asks c', '1000 asked at 1700', 'asks c', 'asks d', '1000 asked at 1851', 'asks c'],
 	},
 ];
