--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -24,7 +24,7 @@
 });
 const renewalBy = (now: number, instance: InstanceRecord, askedAt: number, steward = a) => renewing(now, instance, 10, {steward, askedAt});
 
-const rounds = (...moments: readonly number[]) => moments.map(now => tick(now));
+const ticks = (...moments: readonly number[]) => moments.map(now => tick(now));
 
 function describeEffect(effect: StewardEffect): readonly string[] {
 	const texts = {
@@ -93,7 +93,7 @@
 ];
 
 /** The lease that `a` grants itself at 3000 ms is as long as its remaining support, which depends on a renewal by `b`. */
-const left = (...events: readonly StewardEvent[]) => [...election, ...rounds(1850, 2100, 2350), ...events, tick(2600), lease(3000, a, 10)];
+const left = (...events: readonly StewardEvent[]) => [...election, ...ticks(1850, 2100, 2350), ...events, tick(2600), lease(3000, a, 10)];
 
 const stewardCases: readonly Case[] = [
 	{
@@ -141,25 +141,25 @@
 
 const roundCases: readonly Case[] = [
 	{name: 'requests support of all members in an election', events: [table(0, 10), tick(1600), tick(1850)], expected: ['asks b', 'asks c', 'asks b', 'asks c']},
-	{name: 'requests support only of members that have not renewed', events: [...election, ...rounds(1850, 2100)], expected: ['asks b', 'asks c', 'asks c', 'asks c']},
+	{name: 'requests support only of members that have not renewed', events: [...election, ...ticks(1850, 2100)], expected: ['asks b', 'asks c', 'asks c', 'asks c']},
 	{
 		name: 'requests support as soon as a renewal is overdue',
-		events: [...election, ...rounds(1850, 2100, 2149, 2150)],
+		events: [...election, ...ticks(1850, 2100, 2149, 2150)],
 		expected: ['asks b', 'asks c', 'asks c', 'asks c', 'asks b', 'asks c'],
 	},
 	{
 		name: 'makes no calls to supporters that renew with lease requests',
-		events: [...election, granted(1602, 1600, c, 10), ...rounds(1850), renewalBy(2000, b, 1750), renewalBy(2000, c, 1750), ...rounds(2100, 2150, 2299)],
+		events: [...election, granted(1602, 1600, c, 10), ...ticks(1850), renewalBy(2000, b, 1750), renewalBy(2000, c, 1750), ...ticks(2100, 2150, 2299)],
 		expected: ['asks b', 'asks c', '1000 asked at 2000', '1000 asked at 2000'],
 	},
 	{
 		name: 'continues to request support of an unresponsive member, once a round',
-		events: [...election, ...rounds(1850, 2100, 2150, 2175, 2400)],
+		events: [...election, ...ticks(1850, 2100, 2150, 2175, 2400)],
 		expected: ['asks b', 'asks c', 'asks c', 'asks c', 'asks b', 'asks c', 'asks b', 'asks c'],
 	},
 	{
 		name: 'requests support of a newcomer before it is seated',
-		events: [...election, lease(1700, record('d'), 10), ...rounds(1850), renewalBy(1851, record('d'), 1700), ...rounds(2100)],
+		events: [...election, lease(1700, record('d'), 10), ...ticks(1850), renewalBy(1851, record('d'), 1700), ...ticks(2100)],
 		expected: ['asks b', 'asks c', '1000 asked at 1700', 'asks c', 'asks d', '1000 asked at 1851', 'asks c'],
 	},
 ];
@@ -185,6 +185,6 @@
 }
 
 test('renewal: a tick is due when a renewal becomes overdue, before the next round', () => {
-	const {state} = run([...election, ...rounds(1850, 2100)]);
+	const {state} = run([...election, ...ticks(1850, 2100)]);
 	assert.equal(stewardDueAt({...state, delegationRequestedAt: Infinity}, 2101), 2150);
 });
