--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -93,7 +93,7 @@
 ];
 
 /** The lease that `a` grants itself at 3000 ms is as long as its remaining support, which depends on a renewal by `b`. */
-const left = (...events: readonly StewardEvent[]) => [...election, ...ticks(1850, 2100, 2350), ...events, tick(2600), lease(3000, a, 10)];
+const remainingSupport = (...events: readonly StewardEvent[]) => [...election, ...ticks(1850, 2100, 2350), ...events, tick(2600), lease(3000, a, 10)];
 
 const stewardCases: readonly Case[] = [
 	{
@@ -115,17 +115,17 @@
 
 const counted = (name: string, events: readonly StewardEvent[], milliseconds: number) => ({name, events, milliseconds});
 const countedCases = [
-	counted('without a renewal', left(), 85),
-	counted('from the time of the request, not of the renewal', left(renewalBy(2500, b, 1650)), 135),
-	counted('of a member that did not support it before', left(renewalBy(2500, c, 1700)), 185),
-	counted('of a renewal that arrives twice', left(renewalBy(2500, b, 1700), renewalBy(2510, b, 1700)), 185),
-	counted('of renewals that arrive out of order', left(renewalBy(2500, b, 1900), renewalBy(2510, b, 1700)), 385),
-	counted('for an earlier incarnation of the steward', left(renewalBy(2500, b, 1900, record('a', 0))), 85),
-	counted('for another steward', left(renewalBy(2500, b, 1900, c)), 85),
-	counted('requested at a time in the future', left(renewalBy(2500, b, 2501)), 85),
-	counted('by an earlier incarnation of a member', left(renewalBy(2500, record('b', 0), 1900)), 85),
-	counted('by a later incarnation of a member', left(renewalBy(2500, record('b', 2), 1900)), 85),
-	counted('after it resigned', left(resigned, renewalBy(2500, b, 1900)), 85),
+	counted('without a renewal', remainingSupport(), 85),
+	counted('from the time of the request, not of the renewal', remainingSupport(renewalBy(2500, b, 1650)), 135),
+	counted('of a member that did not support it before', remainingSupport(renewalBy(2500, c, 1700)), 185),
+	counted('of a renewal that arrives twice', remainingSupport(renewalBy(2500, b, 1700), renewalBy(2510, b, 1700)), 185),
+	counted('of renewals that arrive out of order', remainingSupport(renewalBy(2500, b, 1900), renewalBy(2510, b, 1700)), 385),
+	counted('for an earlier incarnation of the steward', remainingSupport(renewalBy(2500, b, 1900, record('a', 0))), 85),
+	counted('for another steward', remainingSupport(renewalBy(2500, b, 1900, c)), 85),
+	counted('requested at a time in the future', remainingSupport(renewalBy(2500, b, 2501)), 85),
+	counted('by an earlier incarnation of a member', remainingSupport(renewalBy(2500, record('b', 0), 1900)), 85),
+	counted('by a later incarnation of a member', remainingSupport(renewalBy(2500, record('b', 2), 1900)), 85),
+	counted('after it resigned', remainingSupport(resigned, renewalBy(2500, b, 1900)), 85),
 	counted('after its tenure', [...election, renewalBy(3100, b, 2900), lease(3101, a, 10)], 0),
 ];
 
