--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -113,20 +113,20 @@
 	},
 ];
 
-const counted = (name: string, events: readonly StewardEvent[], milliseconds: number) => ({name, events, milliseconds});
+const countedCase = (name: string, events: readonly StewardEvent[], milliseconds: number) => ({name, events, milliseconds});
 const countedCases = [
-	counted('without a renewal', remainingSupport(), 85),
-	counted('from the time of the request, not of the renewal', remainingSupport(renewalBy(2500, b, 1650)), 135),
-	counted('of a member that did not support it before', remainingSupport(renewalBy(2500, c, 1700)), 185),
-	counted('of a renewal that arrives twice', remainingSupport(renewalBy(2500, b, 1700), renewalBy(2510, b, 1700)), 185),
-	counted('of renewals that arrive out of order', remainingSupport(renewalBy(2500, b, 1900), renewalBy(2510, b, 1700)), 385),
-	counted('for an earlier incarnation of the steward', remainingSupport(renewalBy(2500, b, 1900, record('a', 0))), 85),
-	counted('for another steward', remainingSupport(renewalBy(2500, b, 1900, c)), 85),
-	counted('requested at a time in the future', remainingSupport(renewalBy(2500, b, 2501)), 85),
-	counted('by an earlier incarnation of a member', remainingSupport(renewalBy(2500, record('b', 0), 1900)), 85),
-	counted('by a later incarnation of a member', remainingSupport(renewalBy(2500, record('b', 2), 1900)), 85),
-	counted('after it resigned', remainingSupport(resigned, renewalBy(2500, b, 1900)), 85),
-	counted('after its tenure', [...election, renewalBy(3100, b, 2900), lease(3101, a, 10)], 0),
+	countedCase('without a renewal', remainingSupport(), 85),
+	countedCase('from the time of the request, not of the renewal', remainingSupport(renewalBy(2500, b, 1650)), 135),
+	countedCase('of a member that did not support it before', remainingSupport(renewalBy(2500, c, 1700)), 185),
+	countedCase('of a renewal that arrives twice', remainingSupport(renewalBy(2500, b, 1700), renewalBy(2510, b, 1700)), 185),
+	countedCase('of renewals that arrive out of order', remainingSupport(renewalBy(2500, b, 1900), renewalBy(2510, b, 1700)), 385),
+	countedCase('for an earlier incarnation of the steward', remainingSupport(renewalBy(2500, b, 1900, record('a', 0))), 85),
+	countedCase('for another steward', remainingSupport(renewalBy(2500, b, 1900, c)), 85),
+	countedCase('requested at a time in the future', remainingSupport(renewalBy(2500, b, 2501)), 85),
+	countedCase('by an earlier incarnation of a member', remainingSupport(renewalBy(2500, record('b', 0), 1900)), 85),
+	countedCase('by a later incarnation of a member', remainingSupport(renewalBy(2500, record('b', 2), 1900)), 85),
+	countedCase('after it resigned', remainingSupport(resigned, renewalBy(2500, b, 1900)), 85),
+	countedCase('after its tenure', [...election, renewalBy(3100, b, 2900), lease(3101, a, 10)], 0),
 ];
 
 /** `b` acknowledged 10 and `c` nothing, so that a majority has acknowledged 20 only if the renewal counts. */
