--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -34,7 +34,7 @@
 /** A tick. */
 export const tick = (now: number): StewardEvent => ({kind: 'ticked', now});
 /** A candidate requests support. */
-export const asked = (now: number, candidate: InstanceRecord, applied: number): StewardEvent => ({
+export const supportRequested = (now: number, candidate: InstanceRecord, applied: number): StewardEvent => ({
 	kind: 'supportRequested', now, request: {zone: 'n1', candidate, applied},
 });
 /** A member grants its support. */
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	a, asked, b, c, election, granted, lease, record, renewing, table, tick,
+	a, supportRequested, b, c, election, granted, lease, record, renewing, table, tick,
 } from './steward-events.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -49,17 +49,17 @@
 
 type Case = {readonly name: string; readonly events: readonly StewardEvent[]; readonly expected: readonly string[]};
 
-const supporterOfB = [table(0, 10), asked(1600, b, 10)];
+const supporterOfB = [table(0, 10), supportRequested(1600, b, 10)];
 
 const memberCases: readonly Case[] = [
 	{
 		name: 'renews with the next request, and its promise lasts from then',
-		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, b), asked(3200, c, 10), asked(3430, c, 10), asked(3431, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, b), supportRequested(3200, c, 10), supportRequested(3430, c, 10), supportRequested(3431, c, 10)],
 		expected: ['supports', 'renews 77', 'refuses', 'refuses', 'supports'],
 	},
 	{
 		name: 'answers each request once',
-		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, b), leaseSent(1925, b), leaseAnswered(1930, b, 77), leaseSent(2150, b), asked(3431, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, b), leaseSent(1925, b), leaseAnswered(1930, b, 77), leaseSent(2150, b), supportRequested(3431, c, 10)],
 		expected: ['supports', 'renews 77', 'supports'],
 	},
 	{
@@ -69,7 +69,7 @@
 	},
 	{
 		name: 'does not renew support for an instance that it does not support',
-		events: [...supporterOfB, leaseAnswered(1650, c, 77), leaseSent(1900, c), asked(1901, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, c, 77), leaseSent(1900, c), supportRequested(1901, c, 10)],
 		expected: ['supports', 'refuses'],
 	},
 	{name: 'renews nothing with a lease request to another instance', events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(1900, c)], expected: ['supports']},
@@ -80,15 +80,15 @@
 	},
 	{
 		name: 'renews nothing once its promise has expired',
-		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(3131, b), asked(3132, c, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), leaseSent(3131, b), supportRequested(3132, c, 10)],
 		expected: ['supports', 'supports'],
 	},
 	{
 		name: 'renews nothing after it switched to another candidate',
-		events: [...supporterOfB, leaseAnswered(1650, b, 77), asked(3200, c, 10), leaseSent(3201, b), asked(3202, b, 10)],
+		events: [...supporterOfB, leaseAnswered(1650, b, 77), supportRequested(3200, c, 10), leaseSent(3201, b), supportRequested(3202, b, 10)],
 		expected: ['supports', 'supports', 'refuses'],
 	},
-	{name: 'promises nothing during its first term', events: [table(0, 10), leaseAnswered(1, b, 77), leaseSent(250, b), asked(251, b, 10)], expected: ['refuses']},
+	{name: 'promises nothing during its first term', events: [table(0, 10), leaseAnswered(1, b, 77), leaseSent(250, b), supportRequested(251, b, 10)], expected: ['refuses']},
 	{name: 'renews nothing without a request for support', events: [...supporterOfB, leaseAnswered(1650, b), leaseSent(1900, b)], expected: ['supports']},
 ];
 
--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	a, asked, b, c, delegated, election, granted, lease, record, refused, renewal, table, tick,
+	a, supportRequested, b, c, delegated, election, granted, lease, record, refused, renewal, table, tick,
 } from './steward-events.js';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
@@ -25,15 +25,15 @@
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly events: readonly StewardEvent[]; readonly expected: readonly string[]}> = [
-	{name: 'supports no candidate for one term after its start', events: [table(0, 10), asked(1500, b, 10), asked(1600, b, 10)], expected: ['refuses', 'supports']},
+	{name: 'supports no candidate for one term after its start', events: [table(0, 10), supportRequested(1500, b, 10), supportRequested(1600, b, 10)], expected: ['refuses', 'supports']},
 	{
 		name: 'supports one candidate at a time',
-		events: [table(0, 10), asked(1600, b, 10), asked(1700, c, 10), asked(1700, b, 10), asked(3200, c, 10), asked(3231, c, 10)],
+		events: [table(0, 10), supportRequested(1600, b, 10), supportRequested(1700, c, 10), supportRequested(1700, b, 10), supportRequested(3200, c, 10), supportRequested(3231, c, 10)],
 		expected: ['supports', 'refuses', 'supports', 'refuses', 'supports'],
 	},
-	{name: 'refuses a later incarnation of the candidate that it supports', events: [table(0, 10), asked(1600, b, 10), asked(1700, record('b', 2), 10)], expected: ['supports', 'refuses']},
-	{name: 'refuses a candidate that applied less', events: [table(0, 10), asked(1600, b, 9), asked(1600, c, 10)], expected: ['refuses', 'supports']},
-	{name: 'continues to support a steward that falls behind', events: [table(0, 10), asked(1600, b, 10), table(1650, 11), asked(1700, b, 10)], expected: ['supports', 'supports']},
+	{name: 'refuses a later incarnation of the candidate that it supports', events: [table(0, 10), supportRequested(1600, b, 10), supportRequested(1700, record('b', 2), 10)], expected: ['supports', 'refuses']},
+	{name: 'refuses a candidate that applied less', events: [table(0, 10), supportRequested(1600, b, 9), supportRequested(1600, c, 10)], expected: ['refuses', 'supports']},
+	{name: 'continues to support a steward that falls behind', events: [table(0, 10), supportRequested(1600, b, 10), table(1650, 11), supportRequested(1700, b, 10)], expected: ['supports', 'supports']},
 	{name: 'grants no lease without a majority', events: [table(0, 10), tick(1600), lease(1601, a, 10)], expected: ['0/0']},
 	{name: 'grants no control lease without a delegation', events: [...election, lease(1602, a, 10)], expected: ['1000/0']},
 	{name: 'counts no support of another incarnation of a member', events: [table(0, 10), tick(1600), granted(1601, 1600, record('b', 2), 10), lease(1602, a, 10)], expected: ['0/0']},
@@ -100,7 +100,7 @@
 	{name: 'ignores answers to requests from before a pause', events: [...election, granted(4000, 2900, b, 10), granted(4000, 2900, c, 10), lease(4001, a, 10)], expected: ['0/0']},
 	{
 		name: 'ignores answers for a candidacy that it withdrew',
-		events: [table(0, 10), tick(1600), refused(1601, 1600, c, b), granted(1602, 1600, b, 10), lease(1603, a, 10), asked(1604, b, 10)],
+		events: [table(0, 10), tick(1600), refused(1601, 1600, c, b), granted(1602, 1600, b, 10), lease(1603, a, 10), supportRequested(1604, b, 10)],
 		expected: ['0/0', 'supports'],
 	},
 	{name: 'does not renew its tenure once it resigned', events: [...election, {kind: 'resigned', now: 1602}, ...renewal(1900, 10), lease(3086, a, 10)], expected: ['drained 0', '0/0']},
