--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -38,7 +38,7 @@
 	kind: 'supportRequested', now, request: {zone: 'n1', candidate, applied},
 });
 /** A member grants its support. */
-export const granted = (now: number, sentAt: number, supporter: InstanceRecord, applied: number): StewardEvent => ({
+export const supportGranted = (now: number, sentAt: number, supporter: InstanceRecord, applied: number): StewardEvent => ({
 	kind: 'supportAnswered', now, sentAt, answer: {granted: true, supporter, applied},
 });
 /** A member refuses its support because it supports another candidate. */
@@ -65,6 +65,6 @@
 });
 
 /** Elects `a` as steward at 1601 ms by its own support and that of `b`, both until 3085 ms. */
-export const election = [table(0, 10), tick(1600), granted(1601, 1600, b, 10)];
+export const election = [table(0, 10), tick(1600), supportGranted(1601, 1600, b, 10)];
 /** Renews the support by a tick and an answer of `b`. */
-export const renewal = (now: number, applied: number) => [tick(now), granted(now + 1, now, b, applied)];
+export const renewal = (now: number, applied: number) => [tick(now), supportGranted(now + 1, now, b, applied)];
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	a, supportRequested, b, c, election, granted, lease, record, renewing, table, tick,
+	a, supportRequested, b, c, election, supportGranted, lease, record, renewing, table, tick,
 } from './steward-events.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -149,7 +149,7 @@
 	},
 	{
 		name: 'makes no calls to supporters that renew with lease requests',
-		events: [...election, granted(1602, 1600, c, 10), ...ticks(1850), renewalBy(2000, b, 1750), renewalBy(2000, c, 1750), ...ticks(2100, 2150, 2299)],
+		events: [...election, supportGranted(1602, 1600, c, 10), ...ticks(1850), renewalBy(2000, b, 1750), renewalBy(2000, c, 1750), ...ticks(2100, 2150, 2299)],
 		expected: ['asks b', 'asks c', '1000 asked at 2000', '1000 asked at 2000'],
 	},
 	{
--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	a, supportRequested, b, c, delegated, election, granted, lease, record, refused, renewal, table, tick,
+	a, supportRequested, b, c, delegated, election, supportGranted, lease, record, refused, renewal, table, tick,
 } from './steward-events.js';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
@@ -36,11 +36,11 @@
 	{name: 'continues to support a steward that falls behind', events: [table(0, 10), supportRequested(1600, b, 10), table(1650, 11), supportRequested(1700, b, 10)], expected: ['supports', 'supports']},
 	{name: 'grants no lease without a majority', events: [table(0, 10), tick(1600), lease(1601, a, 10)], expected: ['0/0']},
 	{name: 'grants no control lease without a delegation', events: [...election, lease(1602, a, 10)], expected: ['1000/0']},
-	{name: 'counts no support of another incarnation of a member', events: [table(0, 10), tick(1600), granted(1601, 1600, record('b', 2), 10), lease(1602, a, 10)], expected: ['0/0']},
+	{name: 'counts no support of another incarnation of a member', events: [table(0, 10), tick(1600), supportGranted(1601, 1600, record('b', 2), 10), lease(1602, a, 10)], expected: ['0/0']},
 	{name: 'grants no lease beyond the end of its support', events: [...election, lease(3000, a, 10), lease(3085, a, 10)], expected: ['85/0', '0/0']},
 	{
 		name: 'counts support from when it sent the request',
-		events: [table(0, 10), tick(1600), granted(2500, 1600, b, 10), lease(3000, a, 10)],
+		events: [table(0, 10), tick(1600), supportGranted(2500, 1600, b, 10), lease(3000, a, 10)],
 		expected: ['85/0'],
 	},
 	{
@@ -73,7 +73,7 @@
 	{
 		name: 'counts no acknowledgement once the support has expired',
 		events: [
-			...election, granted(1602, 1600, c, 10), ...renewal(2900, 10), table(3200, 20), lease(3201, a, 20), lease(3202, c, 20), tick(3203),
+			...election, supportGranted(1602, 1600, c, 10), ...renewal(2900, 10), table(3200, 20), lease(3201, a, 20), lease(3202, c, 20), tick(3203),
 		],
 		expected: ['drained 10', '1000/0', '1000/0', 'drained 10'],
 	},
@@ -94,13 +94,13 @@
 	},
 	{
 		name: 'starts a new tenure after a pause',
-		events: [...election, lease(1700, a, 10), ...renewal(2500, 10), tick(5000), granted(5001, 5000, b, 10), tick(5100), tick(5900)],
+		events: [...election, lease(1700, a, 10), ...renewal(2500, 10), tick(5000), supportGranted(5001, 5000, b, 10), tick(5100), tick(5900)],
 		expected: ['1000/0', 'drained 10', 'drained 0', 'drained 10'],
 	},
-	{name: 'ignores answers to requests from before a pause', events: [...election, granted(4000, 2900, b, 10), granted(4000, 2900, c, 10), lease(4001, a, 10)], expected: ['0/0']},
+	{name: 'ignores answers to requests from before a pause', events: [...election, supportGranted(4000, 2900, b, 10), supportGranted(4000, 2900, c, 10), lease(4001, a, 10)], expected: ['0/0']},
 	{
 		name: 'ignores answers for a candidacy that it withdrew',
-		events: [table(0, 10), tick(1600), refused(1601, 1600, c, b), granted(1602, 1600, b, 10), lease(1603, a, 10), supportRequested(1604, b, 10)],
+		events: [table(0, 10), tick(1600), refused(1601, 1600, c, b), supportGranted(1602, 1600, b, 10), lease(1603, a, 10), supportRequested(1604, b, 10)],
 		expected: ['0/0', 'supports'],
 	},
 	{name: 'does not renew its tenure once it resigned', events: [...election, {kind: 'resigned', now: 1602}, ...renewal(1900, 10), lease(3086, a, 10)], expected: ['drained 0', '0/0']},
