--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -42,7 +42,7 @@
 	kind: 'supportAnswered', now, sentAt, answer: {granted: true, supporter, applied},
 });
 /** A member refuses its support because it supports another candidate. */
-export const refused = (now: number, sentAt: number, supporter: InstanceRecord, supported: InstanceRecord): StewardEvent => ({
+export const supportRefused = (now: number, sentAt: number, supporter: InstanceRecord, supported: InstanceRecord): StewardEvent => ({
 	kind: 'supportAnswered', now, sentAt, answer: {
 		granted: false, supporter, applied: 10, supported,
 	},
--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	a, supportRequested, b, c, delegated, election, supportGranted, lease, record, refused, renewal, table, tick,
+	a, supportRequested, b, c, delegated, election, supportGranted, lease, record, supportRefused, renewal, table, tick,
 } from './steward-events.js';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
@@ -100,7 +100,7 @@
 	{name: 'ignores answers to requests from before a pause', events: [...election, supportGranted(4000, 2900, b, 10), supportGranted(4000, 2900, c, 10), lease(4001, a, 10)], expected: ['0/0']},
 	{
 		name: 'ignores answers for a candidacy that it withdrew',
-		events: [table(0, 10), tick(1600), refused(1601, 1600, c, b), supportGranted(1602, 1600, b, 10), lease(1603, a, 10), supportRequested(1604, b, 10)],
+		events: [table(0, 10), tick(1600), supportRefused(1601, 1600, c, b), supportGranted(1602, 1600, b, 10), lease(1603, a, 10), supportRequested(1604, b, 10)],
 		expected: ['0/0', 'supports'],
 	},
 	{name: 'does not renew its tenure once it resigned', events: [...election, {kind: 'resigned', now: 1602}, ...renewal(1900, 10), lease(3086, a, 10)], expected: ['drained 0', '0/0']},
