--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -48,7 +48,7 @@
 	},
 });
 /** An instance requests a lease. */
-export const lease = (now: number, instance: InstanceRecord, applied: number, drained = applied): StewardEvent => ({
+export const leaseRequested = (now: number, instance: InstanceRecord, applied: number, drained = applied): StewardEvent => ({
 	kind: 'leaseRequested', now, request: {
 		instance, applied, drained, report: emptyReport,
 	},
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	a, supportRequested, b, c, election, supportGranted, lease, record, renewing, table, tick,
+	a, supportRequested, b, c, election, supportGranted, leaseRequested, record, renewing, table, tick,
 } from './steward-events.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -93,22 +93,22 @@
 ];
 
 /** The lease that `a` grants itself at 3000 ms is as long as its remaining support, which depends on a renewal by `b`. */
-const remainingSupport = (...events: readonly StewardEvent[]) => [...election, ...ticks(1850, 2100, 2350), ...events, tick(2600), lease(3000, a, 10)];
+const remainingSupport = (...events: readonly StewardEvent[]) => [...election, ...ticks(1850, 2100, 2350), ...events, tick(2600), leaseRequested(3000, a, 10)];
 
 const stewardCases: readonly Case[] = [
 	{
 		name: 'requests support with each lease answer',
-		events: [...election, lease(1650, b, 10), lease(1651, c, 9)],
+		events: [...election, leaseRequested(1650, b, 10), leaseRequested(1651, c, 9)],
 		expected: ['asks b', 'asks c', '1000 asked at 1650', '0 asked at 1651'],
 	},
 	{
 		name: 'requests no support with lease answers while it is not elected',
-		events: [table(0, 10), tick(1600), lease(1601, b, 10)],
+		events: [table(0, 10), tick(1600), leaseRequested(1601, b, 10)],
 		expected: ['asks b', 'asks c', '0 asked at no time'],
 	},
 	{
 		name: 'requests no support with lease answers once it resigned',
-		events: [...election, resigned, lease(1603, b, 10)],
+		events: [...election, resigned, leaseRequested(1603, b, 10)],
 		expected: ['asks b', 'asks c', '1000 asked at no time'],
 	},
 ];
@@ -126,17 +126,17 @@
 	countedCase('by an earlier incarnation of a member', remainingSupport(renewalBy(2500, record('b', 0), 1900)), 85),
 	countedCase('by a later incarnation of a member', remainingSupport(renewalBy(2500, record('b', 2), 1900)), 85),
 	countedCase('after it resigned', remainingSupport(resigned, renewalBy(2500, b, 1900)), 85),
-	countedCase('after its tenure', [...election, renewalBy(3100, b, 2900), lease(3101, a, 10)], 0),
+	countedCase('after its tenure', [...election, renewalBy(3100, b, 2900), leaseRequested(3101, a, 10)], 0),
 ];
 
 /** `b` acknowledged 10 and `c` nothing, so that a majority has acknowledged 20 only if the renewal counts. */
-const acknowledged = (renewal: StewardEvent) => [...election, table(2400, 20), tick(2401), lease(2402, a, 20), renewal, tick(2700)];
+const acknowledged = (renewal: StewardEvent) => [...election, table(2400, 20), tick(2401), leaseRequested(2402, a, 20), renewal, tick(2700)];
 
 const acknowledgedCases = [
 	{name: 'with the support that it renews', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1700})), drained: 20},
 	{name: 'with none that was requested before the tenure', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1600})), drained: 10},
 	{name: 'with none for an earlier incarnation', events: acknowledged(renewing(2403, c, 20, {steward: record('a', 0), askedAt: 1700})), drained: 10},
-	{name: 'with no support', events: acknowledged(lease(2403, c, 20)), drained: 10},
+	{name: 'with no support', events: acknowledged(leaseRequested(2403, c, 20)), drained: 10},
 ];
 
 const roundCases: readonly Case[] = [
@@ -159,7 +159,7 @@
 	},
 	{
 		name: 'requests support of a newcomer before it is seated',
-		events: [...election, lease(1700, record('d'), 10), ...ticks(1850), renewalBy(1851, record('d'), 1700), ...ticks(2100)],
+		events: [...election, leaseRequested(1700, record('d'), 10), ...ticks(1850), renewalBy(1851, record('d'), 1700), ...ticks(2100)],
 		expected: ['asks b', 'asks c', '1000 asked at 1700', 'asks c', 'asks d', '1000 asked at 1851', 'asks c'],
 	},
 ];
