--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -54,7 +54,7 @@
 	},
 });
 /** An instance requests a lease and renews its support. */
-export const renewing = (now: number, instance: InstanceRecord, applied: number, supportRenewal: SupportRenewal): StewardEvent => ({
+export const leaseRequestedWithRenewal = (now: number, instance: InstanceRecord, applied: number, supportRenewal: SupportRenewal): StewardEvent => ({
 	kind: 'leaseRequested', now, request: {
 		instance, applied, drained: applied, report: emptyReport, supportRenewal,
 	},
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	a, supportRequested, b, c, election, supportGranted, leaseRequested, record, renewing, table, tick,
+	a, supportRequested, b, c, election, supportGranted, leaseRequested, record, leaseRequestedWithRenewal, table, tick,
 } from './steward-events.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -22,7 +22,7 @@
 		steward, holdMilliseconds: 0, controlMilliseconds: 0, shares: [], ...(supportAskedAt !== undefined && {supportAskedAt}),
 	},
 });
-const renewalBy = (now: number, instance: InstanceRecord, askedAt: number, steward = a) => renewing(now, instance, 10, {steward, askedAt});
+const renewalBy = (now: number, instance: InstanceRecord, askedAt: number, steward = a) => leaseRequestedWithRenewal(now, instance, 10, {steward, askedAt});
 
 const ticks = (...moments: readonly number[]) => moments.map(now => tick(now));
 
@@ -133,9 +133,9 @@
 const acknowledged = (renewal: StewardEvent) => [...election, table(2400, 20), tick(2401), leaseRequested(2402, a, 20), renewal, tick(2700)];
 
 const acknowledgedCases = [
-	{name: 'with the support that it renews', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1700})), drained: 20},
-	{name: 'with none that was requested before the tenure', events: acknowledged(renewing(2403, c, 20, {steward: a, askedAt: 1600})), drained: 10},
-	{name: 'with none for an earlier incarnation', events: acknowledged(renewing(2403, c, 20, {steward: record('a', 0), askedAt: 1700})), drained: 10},
+	{name: 'with the support that it renews', events: acknowledged(leaseRequestedWithRenewal(2403, c, 20, {steward: a, askedAt: 1700})), drained: 20},
+	{name: 'with none that was requested before the tenure', events: acknowledged(leaseRequestedWithRenewal(2403, c, 20, {steward: a, askedAt: 1600})), drained: 10},
+	{name: 'with none for an earlier incarnation', events: acknowledged(leaseRequestedWithRenewal(2403, c, 20, {steward: record('a', 0), askedAt: 1700})), drained: 10},
 	{name: 'with no support', events: acknowledged(leaseRequested(2403, c, 20)), drained: 10},
 ];
 
