--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -60,7 +60,7 @@
 	},
 });
 /** Control grants or renews the delegation. */
-export const delegated = (now: number, sentAt: number, applied: number): StewardEvent => ({
+export const delegationGranted = (now: number, sentAt: number, applied: number): StewardEvent => ({
 	kind: 'delegationAnswered', now, sentAt, applied, answer: {termMilliseconds: 1500, shares: []},
 });
 
--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	a, supportRequested, b, c, delegated, election, supportGranted, leaseRequested, record, supportRefused, renewal, table, tick,
+	a, supportRequested, b, c, delegationGranted, election, supportGranted, leaseRequested, record, supportRefused, renewal, table, tick,
 } from './steward-events.js';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
@@ -45,7 +45,7 @@
 	},
 	{
 		name: 'counts a delegation from when it sent the request, and ends control leases with it',
-		events: [...election, delegated(2300, 1650, 10), ...renewal(2400, 10), leaseRequested(2700, a, 10), leaseRequested(3135, a, 10)],
+		events: [...election, delegationGranted(2300, 1650, 10), ...renewal(2400, 10), leaseRequested(2700, a, 10), leaseRequested(3135, a, 10)],
 		expected: ['drained 0', '1000/435', '750/0'],
 	},
 	{name: 'loses its tenure when a supporter that it needs leaves the roster', events: [...election, table(1700, 11, [a, c]), leaseRequested(1701, a, 11)], expected: ['0/0']},
@@ -84,12 +84,12 @@
 	},
 	{
 		name: 'refuses leases to older tables after a gap in its delegation',
-		events: [...election, delegated(1620, 1610, 10), table(2900, 30), ...renewal(3000, 10), delegated(3500, 3400, 30), leaseRequested(3501, c, 25), leaseRequested(3502, c, 30)],
+		events: [...election, delegationGranted(1620, 1610, 10), table(2900, 30), ...renewal(3000, 10), delegationGranted(3500, 3400, 30), leaseRequested(3501, c, 25), leaseRequested(3502, c, 30)],
 		expected: ['drained 10', '0/0', '983/983'],
 	},
 	{
 		name: 'grants leases to older tables while its delegation has no gap',
-		events: [...election, delegated(1620, 1610, 10), table(2200, 30), ...renewal(2300, 10), delegated(2400, 2300, 30), leaseRequested(2501, c, 25)],
+		events: [...election, delegationGranted(1620, 1610, 10), table(2200, 30), ...renewal(2300, 10), delegationGranted(2400, 2300, 30), leaseRequested(2501, c, 25)],
 		expected: ['drained 0', '1000/1000'],
 	},
 	{
