--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -67,4 +67,4 @@
 /** Elects `a` as steward at 1601 ms by its own support and that of `b`, both until 3085 ms. */
 export const election = [table(0, 10), tick(1600), supportGranted(1601, 1600, b, 10)];
 /** Renews the support by a tick and an answer of `b`. */
-export const renewal = (now: number, applied: number) => [tick(now), supportGranted(now + 1, now, b, applied)];
+export const renewalRound = (now: number, applied: number) => [tick(now), supportGranted(now + 1, now, b, applied)];
--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	a, supportRequested, b, c, delegationGranted, election, supportGranted, leaseRequested, record, supportRefused, renewal, table, tick,
+	a, supportRequested, b, c, delegationGranted, election, supportGranted, leaseRequested, record, supportRefused, renewalRound, table, tick,
 } from './steward-events.js';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
@@ -45,24 +45,24 @@
 	},
 	{
 		name: 'counts a delegation from when it sent the request, and ends control leases with it',
-		events: [...election, delegationGranted(2300, 1650, 10), ...renewal(2400, 10), leaseRequested(2700, a, 10), leaseRequested(3135, a, 10)],
+		events: [...election, delegationGranted(2300, 1650, 10), ...renewalRound(2400, 10), leaseRequested(2700, a, 10), leaseRequested(3135, a, 10)],
 		expected: ['drained 0', '1000/435', '750/0'],
 	},
 	{name: 'loses its tenure when a supporter that it needs leaves the roster', events: [...election, table(1700, 11, [a, c]), leaseRequested(1701, a, 11)], expected: ['0/0']},
 	{name: 'refuses a lease to an older table than its own at the election', events: [...election, leaseRequested(1602, c, 9), leaseRequested(1603, c, 10)], expected: ['0/0', '1000/0']},
 	{
 		name: 'reports nothing as drained until requests allowed by earlier stewards have expired',
-		events: [...election, leaseRequested(1602, a, 10), ...renewal(1700, 10), tick(2400), tick(2650)],
+		events: [...election, leaseRequested(1602, a, 10), ...renewalRound(1700, 10), tick(2400), tick(2650)],
 		expected: ['1000/0', 'drained 0', 'drained 0', 'drained 10'],
 	},
 	{
 		name: 'waits for a holder until its lease and its requests have expired',
-		events: [...election, leaseRequested(1700, c, 10, 5), ...renewal(2500, 10), ...renewal(3500, 10), tick(3536), tick(3600)],
+		events: [...election, leaseRequested(1700, c, 10, 5), ...renewalRound(2500, 10), ...renewalRound(3500, 10), tick(3536), tick(3600)],
 		expected: ['1000/0', 'drained 5', 'drained 5', 'drained 10'],
 	},
 	{
 		name: 'reports no more than a majority acknowledged',
-		events: [...election, table(2400, 20), leaseRequested(2401, a, 20), leaseRequested(2402, c, 20), ...renewal(2500, 10), tick(2800), ...renewal(2900, 20), tick(3150)],
+		events: [...election, table(2400, 20), leaseRequested(2401, a, 20), leaseRequested(2402, c, 20), ...renewalRound(2500, 10), tick(2800), ...renewalRound(2900, 20), tick(3150)],
 		expected: ['684/0', '683/0', 'drained 10', 'drained 10', 'drained 20'],
 	},
 	{
@@ -73,7 +73,7 @@
 	{
 		name: 'counts no acknowledgement once the support has expired',
 		events: [
-			...election, supportGranted(1602, 1600, c, 10), ...renewal(2900, 10), table(3200, 20), leaseRequested(3201, a, 20), leaseRequested(3202, c, 20), tick(3203),
+			...election, supportGranted(1602, 1600, c, 10), ...renewalRound(2900, 10), table(3200, 20), leaseRequested(3201, a, 20), leaseRequested(3202, c, 20), tick(3203),
 		],
 		expected: ['drained 10', '1000/0', '1000/0', 'drained 10'],
 	},
@@ -84,17 +84,17 @@
 	},
 	{
 		name: 'refuses leases to older tables after a gap in its delegation',
-		events: [...election, delegationGranted(1620, 1610, 10), table(2900, 30), ...renewal(3000, 10), delegationGranted(3500, 3400, 30), leaseRequested(3501, c, 25), leaseRequested(3502, c, 30)],
+		events: [...election, delegationGranted(1620, 1610, 10), table(2900, 30), ...renewalRound(3000, 10), delegationGranted(3500, 3400, 30), leaseRequested(3501, c, 25), leaseRequested(3502, c, 30)],
 		expected: ['drained 10', '0/0', '983/983'],
 	},
 	{
 		name: 'grants leases to older tables while its delegation has no gap',
-		events: [...election, delegationGranted(1620, 1610, 10), table(2200, 30), ...renewal(2300, 10), delegationGranted(2400, 2300, 30), leaseRequested(2501, c, 25)],
+		events: [...election, delegationGranted(1620, 1610, 10), table(2200, 30), ...renewalRound(2300, 10), delegationGranted(2400, 2300, 30), leaseRequested(2501, c, 25)],
 		expected: ['drained 0', '1000/1000'],
 	},
 	{
 		name: 'starts a new tenure after a pause',
-		events: [...election, leaseRequested(1700, a, 10), ...renewal(2500, 10), tick(5000), supportGranted(5001, 5000, b, 10), tick(5100), tick(5900)],
+		events: [...election, leaseRequested(1700, a, 10), ...renewalRound(2500, 10), tick(5000), supportGranted(5001, 5000, b, 10), tick(5100), tick(5900)],
 		expected: ['1000/0', 'drained 10', 'drained 0', 'drained 10'],
 	},
 	{name: 'ignores answers to requests from before a pause', events: [...election, supportGranted(4000, 2900, b, 10), supportGranted(4000, 2900, c, 10), leaseRequested(4001, a, 10)], expected: ['0/0']},
@@ -103,7 +103,7 @@
 		events: [table(0, 10), tick(1600), supportRefused(1601, 1600, c, b), supportGranted(1602, 1600, b, 10), leaseRequested(1603, a, 10), supportRequested(1604, b, 10)],
 		expected: ['0/0', 'supports'],
 	},
-	{name: 'does not renew its tenure once it resigned', events: [...election, {kind: 'resigned', now: 1602}, ...renewal(1900, 10), leaseRequested(3086, a, 10)], expected: ['drained 0', '0/0']},
+	{name: 'does not renew its tenure once it resigned', events: [...election, {kind: 'resigned', now: 1602}, ...renewalRound(1900, 10), leaseRequested(3086, a, 10)], expected: ['drained 0', '0/0']},
 ];
 
 for (const {name, events, expected} of cases) {
