--- a/packages/ownership/test/steward-events.ts
+++ b/packages/ownership/test/steward-events.ts
@@ -28,7 +28,7 @@
 }
 
 /** The instance applied a newer table with these members. */
-export const table = (now: number, applied: number, members = [a, b, c]): StewardEvent => ({
+export const tableChanged = (now: number, applied: number, members = [a, b, c]): StewardEvent => ({
 	kind: 'tableChanged', now, applied, table: tableOf(members),
 });
 /** A tick. */
@@ -65,6 +65,6 @@
 });
 
 /** Elects `a` as steward at 1601 ms by its own support and that of `b`, both until 3085 ms. */
-export const election = [table(0, 10), tick(1600), supportGranted(1601, 1600, b, 10)];
+export const election = [tableChanged(0, 10), tick(1600), supportGranted(1601, 1600, b, 10)];
 /** Renews the support by a tick and an answer of `b`. */
 export const renewalRound = (now: number, applied: number) => [tick(now), supportGranted(now + 1, now, b, applied)];
--- a/packages/ownership/test/test-renewal.ts
+++ b/packages/ownership/test/test-renewal.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	a, supportRequested, b, c, election, supportGranted, leaseRequested, record, leaseRequestedWithRenewal, table, tick,
+	a, supportRequested, b, c, election, supportGranted, leaseRequested, record, leaseRequestedWithRenewal, tableChanged, tick,
 } from './steward-events.js';
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -49,7 +49,7 @@
 
 type Case = {readonly name: string; readonly events: readonly StewardEvent[]; readonly expected: readonly string[]};
 
-const supporterOfB = [table(0, 10), supportRequested(1600, b, 10)];
+const supporterOfB = [tableChanged(0, 10), supportRequested(1600, b, 10)];
 
 const memberCases: readonly Case[] = [
 	{
@@ -88,7 +88,7 @@
 		events: [...supporterOfB, leaseAnswered(1650, b, 77), supportRequested(3200, c, 10), leaseSent(3201, b), supportRequested(3202, b, 10)],
 		expected: ['supports', 'supports', 'refuses'],
 	},
-	{name: 'promises nothing during its first term', events: [table(0, 10), leaseAnswered(1, b, 77), leaseSent(250, b), supportRequested(251, b, 10)], expected: ['refuses']},
+	{name: 'promises nothing during its first term', events: [tableChanged(0, 10), leaseAnswered(1, b, 77), leaseSent(250, b), supportRequested(251, b, 10)], expected: ['refuses']},
 	{name: 'renews nothing without a request for support', events: [...supporterOfB, leaseAnswered(1650, b), leaseSent(1900, b)], expected: ['supports']},
 ];
 
@@ -103,7 +103,7 @@
 	},
 	{
 		name: 'requests no support with lease answers while it is not elected',
-		events: [table(0, 10), tick(1600), leaseRequested(1601, b, 10)],
+		events: [tableChanged(0, 10), tick(1600), leaseRequested(1601, b, 10)],
 		expected: ['asks b', 'asks c', '0 asked at no time'],
 	},
 	{
@@ -130,7 +130,7 @@
 ];
 
 /** `b` acknowledged 10 and `c` nothing, so that a majority has acknowledged 20 only if the renewal counts. */
-const acknowledged = (renewal: StewardEvent) => [...election, table(2400, 20), tick(2401), leaseRequested(2402, a, 20), renewal, tick(2700)];
+const acknowledged = (renewal: StewardEvent) => [...election, tableChanged(2400, 20), tick(2401), leaseRequested(2402, a, 20), renewal, tick(2700)];
 
 const acknowledgedCases = [
 	{name: 'with the support that it renews', events: acknowledged(leaseRequestedWithRenewal(2403, c, 20, {steward: a, askedAt: 1700})), drained: 20},
@@ -140,7 +140,7 @@
 ];
 
 const roundCases: readonly Case[] = [
-	{name: 'requests support of all members in an election', events: [table(0, 10), tick(1600), tick(1850)], expected: ['asks b', 'asks c', 'asks b', 'asks c']},
+	{name: 'requests support of all members in an election', events: [tableChanged(0, 10), tick(1600), tick(1850)], expected: ['asks b', 'asks c', 'asks b', 'asks c']},
 	{name: 'requests support only of members that have not renewed', events: [...election, ...ticks(1850, 2100)], expected: ['asks b', 'asks c', 'asks c', 'asks c']},
 	{
 		name: 'requests support as soon as a renewal is overdue',
