--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -28,7 +28,7 @@
 	});
 }
 
-const starts: ReadonlyArray<{readonly name: string; readonly lease: LeaseState; readonly at: number; readonly assignment?: Assignment; readonly expected: string}> = [
+const startCases: ReadonlyArray<{readonly name: string; readonly lease: LeaseState; readonly at: number; readonly assignment?: Assignment; readonly expected: string}> = [
 	{
 		name: 'no lease', lease: createLease(terms), at: 0, expected: '',
 	},
@@ -52,7 +52,7 @@
 	},
 ];
 
-for (const {name, lease, at, assignment = granted, expected} of starts) {
+for (const {name, lease, at, assignment = granted, expected} of startCases) {
 	test(`lease: which requests may start: ${name}`, () => {
 		const held = mayStart(lease, at, assignment, true) ? ['held'] : [];
 		const other = mayStart(lease, at, assignment, false) ? ['other'] : [];
