--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -60,7 +60,7 @@
 	});
 }
 
-const dues: ReadonlyArray<{readonly name: string; readonly now: number; readonly applied?: number; readonly drained?: number; readonly expected: boolean}> = [
+const dueCases: ReadonlyArray<{readonly name: string; readonly now: number; readonly applied?: number; readonly drained?: number; readonly expected: boolean}> = [
 	{name: 'no progress', now: 249, expected: false},
 	{name: 'a renewal', now: 250, expected: true},
 	{
@@ -74,7 +74,7 @@
 	},
 ];
 
-for (const {name, now, applied = 10, drained = 5, expected} of dues) {
+for (const {name, now, applied = 10, drained = 5, expected} of dueCases) {
 	test(`lease: when a request is due: ${name}`, () => {
 		const lease = requestSent(createLease(terms), {now: 0, applied: 10, drained: 5});
 		assert.equal(requestDue(lease, now, applied, drained), expected);
