--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -81,7 +81,7 @@
 	});
 }
 
-const drains: ReadonlyArray<{
+const drainCases: ReadonlyArray<{
 	readonly name: string;
 	readonly assignment: Assignment;
 	readonly at?: number;
@@ -110,7 +110,7 @@
 	},
 ];
 
-for (const {name, assignment, at = 10, finish, expected} of drains) {
+for (const {name, assignment, at = 10, finish, expected} of drainCases) {
 	test(`drain: one request in flight: ${name}`, () => {
 		const state: OwnershipState = {...emptyOwnership, services: {s: {service: 's', assignments: [assignment], pinned: []}}};
 		const flights = createInFlightTracker(terms);
