--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -98,8 +98,8 @@
 		}, expected: 30,
 	},
 	{
-		name: 'abandoned', assignment: revoking, finish(flights, flight) {
-			flights.abandoned(flight);
+		name: 'abandoned', assignment: revoking, finish(tracker, flight) {
+			tracker.abandoned(flight);
 		}, expected: 19,
 	},
 	{
