--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -113,10 +113,10 @@
 for (const {name, assignment, at = 10, finish, expected} of drainCases) {
 	test(`drain: one request in flight: ${name}`, () => {
 		const state: OwnershipState = {...emptyOwnership, services: {s: {service: 's', assignments: [assignment], pinned: []}}};
-		const flights = createInFlightTracker(terms);
-		const flight = flights.started('s', 0, 7, 0, 1000);
-		finish?.(flights, flight);
-		assert.equal(flights.drained(state, 30, at), expected);
+		const tracker = createInFlightTracker(terms);
+		const flight = tracker.started('s', 0, 7, 0, 1000);
+		finish?.(tracker, flight);
+		assert.equal(tracker.drained(state, 30, at), expected);
 	});
 }
 
