--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -85,7 +85,7 @@
 	readonly name: string;
 	readonly assignment: Assignment;
 	readonly at?: number;
-	readonly finish?: (tracker: InFlightTracker, flight: ReturnType<InFlightTracker['started']>) => void;
+	readonly finish?: (tracker: InFlightTracker, requests: ReturnType<InFlightTracker['started']>) => void;
 	readonly expected: number;
 }> = [
 	{name: 'still allowed', assignment: granted, expected: 30},
