--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -93,8 +93,8 @@
 	{name: 'the slot is vacant', assignment: vacant, expected: 7},
 	{name: 'granted again', assignment: {...granted, fence: 25}, expected: 7},
 	{
-		name: 'ended', assignment: revoking, finish(tracker, flight) {
-			tracker.ended(flight);
+		name: 'ended', assignment: revoking, finish(tracker, requests) {
+			tracker.ended(requests);
 		}, expected: 30,
 	},
 	{
