--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -114,8 +114,8 @@
 	test(`drain: one request in flight: ${name}`, () => {
 		const state: OwnershipState = {...emptyOwnership, services: {s: {service: 's', assignments: [assignment], pinned: []}}};
 		const tracker = createInFlightTracker(terms);
-		const flight = tracker.started('s', 0, 7, 0, 1000);
-		finish?.(tracker, flight);
+		const requests = tracker.started('s', 0, 7, 0, 1000);
+		finish?.(tracker, requests);
 		assert.equal(tracker.drained(state, 30, at), expected);
 	});
 }
