--- a/packages/ownership/test/test-served-again.ts
+++ b/packages/ownership/test/test-served-again.ts
@@ -13,15 +13,15 @@
 const detectionMilliseconds = 1000;
 const lostAt = 10_000;
 
-const cases: ReadonlyArray<{readonly name: string; readonly loss: number; readonly withLeader: boolean; readonly most: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly loss: number; readonly withLeader: boolean; readonly maximumMilliseconds: number}> = [
 	{
-		name: 'one upstream freezes', loss: 0, withLeader: false, most: 4000,
+		name: 'one upstream freezes', loss: 0, withLeader: false, maximumMilliseconds: 4000,
 	},
 	{
-		name: 'one upstream freezes, 1 in 100 messages is lost', loss: 0.01, withLeader: false, most: Infinity,
+		name: 'one upstream freezes, 1 in 100 messages is lost', loss: 0.01, withLeader: false, maximumMilliseconds: Infinity,
 	},
 	{
-		name: 'one upstream freezes, and the leader is replaced', loss: 0, withLeader: true, most: Infinity,
+		name: 'one upstream freezes, and the leader is replaced', loss: 0, withLeader: true, maximumMilliseconds: Infinity,
 	},
 ];
 
@@ -51,7 +51,7 @@
 	return [...keys].map(key => (later.find(work => work.key === key)?.startedAt ?? Infinity) - lostAt);
 }
 
-for (const {name, loss, withLeader, most} of cases) {
+for (const {name, loss, withLeader, maximumMilliseconds: most} of cases) {
 	test(`served again: ${name} (seed ${seed}, ${runs} runs)`, () => {
 		const times = Array.from({length: runs}, (_, run) => measure(seed + run, loss, withLeader)).flat().sort((one, other) => one - other);
 		const at = (share: number) => Math.round(times[Math.min(times.length - 1, Math.floor(share * times.length))]!);
