--- a/packages/ownership/test/actors.ts
+++ b/packages/ownership/test/actors.ts
@@ -5,7 +5,7 @@
 import {type FailureKind} from '@dogwooddeck/model/failure';
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
-import {Process} from './world.js';
+import {Process} from './simulation.js';
 import {type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {type LeaseState} from '@dogwooddeck/ownership/lease';
 import {type StewardState} from '@dogwooddeck/ownership/steward-state';
--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -9,7 +9,7 @@
 	type Instance, services, slotCount, type Upstream,
 } from './actors.js';
 import {type Schedule} from './schedule.js';
-import {Process} from './world.js';
+import {Process} from './simulation.js';
 import {
 	clear, createGrantor, type GrantorState, stepGrantor,
 } from '@dogwooddeck/ownership/grantor';
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -7,7 +7,7 @@
 import {type InstanceIdentity, type LogIndex} from '@dogwooddeck/model/identifiers';
 import {emptyReport} from '@dogwooddeck/model/lease';
 import {Leadership} from './leadership.js';
-import {Simulation} from './world.js';
+import {Simulation} from './simulation.js';
 import {
 	Instance, type Plan, type Refusal, services, slotCount, Upstream, type SentRequest,
 } from './actors.js';
