--- a/packages/ownership/src/candidacy.ts
+++ b/packages/ownership/src/candidacy.ts
@@ -101,7 +101,7 @@
 		: Math.max(Math.min(renewal, nextOverdueAt(state)), state.candidacyNotBefore);
 }
 
-function withdrawalAt({candidateSince: candidateSince = Infinity, terms}: StewardState): MonotonicTime {
+function withdrawalAt({candidateSince = Infinity, terms}: StewardState): MonotonicTime {
 	return candidateSince + (2 * terms.renewMilliseconds);
 }
 
--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -44,7 +44,7 @@
 	#pendingCommits: Array<() => void> = [];
 
 	constructor(readonly schedule: Schedule) {
-		const {simulation: simulation, plan} = schedule;
+		const {simulation, plan} = schedule;
 		const zones = plan.zones.length > 1 ? plan.zones : ['a1', 'a1', 'a1'];
 		this.voters = Array.from({length: 3}, (_, number) => {
 			const drift = plan.driftRatio * ((2 * simulation.random()) - 1);
@@ -118,7 +118,7 @@
 	}
 
 	#elect(voter: Voter): void {
-		const {simulation: simulation, states} = this.schedule;
+		const {simulation, states} = this.schedule;
 		for (const commit of this.#pendingCommits.splice(0)) {
 			if (simulation.random() < 0.5) {
 				commit();
@@ -135,7 +135,7 @@
 
 	#supervise(): void {
 		const leader = this.#leader;
-		const {simulation: simulation} = this.schedule;
+		const {simulation} = this.schedule;
 		if (leader !== undefined && this.#hasQuorum(leader)) {
 			this.#leaderlessSince = simulation.time;
 		} else if (simulation.time - this.#leaderlessSince > electionMilliseconds) {
@@ -148,7 +148,7 @@
 	}
 
 	#scheduleHeartbeat(voter: Voter): void {
-		const {simulation: simulation} = this.schedule;
+		const {simulation} = this.schedule;
 		if (voter.leaderState !== undefined) {
 			this.#runLeader(voter, voter.leaderState);
 		}
@@ -253,7 +253,7 @@
 
 	/** Unseats random instances, which may be alive and then request a seat again. */
 	#unseatings(leaderState: LeaderState, table: OwnershipState): readonly OwnershipCommand[] {
-		const {simulation: simulation, plan} = this.schedule;
+		const {simulation, plan} = this.schedule;
 		return Object.values(table.rosters)
 			.filter(roster => roster.members.length > 1 && mayChangeRoster(leaderState.grantor, roster) && simulation.random() < plan.moves / 400)
 			.map(({zone, members, changedAt}) => {
@@ -265,13 +265,13 @@
 	}
 
 	#policy(): PolicyTerms {
-		const {simulation: simulation, plan} = this.schedule;
+		const {simulation, plan} = this.schedule;
 		const whenCut = simulation.random() < 0.5 ? PartitionPolicy.hold : PartitionPolicy.takeOver;
 		return {whenCut, longestDeadlineMilliseconds: plan.longestDeadlineMilliseconds * (0.2 + simulation.random())};
 	}
 
 	#pinning(table: OwnershipState, service: string): OwnershipCommand {
-		const {simulation: simulation} = this.schedule;
+		const {simulation} = this.schedule;
 		const pinned = simulation.pick(table.services[service]?.pinned ?? []);
 		if (pinned !== undefined && simulation.random() < 0.5) {
 			return {kind: 'keyUnpinned', service, key: pinned.key};
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -252,7 +252,7 @@
 	}
 
 	#start(instance: Instance, key: string, {service, slot, fence}: {service: string; slot: number; fence: number}, upstream: Upstream): void {
-		const {simulation: simulation} = this;
+		const {simulation} = this;
 		const now = simulation.now(instance);
 		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
 		const tracked = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
@@ -260,7 +260,7 @@
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
 		this.#checkExclusive(sentRequest);
-		const {inFlightTracker: inFlightTracker} = instance;
+		const {inFlightTracker} = instance;
 		let hasEnded = false;
 		const end = (finish: (of: typeof tracked) => void) => {
 			if (!hasEnded) {
--- a/packages/ownership/test/simulation.ts
+++ b/packages/ownership/test/simulation.ts
@@ -93,7 +93,7 @@
 
 	/** Schedules work of a process's current incarnation. */
 	afterIn(process: Process, milliseconds: number, work: () => void): void {
-		const {incarnation: incarnation} = process;
+		const {incarnation} = process;
 		this.after(milliseconds, () => {
 			process.run(incarnation, work);
 		});
@@ -109,7 +109,7 @@
 
 	/** Sends a request to a process and delivers its answer. */
 	call<Answer>(from: Process, to: Process, handle: () => Answer | undefined, onAnswer: (answer: Answer) => void): void {
-		const {incarnation: incarnation} = from;
+		const {incarnation} = from;
 		this.send(from, to, () => {
 			const answer = handle();
 			if (answer !== undefined) {
@@ -156,7 +156,7 @@
 			return;
 		}
 
-		const {incarnation: incarnation} = to;
+		const {incarnation} = to;
 		this.after(this.#delay(from.zone, to.zone), () => {
 			if (this.reaches(from, to)) {
 				to.run(incarnation, work);
--- a/packages/ownership/test/test-partition.ts
+++ b/packages/ownership/test/test-partition.ts
@@ -99,12 +99,12 @@
 	}));
 }
 
-for (const {name, zones, partitioned: partitioned, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
+for (const {name, zones, partitioned, leaderIn = 'n1', restartInside = false, expected, healedWithin} of cases) {
 	test(`partition: ${name}`, () => {
 		const schedule = new Schedule({
 			seed: 7, zones, perZone: 3, loss: 0, moves: 0, driftRatio: 0.01, longestDeadlineMilliseconds: 800,
 		});
-		const {simulation: simulation, leadership} = schedule;
+		const {simulation, leadership} = schedule;
 		leadership.depose(voter => voter.zone === leaderIn);
 		const partitionedUpstreams = schedule.upstreams.filter(upstream => partitioned.includes(upstream.zone)).map(upstream => upstream.name);
 		simulation.after(partitionedAt, () => {
