--- a/packages/ownership/src/candidacy.ts
+++ b/packages/ownership/src/candidacy.ts
@@ -161,9 +161,9 @@
 }
 
 function afterRefusal(state: StewardState, answer: SupportAnswer, now: MonotonicTime): StewardState {
-	const other = answer.supported !== undefined && !sameInstance(answer.supported, state.self);
+	const supportsOther = answer.supported !== undefined && !sameInstance(answer.supported, state.self);
 	const isBehind = answer.applied > state.applied;
-	return state.electedAt === undefined && (other || isBehind) ? withdrawCandidacy(state, now) : state;
+	return state.electedAt === undefined && (supportsOther || isBehind) ? withdrawCandidacy(state, now) : state;
 }
 
 /** Counts an answer to a request for support, unless it belongs to an earlier candidacy. */
