--- a/packages/ownership/src/observation.ts
+++ b/packages/ownership/src/observation.ts
@@ -11,10 +11,10 @@
 import {type OwnershipState, type ZoneRoster} from './state.js';
 
 /** The first observation of a later incarnation of an instance. */
-export type SeatSighting = {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
+export type SeatObservation = {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
 
 /** Observations by instance name. */
-export type SeatSightings = Readonly<Record<InstanceName, SeatSighting>>;
+export type SeatSightings = Readonly<Record<InstanceName, SeatObservation>>;
 
 function seatedIncarnation(table: OwnershipState, {name, zone}: InstanceRecord): Incarnation {
 	const roster = table.rosters[zone];
