--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -9,7 +9,7 @@
 import {type DelegationAnswer, type DelegationRequest, type SeatRequest} from '@dogwooddeck/model/lease';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
 import {type ServicePolicy, someMayHold, waitedDeadline} from './policy.js';
-import {recordSeatRequest, type SeatSightings} from './observation.js';
+import {recordSeatRequest, type SeatObservations} from './observation.js';
 import {
 	assignmentOf, type OwnershipState, revokedAtOf, type ZoneRoster,
 } from './state.js';
@@ -39,7 +39,7 @@
 	readonly startIndex: LogIndex;
 	readonly zones: Readonly<Record<ZoneName, ZoneDelegation>>;
 	readonly releases: Readonly<Record<ZoneName, ReleaseObservation>>;
-	readonly sightings: SeatSightings;
+	readonly sightings: SeatObservations;
 	/** The policy changes that every zone has applied and that aren't settled yet, by service. */
 	readonly settling: Readonly<Record<ServiceName, SettlingPolicy>>;
 };
--- a/packages/ownership/src/observation.ts
+++ b/packages/ownership/src/observation.ts
@@ -14,7 +14,7 @@
 export type SeatObservation = {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
 
 /** Observations by instance name. */
-export type SeatSightings = Readonly<Record<InstanceName, SeatObservation>>;
+export type SeatObservations = Readonly<Record<InstanceName, SeatObservation>>;
 
 function seatedIncarnation(table: OwnershipState, {name, zone}: InstanceRecord): Incarnation {
 	const roster = table.rosters[zone];
@@ -23,7 +23,7 @@
 }
 
 /** Records a seat request. The first observation of a later incarnation is kept until that incarnation is seated. */
-export function recordSeatRequest(sightings: SeatSightings, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatSightings {
+export function recordSeatRequest(sightings: SeatObservations, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatObservations {
 	const {instance} = request;
 	const recorded = sightings[instance.name];
 	const isUnseated = recorded !== undefined && recorded.incarnation > seatedIncarnation(table, instance);
@@ -34,7 +34,7 @@
 	return {...sightings, [instance.name]: {incarnation: instance.incarnation, heardAt: now}};
 }
 
-function intersectsEveryMajority(members: readonly InstanceRecord[], sightings: SeatSightings): boolean {
+function intersectsEveryMajority(members: readonly InstanceRecord[], sightings: SeatObservations): boolean {
 	const restarted = members.filter(member => (sightings[member.name]?.incarnation ?? -Infinity) > member.incarnation);
 	return members.length === 0 || restarted.length > members.length - majorityOf(members.length);
 }
@@ -43,7 +43,7 @@
  * Whether so many members have restarted that no majority can support a steward
  * any more, neither of the current roster nor of the previous one.
  */
-export function hasLostMajority(roster: ZoneRoster, sightings: SeatSightings): boolean {
+export function hasLostMajority(roster: ZoneRoster, sightings: SeatObservations): boolean {
 	return roster.members.length + roster.previousMembers.length > 0
 		&& intersectsEveryMajority(roster.members, sightings)
 		&& intersectsEveryMajority(roster.previousMembers, sightings);
