--- a/packages/ownership/src/observation.ts
+++ b/packages/ownership/src/observation.ts
@@ -23,15 +23,15 @@
 }
 
 /** Records a seat request. The first observation of a later incarnation is kept until that incarnation is seated. */
-export function recordSeatRequest(sightings: SeatObservations, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatObservations {
+export function recordSeatRequest(observations: SeatObservations, request: SeatRequest, table: OwnershipState, now: MonotonicTime): SeatObservations {
 	const {instance} = request;
-	const recorded = sightings[instance.name];
+	const recorded = observations[instance.name];
 	const isUnseated = recorded !== undefined && recorded.incarnation > seatedIncarnation(table, instance);
 	if (isUnseated || (recorded !== undefined && instance.incarnation <= recorded.incarnation)) {
-		return sightings;
+		return observations;
 	}
 
-	return {...sightings, [instance.name]: {incarnation: instance.incarnation, heardAt: now}};
+	return {...observations, [instance.name]: {incarnation: instance.incarnation, heardAt: now}};
 }
 
 function intersectsEveryMajority(members: readonly InstanceRecord[], sightings: SeatObservations): boolean {
