--- a/packages/ownership/src/observation.ts
+++ b/packages/ownership/src/observation.ts
@@ -34,8 +34,8 @@
 	return {...observations, [instance.name]: {incarnation: instance.incarnation, heardAt: now}};
 }
 
-function intersectsEveryMajority(members: readonly InstanceRecord[], sightings: SeatObservations): boolean {
-	const restarted = members.filter(member => (sightings[member.name]?.incarnation ?? -Infinity) > member.incarnation);
+function intersectsEveryMajority(members: readonly InstanceRecord[], observations: SeatObservations): boolean {
+	const restarted = members.filter(member => (observations[member.name]?.incarnation ?? -Infinity) > member.incarnation);
 	return members.length === 0 || restarted.length > members.length - majorityOf(members.length);
 }
 
