--- a/packages/ownership/src/observation.ts
+++ b/packages/ownership/src/observation.ts
@@ -43,8 +43,8 @@
  * Whether so many members have restarted that no majority can support a steward
  * any more, neither of the current roster nor of the previous one.
  */
-export function hasLostMajority(roster: ZoneRoster, sightings: SeatObservations): boolean {
+export function hasLostMajority(roster: ZoneRoster, observations: SeatObservations): boolean {
 	return roster.members.length + roster.previousMembers.length > 0
-		&& intersectsEveryMajority(roster.members, sightings)
-		&& intersectsEveryMajority(roster.previousMembers, sightings);
+		&& intersectsEveryMajority(roster.members, observations)
+		&& intersectsEveryMajority(roster.previousMembers, observations);
 }
