--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -8,7 +8,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {type DelegationAnswer, type DelegationRequest, type SeatRequest} from '@dogwooddeck/model/lease';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
-import {type ServicePolicy, someMayHold, waitedDeadline} from './policy.js';
+import {type ServicePolicy, someMayHold, longestInFlightDeadline} from './policy.js';
 import {recordSeatRequest, type SeatObservations} from './observation.js';
 import {
 	assignmentOf, type OwnershipState, revokedAtOf, type ZoneRoster,
@@ -167,12 +167,12 @@
 
 function clearedByRelease(grantor: GrantorState, roster: ZoneRoster, {policy, revokedAt, now}: RevocationCheck): boolean {
 	const isCovered = isReleased(roster) || revokedAt <= (roster.releasedAt ?? 0);
-	return isCovered && releaseWaited(grantor, roster, waitedDeadline(policy), now);
+	return isCovered && releaseWaited(grantor, roster, longestInFlightDeadline(policy), now);
 }
 
 function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: RevocationCheck): boolean {
 	const mayBeHeld = roster.zone === (ownerZone ?? roster.zone) && someMayHold(policy);
-	const wait = grantorWait(waitedDeadline(policy), grantor.terms);
+	const wait = grantorWait(longestInFlightDeadline(policy), grantor.terms);
 	return !mayBeHeld && now >= zoneOf(grantor, roster.zone).delegatedUntil + wait;
 }
 
--- a/packages/ownership/src/policy.ts
+++ b/packages/ownership/src/policy.ts
@@ -39,7 +39,7 @@
 }
 
 /** Returns the longest deadline that an in-flight request may have. */
-export function waitedDeadline(policy: ServicePolicy): Milliseconds {
+export function longestInFlightDeadline(policy: ServicePolicy): Milliseconds {
 	return Math.max(policy.longestDeadlineMilliseconds, policy.former?.longestDeadlineMilliseconds ?? 0);
 }
 
--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -7,14 +7,14 @@
 import {
 	type GrantorState, isReleased, releaseWaited, type SettlingPolicy, zoneOf,
 } from './grantor.js';
-import {type ServicePolicy, waitedDeadline} from './policy.js';
+import {type ServicePolicy, longestInFlightDeadline} from './policy.js';
 import {type OwnershipState} from './state.js';
 import {grantorWait} from './terms.js';
 
 function everyZoneApplied(grantor: GrantorState, table: OwnershipState, policy: ServicePolicy, now: MonotonicTime): boolean {
 	return Object.values(table.rosters).every(roster =>
 		zoneOf(grantor, roster.zone).drained >= policy.changedAt
-		|| (isReleased(roster) && releaseWaited(grantor, roster, waitedDeadline(policy), now)));
+		|| (isReleased(roster) && releaseWaited(grantor, roster, longestInFlightDeadline(policy), now)));
 }
 
 function settlingOf(grantor: GrantorState, policy: ServicePolicy, now: MonotonicTime): SettlingPolicy {
@@ -31,7 +31,7 @@
 	const unsettled = Object.values(table.policies).filter(policy => policy.former !== undefined);
 	const applied = unsettled.filter(policy => everyZoneApplied(grantor, table, policy, now));
 	const entries = applied.map(policy => [policy, settlingOf(grantor, policy, now)] as const);
-	const expired = entries.filter(([policy, {since}]) => now >= since + grantorWait(waitedDeadline(policy), grantor.terms));
+	const expired = entries.filter(([policy, {since}]) => now >= since + grantorWait(longestInFlightDeadline(policy), grantor.terms));
 	const commands = expired.map(([{service, changedAt}]): PolicySettled => ({kind: 'policySettled', service, changedAt}));
 	const settling = Object.fromEntries(entries.map(([{service}, since]) => [service, since]));
 	return {grantor: {...grantor, settling}, commands};
--- a/packages/ownership/src/state.ts
+++ b/packages/ownership/src/state.ts
@@ -9,7 +9,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type ReleaseReason} from './command.js';
-import {type ServicePolicy, waitedDeadline} from './policy.js';
+import {type ServicePolicy, longestInFlightDeadline} from './policy.js';
 
 /** The roster of a zone: the instances that elect its steward (the zone's lease distributor). */
 export type ZoneRoster = {
@@ -59,7 +59,7 @@
 
 /** Returns the longest deadline that an in-flight request of any service may have. */
 export function longestDeadlineOf(state: OwnershipState): Milliseconds {
-	return Object.values(state.policies).reduce((longest, policy) => Math.max(longest, waitedDeadline(policy)), 0);
+	return Object.values(state.policies).reduce((longest, policy) => Math.max(longest, longestInFlightDeadline(policy)), 0);
 }
 
 /** Returns the instances of all zones that have a seat, which is membership in their zone's roster. */
