--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -140,7 +140,7 @@
 }
 
 /** Whether all leases and requests that a released roster allowed have expired: a steward's term and the longest deadline have passed. */
-export function releaseWaited(grantor: GrantorState, roster: ZoneRoster, longestDeadline: Milliseconds, now: MonotonicTime): boolean {
+export function isReleaseExpired(grantor: GrantorState, roster: ZoneRoster, longestDeadline: Milliseconds, now: MonotonicTime): boolean {
 	const observed = grantor.releases[roster.zone];
 	if (observed === undefined || observed.releasedAt !== roster.releasedAt) {
 		return false;
@@ -167,7 +167,7 @@
 
 function clearedByRelease(grantor: GrantorState, roster: ZoneRoster, {policy, revokedAt, now}: RevocationCheck): boolean {
 	const isCovered = isReleased(roster) || revokedAt <= (roster.releasedAt ?? 0);
-	return isCovered && releaseWaited(grantor, roster, longestInFlightDeadline(policy), now);
+	return isCovered && isReleaseExpired(grantor, roster, longestInFlightDeadline(policy), now);
 }
 
 function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: RevocationCheck): boolean {
--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -10,7 +10,7 @@
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type OwnershipCommand, ReleaseReason} from './command.js';
 import {
-	type GrantorState, isReleased, releaseWaited, zoneOf,
+	type GrantorState, isReleased, isReleaseExpired, zoneOf,
 } from './grantor.js';
 import {hasLostMajority} from './observation.js';
 import {longestDeadlineOf, type OwnershipState, type ZoneRoster} from './state.js';
@@ -51,7 +51,7 @@
 
 /** Whether any instance may take the first seat: all leases and requests that earlier members allowed have expired. */
 function isFirstSeatOpen(grantor: GrantorState, table: OwnershipState, roster: ZoneRoster, now: MonotonicTime): boolean {
-	return isReleased(roster) && releaseWaited(grantor, roster, longestDeadlineOf(table), now);
+	return isReleased(roster) && isReleaseExpired(grantor, roster, longestDeadlineOf(table), now);
 }
 
 /** Whether a roster has a single member that is also in every majority of the previous roster. */
