--- a/packages/ownership/src/lease.ts
+++ b/packages/ownership/src/lease.ts
@@ -39,7 +39,7 @@
 }
 
 /** Whether a request is due now. */
-export function requestDue(lease: LeaseState, now: MonotonicTime, applied: LogIndex, drained: LogIndex): boolean {
+export function isRequestDue(lease: LeaseState, now: MonotonicTime, applied: LogIndex, drained: LogIndex): boolean {
 	return now >= requestDueAt(lease, applied, drained);
 }
 
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -14,7 +14,7 @@
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createInFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
-	answered, createLease, isHeld, mayStart, requestDue, requestSent,
+	answered, createLease, isHeld, mayStart, isRequestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
 import {routedDeadline} from '@dogwooddeck/ownership/policy';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -172,7 +172,7 @@
 	#requestLease(instance: Instance, now: number): void {
 		const {applied} = instance;
 		const drained = instance.inFlightTracker.drained(this.states[applied]!, applied, now);
-		if (!requestDue(instance.lease, now, applied, drained)) {
+		if (!isRequestDue(instance.lease, now, applied, drained)) {
 			return;
 		}
 
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -6,7 +6,7 @@
 import {AssignmentPhase, type Assignment} from '@dogwooddeck/model/assignment';
 import {createInFlightTracker, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
-	answered, createLease, type LeaseState, mayStart, requestDue, requestSent,
+	answered, createLease, type LeaseState, mayStart, isRequestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
 import {emptyOwnership, type OwnershipState} from '@dogwooddeck/ownership/table';
 import {defaultLeaseTerms as terms, timeToServeAgain} from '@dogwooddeck/ownership/terms';
@@ -77,7 +77,7 @@
 for (const {name, now, applied = 10, drained = 5, expected} of dueCases) {
 	test(`lease: when a request is due: ${name}`, () => {
 		const lease = requestSent(createLease(terms), {now: 0, applied: 10, drained: 5});
-		assert.equal(requestDue(lease, now, applied, drained), expected);
+		assert.equal(isRequestDue(lease, now, applied, drained), expected);
 	});
 }
 
