--- a/packages/ownership/test/test-served-again.ts
+++ b/packages/ownership/test/test-served-again.ts
@@ -38,7 +38,7 @@
 	schedule.run(lostAt);
 	const lost = schedule.upstreams[runSeed % schedule.upstreams.length]!;
 	lost.paused = true;
-	const keys = new Set(schedule.sentRequests.filter(request => request.startedAt > lostAt - 1000 && request.upstream === lost).map(work => work.key));
+	const keys = new Set(schedule.sentRequests.filter(request => request.startedAt > lostAt - 1000 && request.upstream === lost).map(request => request.key));
 	schedule.simulation.after(detectionMilliseconds, () => {
 		schedule.leadership.lost.add(lost.name);
 		if (withLeader) {
