--- a/packages/ownership/test/test-served-again.ts
+++ b/packages/ownership/test/test-served-again.ts
@@ -48,7 +48,7 @@
 	schedule.run(lostAt + 12_000);
 	assert.deepEqual(schedule.violations, []);
 	const later = schedule.sentRequests.filter(request => request.startedAt > lostAt && request.upstream !== lost);
-	return [...keys].map(key => (later.find(work => work.key === key)?.startedAt ?? Infinity) - lostAt);
+	return [...keys].map(key => (later.find(request => request.key === key)?.startedAt ?? Infinity) - lostAt);
 }
 
 for (const {name, loss, withLeader, maximumMilliseconds: most} of cases) {
