--- a/packages/ownership/test/test-partition.ts
+++ b/packages/ownership/test/test-partition.ts
@@ -85,8 +85,8 @@
 		return cell;
 	};
 
-	for (const work of schedule.sentRequests.filter(({startedAt}) => startedAt >= from && startedAt < until)) {
-		cellOf(work.from, work.service, work.upstream.zone).served = true;
+	for (const request of schedule.sentRequests.filter(({startedAt}) => startedAt >= from && startedAt < until)) {
+		cellOf(request.from, request.service, request.upstream.zone).served = true;
 	}
 
 	for (const {zone, service, ownerZone, kind} of schedule.refused.filter(({at}) => at >= from && at < until)) {
