--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -95,9 +95,9 @@
 	};
 }
 
-function checkRevocation(now: number, service: string, isZoneKnown = true): Step {
+function checkRevocation(now: number, service: string, isZoneRecorded = true): Step {
 	return (grantor, table) => {
-		const revocation = {service, slot: 0, ...(isZoneKnown && {ownerZone: 'n1'})};
+		const revocation = {service, slot: 0, ...(isZoneRecorded && {ownerZone: 'n1'})};
 		const result = clear(grantor, table, revocation, now);
 		return {grantor: result.grantor, shown: result.cleared ? 'cleared' : blockingZones(grantor, table, revocation, now).join(' ')};
 	};
