--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -13,7 +13,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase} from '@dogwooddeck/model/registry';
 import {type Grant} from '@dogwooddeck/ownership/command';
-import {clear, type Revocation, zoneOf} from '@dogwooddeck/ownership/grantor';
+import {clearRevocation, type Revocation, zoneOf} from '@dogwooddeck/ownership/grantor';
 import {someMayHold} from '@dogwooddeck/ownership/policy';
 import {noRates, ratesOf} from '@dogwooddeck/placement/load';
 import {type PlacementInput} from '@dogwooddeck/placement/input';
@@ -91,7 +91,7 @@
 		const revocation = revocationOf(control, assignment);
 		const evidence = `${assignment.revokedAt}\n${revocation.ownerZone}`;
 		if (!looked.has(evidence)) {
-			const result = clear(grantor, control.ownership, revocation, now);
+			const result = clearRevocation(grantor, control.ownership, revocation, now);
 			({grantor} = result);
 			looked.set(evidence, result.cleared);
 		}
--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -213,7 +213,7 @@
  * returned state: it ensures that zones without a delegation get one only after
  * they have applied the revocation.
  */
-export function clear(
+export function clearRevocation(
 	grantor: GrantorState,
 	table: OwnershipState,
 	revocation: Revocation,
--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -11,7 +11,7 @@
 import {type Schedule} from './schedule.js';
 import {Process} from './simulation.js';
 import {
-	clear, createGrantor, type GrantorState, stepGrantor,
+	clearRevocation, createGrantor, type GrantorState, stepGrantor,
 } from '@dogwooddeck/ownership/grantor';
 import {type PolicyTerms} from '@dogwooddeck/ownership/policy';
 import {mayChangeRoster, proposeSeat, settleRosters} from '@dogwooddeck/ownership/seat';
@@ -208,7 +208,7 @@
 				const pinned = slot < slotCount || table.services[service]!.pinned.some(key => key.slot === slot);
 				const ownerZone = phase === 'vacant' ? '' : this.schedule.upstreamOf(assignment.owner.name).zone;
 				const result = phase === 'revoking'
-					? clear(leaderState.grantor, table, {service, slot, ownerZone}, now)
+					? clearRevocation(leaderState.grantor, table, {service, slot, ownerZone}, now)
 					: {grantor: leaderState.grantor, cleared: phase === 'vacant' && pinned};
 				leaderState.grantor = result.grantor;
 				const next = this.#nextOwner(phase === 'vacant' ? 2 * slot : Math.floor(this.schedule.simulation.random() * 100));
--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -12,7 +12,7 @@
 import {emptyReport} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	clear, createGrantor, type GrantorEvent, type GrantorState, stepGrantor, blockingZones,
+	clearRevocation, createGrantor, type GrantorEvent, type GrantorState, stepGrantor, blockingZones,
 } from '@dogwooddeck/ownership/grantor';
 import {proposeSeat} from '@dogwooddeck/ownership/seat';
 import {settlePolicies} from '@dogwooddeck/ownership/settling';
@@ -98,7 +98,7 @@
 function checkRevocation(now: number, service: string, isZoneRecorded = true): Step {
 	return (grantor, table) => {
 		const revocation = {service, slot: 0, ...(isZoneRecorded && {ownerZone: 'n1'})};
-		const result = clear(grantor, table, revocation, now);
+		const result = clearRevocation(grantor, table, revocation, now);
 		return {grantor: result.grantor, shown: result.cleared ? 'cleared' : blockingZones(grantor, table, revocation, now).join(' ')};
 	};
 }
