--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -13,7 +13,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {identityOf, UpstreamPhase} from '@dogwooddeck/model/registry';
 import {type Grant} from '@dogwooddeck/ownership/command';
-import {clearRevocation, type Revocation, zoneOf} from '@dogwooddeck/ownership/grantor';
+import {clearRevocation, type Revocation, delegationOf} from '@dogwooddeck/ownership/grantor';
 import {someMayHold} from '@dogwooddeck/ownership/policy';
 import {noRates, ratesOf} from '@dogwooddeck/placement/load';
 import {type PlacementInput} from '@dogwooddeck/placement/input';
@@ -46,7 +46,7 @@
 
 function unreachableZones(state: LeaderState, control: ControlState, now: MonotonicTime): readonly ZoneName[] {
 	return Object.values(control.ownership.rosters)
-		.filter(({zone, members}) => members.length > 0 && now >= zoneOf(state.grantor, zone).delegatedUntil)
+		.filter(({zone, members}) => members.length > 0 && now >= delegationOf(state.grantor, zone).delegatedUntil)
 		.map(({zone}) => zone);
 }
 
--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -71,7 +71,7 @@
 }
 
 /** Returns the record of a zone. A zone that hasn't sent a request is assumed to have got a delegation when the leader started. */
-export function zoneOf(grantor: GrantorState, zone: ZoneName): ZoneDelegation {
+export function delegationOf(grantor: GrantorState, zone: ZoneName): ZoneDelegation {
 	return grantor.zones[zone] ?? {
 		delegatedUntil: grantor.startedAt + grantorWait(grantor.terms.delegationMilliseconds, grantor.terms),
 		drained: 0,
@@ -86,7 +86,7 @@
 function delegationTerm(grantor: GrantorState, event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>): Milliseconds {
 	const {request, table} = event;
 	const hasSeats = (table.rosters[request.zone]?.members.length ?? 0) > 0;
-	if (!hasSeats || request.applied < zoneOf(grantor, request.zone).minimumApplied) {
+	if (!hasSeats || request.applied < delegationOf(grantor, request.zone).minimumApplied) {
 		return 0;
 	}
 
@@ -95,7 +95,7 @@
 
 function delegationRequested(event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>, grantor: GrantorState): GrantorTransition {
 	const {request, now} = event;
-	const delegation = zoneOf(grantor, request.zone);
+	const delegation = delegationOf(grantor, request.zone);
 	const termMilliseconds = delegationTerm(grantor, event);
 	const until = termMilliseconds > 0 ? now + grantorWait(termMilliseconds, grantor.terms) : -Infinity;
 	const next = {
@@ -173,7 +173,7 @@
 function clearedByExpiry(grantor: GrantorState, roster: ZoneRoster, {policy, ownerZone, now}: RevocationCheck): boolean {
 	const mayBeHeld = roster.zone === (ownerZone ?? roster.zone) && someMayHold(policy);
 	const wait = grantorWait(longestInFlightDeadline(policy), grantor.terms);
-	return !mayBeHeld && now >= zoneOf(grantor, roster.zone).delegatedUntil + wait;
+	return !mayBeHeld && now >= delegationOf(grantor, roster.zone).delegatedUntil + wait;
 }
 
 /** Returns the zones that block a move because an instance there may still send requests to the old owner. */
@@ -189,7 +189,7 @@
 		...revocation, policy, revokedAt, now,
 	};
 	return zones
-		.filter(roster => zoneOf(grantor, roster.zone).drained < revokedAt
+		.filter(roster => delegationOf(grantor, roster.zone).drained < revokedAt
 			&& !clearedByRelease(grantor, roster, check)
 			&& !clearedByExpiry(grantor, roster, check))
 		.map(roster => roster.zone);
@@ -198,7 +198,7 @@
 function raiseMinimumApplied(grantor: GrantorState, table: OwnershipState, revokedAt: LogIndex): GrantorState {
 	let next = grantor;
 	for (const {zone} of Object.values(table.rosters)) {
-		const delegation = zoneOf(next, zone);
+		const delegation = delegationOf(next, zone);
 		if (delegation.drained < revokedAt && delegation.minimumApplied < revokedAt) {
 			next = withZone(next, zone, {...delegation, minimumApplied: revokedAt});
 		}
--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -10,7 +10,7 @@
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type OwnershipCommand, ReleaseReason} from './command.js';
 import {
-	type GrantorState, isReleased, isReleaseExpired, zoneOf,
+	type GrantorState, isReleased, isReleaseExpired, delegationOf,
 } from './grantor.js';
 import {hasLostMajority} from './observation.js';
 import {longestDeadlineOf, type OwnershipState, type ZoneRoster} from './state.js';
@@ -19,7 +19,7 @@
 export const seatsPerZone = 9;
 
 function isReported(grantor: GrantorState, roster: ZoneRoster): boolean {
-	return zoneOf(grantor, roster.zone).drained >= roster.changedAt;
+	return delegationOf(grantor, roster.zone).drained >= roster.changedAt;
 }
 
 /** Whether the zone's steward has reported the last change of its roster, to this leader or to an earlier one. */
--- a/packages/ownership/src/settling.ts
+++ b/packages/ownership/src/settling.ts
@@ -5,7 +5,7 @@
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type PolicySettled} from './command.js';
 import {
-	type GrantorState, isReleased, isReleaseExpired, type SettlingPolicy, zoneOf,
+	type GrantorState, isReleased, isReleaseExpired, type SettlingPolicy, delegationOf,
 } from './grantor.js';
 import {type ServicePolicy, longestInFlightDeadline} from './policy.js';
 import {type OwnershipState} from './state.js';
@@ -13,7 +13,7 @@
 
 function everyZoneApplied(grantor: GrantorState, table: OwnershipState, policy: ServicePolicy, now: MonotonicTime): boolean {
 	return Object.values(table.rosters).every(roster =>
-		zoneOf(grantor, roster.zone).drained >= policy.changedAt
+		delegationOf(grantor, roster.zone).drained >= policy.changedAt
 		|| (isReleased(roster) && isReleaseExpired(grantor, roster, longestInFlightDeadline(policy), now)));
 }
 
