--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -102,7 +102,7 @@
 function delegationRequested(event: EventOf<'delegationRequested'>, state: LeaderState): LeaderTransition {
 	const {now, quorumHeardAt, control, request} = event;
 	const granted = stepGrantor(state.grantor, {
-		kind: 'delegationRequested', now, quorumHeardAt, table: control.ownership, request,
+		kind: 'delegationRequested', now, quorumContactAt: quorumHeardAt, table: control.ownership, request,
 	});
 	const watch = advanceWatch(state.watch, {
 		kind: 'reportReceived', now, report: request.report, reporter: {zone: request.zone, instance: request.steward.name},
--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -50,7 +50,7 @@
 		readonly kind: 'delegationRequested';
 		readonly now: MonotonicTime;
 		/** The latest time at which the leader sent a message that a quorum of voters has answered. */
-		readonly quorumHeardAt: MonotonicTime;
+		readonly quorumContactAt: MonotonicTime;
 		readonly table: OwnershipState;
 		readonly request: DelegationRequest;
 	}
@@ -90,7 +90,7 @@
 		return 0;
 	}
 
-	return Math.max(0, event.quorumHeardAt + grantor.terms.delegationMilliseconds - event.now);
+	return Math.max(0, event.quorumContactAt + grantor.terms.delegationMilliseconds - event.now);
 }
 
 function delegationRequested(event: Extract<GrantorEvent, {readonly kind: 'delegationRequested'}>, grantor: GrantorState): GrantorTransition {
--- a/packages/ownership/test/leadership.ts
+++ b/packages/ownership/test/leadership.ts
@@ -76,7 +76,7 @@
 			const {state, effects} = stepGrantor(leaderState.grantor, {
 				kind: 'delegationRequested',
 				now: this.schedule.simulation.now(voter),
-				quorumHeardAt: leaderState.quorumContactAt,
+				quorumContactAt: leaderState.quorumContactAt,
 				table: this.#tableOf(leaderState),
 				request,
 			});
