--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -65,12 +65,12 @@
 	return {grantor: state, ...(effect !== undefined && {shown: `${effect.answer.termMilliseconds}`})};
 }
 
-function requestDelegation(now: number, zone: string, applied: number, drained: number, quorumHeardAt = now): Step {
+function requestDelegation(now: number, zone: string, applied: number, drained: number, quorumContactAt = now): Step {
 	const request = {
 		zone, steward: x, applied, drained, report: emptyReport,
 	};
 	return (grantor, table) => stepped(grantor, {
-		kind: 'delegationRequested', now, quorumContactAt: quorumHeardAt, table, request,
+		kind: 'delegationRequested', now, quorumContactAt: quorumContactAt, table, request,
 	});
 }
 
