--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -39,7 +39,7 @@
 	readonly startIndex: LogIndex;
 	readonly zones: Readonly<Record<ZoneName, ZoneDelegation>>;
 	readonly releases: Readonly<Record<ZoneName, ReleaseObservation>>;
-	readonly sightings: SeatObservations;
+	readonly seatObservations: SeatObservations;
 	/** The policy changes that every zone has applied and that aren't settled yet, by service. */
 	readonly settling: Readonly<Record<ServiceName, SettlingPolicy>>;
 };
@@ -66,7 +66,7 @@
 /** Creates the state for a leader that was elected now and whose log ends at `startIndex`. */
 export function createGrantor(now: MonotonicTime, startIndex: LogIndex, terms: LeaseTerms): GrantorState {
 	return {
-		terms, startedAt: now, startIndex, zones: {}, releases: {}, sightings: {}, settling: {},
+		terms, startedAt: now, startIndex, zones: {}, releases: {}, seatObservations: {}, settling: {},
 	};
 }
 
@@ -108,8 +108,8 @@
 }
 
 function seatRequested(event: Extract<GrantorEvent, {readonly kind: 'seatRequested'}>, grantor: GrantorState): GrantorTransition {
-	const sightings = recordSeatRequest(grantor.sightings, event.request, event.table, event.now);
-	return {state: {...grantor, sightings}, effects: []};
+	const sightings = recordSeatRequest(grantor.seatObservations, event.request, event.table, event.now);
+	return {state: {...grantor, seatObservations: sightings}, effects: []};
 }
 
 function tableChanged(event: Extract<GrantorEvent, {readonly kind: 'tableChanged'}>, grantor: GrantorState): GrantorTransition {
--- a/packages/ownership/src/seat.ts
+++ b/packages/ownership/src/seat.ts
@@ -82,7 +82,7 @@
 /** Proposes the release of a zone if no majority of former incarnations is left. */
 function proposeRelease(grantor: GrantorState, roster: ZoneRoster): OwnershipCommand | undefined {
 	const canChange = mayChangeRoster(grantor, roster) || hasSoleCommonMember(roster);
-	return !canChange && hasLostMajority(roster, grantor.sightings)
+	return !canChange && hasLostMajority(roster, grantor.seatObservations)
 		? {
 			kind: 'zoneReleased', zone: roster.zone, reason: ReleaseReason.withheld, changedAt: roster.changedAt,
 		}
