--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -108,8 +108,8 @@
 }
 
 function seatRequested(event: Extract<GrantorEvent, {readonly kind: 'seatRequested'}>, grantor: GrantorState): GrantorTransition {
-	const sightings = recordSeatRequest(grantor.seatObservations, event.request, event.table, event.now);
-	return {state: {...grantor, seatObservations: sightings}, effects: []};
+	const seatObservations = recordSeatRequest(grantor.seatObservations, event.request, event.table, event.now);
+	return {state: {...grantor, seatObservations: seatObservations}, effects: []};
 }
 
 function tableChanged(event: Extract<GrantorEvent, {readonly kind: 'tableChanged'}>, grantor: GrantorState): GrantorTransition {
