--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -90,7 +90,7 @@
 		return false;
 	}
 
-	const heardAt = state.grantor.seatObservations[command.record.name]?.heardAt ?? now;
+	const heardAt = state.grantor.seatObservations[command.record.name]?.observedAt ?? now;
 	const {terms} = state.grantor;
 	return now < heardAt + grantorWait(terms.stewardTermMilliseconds, terms) + terms.renewMilliseconds;
 }
--- a/packages/ownership/src/observation.ts
+++ b/packages/ownership/src/observation.ts
@@ -11,7 +11,7 @@
 import {type OwnershipState, type ZoneRoster} from './state.js';
 
 /** The first observation of a later incarnation of an instance. */
-export type SeatObservation = {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
+export type SeatObservation = {readonly incarnation: Incarnation; readonly observedAt: MonotonicTime};
 
 /** Observations by instance name. */
 export type SeatObservations = Readonly<Record<InstanceName, SeatObservation>>;
@@ -31,7 +31,7 @@
 		return observations;
 	}
 
-	return {...observations, [instance.name]: {incarnation: instance.incarnation, heardAt: now}};
+	return {...observations, [instance.name]: {incarnation: instance.incarnation, observedAt: now}};
 }
 
 function intersectsEveryMajority(members: readonly InstanceRecord[], observations: SeatObservations): boolean {
