--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -6,7 +6,7 @@
 import {type LeaseAnswer, type LeaseRequest} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	answered, createLease, type LeaseState, requestDueAt, requestSent,
+	applyLeaseAnswer, createLease, type LeaseState, requestDueAt, requestSent,
 } from '@dogwooddeck/ownership/lease';
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, type Result} from 'true-myth/result';
@@ -60,7 +60,7 @@
 
 	function take(sentAt: MonotonicTime, {answer, catchUp}: WithCatchUp<LeaseAnswer>): void {
 		holder.catchUp(catchUp);
-		lease = answered(lease, {sentAt, answer});
+		lease = applyLeaseAnswer(lease, {sentAt, answer});
 		surroundings.takeShares(answer.shares);
 		zone.heardOfSteward(answer.steward.name);
 	}
--- a/packages/ownership/src/lease.ts
+++ b/packages/ownership/src/lease.ts
@@ -51,7 +51,7 @@
 }
 
 /** Applies an answer to the request that was sent at `sentAt`. Answers may arrive late, twice or out of order. */
-export function answered(lease: LeaseState, event: {readonly sentAt: MonotonicTime; readonly answer: LeaseAnswer}): LeaseState {
+export function applyLeaseAnswer(lease: LeaseState, event: {readonly sentAt: MonotonicTime; readonly answer: LeaseAnswer}): LeaseState {
 	const {sentAt, answer} = event;
 	return {
 		...lease,
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -14,7 +14,7 @@
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createInFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
-	answered, createLease, isHeld, mayStart, isRequestDue, requestSent,
+	applyLeaseAnswer, createLease, isHeld, mayStart, isRequestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
 import {routedDeadline} from '@dogwooddeck/ownership/policy';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -190,8 +190,8 @@
 			return answer === undefined ? undefined : {answer, applied: steward.applied};
 		};
 
-		const onAnswer = (result: {readonly answer: Parameters<typeof answered>[1]['answer']; readonly applied: LogIndex}) => {
-			instance.lease = answered(instance.lease, {sentAt: now, answer: result.answer});
+		const onAnswer = (result: {readonly answer: Parameters<typeof applyLeaseAnswer>[1]['answer']; readonly applied: LogIndex}) => {
+			instance.lease = applyLeaseAnswer(instance.lease, {sentAt: now, answer: result.answer});
 			this.#step(instance, {kind: 'leaseAnswered', now: this.simulation.now(instance), answer: result.answer});
 			this.#catchUp(instance, result.applied);
 		};
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -6,7 +6,7 @@
 import {AssignmentPhase, type Assignment} from '@dogwooddeck/model/assignment';
 import {createInFlightTracker, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
-	answered, createLease, type LeaseState, mayStart, isRequestDue, requestSent,
+	applyLeaseAnswer, createLease, type LeaseState, mayStart, isRequestDue, requestSent,
 } from '@dogwooddeck/ownership/lease';
 import {emptyOwnership, type OwnershipState} from '@dogwooddeck/ownership/table';
 import {defaultLeaseTerms as terms, timeToServeAgain} from '@dogwooddeck/ownership/terms';
@@ -20,7 +20,7 @@
 const vacant: Assignment = {phase: AssignmentPhase.vacant, slot: 0};
 
 function leased(sentAt: number, holdMilliseconds: number, controlMilliseconds: number, lease = createLease(terms)): LeaseState {
-	return answered(lease, {
+	return applyLeaseAnswer(lease, {
 		sentAt,
 		answer: {
 			steward, holdMilliseconds, controlMilliseconds, shares: [],
