--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -6,7 +6,7 @@
 import {type LeaseAnswer, type LeaseRequest} from '@dogwooddeck/model/lease';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {
-	applyLeaseAnswer, createLease, type LeaseState, requestDueAt, requestSent,
+	applyLeaseAnswer, createLease, type LeaseState, requestDueAt, recordLeaseRequest,
 } from '@dogwooddeck/ownership/lease';
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, type Result} from 'true-myth/result';
@@ -73,7 +73,7 @@
 	async function ask(now: MonotonicTime): Promise<void> {
 		const {applied} = holder.state();
 		asking = true;
-		lease = requestSent(lease, {now, applied, drained});
+		lease = recordLeaseRequest(lease, {now, applied, drained});
 		const report = surroundings.ownReports.take();
 		const answer = await askSteward({
 			instance: self, applied, drained, report,
--- a/packages/ownership/src/lease.ts
+++ b/packages/ownership/src/lease.ts
@@ -44,7 +44,7 @@
 }
 
 /** Records that a request was sent. */
-export function requestSent(lease: LeaseState, event: {readonly now: MonotonicTime; readonly applied: LogIndex; readonly drained: LogIndex}): LeaseState {
+export function recordLeaseRequest(lease: LeaseState, event: {readonly now: MonotonicTime; readonly applied: LogIndex; readonly drained: LogIndex}): LeaseState {
 	return {
 		...lease, sentAt: event.now, sentDrained: event.drained, sentApplied: event.applied,
 	};
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -14,7 +14,7 @@
 import {stewardDueAt} from '@dogwooddeck/ownership/due';
 import {createInFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
-	applyLeaseAnswer, createLease, isHeld, mayStart, isRequestDue, requestSent,
+	applyLeaseAnswer, createLease, isHeld, mayStart, isRequestDue, recordLeaseRequest,
 } from '@dogwooddeck/ownership/lease';
 import {routedDeadline} from '@dogwooddeck/ownership/policy';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
@@ -176,7 +176,7 @@
 			return;
 		}
 
-		instance.lease = requestSent(instance.lease, {now, applied, drained});
+		instance.lease = recordLeaseRequest(instance.lease, {now, applied, drained});
 		const steward = this.#stewardFor(instance, now);
 		const sent = steward === instance ? [] : this.#step(instance, {kind: 'leaseSent', now, to: this.#recordedIdentity(instance, steward)});
 		const renewal = sent.find(effect => effect.kind === 'renewSupport')?.renewal;
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -6,7 +6,7 @@
 import {AssignmentPhase, type Assignment} from '@dogwooddeck/model/assignment';
 import {createInFlightTracker, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {
-	applyLeaseAnswer, createLease, type LeaseState, mayStart, isRequestDue, requestSent,
+	applyLeaseAnswer, createLease, type LeaseState, mayStart, isRequestDue, recordLeaseRequest,
 } from '@dogwooddeck/ownership/lease';
 import {emptyOwnership, type OwnershipState} from '@dogwooddeck/ownership/table';
 import {defaultLeaseTerms as terms, timeToServeAgain} from '@dogwooddeck/ownership/terms';
@@ -76,7 +76,7 @@
 
 for (const {name, now, applied = 10, drained = 5, expected} of dueCases) {
 	test(`lease: when a request is due: ${name}`, () => {
-		const lease = requestSent(createLease(terms), {now: 0, applied: 10, drained: 5});
+		const lease = recordLeaseRequest(createLease(terms), {now: 0, applied: 10, drained: 5});
 		assert.equal(isRequestDue(lease, now, applied, drained), expected);
 	});
 }
