--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -3,7 +3,7 @@
  * away for a planned stop.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {leaseEnd} from '@dogwooddeck/ownership/lease';
+import {leaseEndsAt} from '@dogwooddeck/ownership/lease';
 import {type LeaseAsker} from './lease-asker.js';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
@@ -36,7 +36,7 @@
 
 	function dueAt(): MonotonicTime {
 		const isSeated = steward.isSeated();
-		const from = isSeated && !leaving ? leaseEnd(leases.lease()) : -Infinity;
+		const from = isSeated && !leaving ? leaseEndsAt(leases.lease()) : -Infinity;
 		return isSeated || !leaving ? Math.max(from, askedAt + seatMilliseconds) : Infinity;
 	}
 
--- a/packages/ownership/src/lease.ts
+++ b/packages/ownership/src/lease.ts
@@ -66,7 +66,7 @@
 }
 
 /** Returns when the last of the leases ends. */
-export function leaseEnd(lease: LeaseState): MonotonicTime {
+export function leaseEndsAt(lease: LeaseState): MonotonicTime {
 	return Math.max(lease.holdUntil, lease.controlUntil);
 }
 
