--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -17,7 +17,7 @@
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {type InFlightRequests, type InFlightTracker} from '@dogwooddeck/ownership/drain';
 import {isHeld, type LeaseState, mayStart} from '@dogwooddeck/ownership/lease';
-import {routedDeadline} from '@dogwooddeck/ownership/policy';
+import {longestRequestDeadline} from '@dogwooddeck/ownership/policy';
 import {assignmentOf, seatedInstances, slotFor} from '@dogwooddeck/ownership/table';
 import {type SlotHash} from '@dogwooddeck/placement/hash';
 import {type Admission, connectionsFor, createAdmission} from '@dogwooddeck/routing/admission';
@@ -169,7 +169,7 @@
 		const now = monotonicNow();
 		const policy = holder.state().ownership.policies[contract.name];
 		const treatment = routeOf(target, head.method, head.path);
-		const longest = policy === undefined ? contract.longestDeadlineMilliseconds : routedDeadline(policy);
+		const longest = policy === undefined ? contract.longestDeadlineMilliseconds : longestRequestDeadline(policy);
 		return {
 			target,
 			key,
--- a/packages/ownership/src/policy.ts
+++ b/packages/ownership/src/policy.ts
@@ -34,7 +34,7 @@
 }
 
 /** Returns the longest deadline that an instance may set for a new request. */
-export function routedDeadline(policy: ServicePolicy): Milliseconds {
+export function longestRequestDeadline(policy: ServicePolicy): Milliseconds {
 	return Math.min(policy.longestDeadlineMilliseconds, policy.former?.longestDeadlineMilliseconds ?? Infinity);
 }
 
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -16,7 +16,7 @@
 import {
 	applyLeaseAnswer, createLease, isHeld, mayStart, isRequestDue, recordLeaseRequest,
 } from '@dogwooddeck/ownership/lease';
-import {routedDeadline} from '@dogwooddeck/ownership/policy';
+import {longestRequestDeadline} from '@dogwooddeck/ownership/policy';
 import {createSteward, stepSteward} from '@dogwooddeck/ownership/steward';
 import {type StewardEffect, type StewardEvent} from '@dogwooddeck/ownership/steward-state';
 import {supportedCandidate} from '@dogwooddeck/ownership/support';
@@ -254,7 +254,7 @@
 	#start(instance: Instance, key: string, {service, slot, fence}: {service: string; slot: number; fence: number}, upstream: Upstream): void {
 		const {simulation} = this;
 		const now = simulation.now(instance);
-		const deadline = routedDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
+		const deadline = longestRequestDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
 		const tracked = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
 		const sentRequest = {
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
