--- a/packages/ownership/src/grantor.ts
+++ b/packages/ownership/src/grantor.ts
@@ -109,7 +109,7 @@
 
 function seatRequested(event: Extract<GrantorEvent, {readonly kind: 'seatRequested'}>, grantor: GrantorState): GrantorTransition {
 	const seatObservations = recordSeatRequest(grantor.seatObservations, event.request, event.table, event.now);
-	return {state: {...grantor, seatObservations: seatObservations}, effects: []};
+	return {state: {...grantor, seatObservations}, effects: []};
 }
 
 function tableChanged(event: Extract<GrantorEvent, {readonly kind: 'tableChanged'}>, grantor: GrantorState): GrantorTransition {
--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -70,7 +70,7 @@
 		zone, steward: x, applied, drained, report: emptyReport,
 	};
 	return (grantor, table) => stepped(grantor, {
-		kind: 'delegationRequested', now, quorumContactAt: quorumContactAt, table, request,
+		kind: 'delegationRequested', now, quorumContactAt, table, request,
 	});
 }
 
