--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -267,7 +267,7 @@
 			return false;
 		}
 
-		owner.flight = flights.started(owner.service, owner.slot, owner.fence, now, request.deadline);
+		owner.flight = flights.start(owner.service, owner.slot, owner.fence, now, request.deadline);
 		return true;
 	}
 
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -27,7 +27,7 @@
 /** Tracks the in-flight requests of an instance. */
 export type InFlightTracker = {
 	/** Records that a request is about to be written to the socket. Its deadline is on this instance's clock. */
-	readonly started: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => InFlightRequests;
+	readonly start: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => InFlightRequests;
 	/** Records that the upstream is done with a request: it sent a complete answer, or it certainly didn't run the request. */
 	readonly ended: (requests: InFlightRequests) => void;
 	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		started, ended, abandoned, drained, inFlight: () => inFlight,
+		start: started, ended, abandoned, drained, inFlight: () => inFlight,
 	};
 }
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -255,7 +255,7 @@
 		const {simulation} = this;
 		const now = simulation.now(instance);
 		const deadline = longestRequestDeadline(this.states[instance.applied]!.policies[service]!) * (0.2 + (0.8 * simulation.random()));
-		const tracked = instance.inFlightTracker.started(service, slot, fence, now, now + deadline);
+		const tracked = instance.inFlightTracker.start(service, slot, fence, now, now + deadline);
 		const sentRequest = {
 			key, service, from: instance.zone, upstream, startedAt: simulation.time, until: simulation.time + (deadline / instance.clock.rate),
 		};
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -85,7 +85,7 @@
 	readonly name: string;
 	readonly assignment: Assignment;
 	readonly at?: number;
-	readonly finish?: (tracker: InFlightTracker, requests: ReturnType<InFlightTracker['started']>) => void;
+	readonly finish?: (tracker: InFlightTracker, requests: ReturnType<InFlightTracker['start']>) => void;
 	readonly expected: number;
 }> = [
 	{name: 'still allowed', assignment: granted, expected: 30},
@@ -114,7 +114,7 @@
 	test(`drain: one request in flight: ${name}`, () => {
 		const state: OwnershipState = {...emptyOwnership, services: {s: {service: 's', assignments: [assignment], pinned: []}}};
 		const tracker = createInFlightTracker(terms);
-		const requests = tracker.started('s', 0, 7, 0, 1000);
+		const requests = tracker.start('s', 0, 7, 0, 1000);
 		finish?.(tracker, requests);
 		assert.equal(tracker.drained(state, 30, at), expected);
 	});
