--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -29,7 +29,7 @@
 	/** Records that a request is about to be written to the socket. Its deadline is on this instance's clock. */
 	readonly start: (service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime) => InFlightRequests;
 	/** Records that the upstream is done with a request: it sent a complete answer, or it certainly didn't run the request. */
-	readonly ended: (requests: InFlightRequests) => void;
+	readonly end: (requests: InFlightRequests) => void;
 	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
 	readonly abandoned: (requests: InFlightRequests) => void;
 	/** Returns the largest index such that no in-flight request was allowed by an earlier entry but isn't allowed by the table. */
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: started, ended, abandoned, drained, inFlight: () => inFlight,
+		start: started, end: ended, abandoned, drained, inFlight: () => inFlight,
 	};
 }
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -282,7 +282,7 @@
 		simulation.send(instance, upstream, () => {
 			this.#execute(sentRequest, fence, executionMilliseconds, () => {
 				simulation.send(upstream, instance, () => {
-					end(inFlightTracker.ended);
+					end(inFlightTracker.end);
 				});
 			});
 		});
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -94,7 +94,7 @@
 	{name: 'granted again', assignment: {...granted, fence: 25}, expected: 7},
 	{
 		name: 'ended', assignment: revoking, finish(tracker, requests) {
-			tracker.ended(requests);
+			tracker.end(requests);
 		}, expected: 30,
 	},
 	{
