--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -288,7 +288,7 @@
 			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
 			if (owner.flight !== undefined) {
 				const isOver = observationRules[seen].outcome !== Outcome.unknown;
-				(isOver ? flights.end : flights.abandoned)(owner.flight);
+				(isOver ? flights.end : flights.abandon)(owner.flight);
 				owner.flight = undefined;
 			}
 		},
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -31,7 +31,7 @@
 	/** Records that the upstream is done with a request: it sent a complete answer, or it certainly didn't run the request. */
 	readonly end: (requests: InFlightRequests) => void;
 	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
-	readonly abandoned: (requests: InFlightRequests) => void;
+	readonly abandon: (requests: InFlightRequests) => void;
 	/** Returns the largest index such that no in-flight request was allowed by an earlier entry but isn't allowed by the table. */
 	readonly drained: (state: OwnershipState, applied: LogIndex, now: MonotonicTime) => LogIndex;
 	/** Returns the number of in-flight requests. */
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: started, end: ended, abandoned, drained, inFlight: () => inFlight,
+		start: started, end: ended, abandon: abandoned, drained, inFlight: () => inFlight,
 	};
 }
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -271,12 +271,12 @@
 
 		if (simulation.random() < 0.1) {
 			simulation.afterIn(instance, simulation.random() * deadline, () => {
-				end(inFlightTracker.abandoned);
+				end(inFlightTracker.abandon);
 			});
 		}
 
 		simulation.afterIn(instance, deadline, () => {
-			end(inFlightTracker.abandoned);
+			end(inFlightTracker.abandon);
 		});
 		const executionMilliseconds = simulation.random() < 0.03 ? deadline : simulation.random() * 40;
 		simulation.send(instance, upstream, () => {
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -99,7 +99,7 @@
 	},
 	{
 		name: 'abandoned', assignment: revoking, finish(tracker, requests) {
-			tracker.abandoned(requests);
+			tracker.abandon(requests);
 		}, expected: 19,
 	},
 	{
