--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -93,7 +93,7 @@
 		lease: () => lease,
 		tick(now) {
 			const table = holder.state();
-			drained = flights.drained(table.ownership, table.applied, now);
+			drained = flights.drainedIndex(table.ownership, table.applied, now);
 			if (!asking && now >= askingDueAt()) {
 				void ask(now);
 			}
--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -33,7 +33,7 @@
 	/** Records that a request was abandoned while its upstream may still run it until its deadline. */
 	readonly abandon: (requests: InFlightRequests) => void;
 	/** Returns the largest index such that no in-flight request was allowed by an earlier entry but isn't allowed by the table. */
-	readonly drained: (state: OwnershipState, applied: LogIndex, now: MonotonicTime) => LogIndex;
+	readonly drainedIndex: (state: OwnershipState, applied: LogIndex, now: MonotonicTime) => LogIndex;
 	/** Returns the number of in-flight requests. */
 	readonly inFlight: () => number;
 };
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: started, end: ended, abandon: abandoned, drained, inFlight: () => inFlight,
+		start: started, end: ended, abandon: abandoned, drainedIndex: drained, inFlight: () => inFlight,
 	};
 }
--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -171,7 +171,7 @@
 
 	#requestLease(instance: Instance, now: number): void {
 		const {applied} = instance;
-		const drained = instance.inFlightTracker.drained(this.states[applied]!, applied, now);
+		const drained = instance.inFlightTracker.drainedIndex(this.states[applied]!, applied, now);
 		if (!isRequestDue(instance.lease, now, applied, drained)) {
 			return;
 		}
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -116,7 +116,7 @@
 		const tracker = createInFlightTracker(terms);
 		const requests = tracker.start('s', 0, 7, 0, 1000);
 		finish?.(tracker, requests);
-		assert.equal(tracker.drained(state, 30, at), expected);
+		assert.equal(tracker.drainedIndex(state, 30, at), expected);
 	});
 }
 
