--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -80,7 +80,7 @@
 	const services = new Map<ServiceName, RequestsBySlot>();
 	let inFlight = 0;
 
-	function started(service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime): InFlightRequests {
+	function start(service: ServiceName, slot: Slot, fence: FenceNumber, now: MonotonicTime, deadline: MonotonicTime): InFlightRequests {
 		let slots = services.get(service);
 		if (slots === undefined) {
 			slots = new Map();
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: started, end: ended, abandon: abandoned, drainedIndex: drained, inFlight: () => inFlight,
+		start: start, end: ended, abandon: abandoned, drainedIndex: drained, inFlight: () => inFlight,
 	};
 }
