--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -94,14 +94,14 @@
 		return requests;
 	}
 
-	function ended(requests: InFlightRequests): void {
+	function end(requests: InFlightRequests): void {
 		requests.inFlight -= 1;
 		inFlight -= 1;
 	}
 
 	function abandoned(requests: InFlightRequests): void {
 		requests.abandonedUntil = requests.pastDeadlineAt;
-		ended(requests);
+		end(requests);
 	}
 
 	function drained(state: OwnershipState, applied: LogIndex, now: MonotonicTime): LogIndex {
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: start, end: ended, abandon: abandoned, drainedIndex: drained, inFlight: () => inFlight,
+		start: start, end: end, abandon: abandoned, drainedIndex: drained, inFlight: () => inFlight,
 	};
 }
