--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -99,7 +99,7 @@
 		inFlight -= 1;
 	}
 
-	function abandoned(requests: InFlightRequests): void {
+	function abandon(requests: InFlightRequests): void {
 		requests.abandonedUntil = requests.pastDeadlineAt;
 		end(requests);
 	}
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: start, end: end, abandon: abandoned, drainedIndex: drained, inFlight: () => inFlight,
+		start: start, end: end, abandon: abandon, drainedIndex: drained, inFlight: () => inFlight,
 	};
 }
