--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -104,7 +104,7 @@
 		end(requests);
 	}
 
-	function drained(state: OwnershipState, applied: LogIndex, now: MonotonicTime): LogIndex {
+	function drainedIndex(state: OwnershipState, applied: LogIndex, now: MonotonicTime): LogIndex {
 		let lowest = applied;
 		for (const slots of services.values()) {
 			for (const [slot, entries] of slots) {
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: start, end: end, abandon: abandon, drainedIndex: drained, inFlight: () => inFlight,
+		start: start, end: end, abandon: abandon, drainedIndex: drainedIndex, inFlight: () => inFlight,
 	};
 }
