--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -125,6 +125,6 @@
 	}
 
 	return {
-		start: start, end: end, abandon: abandon, drainedIndex: drainedIndex, inFlight: () => inFlight,
+		start, end, abandon, drainedIndex, inFlight: () => inFlight,
 	};
 }
--- a/packages/ownership/test/test-served-again.ts
+++ b/packages/ownership/test/test-served-again.ts
@@ -51,7 +51,7 @@
 	return [...keys].map(key => (later.find(request => request.key === key)?.startedAt ?? Infinity) - lostAt);
 }
 
-for (const {name, loss, withLeader, maximumMilliseconds: maximumMilliseconds} of cases) {
+for (const {name, loss, withLeader, maximumMilliseconds} of cases) {
 	test(`served again: ${name} (seed ${seed}, ${runs} runs)`, () => {
 		const times = Array.from({length: runs}, (_, run) => measure(seed + run, loss, withLeader)).flat().sort((one, other) => one - other);
 		const at = (share: number) => Math.round(times[Math.min(times.length - 1, Math.floor(share * times.length))]!);
