--- a/packages/ownership/src/drain.ts
+++ b/packages/ownership/src/drain.ts
@@ -12,7 +12,7 @@
 import {assignmentOf, type OwnershipState} from './state.js';
 import {grantorWait, type LeaseTerms} from './terms.js';
 
-/** One instance's in-flight requests under one assignment. Pass it to `ended` or `abandoned` for each request. */
+/** One instance's in-flight requests under one assignment. Pass it to `end` or `abandon` once for each request. */
 export type InFlightRequests = {
 	readonly service: ServiceName;
 	readonly slot: Slot;
--- a/packages/ownership/src/holders.ts
+++ b/packages/ownership/src/holders.ts
@@ -10,6 +10,7 @@
 
 /** One holder of a lease. */
 export type LeaseHolder = {
+	/** The largest index up to which the holder reported itself drained. */
 	readonly drained: LogIndex;
 	/** When its last lease has expired on every clock. */
 	readonly leaseUntil: MonotonicTime;
--- a/packages/ownership/src/policy.ts
+++ b/packages/ownership/src/policy.ts
@@ -9,6 +9,7 @@
 
 /** A contract's terms for network partitions and deadlines. */
 export type PolicyTerms = {
+	/** What happens to the slots of a zone that is partitioned from control. */
 	readonly whenCut: PartitionPolicy;
 	readonly longestDeadlineMilliseconds: Milliseconds;
 };
@@ -18,6 +19,7 @@
 	readonly service: ServiceName;
 	/** The number of slots that keys hash to. The slots of pinned keys are numbered from here. */
 	readonly slots: number;
+	/** The index of the entry that last changed the policy. */
 	readonly changedAt: LogIndex;
 	/** The strictest of the former terms that some zone may still apply. */
 	readonly former?: PolicyTerms;
--- a/packages/ownership/src/state.ts
+++ b/packages/ownership/src/state.ts
@@ -18,6 +18,7 @@
 	readonly members: readonly InstanceRecord[];
 	/** The members before the last change, which a steward may not have applied yet. */
 	readonly previousMembers: readonly InstanceRecord[];
+	/** The index of the last entry that changed the members. */
 	readonly changedAt: LogIndex;
 	/** The index of the last change that the zone's steward is recorded to have reported. */
 	readonly settledAt?: LogIndex;
--- a/packages/ownership/src/steward-state.ts
+++ b/packages/ownership/src/steward-state.ts
@@ -39,6 +39,7 @@
 	readonly candidateSince?: MonotonicTime;
 	/** It neither starts a candidacy nor renews its support before this time. */
 	readonly candidacyNotBefore: MonotonicTime;
+	/** When it last requested support from the other members. */
 	readonly supportRequestedAt: MonotonicTime;
 	/** When its current tenure as steward started; absent if it isn't steward. */
 	readonly electedAt?: MonotonicTime;
@@ -49,8 +50,11 @@
 	readonly newcomers: readonly InstanceRecord[];
 	/** The end of the zone's delegation, according to the answers that this steward received. */
 	readonly delegatedUntil: MonotonicTime;
+	/** When it last requested the delegation. */
 	readonly delegationRequestedAt: MonotonicTime;
+	/** The drained index in the last delegation request. */
 	readonly reportedDrained: LogIndex;
+	/** The applied index in the last delegation request. */
 	readonly reportedApplied: LogIndex;
 };
 
--- a/packages/ownership/src/steward.ts
+++ b/packages/ownership/src/steward.ts
@@ -4,11 +4,11 @@
  * grants leases to the zone's instances and requests the zone's delegation from
  * control.
  *
- * A lease never outlasts the steward's support, and a control lease never outlasts
- * the delegation. All leases of one steward have therefore expired before another
- * is elected, and the requests that they allowed are past their deadlines one
- * longest deadline later. Only then does a steward report how far its zone is
- * drained.
+ * A lease never outlasts the steward's support, and a control lease (for all slots
+ * but the zone's own held ones) never outlasts the delegation. All leases of one
+ * steward have therefore expired before another is elected, and the requests that
+ * they allowed are past their deadlines one longest deadline later. Only then
+ * does a steward report how far its zone is drained.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
--- a/packages/ownership/test/test-lease.ts
+++ b/packages/ownership/test/test-lease.ts
@@ -36,7 +36,7 @@
 		name: 'both leases in force', lease: leased(0, 1000, 1000), at: 989, expected: 'held other',
 	},
 	{
-		name: 'both leases expired, by the drift bound early', lease: leased(0, 1000, 1000), at: 990, expected: '',
+		name: 'both leases expired, with the drift bound deducted', lease: leased(0, 1000, 1000), at: 990, expected: '',
 	},
 	{
 		name: 'the zone is partitioned from control', lease: leased(0, 1000, 200), at: 500, expected: 'held',
