--- a/packages/ownership/test/schedule.ts
+++ b/packages/ownership/test/schedule.ts
@@ -306,7 +306,7 @@
 		const active = (this.#active.get(sentRequest.key) ?? []).filter(other => other.until > this.simulation.time);
 		const conflict = active.find(other => other.upstream !== sentRequest.upstream);
 		if (conflict !== undefined) {
-			this.violations.push(`at ${sentRequest.startedAt} zone ${sentRequest.from} sent ${sentRequest.key} to ${sentRequest.upstream.name}, while `
+			this.violations.push(`at ${sentRequest.startedAt} ${sentRequest.key} was sent from zone ${sentRequest.from} to ${sentRequest.upstream.name}, while `
 				+ `${conflict.upstream.name} worked on it for zone ${conflict.from} from ${conflict.startedAt} until ${conflict.until}`);
 		}
 
--- a/packages/ownership/test/test-grantor.ts
+++ b/packages/ownership/test/test-grantor.ts
@@ -120,7 +120,14 @@
 	},
 	{
 		name: 'an owner whose zone is not recorded may have been in any zone', table: defaultTable,
-		steps: [checkRevocation(2350, 'taken', false), checkRevocation(99_999, 'held', false), requestDelegation(100_000, 'n1', 25, 20), checkRevocation(100_000, 'held', false), requestDelegation(100_001, 'n2', 25, 20), checkRevocation(100_001, 'held', false)],
+		steps: [
+			checkRevocation(2350, 'taken', false),
+			checkRevocation(99_999, 'held', false),
+			requestDelegation(100_000, 'n1', 25, 20),
+			checkRevocation(100_000, 'held', false),
+			requestDelegation(100_001, 'n2', 25, 20),
+			checkRevocation(100_001, 'held', false),
+		],
 		expected: ['cleared', 'n1 n2', '1500', 'n2', '1500', 'cleared'],
 	},
 	{
--- a/packages/ownership/test/test-steward.ts
+++ b/packages/ownership/test/test-steward.ts
@@ -31,12 +31,24 @@
 		events: [tableChanged(0, 10), supportRequested(1600, b, 10), supportRequested(1700, c, 10), supportRequested(1700, b, 10), supportRequested(3200, c, 10), supportRequested(3231, c, 10)],
 		expected: ['supports', 'refuses', 'supports', 'refuses', 'supports'],
 	},
-	{name: 'refuses a later incarnation of the candidate that it supports', events: [tableChanged(0, 10), supportRequested(1600, b, 10), supportRequested(1700, record('b', 2), 10)], expected: ['supports', 'refuses']},
+	{
+		name: 'refuses a later incarnation of the candidate that it supports',
+		events: [tableChanged(0, 10), supportRequested(1600, b, 10), supportRequested(1700, record('b', 2), 10)],
+		expected: ['supports', 'refuses'],
+	},
 	{name: 'refuses a candidate that applied less', events: [tableChanged(0, 10), supportRequested(1600, b, 9), supportRequested(1600, c, 10)], expected: ['refuses', 'supports']},
-	{name: 'continues to support a steward that falls behind', events: [tableChanged(0, 10), supportRequested(1600, b, 10), tableChanged(1650, 11), supportRequested(1700, b, 10)], expected: ['supports', 'supports']},
+	{
+		name: 'continues to support a steward that falls behind',
+		events: [tableChanged(0, 10), supportRequested(1600, b, 10), tableChanged(1650, 11), supportRequested(1700, b, 10)],
+		expected: ['supports', 'supports'],
+	},
 	{name: 'grants no lease without a majority', events: [tableChanged(0, 10), tick(1600), leaseRequested(1601, a, 10)], expected: ['0/0']},
 	{name: 'grants no control lease without a delegation', events: [...election, leaseRequested(1602, a, 10)], expected: ['1000/0']},
-	{name: 'counts no support of another incarnation of a member', events: [tableChanged(0, 10), tick(1600), supportGranted(1601, 1600, record('b', 2), 10), leaseRequested(1602, a, 10)], expected: ['0/0']},
+	{
+		name: 'counts no support of another incarnation of a member',
+		events: [tableChanged(0, 10), tick(1600), supportGranted(1601, 1600, record('b', 2), 10), leaseRequested(1602, a, 10)],
+		expected: ['0/0'],
+	},
 	{name: 'grants no lease beyond the end of its support', events: [...election, leaseRequested(3000, a, 10), leaseRequested(3085, a, 10)], expected: ['85/0', '0/0']},
 	{
 		name: 'counts support from when it sent the request',
@@ -84,7 +96,15 @@
 	},
 	{
 		name: 'refuses leases to older tables after a gap in its delegation',
-		events: [...election, delegationGranted(1620, 1610, 10), tableChanged(2900, 30), ...renewalRound(3000, 10), delegationGranted(3500, 3400, 30), leaseRequested(3501, c, 25), leaseRequested(3502, c, 30)],
+		events: [
+			...election,
+			delegationGranted(1620, 1610, 10),
+			tableChanged(2900, 30),
+			...renewalRound(3000, 10),
+			delegationGranted(3500, 3400, 30),
+			leaseRequested(3501, c, 25),
+			leaseRequested(3502, c, 30),
+		],
 		expected: ['drained 10', '0/0', '983/983'],
 	},
 	{
@@ -97,7 +117,11 @@
 		events: [...election, leaseRequested(1700, a, 10), ...renewalRound(2500, 10), tick(5000), supportGranted(5001, 5000, b, 10), tick(5100), tick(5900)],
 		expected: ['1000/0', 'drained 10', 'drained 0', 'drained 10'],
 	},
-	{name: 'ignores answers to requests from before a pause', events: [...election, supportGranted(4000, 2900, b, 10), supportGranted(4000, 2900, c, 10), leaseRequested(4001, a, 10)], expected: ['0/0']},
+	{
+		name: 'ignores answers to requests from before a pause',
+		events: [...election, supportGranted(4000, 2900, b, 10), supportGranted(4000, 2900, c, 10), leaseRequested(4001, a, 10)],
+		expected: ['0/0'],
+	},
 	{
 		name: 'ignores answers for a candidacy that it withdrew',
 		events: [tableChanged(0, 10), tick(1600), supportRefused(1601, 1600, c, b), supportGranted(1602, 1600, b, 10), leaseRequested(1603, a, 10), supportRequested(1604, b, 10)],
