--- a/packages/ownership/src/roster.ts
+++ b/packages/ownership/src/roster.ts
@@ -44,7 +44,7 @@
 	const {record} = command;
 	const isSeated = Object.values(state.rosters).some(roster => roster.members.some(member => member.name === record.name));
 	if (isSeated) {
-		return err(failure(FailureKind.conflict, `instance ${record.name} has a seat already`));
+		return err(failure(FailureKind.conflict, `instance ${record.name} already has a seat`));
 	}
 
 	const roster = rosterOf(state, record.zone) ?? emptyRoster(record);
@@ -60,7 +60,7 @@
 	const roster = rosterOf(state, command.zone);
 	const member = roster?.members.find(other => sameInstance(other, command.instance));
 	if (roster === undefined || member === undefined) {
-		return err(failure(FailureKind.notFound, `instance ${command.instance.name} has no such seat`));
+		return err(failure(FailureKind.notFound, `instance ${command.instance.name} has no seat with this incarnation`));
 	}
 
 	if (roster.changedAt !== command.changedAt) {
--- a/packages/ownership/src/services.ts
+++ b/packages/ownership/src/services.ts
@@ -29,7 +29,7 @@
 export function openService(command: ServiceOpened, state: OwnershipState, index: LogIndex): Result<OwnershipState, Failure> {
 	const {service, slots, policy} = command;
 	if (state.services[service] !== undefined) {
-		return err(failure(FailureKind.conflict, `service ${service} is open already`));
+		return err(failure(FailureKind.conflict, `service ${service} is already open`));
 	}
 
 	if (!Number.isSafeInteger(slots) || slots < 1) {
@@ -84,7 +84,7 @@
 	}
 
 	if (policy.changedAt !== command.changedAt) {
-		return err(failure(FailureKind.conflict, `the policy of ${command.service} changed again`));
+		return err(failure(FailureKind.conflict, `the policy of ${command.service} has changed since`));
 	}
 
 	const {former: _former, ...settled} = policy;
