--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -1,32 +1,32 @@
 /**
- * What the leader proposes about the keys of a service, and how the replicated
- * table of ranges takes it in.
+ * The commands that the leader proposes about the keys of a service, and their
+ * application to the replicated table of key ranges.
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {
 	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, sameIncarnation, unheldRanges,
 } from './range.js';
 
-/** Keys and the upstream that a command is about. */
+/** Keys and their holder, as a command names them. */
 export type HeldSpan = KeySpan & {readonly holder: UpstreamIncarnation};
 
-/** A change of the table of one service. */
+/** A change to the key table of one service. */
 export type KeyCommand =
-	/** Nobody holds the keys: give them to upstreams. */
+	/** Grants unassigned keys to upstreams. */
 	| {readonly kind: 'keysGranted'; readonly service: string; readonly rows: readonly HeldSpan[]}
-	/** The holders have to give the keys up. */
+	/** Asks the holders to release the keys. */
 	| {readonly kind: 'keysRecalled'; readonly service: string; readonly rows: readonly HeldSpan[]}
-	/** The holders are being told to give the keys up: requests for them wait for the next holder. */
+	/** The holders are being notified of the recall: requests for the keys wait for the next holder. */
 	| {readonly kind: 'keysStopped'; readonly service: string; readonly rows: readonly HeldSpan[]}
-	/** There is evidence that the holders no longer hold the keys. */
+	/** Marks keys as unassigned, on evidence that the holders no longer hold them. */
 	| {readonly kind: 'keysVacated'; readonly service: string; readonly rows: ReadonlyArray<HeldSpan & {readonly handover: string}>}
-	/** The holders were sent their grants. */
+	/** Records that the holders were sent their grants. */
 	| {readonly kind: 'keysTold'; readonly service: string; readonly rows: readonly HeldSpan[]};
 
-/** The tables of all services, by service. */
+/** The key tables of all services, by service name. */
 export type KeyTables = Readonly<Record<string, readonly KeyRange[]>>;
 
-/** The ranges of a service. */
+/** Returns the ranges of a service: one unassigned range if it has no table yet. */
 export function rangesOf(tables: KeyTables, service: string): readonly KeyRange[] {
 	return tables[service] ?? unheldRanges;
 }
@@ -56,7 +56,7 @@
 /** The kinds of key commands. */
 export const keyCommandKinds = new Set<string>(Object.keys(changes));
 
-/** Takes a command in. Rows that no longer fit the table change nothing. */
+/** Applies a command. Rows that no longer match the table change nothing. */
 export function applyKeyCommand(tables: KeyTables, command: KeyCommand, index: LogIndex): KeyTables {
 	const ranges = rangesOf(tables, command.service);
 	const change = changes[command.kind];
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -1,12 +1,13 @@
 /**
- * What the leader knows of the upstreams that hold keys: until when each may
- * still hold what it was told, and what counts as evidence that it does not.
+ * The leader's view of key leases ("holds"): until when each upstream may still
+ * hold the keys it was granted, and what proves that it no longer does.
  *
- * An answer renews all keys of an upstream for the hold time, counted by the
- * upstream from when it sent the announcement, on a clock that may run slow. The
- * leader counts from when it received it. What an earlier leader answered was
- * received before this one was elected, as an answer is sent only after a
- * majority has confirmed the leader since the announcement came.
+ * An answer to an announcement renews all keys of an upstream for the hold time.
+ * The upstream counts that time from when it sent the announcement, on a clock
+ * that may run slow; the leader counts from when it received the announcement.
+ * Any announcement that an earlier leader answered was received before this
+ * leader was elected, because an answer is sent only after a majority has
+ * confirmed the leader since the announcement arrived.
  */
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {
@@ -16,35 +17,36 @@
 	type HolderObservation, noObservations, observationOf, type HolderObservations, withObservation,
 } from './observations.js';
 
-/** Keys that an upstream says it released, with the token for its successor. */
+/** Keys that an upstream reports as released, with the handover token for the next holder. */
 export type ReleasedRow = KeySpan & {readonly handover: string};
 
-/** What an announcement says of keys. */
+/** The part of an upstream's announcement that concerns keys. */
 export type HeldKeys = {
+	/** The incarnation that sends the announcement. */
 	readonly life: UpstreamIncarnation;
-	/** Grows with each announcement of one life. */
+	/** Increases with each announcement of an incarnation. */
 	readonly sequence: number;
 	readonly holds: ReadonlyArray<KeySpan & {readonly fence: number}>;
 	readonly released: readonly ReleasedRow[];
 };
 
-/** The leader's knowledge of holders. It is lost with the leadership. */
+/** The leader's record of holders. It is kept in memory and lost with the leadership. */
 export type GrantingState = {
 	readonly electedAt: MonotonicTime;
 	readonly sightings: HolderObservations;
 };
 
-/** How long answers hold. */
+/** How long an answer renews a hold. */
 export type GrantingTerms = {
 	readonly holdMilliseconds: Milliseconds;
-	/** How much slower than the leader's a holder's clock may run, as a share. */
+	/** How much slower than the leader's clock a holder's clock may run, as a fraction. */
 	readonly clockDrift: number;
 };
 
-/** Added to each expiry for timers that fire late, in milliseconds. */
+/** Added to each expiry, because timers may fire late. */
 export const expiryMarginMilliseconds: Milliseconds = 50;
 
-/** A leader that was just elected. */
+/** Creates the state of a newly elected leader. */
 export function beginGranting(electedAt: MonotonicTime): GrantingState {
 	return {electedAt, sightings: noObservations};
 }
@@ -53,13 +55,13 @@
 	return (holdMilliseconds / (1 - clockDrift)) + expiryMarginMilliseconds;
 }
 
-/** Notes that an announcement came. */
+/** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
 	return {...state, sightings: withObservation(state.sightings, {...known, heardAt: now})};
 }
 
-/** Notes that an announcement which came at `receivedAt` is being answered with the state at `index`. */
+/** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
 export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, answer.life);
 	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + longestHold(terms), answer.receivedAt + longestHold(terms));
@@ -74,15 +76,15 @@
 	};
 }
 
-/** Until when an upstream may hold what it was told. */
+/** Returns the time until which an upstream may hold the keys it was granted. */
 export function mayHoldUntil(state: GrantingState, life: UpstreamIncarnation, terms: GrantingTerms): MonotonicTime {
 	return observationOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + longestHold(terms);
 }
 
-/** Rows that are vacated, each with the token for the next holder. */
+/** Keys that their holder no longer holds, with the handover token for the next holder; empty if there is none. */
 export type VacatedRow = KeySpan & {readonly holder: UpstreamIncarnation; readonly handover: string};
 
-/** What an announcement says of keys that may be vacant: those that its sender released, and those that it doesn't list, in order. */
+/** The keys of an announcement that may be vacant: those its sender released, and those it doesn't list, sorted by first key. */
 export type AnnouncedKeys = Pick<HeldKeys, 'life' | 'sequence' | 'released'> & {readonly missing: readonly KeySpan[]};
 
 function releasedParts(range: KeyRange, released: readonly ReleasedRow[]): readonly VacatedRow[] {
@@ -101,9 +103,10 @@
 }
 
 /**
- * What an announcement proves about the ranges that its sender has to give up:
- * it says that it released them; or it was answered without them and no longer
- * lists them. An announcement that was overtaken on its way proves nothing.
+ * Returns the recalled keys of which an announcement proves that its sender no
+ * longer holds them: the sender reports them as released, or an earlier
+ * announcement was answered without them and this one no longer lists them. An
+ * announcement that arrives out of order proves nothing.
  */
 export function vacatedByAnnouncement(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly VacatedRow[] {
 	const sighting = observationOf(state.sightings, keys.life);
@@ -124,9 +127,9 @@
 }
 
 /**
- * The ranges that an upstream was told to hold and doesn't list although an
- * earlier announcement was answered with them: its hold has run out, as answers
- * did not reach it in time.
+ * Returns the ranges that an upstream was granted and doesn't list, although an
+ * earlier announcement was answered with them: its hold has expired because
+ * answers did not reach it in time.
  */
 export function lapsedRows(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly KeyRange[] {
 	const {answered} = observationOf(state.sightings, keys.life) ?? {};
@@ -137,7 +140,7 @@
 	return rangesHeldBy(ranges, keys.life).filter(range => isSettled(range) && range.fence <= answered.index && withoutSpans(range, keys.missing).length === 0);
 }
 
-/** What time and later lives prove: holders whose hold has run out, and holders that a later process has replaced. */
+/** Returns the ranges of holders whose hold has expired, and of holders that a later incarnation has replaced. */
 export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], isOver: (life: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingTerms}): readonly VacatedRow[] {
 	return ranges.flatMap(({from, to, holder}) => {
 		const vacated = holder !== undefined && (isOver(holder) || clock.now > mayHoldUntil(state, holder, clock.terms));
@@ -149,7 +152,7 @@
 	});
 }
 
-/** The rows that an upstream is to hold. */
+/** Returns the ranges that are granted to an upstream and not being recalled. */
 export function rowsOf(ranges: readonly KeyRange[], life: UpstreamIncarnation): readonly KeyRange[] {
 	return rangesHeldBy(ranges, life).filter(({releasingSince}) => releasingSince === undefined);
 }
--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -1,50 +1,52 @@
 /**
- * Which holders get more requests for their keys than they can process, and what
- * part of them may be sent.
+ * Finds the holders that receive more requests for their keys than they can
+ * process, and the share of those requests that may be sent.
  *
- * Load pattern: a run of neighbouring keys, or a single one, gets hot from one
- * moment to the next. Its holders have many times the work that they can do until
- * the keys have moved. Of many instances that send to a holder each sees too few
- * requests to notice, so the leader, which has the counts of all, tells them.
+ * Load pattern: a run of adjacent keys, or a single key, suddenly becomes hot.
+ * Until the keys have moved, their holders receive many times the work that they
+ * can process. Where many instances send to a holder, each sees too few requests
+ * to notice the overload; the leader has the counts of all instances, so it
+ * announces the shares to them.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type KeyRate} from './planning.js';
 import {type KeyRange, type UpstreamIncarnation, incarnationText} from './range.js';
 
-/** What may be sent to an upstream that has too much work. */
+/** The share of requests that may be sent to an overloaded upstream. */
 export type HolderShare = {
+	/** The overloaded upstream. */
 	readonly life: UpstreamIncarnation;
-	/** The part of the requests for its keys that it can process: between 0 and 1. */
+	/** The share of the requests for its keys that it can process, between 0 and 1. */
 	readonly share: number;
 };
 
-/** What is known of an upstream's speed. */
+/** The measured speed of an upstream. */
 export type HolderSpeed = {
-	/** The requests that it processes at a time. */
+	/** The number of requests that it processes concurrently. */
 	readonly slots: number;
-	/** How long the upstreams of the service take for an answer, in the mean. Undefined before any was counted. */
+	/** The mean response time over all upstreams of the service; undefined before any response was counted. */
 	readonly meanLatency: Milliseconds | undefined;
-	/** How fast it answers beside the others: 1 is as fast. */
+	/** Its speed relative to the service's other upstreams; 1 is equal. */
 	readonly speed: number;
 };
 
-/** Answers of a full upstream have waited in its queue: it is not taken for slower than this by them. */
+/** Lower bound of the relative speed: the responses of a full upstream include its queueing time, which makes it look slower than it is. */
 const leastSpeed = 0.5;
 
-/** A holder is kept this busy: with more, its queue fills, and answers come late. */
+/** The utilization that a holder is kept at: above it, its queue fills and responses are delayed. */
 const busyShare = 0.85;
 
-/** Rates are estimates: what exceeds the holder's by less is left to its queue. */
+/** Shares from this value up are not announced: rates are estimates, and the holder's queue absorbs so small an excess. */
 const largestShareTold = 0.9;
 
 const millisecondsPerSecond = 1000;
 
-/** Requests a second that a holder can process without a long queue; infinite where nothing is known. */
+/** Returns the requests per second that a holder can process without a long queue; infinite if no latency was measured. */
 export function processedPerSecond({slots, meanLatency, speed}: HolderSpeed): number {
 	return meanLatency === undefined ? Infinity : busyShare * slots * Math.max(leastSpeed, speed) * millisecondsPerSecond / meanLatency;
 }
 
-/** Requests a second for the keys of each holder, by its life. Rates and ranges are in order of the keys. */
+/** Returns the requests per second for the keys of each holder, by incarnation. Rates and ranges are sorted by key. */
 function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly life: UpstreamIncarnation; readonly rate: number}> {
 	const sums = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
 	let position = 0;
@@ -66,7 +68,7 @@
 	return sums;
 }
 
-/** The holders that have too much work. */
+/** Returns the overloaded holders, each with the share of requests that may be sent to it. */
 export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], perSecond: (life: UpstreamIncarnation) => number): readonly HolderShare[] {
 	return [...holderRates(ranges, rates).values()].flatMap(({life, rate}) => {
 		const share = perSecond(life) / rate;
--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -1,31 +1,34 @@
 /**
- * What a leader knows of each holder, by its life. One changes with each
- * announcement, so the record is divided: a change copies a small part of it.
+ * The leader's immutable record of each holder, by incarnation. Each announcement
+ * changes one entry, so the record is split into buckets, and a change copies
+ * only one of them.
  */
 import {type LogIndex, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type UpstreamIncarnation, incarnationText} from './range.js';
 
-/** What the leader knows of one holder. */
+/** The leader's record of one holder. */
 export type HolderObservation = {
 	readonly life: UpstreamIncarnation;
+	/** When the last announcement was received. */
 	readonly heardAt: MonotonicTime;
-	/** The newest announcement that was answered, and the log index of the state that the answer told. */
+	/** The newest announcement that was answered, and the log index of the state that the answer reported. */
 	readonly answered?: {readonly sequence: number; readonly index: LogIndex};
+	/** Until when the holder may hold the keys it was granted, on the leader's clock. */
 	readonly mayHoldUntil: MonotonicTime;
 };
 
 type Part = Readonly<Record<string, HolderObservation>>;
 
-/** All holders that were heard. */
+/** The records of all holders that made contact. */
 export type HolderObservations = readonly Part[];
 
-/** With ten thousand holders a part has forty. */
+/** With ten thousand holders, a bucket has forty entries. */
 const parts = 256;
 
-/** Nobody was heard yet. */
+/** No holder made contact yet. */
 export const noObservations: HolderObservations = Array.from({length: parts}, () => ({}));
 
-/** The part that a life's sighting stands in. */
+/** Returns the index of the bucket that holds an incarnation's entry. */
 function partOf(key: string): number {
 	let sum = 0;
 	for (let position = 0; position < key.length; position += 1) {
@@ -35,13 +38,13 @@
 	return sum % parts;
 }
 
-/** What is known of a life. */
+/** Returns the record of an incarnation. */
 export function observationOf(sightings: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
 	const key = incarnationText(life);
 	return sightings[partOf(key)]![key];
 }
 
-/** The sightings with a newer one. */
+/** Returns the records with one entry replaced or added. */
 export function withObservation(sightings: HolderObservations, sighting: HolderObservation): HolderObservations {
 	const key = incarnationText(sighting.life);
 	const part = partOf(key);
--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -1,26 +1,27 @@
 /**
- * Rows and ranges as they are stored and sent: each holder once, and each row as
- * a few numbers. There are a thousand rows in a first grant.
+ * The compact encoding of rows and ranges that is stored and sent: each holder is
+ * listed once, and each row is a tuple of a few numbers. The first grant of a
+ * service has about a thousand rows.
  */
 import {type HeldSpan} from './command.js';
 import {type KeyRange, type UpstreamIncarnation, incarnationText} from './range.js';
 
-/** The position of a holder in a list of holders; -1 where there is none. */
+/** The index of a holder in the list of holders; -1 for no holder. */
 type HolderPosition = number;
 
-/** Rows of a command: first key, last key, holder, and the token where there is one. */
+/** The rows of a command: first key, last key, holder, and the handover token if there is one. */
 export type PackedRows = {
 	readonly holders: readonly UpstreamIncarnation[];
 	readonly rows: ReadonlyArray<readonly [number, number, HolderPosition] | readonly [number, number, HolderPosition, string]>;
 };
 
-/** Ranges: first key, last key, fence, holder, whether the holder was told (1 or 0), the index of the recall (0 for none) and the token. */
+/** Ranges: first key, last key, fence, holder, whether the holder was notified (1 or 0), the log index of the recall (0 for none) and the handover token. */
 export type PackedRanges = {
 	readonly holders: readonly UpstreamIncarnation[];
 	readonly ranges: ReadonlyArray<readonly [number, number, number, HolderPosition, number, number, string]>;
 };
 
-/** Gives each life a position. */
+/** Assigns each holder its index in the list. */
 class Holders {
 	readonly lives: UpstreamIncarnation[] = [];
 	readonly #positions = new Map<string, HolderPosition>();
@@ -41,7 +42,7 @@
 	}
 }
 
-/** Packs the rows of a command. */
+/** Encodes the rows of a command. */
 export function packRows(rows: ReadonlyArray<HeldSpan & {readonly handover?: string}>): PackedRows {
 	const holders = new Holders();
 	return {
@@ -50,14 +51,14 @@
 	};
 }
 
-/** The rows that were packed. */
+/** Decodes the rows of a command. */
 export function unpackRows({holders, rows}: PackedRows): ReadonlyArray<HeldSpan & {readonly handover?: string}> {
 	return rows.map(([from, to, position, handover]) => ({
 		from, to, holder: holders[position]!, ...(handover === undefined ? {} : {handover}),
 	}));
 }
 
-/** Packs the table of a service. */
+/** Encodes the key table of a service. */
 export function packRanges(ranges: readonly KeyRange[]): PackedRanges {
 	const holders = new Holders();
 	return {
@@ -66,7 +67,7 @@
 	};
 }
 
-/** The table that was packed. */
+/** Decodes the key table of a service. */
 export function unpackRanges({holders, ranges}: PackedRanges): readonly KeyRange[] {
 	return ranges.map(([from, to, fence, position, told, releasingSince, handover]) => {
 		const holder = holders[position];
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -1,11 +1,10 @@
 /**
- * Which upstream should hold which keys: gives out what nobody holds, and moves
- * keys from upstreams with much work to those with little.
+ * Plans which upstream should hold which keys: grants unassigned keys, and moves
+ * keys from heavily loaded upstreams to lightly loaded ones.
  *
- * Load patterns: a few neighbouring keys get much of the work from one moment to
- * the next, so neighbours are dealt out to different upstreams beforehand;
- * upstreams join; upstreams leave or are lost, and their keys must not all go to
- * one survivor.
+ * Load patterns: a few adjacent keys suddenly get much of the work, so adjacent
+ * keys are spread over different upstreams in advance; upstreams join; upstreams
+ * leave or are lost, and their keys must not all go to one survivor.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type HeldSpan} from './command.js';
@@ -13,80 +12,80 @@
 	isSettled, keyCount, type KeyRange, type KeySpan, type UpstreamIncarnation, incarnationText, withoutSpans,
 } from './range.js';
 
-/** The requests a second for one key. */
+/** The requests per second for one key. */
 export type KeyRate = {readonly key: number; readonly rate: number};
 
-/** An upstream that may get keys. */
+/** An upstream that the plan may assign keys to. */
 export type Candidate = {
 	readonly life: UpstreamIncarnation;
-	/** How much work it can do beside the others; its number of slots. */
+	/** Its capacity relative to the others: its number of slots, scaled by its relative speed. */
 	readonly weight: number;
-	/** Whether it may be given keys. */
+	/** Whether it may be granted keys. */
 	readonly accepting: boolean;
-	/** Whether it has to give its keys up. */
+	/** Whether its keys must be recalled. */
 	readonly leaving: boolean;
 };
 
-/** What a plan is made of. */
+/** The input of a plan. */
 export type PlanInput = {
 	readonly ranges: readonly KeyRange[];
 	readonly candidates: readonly Candidate[];
-	/** Requests a second, smoothed, of the keys that had any, in order of the keys. */
+	/** Smoothed requests per second of the keys that had any, sorted by key. */
 	readonly rates: readonly KeyRate[];
-	/** The time that the rates were counted over: few requests in it say little. */
+	/** The time that the rates were counted over: few requests within it are weak evidence. */
 	readonly countedMilliseconds: Milliseconds;
-	/** The ranges that one upstream may hold at most: all of them are listed in each answer to it. */
+	/** The maximum number of ranges that one upstream may hold: each answer to it lists all of them. */
 	readonly mostRanges: number;
 };
 
-/** What should change. */
+/** The changes that a plan proposes. */
 export type Plan = {
 	readonly granted: readonly HeldSpan[];
 	readonly recalled: readonly HeldSpan[];
 };
 
-/** Vacant keys are given out in pieces of at most this share of an upstream's equal part of the work. */
+/** The maximum size of a piece of unassigned keys, as a share of one upstream's equal part of the work. */
 const pieceShare = 0.34;
 
-/** Work moves when the busiest and the idlest upstream differ by more than this share of the mean. */
+/** Work moves when the most and the least loaded upstream differ by more than this share of the mean. */
 const unevenShare = 0.35;
 
-/** Counts differ by chance: a difference counts only beyond this many times its standard deviation, at least. */
+/** Counts differ by chance: a difference is ignored up to at least this many times its standard deviation. */
 const leastChanceFactor = 2;
 
 /**
- * How many times its standard deviation a difference has to be. The busiest and the
- * idlest of many upstreams differ by more than two that are picked beforehand: the
- * largest of n normal deviations is about the root of 2 ln n.
+ * Returns how many standard deviations a difference must exceed. The most and the
+ * least loaded of many upstreams differ by more than two that are picked in
+ * advance: the largest of n normal deviations is about sqrt(2 ln n).
  */
 function chanceFactor(upstreams: number): number {
 	return Math.max(leastChanceFactor, Math.sqrt(2 * Math.log(upstreams / 2)));
 }
 
-/** Work counted for all keys alike beside what was measured, as a share of it: silent keys may wake. */
+/** Work that is spread equally over all keys, as a share of the measured work: idle keys may become active. */
 const restingShare = 0.25;
 
-/** The share of its most ranges that an upstream is dealt: the rest is room for the keys of lost upstreams, and for moves. */
+/** The share of `mostRanges` that the division of unassigned keys into pieces may use up: the rest is left for keys of lost upstreams and for moves. */
 const dealtShare = 0.5;
 
-/** The pieces that all keys are dealt out in at most: each of them is a row of the replicated table. */
+/** The maximum number of pieces that all keys are divided into: each piece is a row of the replicated table. */
 const mostPieces = 512;
 
-/** The most pieces that move in one plan: a hot run of keys is spread over as many upstreams at once, and one that joins is filled. */
+/** The maximum number of pieces that move in one plan: enough to spread a hot run of keys over as many upstreams at once, or to fill one that joins. */
 const movesAtOnce = 32;
 
-/** The one that takes a piece has still less work than the giver had, by this part of the difference that counts. */
+/** After a move the target must have less work than the source had before, by at least this share of the significant difference. */
 const leastGainShare = 0.5;
 
-/** A move brings at least this share of the mean. */
+/** Each move aims for at least this share of the mean. */
 const leastMoveShare = 0.1;
 
-/** The work of runs of keys, by sums over the keys that had requests. */
+/** The estimated work of spans of keys, by prefix sums over the keys that had requests. */
 class Work {
 	readonly #keys: readonly number[];
-	/** The work of the first so many of these keys. */
+	/** `#sums[n]` is the measured work of the first `n` of these keys. */
 	readonly #sums: readonly number[];
-	/** The work that each key has anyway. */
+	/** The work that every key counts for, whether it had requests or not. */
 	readonly #resting: number;
 
 	constructor(rates: readonly KeyRate[]) {
@@ -101,7 +100,7 @@
 		this.#resting = (total === 0 ? 1 : total * restingShare) / keyCount;
 	}
 
-	/** The work of the keys before one. */
+	/** Returns the work of all keys below `key`. */
 	before(key: number): number {
 		let low = 0;
 		let high = this.#keys.length;
@@ -121,7 +120,7 @@
 		return this.before(to + 1) - this.before(from);
 	}
 
-	/** The last key of the part of a span, from its start, that has about so much work. */
+	/** Returns the last key of the shortest prefix of a span that has at least the wanted work. */
 	cut({from, to}: KeySpan, wanted: number): number {
 		const goal = this.before(from) + wanted;
 		let low = from;
@@ -145,7 +144,7 @@
 	return work / candidate.weight;
 }
 
-/** The upstream that has the least work once it gets more of it: a fast one for a key with much work. */
+/** Returns the accepting upstream with the lowest relative load once `more` work is added: a fast one for a key with much work. */
 function idlest(shares: readonly Share[], mostRanges: number, more = 0): Share | undefined {
 	let found: Share | undefined;
 	let least = Infinity;
@@ -160,7 +159,7 @@
 	return found;
 }
 
-/** How large a piece of vacant keys may be. */
+/** The maximum size of a piece of unassigned keys. */
 type PieceBounds = {readonly work: number; readonly keys: number};
 
 function cutIntoPieces(work: Work, range: KeyRange, largest: PieceBounds): readonly KeySpan[] {
@@ -203,7 +202,7 @@
 	return granted;
 }
 
-/** Counts the work of keys that are being given up with those who will probably get them. */
+/** Adds the work of keys that are being released to the upstreams that will probably get them. */
 function expectReleased(input: PlanInput, work: Work, shares: readonly Share[]): void {
 	for (const range of input.ranges) {
 		const share = range.holder !== undefined && range.releasingSince !== undefined ? idlest(shares, input.mostRanges, work.of(range)) : undefined;
@@ -214,7 +213,7 @@
 	}
 }
 
-/** The end of one of an upstream's spans whose work is nearest to what should move; none where it is more than `most`. */
+/** Returns the part at either end of one of an upstream's spans whose work is nearest to `wanted`; undefined if its work exceeds `most`. */
 function pieceToMove(work: Work, spans: readonly KeySpan[], wanted: number, most: number): KeySpan | undefined {
 	let best: {readonly span: KeySpan; readonly miss: number} | undefined;
 	for (const whole of spans) {
@@ -231,7 +230,7 @@
 	return best !== undefined && work.of(best.span) <= most ? best.span : undefined;
 }
 
-/** The keys that each life holds and may be asked to give up. */
+/** Returns the keys that each incarnation holds and that may be recalled. */
 function settledSpans(ranges: readonly KeyRange[]): Map<string, readonly KeySpan[]> {
 	const spans = new Map<string, KeySpan[]>();
 	for (const range of ranges) {
@@ -246,11 +245,11 @@
 	return spans;
 }
 
-/** Moves work from the busiest to the idlest, piece by piece, until both are near the mean. */
+/** Moves work from the most to the least loaded upstream, piece by piece, until the two no longer differ significantly. */
 function balance(input: PlanInput, work: Work, shares: readonly Share[]): readonly HeldSpan[] {
 	const spans = settledSpans(input.ranges);
 	const recalled: HeldSpan[] = [];
-	/** Without those that have nothing more to give: a key with much work can't be divided. */
+	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
 	let givers = shares;
 	while (recalled.length < movesAtOnce) {
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
@@ -283,7 +282,7 @@
 	return recalled;
 }
 
-/** Those that leave, and those that are not known any more. */
+/** Recalls the keys of upstreams that are leaving or have no record any more. */
 function recallFromLeaving(input: PlanInput): readonly HeldSpan[] {
 	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({life}) => incarnationText(life)));
 	return input.ranges.flatMap(({from, to, holder, releasingSince}) => holder !== undefined && releasingSince === undefined && !staying.has(incarnationText(holder))
@@ -291,7 +290,7 @@
 		: []);
 }
 
-/** Makes a plan. */
+/** Computes a plan from the current ranges, upstreams and request rates. */
 export function planKeys(input: PlanInput): Plan {
 	const work = new Work(input.rates);
 	const shares: Share[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -1,52 +1,53 @@
 /**
- * The key space of one service as ranges, each with its holder and its fence.
+ * The key space of one service as a sorted list of ranges, each with its holder
+ * and its fence number, and operations on spans of keys.
  */
 import {memoize} from '@dogwooddeck/model/memoize';
 import {type FenceNumber, type LogIndex} from '@dogwooddeck/model/identifiers';
 
-/** The number of keys that a service has. */
+/** The number of keys of a service. */
 export const keyCount = 65_536;
 
-/** One life of an upstream: a process that starts anew under its name is another one. */
+/** One incarnation of an upstream: each process start under the same name is a new one. */
 export type UpstreamIncarnation = {
 	readonly id: string;
-	/** When the life began, in milliseconds since 1970 by the upstream's own clock. */
+	/** The start time that tells incarnations apart, in milliseconds since 1970 by the upstream's own clock. */
 	readonly born: number;
 };
 
-/** Keys from `from` to `to`, both included. */
+/** Keys from `from` to `to`, both inclusive. */
 export type KeySpan = {readonly from: number; readonly to: number};
 
-/** A run of keys with one holder. */
+/** Consecutive keys with the same holder. */
 export type KeyRange = KeySpan & {
-	/** The fence of the newest grant; 0 before the first one. */
+	/** The fence number of the newest grant; 0 before the first one. */
 	readonly fence: FenceNumber;
-	/** The upstream that the keys are granted to; undefined while nobody may hold them. */
+	/** The upstream that the keys are granted to; undefined while they are unassigned. */
 	readonly holder?: UpstreamIncarnation;
-	/** The log index at which the holder was asked to give the keys up. */
+	/** The log index of the recall; undefined if the keys are not being recalled. */
 	readonly releasingSince?: LogIndex;
-	/** Whether the holder was told of its grant and not yet told to give the keys up: requests may be sent to it. */
+	/** Whether the holder was notified of its grant and not yet of a recall: requests may be sent to it. */
 	readonly told: boolean;
-	/** The token by which the last holder passes on what it has of these keys; empty where there is none. */
+	/** The token by which the previous holder hands over its state of these keys; empty if there is none. */
 	readonly handover: string;
 };
 
-/** All keys of a service, nobody's yet. */
+/** All keys of a service, unassigned. */
 export const unheldRanges: readonly KeyRange[] = [{
 	from: 0, to: keyCount - 1, fence: 0, told: false, handover: '',
 }];
 
-/** Whether two lives are the same. */
+/** Whether two incarnations are the same, or both are undefined. */
 export function sameIncarnation(one: UpstreamIncarnation | undefined, other: UpstreamIncarnation | undefined): boolean {
 	return one?.id === other?.id && one?.born === other?.born;
 }
 
-/** Whether a range's holder knows of its grant and has not to give it up. */
+/** Whether a range's holder was notified of its grant and the range is not being recalled. */
 export function isSettled({releasingSince, told}: KeyRange): boolean {
 	return releasingSince === undefined && told;
 }
 
-/** A life as the key of a map. */
+/** Returns an incarnation as a string, for use as a map key. */
 export function incarnationText({id, born}: UpstreamIncarnation): string {
 	return `${id}#${born}`;
 }
@@ -65,19 +66,19 @@
 	return held;
 });
 
-/** The ranges that a life holds or has to give up, in order. */
+/** Returns the ranges that are granted to an incarnation, including recalled ones, in order. */
 export function rangesHeldBy(ranges: readonly KeyRange[], life: UpstreamIncarnation): readonly KeyRange[] {
 	return byHolder(ranges).get(incarnationText(life)) ?? [];
 }
 
-/** The keys that two spans share. */
+/** Returns the intersection of two spans; undefined if they are disjoint. */
 export function sharedSpan(one: KeySpan, other: KeySpan): KeySpan | undefined {
 	const from = Math.max(one.from, other.from);
 	const to = Math.min(one.to, other.to);
 	return from <= to ? {from, to} : undefined;
 }
 
-/** The parts of a span that lie in none of some others. `others` are in order of their first keys. */
+/** Returns the parts of a span that lie in none of `others`, which are sorted by first key. */
 export function withoutSpans({from, to}: KeySpan, others: readonly KeySpan[]): readonly KeySpan[] {
 	const rest: KeySpan[] = [];
 	let next = from;
@@ -96,7 +97,7 @@
 	return next <= to ? [...rest, {from: next, to}] : rest;
 }
 
-/** Spans in order of their first keys. */
+/** Returns the spans sorted by first key. */
 export function inOrder<Span extends KeySpan>(spans: readonly Span[]): readonly Span[] {
 	return [...spans].sort((one, other) => one.from - other.from);
 }
@@ -107,7 +108,7 @@
 		&& one.handover === '' && other.handover === '' && sameIncarnation(one.holder, other.holder);
 }
 
-/** Keys that nobody holds keep the highest fence among them: the next grant's is higher than all. */
+/** Merges adjacent ranges. Unassigned keys keep the highest fence among them: the fence of the next grant is higher than all. */
 function join(ranges: readonly KeyRange[]): readonly KeyRange[] {
 	const joined: KeyRange[] = [];
 	for (const range of ranges) {
@@ -124,7 +125,7 @@
 
 type Change<Span extends KeySpan> = (range: KeyRange, span: Span) => KeyRange;
 
-/** Changes what lies in spans, which are in order. Both lists are walked once. */
+/** Changes the parts of ranges that lie in `sorted` spans, in one pass over both lists. */
 function walk<Span extends KeySpan>(ranges: readonly KeyRange[], sorted: readonly Span[], change: Change<Span>): readonly KeyRange[] {
 	const changed: KeyRange[] = [];
 	let position = 0;
@@ -155,10 +156,10 @@
 	return join(changed);
 }
 
-/** More spans than these are cheaper to change in one walk over the table. */
+/** More spans than this are cheaper to change in one pass over the whole table. */
 const mostSingly = 16;
 
-/** Changes what lies in one span; of the table only the ranges at its ends are looked at. */
+/** Changes the parts of ranges that lie in one span; passes only over the ranges that the span touches and their neighbours. */
 function changeSpan<Span extends KeySpan>(ranges: readonly KeyRange[], span: Span, change: Change<Span>): readonly KeyRange[] {
 	const first = Math.max(0, positionOfKey(ranges, span.from) - 1);
 	const end = Math.min(ranges.length, positionOfKey(ranges, span.to) + 2);
@@ -171,8 +172,9 @@
 
 /**
  * Changes the parts of ranges that lie in spans; ranges are split at the ends of
- * spans. Where spans overlap, the first one counts. A table has thousands of
- * ranges; most commands are about a few, a first grant about as many.
+ * spans. Where spans overlap, the first one applies. A table has thousands of
+ * ranges; most commands change a few of them, a first grant about as many as
+ * the table has.
  */
 export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: Change<Span>): readonly KeyRange[] {
 	const sorted = inOrder(spans);
@@ -181,7 +183,7 @@
 		: sorted.reduce((changed, span) => changeSpan(changed, span, change), ranges);
 }
 
-/** The position of the range that a key lies in, by binary search. */
+/** Returns the index of the range that contains a key, by binary search. */
 function positionOfKey(ranges: readonly KeyRange[], key: number): number {
 	let low = 0;
 	let high = ranges.length - 1;
@@ -197,7 +199,7 @@
 	return low;
 }
 
-/** The range that a key lies in. */
+/** Returns the range that contains a key. */
 export function rangeOfKey(ranges: readonly KeyRange[], key: number): KeyRange | undefined {
 	return ranges[positionOfKey(ranges, key)];
 }
--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -1,7 +1,7 @@
 /**
- * What a control instance passes on to the leader of the keys in an
- * announcement: not the list, which is long and mostly known, but how it differs
- * from the replicated table.
+ * The report on an announcement's keys that a control instance forwards to the
+ * leader: the differences from the replicated table instead of the full list of
+ * keys, which is long and mostly matches the table.
  */
 import {createHash} from 'node:crypto';
 import {type HeldKeys, type ReleasedRow, rowsOf} from './granting.js';
@@ -9,19 +9,20 @@
 	inOrder, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, withoutSpans,
 } from './range.js';
 
-/** The keys of one announcement beside the table. */
+/** The differences between the keys of one announcement and the table. */
 export type KeyReport = {
+	/** The incarnation that sent the announcement. */
 	readonly life: UpstreamIncarnation;
-	/** Grows with each announcement of one life. */
+	/** Increases with each announcement of an incarnation. */
 	readonly sequence: number;
-	/** Keys that the table gives to the upstream and that it doesn't list. */
+	/** Keys that the table assigns to the upstream and that it doesn't list. */
 	readonly missing: readonly KeySpan[];
 	readonly released: readonly ReleasedRow[];
-	/** The digest of the rows that the table gives to the upstream. */
+	/** The digest of the rows that are granted to the upstream in the table. */
 	readonly digest: string;
 };
 
-/** A short text that differs where rows differ. */
+/** Returns a digest of rows (SHA-1, base64), to compare them cheaply. */
 export function rowsDigest(rows: readonly KeyRange[]): string {
 	const hash = createHash('sha1');
 	for (const {from, to, fence, handover} of rows) {
@@ -32,8 +33,9 @@
 }
 
 /**
- * Holds what an upstream lists against a table. The table may be behind the
- * leader's: keys that it doesn't give to the upstream are never reported as missing.
+ * Compares the keys that an upstream lists with a table. The table may lag behind
+ * the leader's: keys that it doesn't assign to the upstream are never reported as
+ * missing.
  */
 export function reportKeys(ranges: readonly KeyRange[], {life, sequence, holds, released}: HeldKeys): KeyReport {
 	const listed = inOrder(holds);
@@ -43,7 +45,7 @@
 	};
 }
 
-/** The rows that an upstream is to hold. The token of a row is left out once the upstream lists the row. */
+/** Returns the rows to send to an upstream. The handover token of a row is omitted once the upstream lists the row. */
 export function rowsFor(ranges: readonly KeyRange[], {life, missing}: Pick<KeyReport, 'life' | 'missing'>): readonly KeyRange[] {
 	return rowsOf(ranges, life).map(row => {
 		const isListed = row.told && missing.every(({from, to}) => from > row.to || to < row.from);
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -18,7 +18,7 @@
 	};
 }
 
-/** A leader elected at 0 that answered announcement 4 of the holder, received at 1000, by the state at an index. */
+/** A leader elected at time 0 that answered announcement 4 of the holder, received at 1000 ms, with the state at a log index. */
 function leaderThatAnswered(index: number): GrantingState {
 	const heard = recordContact(beginGranting(0), holder, 1000, terms);
 	return recordAnswer(heard, {
@@ -32,33 +32,33 @@
 
 const announcements: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly keys: HeldKeys; readonly range?: KeyRange; readonly vacated: readonly unknown[]}> = [
 	{
-		name: 'a released row is evidence, with its token', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [{...whole, handover: 't'}],
+		name: 'a released row is evidence and passes its token on', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [{...whole, handover: 't'}],
 	},
 	{
-		name: 'a released part is evidence for the part', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 50, to: 200, handover: 't'}]}), vacated: [{...whole, from: 50, handover: 't'}],
+		name: 'a released part is evidence for that part only', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 50, to: 200, handover: 't'}]}), vacated: [{...whole, from: 50, handover: 't'}],
 	},
 	{
-		name: 'a row that is no longer listed after an answer without it', state: leaderThatAnswered(20), keys: announced(5), vacated: [whole],
+		name: 'a row no longer listed after an answer without it is vacated', state: leaderThatAnswered(20), keys: announced(5), vacated: [whole],
 	},
 	{
-		name: 'a row that is listed yet', state: leaderThatAnswered(20), keys: announced(5, {holds: [{from: 90, to: 120, fence: 7}]}), vacated: [],
+		name: 'a row that is still listed is not vacated', state: leaderThatAnswered(20), keys: announced(5, {holds: [{from: 90, to: 120, fence: 7}]}), vacated: [],
 	},
 	{
 		name: 'an answer from before the recall proves nothing', state: leaderThatAnswered(19), keys: announced(5), vacated: [],
 	},
 	{
-		name: 'an announcement that was overtaken proves nothing', state: leaderThatAnswered(20), keys: announced(4, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [],
+		name: 'an announcement that arrives out of order proves nothing', state: leaderThatAnswered(20), keys: announced(4, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [],
 	},
 	{
-		name: 'a leader that answered nothing yet relies on no omission', state: beginGranting(0), keys: announced(5), vacated: [],
+		name: 'a leader that has answered nothing yet ignores omissions', state: beginGranting(0), keys: announced(5), vacated: [],
 	},
 	{
-		name: 'a range that was not recalled stays', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), range: {
+		name: 'a range that was not recalled is not vacated', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), range: {
 			from: 0, to: 99, fence: 7, holder, told: true, handover: '',
 		}, vacated: [],
 	},
 	{
-		name: 'another life of the same name', state: leaderThatAnswered(20), keys: {...announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), life: {id: 'a', born: 2}}, vacated: [],
+		name: 'another incarnation under the same name proves nothing', state: leaderThatAnswered(20), keys: {...announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), life: {id: 'a', born: 2}}, vacated: [],
 	},
 ];
 
@@ -74,49 +74,49 @@
 
 const lapses: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly keys: HeldKeys; readonly range?: KeyRange; readonly isLapsed: boolean}> = [
 	{
-		name: 'a row that an answer told and that is not listed', state: leaderThatAnswered(20), keys: announced(5), isLapsed: true,
+		name: 'a row that an answer included is not listed', state: leaderThatAnswered(20), keys: announced(5), isLapsed: true,
 	},
 	{
-		name: 'a row that is listed', state: leaderThatAnswered(20), keys: announced(5, {holds: [{from: 0, to: 99, fence: 7}]}), isLapsed: false,
+		name: 'the row is listed', state: leaderThatAnswered(20), keys: announced(5, {holds: [{from: 0, to: 99, fence: 7}]}), isLapsed: false,
 	},
 	{
-		name: 'a row that was granted after the answer', state: leaderThatAnswered(6), keys: announced(5), isLapsed: false,
+		name: 'the row was granted after the answer', state: leaderThatAnswered(6), keys: announced(5), isLapsed: false,
 	},
 	{
-		name: 'a row that is being recalled', state: leaderThatAnswered(20), keys: announced(5), range: recalled, isLapsed: false,
+		name: 'the row is being recalled', state: leaderThatAnswered(20), keys: announced(5), range: recalled, isLapsed: false,
 	},
 	{
-		name: 'an announcement that was overtaken', state: leaderThatAnswered(20), keys: announced(4), isLapsed: false,
+		name: 'the announcement arrives out of order', state: leaderThatAnswered(20), keys: announced(4), isLapsed: false,
 	},
 	{
-		name: 'nothing was answered yet', state: beginGranting(0), keys: announced(5), isLapsed: false,
+		name: 'no announcement was answered yet', state: beginGranting(0), keys: announced(5), isLapsed: false,
 	},
 ];
 
 for (const {name, state, keys, range = settled, isLapsed} of lapses) {
-	test(`granting: a hold ${isLapsed ? 'has' : 'has not'} run out: ${name}`, () => {
+	test(`granting: a hold ${isLapsed ? 'has' : 'has not'} expired: ${name}`, () => {
 		assert.deepEqual(lapsedRows(state, [range], reportKeys([range], keys)), isLapsed ? [range] : []);
 	});
 }
 
-/** 5000 ms by a clock that runs 2% slow, and the margin for late timers. */
+/** 5000 ms on a clock that runs 2% slow, plus the margin for delayed timers. */
 const longest = (5000 / 0.98) + 50;
 
 const expiries: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly now: number; readonly over?: boolean; readonly isVacated: boolean}> = [
 	{
-		name: 'a new leader waits as long as an earlier one may have answered for', state: beginGranting(0), now: longest - 1, isVacated: false,
+		name: 'a new leader waits for the longest hold that an earlier leader may have renewed', state: beginGranting(0), now: longest - 1, isVacated: false,
 	},
 	{
-		name: 'and no longer', state: beginGranting(0), now: longest + 1, isVacated: true,
+		name: 'a new leader waits no longer than that', state: beginGranting(0), now: longest + 1, isVacated: true,
 	},
 	{
-		name: 'an answer counts from when its announcement came', state: leaderThatAnswered(20), now: 1000 + longest - 1, isVacated: false,
+		name: 'a renewed hold is counted from when its announcement was received', state: leaderThatAnswered(20), now: 1000 + longest - 1, isVacated: false,
 	},
 	{
-		name: 'and ends', state: leaderThatAnswered(20), now: 1000 + longest + 1, isVacated: true,
+		name: 'a renewed hold expires', state: leaderThatAnswered(20), now: 1000 + longest + 1, isVacated: true,
 	},
 	{
-		name: 'a life that a later one has replaced holds nothing', state: leaderThatAnswered(20), now: 1001, over: true, isVacated: true,
+		name: 'a holder that a later incarnation has replaced holds nothing', state: leaderThatAnswered(20), now: 1001, over: true, isVacated: true,
 	},
 ];
 
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -1,6 +1,6 @@
 /**
- * What one announcement costs must not grow with the number of upstreams: a
- * leader hears each of them about once a second.
+ * The cost of one announcement must not grow with the number of upstreams: each
+ * of them announces itself to the leader about once a second.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -15,7 +15,7 @@
 const few = 250;
 const many = 16 * few;
 
-/** Noise of the machine and of its caches; a cost in proportion to the upstreams would be 16. */
+/** Allows for noise of the machine and its caches; a cost proportional to the number of upstreams would grow 16-fold. */
 const mostGrowth = 5;
 const rangesOfEach = 3;
 const calls = 2000;
@@ -36,13 +36,13 @@
 
 const costs: ReadonlyArray<{readonly name: string; readonly most?: number; readonly cost: Cost}> = [
 	{
-		name: 'hearing it',
+		name: 'recording contact',
 		cost(scene, life, call) {
 			scene.granting = recordContact(scene.granting, life, call, terms);
 		},
 	},
 	{
-		name: 'answering it',
+		name: 'recording the answer',
 		cost(scene, life, call) {
 			scene.granting = recordAnswer(scene.granting, {
 				life, sequence: call, receivedAt: call, index: call,
@@ -50,14 +50,14 @@
 		},
 	},
 	{
-		name: 'holding it against the table',
+		name: 'comparing it with the table',
 		cost: ({ranges}, life, call) => reportKeys(ranges, {
 			life, sequence: call, holds: [], released: [],
 		}),
 	},
 	{
-		name: 'a command about its keys',
-		// The list of ranges is copied, and nothing in it.
+		name: 'applying a command about its keys',
+		// A shallow copy of the list of ranges is made.
 		most: 10,
 		cost: ({ranges}, life, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: life}]}, call),
 	},
@@ -65,7 +65,7 @@
 		name: 'finding its rows', cost: ({ranges}, life) => rowsFor(ranges, {life, missing: []}),
 	},
 	{
-		name: 'looking for evidence',
+		name: 'finding vacated keys',
 		cost: ({ranges, granting}, life, call) => vacatedByAnnouncement(granting, ranges, {
 			life, sequence: call, missing: [], released: [],
 		}),
@@ -82,11 +82,11 @@
 }
 
 for (const {name, most = mostGrowth, cost} of costs) {
-	test(`growth: ${name} costs an announcement about the same among 16 times as many upstreams`, () => {
+	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = sceneOf(few);
 		const large = sceneOf(many);
 		const times = Array.from({length: rounds}, () => ({small: timeOf(small, cost), large: timeOf(large, cost)})).slice(1);
 		const growth = Math.min(...times.map(time => time.large)) / Math.min(...times.map(time => time.small));
-		assert.ok(growth < most, `${growth.toFixed(1)} times`);
+		assert.ok(growth < most, `the cost grew ${growth.toFixed(1)}-fold`);
 	});
 }
--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -20,7 +20,7 @@
 
 type Settled = {readonly ranges: readonly KeyRange[]; readonly moved: number; readonly rounds: number};
 
-/** Plans until nothing changes; what is recalled is given up at once. */
+/** Repeats planning until nothing changes; recalled keys are released immediately. */
 function settle(ranges: readonly KeyRange[], candidates: readonly Candidate[], rates: readonly KeyRate[]): Settled {
 	let tables: KeyTables = {[service]: ranges};
 	let moved = 0;
@@ -54,7 +54,7 @@
 
 const even: readonly KeyRate[] = Array.from({length: keyCount}, (_value, key) => ({key, rate: 0.125}));
 
-/** A run of neighbouring keys with a share of all requests. */
+/** Rates in which a run of adjacent keys gets a given share of all requests. */
 function withHotRun(keys: number, share: number): readonly KeyRate[] {
 	return Array.from({length: keyCount}, (_value, key) => ({key, rate: ((1 - share) / keyCount) + (key >= 8000 && key < 8000 + keys ? share / keys : 0)}));
 }
@@ -62,7 +62,7 @@
 const fleet = Array.from({length: 16}, (_value, position) => upstream(`u${position}`));
 const started = settle(unheldRanges, fleet, []).ranges;
 
-/** Each upstream holds one run of neighbouring keys. */
+/** Each upstream holds one run of adjacent keys. */
 const contiguous: readonly KeyRange[] = fleet.map(({life}, position) => ({
 	from: position * keyCount / fleet.length, to: ((position + 1) * keyCount / fleet.length) - 1, fence: 1, holder: life, told: true, handover: '',
 }));
@@ -81,31 +81,31 @@
 		name: 'a hot run of 60 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(56, 0.42), holders: 16, mostOverMean: 2, mostMoved: keyCount * 0.6,
 	},
 	{
-		name: 'a warm run of 1000 keys that were dealt out moves next to nothing', ranges: started, candidates: fleet, rates: withHotRun(1000, 0.25), holders: 16, mostOverMean: 1.4, mostMoved: keyCount * 0.01,
+		name: 'a warm run of 1000 keys that are already spread moves almost nothing', ranges: started, candidates: fleet, rates: withHotRun(1000, 0.25), holders: 16, mostOverMean: 1.4, mostMoved: keyCount * 0.01,
 	},
 	{
-		name: 'a key that alone has 3.2 times the mean keeps its holder, which gives the rest away', ranges: started, candidates: fleet, rates: withHotRun(1, 0.2), holders: 16, mostOverMean: 3.5, mostMoved: keyCount * 0.08,
+		name: 'a single key with 3.2 times the mean load keeps its holder, whose other keys move', ranges: started, candidates: fleet, rates: withHotRun(1, 0.2), holders: 16, mostOverMean: 3.5, mostMoved: keyCount * 0.08,
 	},
 	{
-		name: 'upstreams that join get their part', ranges: started, candidates: [...fleet, upstream('n0'), upstream('n1'), upstream('n2'), upstream('n3')], rates: even, holders: 20, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
+		name: 'upstreams that join get their share', ranges: started, candidates: [...fleet, upstream('n0'), upstream('n1'), upstream('n2'), upstream('n3')], rates: even, holders: 20, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
 	},
 	{
 		name: 'keys of upstreams that leave are spread', ranges: started, candidates: fleet.map((one, position) => position < 3 ? {...one, accepting: false, leaving: true} : one), rates: even, holders: 13, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
 	},
 	{
-		name: 'keys of an upstream that is not known any more are spread', ranges: started, candidates: fleet.slice(1), rates: even, holders: 15, mostOverMean: 1.4, mostMoved: keyCount * 0.12,
+		name: 'keys of an upstream that has no record any more are spread', ranges: started, candidates: fleet.slice(1), rates: even, holders: 15, mostOverMean: 1.4, mostMoved: keyCount * 0.12,
 	},
 ];
 
 for (const {name, ranges, candidates, rates, holders, mostOverMean, mostMoved, mostRounds = 60} of cases) {
 	test(`planning: ${name}`, () => {
 		const settled = settle(ranges, candidates, rates);
-		assert.ok(settled.rounds <= mostRounds, `${settled.rounds} plans were needed`);
+		assert.ok(settled.rounds <= mostRounds, `converged after ${settled.rounds} plans`);
 		const work = workOf(settled.ranges, rates);
 		const mean = [...work.values()].reduce((sum, one) => sum + one, 0) / holders;
 		assert.equal(work.has('nobody'), false);
 		assert.equal(work.size, holders);
-		assert.ok(Math.max(...work.values()) <= mean * mostOverMean, `the most work is ${(Math.max(...work.values()) / mean).toFixed(2)} of the mean`);
+		assert.ok(Math.max(...work.values()) <= mean * mostOverMean, `the highest load is ${(Math.max(...work.values()) / mean).toFixed(2)} times the mean`);
 		assert.ok(settled.moved <= mostMoved, `${settled.moved} keys moved`);
 	});
 }
@@ -135,7 +135,7 @@
 const countedMilliseconds = 8000;
 const seeds = Array.from({length: 20}, (_value, position) => position + 1);
 
-/** Requests for keys that are all alike, as they are counted by chance. */
+/** Random counts of requests that are uniformly distributed over all keys. */
 function countedByChance(requestsPerSecond: number, seed: number): readonly KeyRate[] {
 	const generator = xoroshiro128plus(seed);
 	const counts = new Map<number, number>();
@@ -149,7 +149,7 @@
 
 const speeds = [0.5, 1, 1, 1.5];
 
-/** A plan that moves keys by chance does so several times a second, for ever. */
+/** Guards against plans that mistake random differences for imbalance: they would move keys several times a second, indefinitely. */
 const fleets: ReadonlyArray<{readonly upstreams: number; readonly requestsPerSecond: number; readonly mostPlansThatMove: number}> = [
 	{upstreams: 9, requestsPerSecond: 140, mostPlansThatMove: 2},
 	{upstreams: 16, requestsPerSecond: 440, mostPlansThatMove: 2},
@@ -158,7 +158,7 @@
 ];
 
 for (const {upstreams, requestsPerSecond, mostPlansThatMove} of fleets) {
-	test(`planning: chance moves no keys among ${upstreams} upstreams`, () => {
+	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
 		const alike = even.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
 		const {ranges} = settle(settle(unheldRanges, candidates, []).ranges, candidates, alike);
--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -21,16 +21,16 @@
 
 const reports: ReadonlyArray<{readonly name: string; readonly holds: ReadonlyArray<KeySpan & {readonly fence: number}>; readonly missing: readonly KeySpan[]; readonly tokens: readonly string[]}> = [
 	{
-		name: 'all that it has', holds: [{from: 0, to: 99, fence: 7}, {from: 200, to: 399, fence: 7}], missing: [], tokens: ['', ''],
+		name: 'all its keys', holds: [{from: 0, to: 99, fence: 7}, {from: 200, to: 399, fence: 7}], missing: [], tokens: ['', ''],
 	},
 	{
-		name: 'nothing', holds: [], missing: [{from: 0, to: 99}, {from: 200, to: 299}, {from: 300, to: 399}], tokens: ['', 't'],
+		name: 'no keys', holds: [], missing: [{from: 0, to: 99}, {from: 200, to: 299}, {from: 300, to: 399}], tokens: ['', 't'],
 	},
 	{
-		name: 'parts, in any order', holds: [{from: 350, to: 399, fence: 7}, {from: 10, to: 19, fence: 7}, {from: 200, to: 299, fence: 7}], missing: [{from: 0, to: 9}, {from: 20, to: 99}, {from: 300, to: 349}], tokens: ['', 't'],
+		name: 'some of its keys, unsorted', holds: [{from: 350, to: 399, fence: 7}, {from: 10, to: 19, fence: 7}, {from: 200, to: 299, fence: 7}], missing: [{from: 0, to: 9}, {from: 20, to: 99}, {from: 300, to: 349}], tokens: ['', 't'],
 	},
 	{
-		name: 'keys of another one', holds: [{from: 0, to: 399, fence: 7}], missing: [], tokens: ['', ''],
+		name: 'keys of another upstream as well', holds: [{from: 0, to: 399, fence: 7}], missing: [], tokens: ['', ''],
 	},
 ];
 
@@ -46,14 +46,14 @@
 
 const digests: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly isSame: boolean}> = [
 	{name: 'the same table', ranges: [...table], isSame: true},
-	{name: 'keys of others that changed', ranges: [table[0]!, range(100, 199, {holder: other, fence: 8}), table[2]!, table[3]!], isSame: true},
+	{name: 'changed keys of another upstream', ranges: [table[0]!, range(100, 199, {holder: other, fence: 8}), table[2]!, table[3]!], isSame: true},
 	{name: 'a higher fence', ranges: [range(0, 99, {fence: 8}), ...table.slice(1)], isSame: false},
-	{name: 'a row that is recalled', ranges: [range(0, 99, {releasingSince: 3}), ...table.slice(1)], isSame: false},
-	{name: 'one row less', ranges: table.slice(1), isSame: false},
+	{name: 'a recalled row', ranges: [range(0, 99, {releasingSince: 3}), ...table.slice(1)], isSame: false},
+	{name: 'one row missing', ranges: table.slice(1), isSame: false},
 ];
 
 for (const {name, ranges, isSame} of digests) {
-	test(`report: the digest with ${name} is ${isSame ? 'the same' : 'another'}`, () => {
+	test(`report: the digest with ${name} ${isSame ? 'stays the same' : 'changes'}`, () => {
 		const keys = {
 			life, sequence: 1, holds: [], released: [],
 		};
@@ -64,12 +64,12 @@
 const tables: ReadonlyArray<readonly KeyRange[]> = [unheldRanges, table, []];
 
 for (const ranges of tables) {
-	test(`packing: a table of ${ranges.length} ranges comes back as it was`, () => {
+	test(`packing: a table of ${ranges.length} ranges survives a round trip`, () => {
 		assert.deepEqual(unpackRanges(packRanges(ranges)), ranges);
 	});
 }
 
-test('packing: rows come back as they were', () => {
+test('packing: rows survive a round trip', () => {
 	const rows = [{from: 1, to: 2, holder: life}, {
 		from: 3, to: 4, holder: other, handover: '',
 	}, {
@@ -92,7 +92,7 @@
 	});
 }
 
-test('spans: a change of many spans at once is that of one after the other', () => {
+test('spans: changing many spans at once equals changing them one by one', () => {
 	const spans = [{from: 350, to: 360}, {from: 0, to: 0}, {from: 50, to: 249}, {from: 260, to: 260}];
 	const change = (changed: KeyRange) => ({...changed, fence: 20});
 	let one: readonly KeyRange[] = table;
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -1,7 +1,7 @@
 /**
- * Seeded schedules of upstreams, announcements that are lost, late or answered
- * late, leaders that are replaced, and moves. Each upstream believes what it was
- * told by its own clock; no key may ever be held by two.
+ * Simulates seeded random schedules with lost and delayed announcements and
+ * answers, leader changes, and key moves. Each upstream holds the keys of the last
+ * answer for the hold time on its own clock; no key may ever have two holders.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -30,10 +30,10 @@
 	id: string;
 	born: number;
 	sequence: number;
-	/** The rate of its clock beside the true one. */
+	/** The rate of its clock relative to true time. */
 	readonly rate: number;
 	rows: readonly Row[];
-	/** By true time: when the rows end on its own clock. */
+	/** The true time at which its hold on the rows expires by its own clock. */
 	until: number;
 	released: ReadonlyArray<{readonly from: number; readonly to: number; readonly handover: string}>;
 	nextAt: number;
@@ -44,7 +44,7 @@
 
 type Breakage = {readonly expiryIsEarly?: boolean; readonly omissionCountsAtOnce?: boolean};
 
-/** Plays one schedule; gives the first moment at which two upstreams held a key, if any. */
+/** Simulates one schedule; returns a description of the first moment at which a key had two holders, if any. */
 function play(seed: number, breakage: Breakage = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
 	const draw = (most: number) => uniformInt(generator, 0, most - 1);
@@ -166,7 +166,7 @@
 		const sorted = holding.sort((one, other) => one.from - other.from);
 		const clash = sorted.find((row, position) => sorted[position + 1] !== undefined && sorted[position + 1]!.from <= row.to);
 		if (clash !== undefined) {
-			return `at ${now} keys ${clash.from}-${clash.to} of ${clash.id} have another holder`;
+			return `at ${now} ms some of the keys ${clash.from}-${clash.to} held by ${clash.id} have a second holder`;
 		}
 	}
 
@@ -182,12 +182,12 @@
 }
 
 const variants: ReadonlyArray<{readonly name: string; readonly breakage: Breakage}> = [
-	{name: 'holders expire early', breakage: {expiryIsEarly: true}},
+	{name: 'the leader expires holds early', breakage: {expiryIsEarly: true}},
 	{name: 'a recall counts as a release', breakage: {omissionCountsAtOnce: true}},
 ];
 
 for (const {name, breakage} of variants) {
-	test(`schedules: the check catches a variant where ${name}`, () => {
+	test(`schedules: the check detects a variant where ${name}`, () => {
 		assert.notEqual(seeds.map(seed => play(seed, breakage)).find(found => found !== undefined), undefined);
 	});
 }
