--- a/packages/directory/src/announcement.ts
+++ b/packages/directory/src/announcement.ts
@@ -1,5 +1,6 @@
 /**
- * What an announcement changes in the record of upstreams.
+ * Announcements of upstreams: whether one needs the leader, and the commands that
+ * record it in the directory.
  */
 import {type HeldKeys} from '@dogwooddeck/key-lease/granting';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
@@ -8,7 +9,7 @@
 import {type DirectoryState, hasDeparted} from './state.js';
 import {type UpstreamCommand, type UpstreamRecord} from './upstream.js';
 
-/** What an upstream says of itself, in a regular call. */
+/** What an upstream periodically reports about itself and its keys. */
 export type Announcement = {
 	readonly upstream: UpstreamRecord;
 	readonly keys: HeldKeys;
@@ -19,18 +20,18 @@
 		&& one.slots === other.slots && one.state === other.state && one.cold === other.cold;
 }
 
-/** Whether the record stands as an upstream announces it. */
+/** Whether the directory's record matches the announced one. */
 export function isRecorded(state: DirectoryState, upstream: UpstreamRecord): boolean {
 	const known = state.upstreams[upstream.id];
 	return known !== undefined && sameRecord(known, upstream);
 }
 
-/** Of the announcements that change nothing, one in so many still goes to the leader, which forgets upstreams that it doesn't hear. */
+/** One in this many announcements without changes is still sent to the leader, which removes upstreams without contact. */
 const routineOf = 4;
 
 /**
- * Whether any control instance that is in touch with the leader may answer: the
- * record stands as it is announced, and the service has no keys to renew.
+ * Whether any control instance in contact with the leader may answer an
+ * announcement itself: the record matches, and the service has no keys to renew.
  */
 export function isRoutine(state: DirectoryState, {upstream, keys}: Announcement): boolean {
 	const service = state.items.service[upstream.service]?.value;
@@ -38,10 +39,10 @@
 }
 
 /**
- * The commands that record an announcement; none where nothing changed, or
- * where its sender has departed and only gives its keys up. Fails
- * with `notReady` before anything was declared, and with `notFound` where the
- * service is not declared.
+ * Returns the commands that record an announcement: none if nothing changed, or
+ * if its sender has departed and only releases its keys. Fails with `notReady`
+ * before any service is declared, and with `notFound` if the service is not
+ * declared.
  */
 export function recordAnnouncement(state: DirectoryState, upstream: UpstreamRecord): Result<readonly UpstreamCommand[], Failure> {
 	const services = standing(state.items.service);
--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -1,6 +1,6 @@
 /**
- * Takes a change of items in: for each name the highest version stands, and a
- * change that is not valid changes nothing at all.
+ * Applies changes to configuration items: the highest version of each name wins,
+ * and an invalid change is rejected as a whole.
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {isSafeRecordKey} from '@dogwooddeck/model/identifiers';
@@ -9,10 +9,10 @@
 	type Item, type ItemChange, type ItemKind, type Items, type Route, standing,
 } from './item.js';
 
-/** A route may keep a caller waiting this long at most, in milliseconds. */
+/** The maximum timeout of a route. */
 export const longestTimeoutMilliseconds = 600_000;
 
-/** A route's objective stays this far below its timeout plus this, in milliseconds. */
+/** A route's objective must be below its timeout plus this. */
 export const objectiveSlackMilliseconds = 60_000;
 
 function routeProblem({name, item}: Extract<ItemChange, {readonly kind: 'route'}>): string | undefined {
@@ -22,18 +22,18 @@
 	}
 
 	const checks: ReadonlyArray<readonly [boolean, string]> = [
-		[!route.pathPrefix.startsWith('/'), 'the path prefix does not begin with a slash'],
-		[!(route.timeoutMilliseconds > 0 && route.timeoutMilliseconds <= longestTimeoutMilliseconds), 'the timeout is not above 0 and at most ten minutes'],
-		[route.objectiveMilliseconds >= route.timeoutMilliseconds + objectiveSlackMilliseconds, 'the objective is a minute or more above the timeout'],
-		[!(route.targets.reduce((sum, {weight}) => sum + weight, 0) > 0), 'the weights add up to 0'],
-		[route.targets.some(({weight}) => weight < 0), 'a weight is below 0'],
+		[!route.pathPrefix.startsWith('/'), 'the path prefix does not start with a slash'],
+		[!(route.timeoutMilliseconds > 0 && route.timeoutMilliseconds <= longestTimeoutMilliseconds), 'the timeout must be above 0 and at most ten minutes'],
+		[route.objectiveMilliseconds >= route.timeoutMilliseconds + objectiveSlackMilliseconds, 'the objective exceeds the timeout by a minute or more'],
+		[!(route.targets.reduce((sum, {weight}) => sum + weight, 0) > 0), 'the sum of the weights is not above 0'],
+		[route.targets.some(({weight}) => weight < 0), 'a weight is negative'],
 	];
 	const problem = checks.find(([applies]) => applies)?.[1];
 	return problem === undefined ? undefined : `route ${name}: ${problem}`;
 }
 
 function nameProblem({name}: ItemChange): string | undefined {
-	return isSafeRecordKey(name) && name !== '' ? undefined : `the name ${JSON.stringify(name)} can't be used`;
+	return isSafeRecordKey(name) && name !== '' ? undefined : `the name ${JSON.stringify(name)} is not allowed`;
 }
 
 function sameItem(one: Item<unknown>, other: Item<unknown>): boolean {
@@ -48,11 +48,11 @@
 function conflictProblem(items: Items, change: ItemChange): string | undefined {
 	const known = held(items, change);
 	return known?.version === change.item.version && !sameItem(known, change.item)
-		? `${change.kind} ${change.name}: version ${known.version} stands with other content`
+		? `${change.kind} ${change.name}: version ${known.version} already exists with different content`
 		: undefined;
 }
 
-/** Copies the items of each kind that changes once: a change may bring thousands. */
+/** Copies the items of each changed kind only once: a change may contain thousands of items. */
 function setItems(items: Items, changes: readonly ItemChange[]): Items {
 	const copies: Partial<Record<ItemKind, Record<string, Item<unknown>>>> = {};
 	for (const {kind, name, item} of changes) {
@@ -77,7 +77,12 @@
 	return undefined;
 }
 
-/** A route that an overtaken change names again may go to a service that was dropped since. Routes that are not named lose a service only where one is dropped. */
+/**
+ * Returns a description of the first route whose target service doesn't exist. A
+ * route that arrives out of order, after a newer version, may name a service that
+ * was dropped since. Routes outside of the change are checked only if it drops a
+ * service.
+ */
 function unknownTarget(changed: Items, changes: readonly ItemChange[]): string | undefined {
 	const sent = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
 	const inForce = sent.filter(([name, route]) => changed.route[name]?.value === route);
@@ -97,15 +102,15 @@
 	return conflict === undefined ? undefined : failure(FailureKind.conflict, conflict);
 }
 
-/** Whether a change is valid and changes nothing, as it was taken before or was overtaken. */
+/** Whether a change is valid and has no effect, because it was applied before or newer versions exist. */
 export function isNoOp(items: Items, changes: readonly ItemChange[]): boolean {
 	return changeItems(items, changes).map(changed => changed === items).unwrapOr(false);
 }
 
 /**
- * The items after a change. Items of lower or equal versions change nothing, and
- * a change that was taken before is taken again. Fails with `settingsInvalid`,
- * and with `conflict` where a version stands with other content.
+ * Returns the items after a change. Items of lower or equal versions have no
+ * effect, so a change may be applied again. Fails with `settingsInvalid`, and with
+ * `conflict` if a version already exists with different content.
  */
 export function changeItems(items: Items, changes: readonly ItemChange[]): Result<Items, Failure> {
 	const changed = setItems(items, changes);
--- a/packages/directory/src/item.ts
+++ b/packages/directory/src/item.ts
@@ -1,37 +1,38 @@
 /**
- * The configuration as named items, each with a version of its own.
+ * The configuration as named items (routes, services and limits), each with its
+ * own version.
  */
 
-/** A part of a route's requests that goes to one service. */
+/** A service that a route sends a share of its requests to. */
 export type Target = {readonly service: string; readonly weight: number};
 
-/** Where requests of a host and a path go, and how they are treated. */
+/** Where requests for a host and path prefix are sent, and how they are handled. */
 export type Route = {
 	readonly hostname: string;
-	/** Begins with a slash. */
+	/** Starts with a slash. */
 	readonly pathPrefix: string;
-	/** Whether a request may run more than once. */
+	/** Whether a request may be executed more than once. */
 	readonly idempotent: boolean;
-	/** The longest time that a caller is kept waiting. */
+	/** The maximum time until the caller gets an answer. */
 	readonly timeoutMilliseconds: number;
-	/** The time within which an answer is worth most. */
+	/** The latency objective: the time within which an answer has its full value. */
 	readonly objectiveMilliseconds: number;
-	/** 0 goes first. */
+	/** 0 is the most urgent. */
 	readonly priority: number;
-	/** The most upstreams that one request may be sent to. */
+	/** The maximum number of upstreams that one request may be sent to. */
 	readonly maxAttempts: number;
 	readonly targets: readonly Target[];
 };
 
-/** What upstreams of one service have in common. */
+/** The settings that all upstreams of a service share. */
 export type ServiceItem = {
-	/** Whether its requests belong to keys, each of which one upstream holds. */
+	/** Whether each request belongs to a key, which a single upstream holds. */
 	readonly keyed: boolean;
-	/** The connections that one upstream takes from all instances together. */
+	/** The maximum number of connections that one upstream accepts from all instances together. */
 	readonly maxConnections: number;
 };
 
-/** What callers may send. */
+/** Limits on what callers may send. */
 export type CallerLimits = {
 	readonly headerBytes: number;
 	readonly bodyBytes: number;
@@ -39,26 +40,26 @@
 	readonly idleTimeoutMilliseconds: number;
 };
 
-/** The kinds of items. */
+/** The value type of each kind of item. */
 export type ItemValues = {route: Route; service: ServiceItem; limits: CallerLimits};
 
-/** The name of a kind of items. */
+/** A kind of item. */
 export type ItemKind = keyof ItemValues;
 
-/** An item: what it says, and the document that it was read from, to be given back as it was. */
+/** A version of an item: its value, and the document that it was read from, which is returned unchanged. */
 export type Item<Value> = {
 	readonly version: number;
-	/** Undefined: the item was dropped at this version. */
+	/** Undefined if the item was dropped at this version (a tombstone). */
 	readonly value?: Value;
 	readonly document?: string;
 };
 
-/** An item that a change sets or drops. */
+/** The change of one item: a new value, or a tombstone. */
 export type ItemChange = {
 	[Kind in ItemKind]: {readonly kind: Kind; readonly name: string; readonly item: Item<ItemValues[Kind]>};
 }[ItemKind];
 
-/** All items by name, dropped ones among them. */
+/** All items by kind and name, including tombstones. */
 export type Items = {
 	readonly route: Readonly<Record<string, Item<Route>>>;
 	readonly service: Readonly<Record<string, Item<ServiceItem>>>;
@@ -68,10 +69,10 @@
 /** No items. */
 export const noItems: Items = {route: {}, service: {}, limits: {}};
 
-/** The name of the one item that holds the limits. */
+/** The name of the single item of kind `limits`. */
 export const limitsName = 'limits';
 
-/** The names and values of the items that stand. */
+/** Returns the names and values of the items that are not dropped. */
 export function standing<Value>(items: Readonly<Record<string, Item<Value>>>): ReadonlyArray<readonly [string, Value]> {
 	return Object.entries(items).flatMap(([name, {value}]) => value === undefined ? [] : [[name, value] as const]);
 }
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -1,6 +1,7 @@
 /**
- * What the leader should change about upstreams and keys: holders whose time is
- * over, upstreams that are not heard any more, and the plan of who holds what.
+ * Computes the leader's changes to upstreams and keys: vacates the keys of expired
+ * holders, removes upstreams without contact, and plans which upstream holds which
+ * keys.
  */
 import {rangesOf} from '@dogwooddeck/key-lease/command';
 import {type GrantingState, type GrantingTerms, vacatedByTime} from '@dogwooddeck/key-lease/granting';
@@ -12,36 +13,36 @@
 import {type DirectoryCommand, type DirectoryState} from './state.js';
 import {isReplaced, UpstreamState, type UpstreamRecord} from './upstream.js';
 
-/** What entries have reported of the work of a service. */
+/** The load of a service, as reported by the entries. */
 export type ServiceWork = {
-	/** Requests a second of the keys that had any, in order of the keys. */
+	/** Requests per second of the keys that had any, sorted by key. */
 	readonly rates: readonly KeyRate[];
 	/** The time that the rates were counted over. */
 	readonly countedMilliseconds: Milliseconds;
-	/** How fast an upstream answers beside the others: 1 is as fast, or not known. */
+	/** The speed of an upstream relative to the others: 1 is equal, or not measured. */
 	readonly speedOf: (upstream: string) => number;
 };
 
-/** What a plan is made of. */
+/** The input of a plan. */
 export type DirectoryPlanInput = {
 	readonly state: DirectoryState;
 	readonly granting: GrantingState;
 	readonly terms: GrantingTerms;
 	readonly now: MonotonicTime;
-	/** When an upstream joined last. */
+	/** When the last upstream joined. */
 	readonly joinedAt: MonotonicTime;
 	readonly workOf: (service: string) => ServiceWork;
-	/** The ranges of keys that one upstream may hold at most. */
+	/** The maximum number of key ranges that one upstream may hold. */
 	readonly mostRanges: number;
 };
 
-/** Keys are given out for the first time once no upstream has joined for this long. */
+/** The first grant of keys waits until no upstream has joined for this long. */
 export const gatheringMilliseconds: Milliseconds = 1500;
 
-/** An upstream that was not heard for this long gets no more keys: two announcements and a little. */
+/** An upstream without contact for this long is granted no more keys: two announcement intervals and a margin. */
 export const silentMilliseconds: Milliseconds = 2200;
 
-/** An upstream that was not heard for this long is forgotten: longer than partitions that it may serve through. */
+/** An upstream without contact for this long is removed: longer than the partitions during which it may keep serving. */
 export const forgottenMilliseconds: Milliseconds = 20_000;
 
 function addressOf(state: DirectoryState, life: UpstreamIncarnation): string | undefined {
@@ -57,7 +58,7 @@
 	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - heardAt(input, upstream) <= silentMilliseconds;
 }
 
-/** Upstreams that are still slow after their start get keys only while there are no others. */
+/** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
 function candidatesOf(input: DirectoryPlanInput, service: string, {speedOf}: ServiceWork): readonly Candidate[] {
 	const upstreams = Object.values(input.state.upstreams).filter(upstream => upstream.service === service);
 	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isHeard(input, upstream));
@@ -100,7 +101,7 @@
 		.map(({id, born}) => ({kind: 'upstreamRemoved', life: {id, born}}));
 }
 
-/** The commands that the leader should propose now. */
+/** Returns the commands that the leader should propose now. */
 export function planDirectory(input: DirectoryPlanInput): readonly DirectoryCommand[] {
 	const keyed = standing(input.state.items.service).filter(([, {keyed: isDivided}]) => isDivided);
 	return [...forgottenUpstreams(input), ...keyed.flatMap(([service]) => planService(input, service))];
--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -1,5 +1,6 @@
 /**
- * The replicated record as one: items, upstreams and tables of keys.
+ * The replicated directory as a state machine: configuration items, upstreams and
+ * key tables, the commands that change them, and their encoding.
  */
 import {
 	applyKeyCommand, type KeyCommand, keyCommandKinds, type KeyTables,
@@ -19,37 +20,37 @@
 	applyUpstreamCommand, type UpstreamCommand, upstreamCommandKinds, type Upstreams,
 } from './upstream.js';
 
-/** The replicated record. */
+/** The replicated state of the directory. */
 export type DirectoryState = {
-	/** The last log entry that is taken in. */
+	/** The index of the last log entry that was applied. */
 	readonly applied: LogIndex;
 	readonly items: Items;
 	readonly upstreams: Upstreams;
-	/** The last address of each life that holds keys and has no record any more. */
+	/** The last address of incarnations without a record, by incarnation: they may still hold keys. */
 	readonly formerAddresses: Readonly<Record<string, string>>;
-	/** Lives that said they were gone; an announcement of theirs that was late on its way doesn't bring them back. */
+	/** Incarnations that announced their departure: a delayed announcement doesn't add them again. */
 	readonly departed: readonly string[];
 	readonly keys: KeyTables;
 };
 
-/** What an entry of the log may hold. */
+/** A command in a log entry. */
 export type DirectoryCommand =
 	| {readonly kind: 'itemsChanged'; readonly changes: readonly ItemChange[]}
 	| UpstreamCommand
 	| KeyCommand;
 
-/** A command was taken in at this index. */
+/** The answer to a command that was applied, with the index of its log entry. */
 export type DirectoryAccepted = {readonly index: LogIndex};
 
-/** Nothing was declared or announced yet. */
+/** The state before anything is declared or announced. */
 export const emptyDirectory: DirectoryState = {
 	applied: 0, items: noItems, upstreams: {}, formerAddresses: {}, departed: [], keys: {},
 };
 
-/** The most addresses of ended lives that are kept. */
+/** The maximum number of former addresses that are kept. */
 const mostFormerAddresses = 500;
 
-/** The most departed lives that are kept. */
+/** The maximum number of departed incarnations that are kept. */
 const mostDeparted = 500;
 
 function noteFormer(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
@@ -58,7 +59,7 @@
 	return gone.length === 0 ? state.formerAddresses : Object.fromEntries(noted.slice(-mostFormerAddresses));
 }
 
-/** Whether a life has said that it is gone. */
+/** Whether an incarnation announced its departure. */
 export function hasDeparted(state: DirectoryState, life: UpstreamIncarnation): boolean {
 	return state.departed.includes(incarnationText(life));
 }
@@ -84,7 +85,7 @@
 function applyCommand(state: DirectoryState, command: DirectoryCommand, index: LogIndex): Result<DirectoryState, Failure> {
 	if (isUpstreamCommand(command)) {
 		return isLate(state, command)
-			? err(failure(FailureKind.superseded, 'this life has departed'))
+			? err(failure(FailureKind.superseded, 'this incarnation has departed'))
 			: applyUpstreamCommand(state.upstreams, command).map(upstreams => ({
 				...state, upstreams, formerAddresses: noteFormer(state, upstreams), departed: noteDeparted(state, command),
 			}));
@@ -96,7 +97,7 @@
 
 	return command.kind === 'itemsChanged'
 		? changeItems(state.items, command.changes).map(items => ({...state, items}))
-		: err(failure(FailureKind.malformed, 'a command of this kind is not known'));
+		: err(failure(FailureKind.malformed, 'unknown kind of command'));
 }
 
 type PackedCommand = {readonly kind: KeyCommand['kind']; readonly service: string; readonly packed: PackedRows};
@@ -107,7 +108,7 @@
 	return command as KeyCommand;
 }
 
-/** Commands as an entry of the log. */
+/** Encodes commands as the payload of a log entry. */
 export function encodeCommands(commands: readonly DirectoryCommand[]): string {
 	return JSON.stringify(commands.map(command => isKeyCommand(command) ? {kind: command.kind, service: command.service, packed: packRows(command.rows)} : command));
 }
@@ -116,7 +117,7 @@
 	return (JSON.parse(payload) as readonly SentCommand[]).map(command => 'packed' in command ? unpackCommand(command) : command);
 }
 
-/** Takes an entry of the log in: a list of commands, each with an answer. */
+/** Applies a log entry, which is a list of commands; returns the new state and the answer to each command. */
 export function applyDirectoryEntry(state: DirectoryState, payload: string, index: LogIndex): {readonly state: DirectoryState; readonly answers: ReadonlyArray<Result<DirectoryAccepted, Failure>>} {
 	let next = state;
 	const answers = readCommands(payload).map(command => {
@@ -127,24 +128,24 @@
 	return {state: {...next, applied: index}, answers};
 }
 
-/** The record as text. */
+/** Encodes the state as JSON, for a snapshot. */
 export function encodeDirectory(state: DirectoryState): string {
 	return JSON.stringify({...state, keys: Object.fromEntries(Object.entries(state.keys).map(([service, ranges]) => [service, packRanges(ranges)]))});
 }
 
-/** Reads a record. Fails with `malformed`. */
+/** Decodes a snapshot of the state. Fails with `malformed`. */
 export function decodeDirectory(data: string): Result<DirectoryState, Failure> {
 	try {
 		const state = JSON.parse(data) as Omit<DirectoryState, 'keys'> & {readonly keys: Readonly<Record<string, PackedRanges>>};
 		return typeof state.applied === 'number' && typeof state.items === 'object' && typeof state.keys === 'object'
 			? ok({...state, keys: Object.fromEntries(Object.entries(state.keys).map(([service, packed]) => [service, unpackRanges(packed)]))})
-			: err(failure(FailureKind.malformed, 'the text holds no directory'));
+			: err(failure(FailureKind.malformed, 'the snapshot is not a directory'));
 	} catch (error) {
 		return err(toFailure(error, FailureKind.malformed));
 	}
 }
 
-/** The directory as the log drives it. */
+/** The directory as a state machine of the replicated log. */
 export const directoryMachine = {
 	empty: emptyDirectory, apply: applyDirectoryEntry, encode: encodeDirectory, decode: decodeDirectory,
 };
--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -1,5 +1,6 @@
 /**
- * The upstreams that have announced themselves, one record for each life.
+ * The records of announced upstreams, at most one incarnation for each id, and the
+ * commands that change them.
  */
 import {memoize} from '@dogwooddeck/model/memoize';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
@@ -8,58 +9,57 @@
 import {type UpstreamIncarnation, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** What an upstream says it is doing. */
+/** The state that an upstream announces. */
 export const UpstreamState = {
 	ready: 'ready',
-	/** It goes on with what it has and takes nothing new. */
+	/** It completes the work that it has and accepts no new work. */
 	draining: 'draining',
 } as const;
 
-/** One of the states. */
 export type UpstreamState = (typeof UpstreamState)[keyof typeof UpstreamState];
 
-/** One life of an upstream. */
+/** The record of one incarnation of an upstream. */
 export type UpstreamRecord = UpstreamIncarnation & {
 	readonly service: string;
-	/** `IP:port`. */
+	/** The socket address, as `IP:port`. */
 	readonly address: string;
 	readonly zone: string;
-	/** The requests that it processes at a time. */
+	/** The number of requests that it processes concurrently. */
 	readonly slots: number;
 	readonly state: UpstreamState;
-	/** Whether it was still slow after its start when it was last recorded. */
+	/** Whether it was still slow after its start (warming up) when it was last recorded. */
 	readonly cold: boolean;
 };
 
-/** Upstreams by their id. */
+/** Upstreams by id. */
 export type Upstreams = Readonly<Record<string, UpstreamRecord>>;
 
-/** What the leader proposes about upstreams. */
+/** The commands that the leader proposes about upstreams. */
 export type UpstreamCommand =
-	/** A life was announced, or its record changed. */
+	/** An incarnation announced itself, or its record changed. */
 	| {readonly kind: 'upstreamAnnounced'; readonly upstream: UpstreamRecord}
-	/** A life says that it is gone. */
+	/** An incarnation announced its departure. */
 	| {readonly kind: 'upstreamDeparted'; readonly life: UpstreamIncarnation}
-	/** A life was not heard any more. */
+	/** An incarnation is removed after the contact timeout. */
 	| {readonly kind: 'upstreamRemoved'; readonly life: UpstreamIncarnation};
 
 function superseded(upstreams: Upstreams, {id, born, address, state}: UpstreamRecord): string | undefined {
 	const known = upstreams[id];
 	if (known !== undefined && known.born > born) {
-		return `a later life of ${id} is known`;
+		return `a later incarnation of ${id} is recorded`;
 	}
 
 	if (known?.born === born && known.state === UpstreamState.draining && state === UpstreamState.ready) {
-		return `${id} is leaving`;
+		return `${id} is draining and can't become ready again`;
 	}
 
 	const later = Object.values(upstreams).find(other => other.address === address && other.id !== id && other.born > born);
-	return later === undefined ? undefined : `${later.id} has the address since`;
+	return later === undefined ? undefined : `the address ${address} belongs to the later upstream ${later.id}`;
 }
 
 function announce(upstreams: Upstreams, upstream: UpstreamRecord): Result<Upstreams, Failure> {
 	if (!isSocketAddress(upstream.address)) {
-		return err(failure(FailureKind.malformed, `${upstream.id}: no connection can be made to ${upstream.address}`));
+		return err(failure(FailureKind.malformed, `${upstream.id}: ${upstream.address} is not a valid socket address`));
 	}
 
 	const problem = superseded(upstreams, upstream);
@@ -82,10 +82,10 @@
 	upstreamRemoved: ({life}, upstreams) => remove(upstreams, life),
 };
 
-/** The kinds of commands about upstreams. */
+/** The kinds of upstream commands. */
 export const upstreamCommandKinds = new Set<string>(Object.keys(handlers));
 
-/** Takes a command in. Fails with `superseded` where a later life is known, and with `malformed` where the address does not exist. */
+/** Applies a command. Fails with `superseded` if a later incarnation of the id or a later upstream at the address is recorded, or if a draining upstream announces itself as ready, and with `malformed` if the address is not valid. */
 export function applyUpstreamCommand(upstreams: Upstreams, command: UpstreamCommand): Result<Upstreams, Failure> {
 	return dispatch(handlers, command, upstreams);
 }
@@ -101,7 +101,7 @@
 	return newest;
 });
 
-/** Whether a life is known to have ended because a later one has its name or address. */
+/** Whether an incarnation has ended because a later one has its id or address. */
 export function isReplaced(upstreams: Upstreams, life: UpstreamIncarnation, address: string | undefined): boolean {
 	const known = upstreams[life.id];
 	const successor = address === undefined ? undefined : newestByAddress(upstreams).get(address);
--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -1,5 +1,6 @@
 /**
- * What a plan costs may grow with the number of upstreams, and not with its square.
+ * The cost of a plan must grow linearly with the number of upstreams, not
+ * quadratically.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -13,7 +14,7 @@
 const few = 128;
 const many = 8 * few;
 
-/** In proportion it would be 8, by the square 64. */
+/** Linear growth would be 8-fold, quadratic growth 64-fold. */
 const mostGrowth = 20;
 const rangesOfEach = 4;
 const rounds = 5;
@@ -48,8 +49,8 @@
 	return performance.now() - startedAt;
 }
 
-test('growth: a plan for 8 times as many upstreams costs about as many times as much', () => {
+test('growth: the cost of a plan for 8 times as many upstreams grows about linearly', () => {
 	const times = Array.from({length: rounds}, () => ({small: timeOf(few), large: timeOf(many)})).slice(1);
 	const growth = Math.min(...times.map(({large}) => large)) / Math.min(...times.map(({small}) => small));
-	assert.ok(growth < mostGrowth, `${growth.toFixed(1)} times`);
+	assert.ok(growth < mostGrowth, `the cost grew ${growth.toFixed(1)}-fold`);
 });
--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -26,25 +26,25 @@
 
 const taken: ReadonlyArray<{readonly name: string; readonly changes: ReadonlyArray<readonly ItemChange[]>; readonly version: number; readonly stands: boolean; readonly timeout?: number}> = [
 	{
-		name: 'a higher version stands', changes: [[route(5, {timeoutMilliseconds: 9})]], version: 5, stands: true, timeout: 9,
+		name: 'a higher version replaces the item', changes: [[route(5, {timeoutMilliseconds: 9})]], version: 5, stands: true, timeout: 9,
 	},
 	{
-		name: 'a lower version changes nothing', changes: [[route(2, {timeoutMilliseconds: 9})]], version: 3, stands: true, timeout: 1000,
+		name: 'a lower version has no effect', changes: [[route(2, {timeoutMilliseconds: 9})]], version: 3, stands: true, timeout: 1000,
 	},
 	{
-		name: 'the same change again changes nothing', changes: [[route(3)], [route(3)]], version: 3, stands: true, timeout: 1000,
+		name: 'applying the same change again has no effect', changes: [[route(3)], [route(3)]], version: 3, stands: true, timeout: 1000,
 	},
 	{
 		name: 'a drop leaves a tombstone', changes: [[drop('route', 'r', 4)]], version: 4, stands: false,
 	},
 	{
-		name: 'what came late after a drop does not come back', changes: [[drop('route', 'r', 6)], [route(5)]], version: 6, stands: false,
+		name: 'a delayed older version does not undo a drop', changes: [[drop('route', 'r', 6)], [route(5)]], version: 6, stands: false,
 	},
 	{
-		name: 'a higher version comes back after a drop', changes: [[drop('route', 'r', 6)], [route(7)]], version: 7, stands: true, timeout: 1000,
+		name: 'a higher version restores a dropped item', changes: [[drop('route', 'r', 6)], [route(7)]], version: 7, stands: true, timeout: 1000,
 	},
 	{
-		name: 'an overtaken change may name a service that was dropped since', changes: [[service(4, 't')], [route(5, {targets: [{service: 't', weight: 1}]})], [route(6)], [drop('service', 't', 5)], [route(5, {targets: [{service: 't', weight: 1}]})]], version: 6, stands: true, timeout: 1000,
+		name: 'a change that arrives out of order may name a service that was dropped since', changes: [[service(4, 't')], [route(5, {targets: [{service: 't', weight: 1}]})], [route(6)], [drop('service', 't', 5)], [route(5, {targets: [{service: 't', weight: 1}]})]], version: 6, stands: true, timeout: 1000,
 	},
 ];
 
@@ -67,10 +67,10 @@
 		name: 'an unknown service', changes: [route(9, {targets: [{service: 'nowhere', weight: 1}]})], kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'an unknown service in an overtaken change', changes: [route(1, {targets: [{service: 'nowhere', weight: 1}]})], kind: FailureKind.settingsInvalid,
+		name: 'an unknown service in a change that arrives out of order', changes: [route(1, {targets: [{service: 'nowhere', weight: 1}]})], kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'no weight', changes: [route(9, {targets: [{service: 's', weight: 0}]})], kind: FailureKind.settingsInvalid,
+		name: 'a zero total weight', changes: [route(9, {targets: [{service: 's', weight: 0}]})], kind: FailureKind.settingsInvalid,
 	},
 	{
 		name: 'no target', changes: [route(9, {targets: []})], kind: FailureKind.settingsInvalid,
@@ -79,7 +79,7 @@
 		name: 'a timeout over ten minutes', changes: [route(9, {timeoutMilliseconds: 600_001})], kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'no timeout', changes: [route(9, {timeoutMilliseconds: 0})], kind: FailureKind.settingsInvalid,
+		name: 'a zero timeout', changes: [route(9, {timeoutMilliseconds: 0})], kind: FailureKind.settingsInvalid,
 	},
 	{
 		name: 'an objective a minute above the timeout', changes: [route(9, {objectiveMilliseconds: 61_000})], kind: FailureKind.settingsInvalid,
@@ -88,13 +88,13 @@
 		name: 'a prefix without a slash', changes: [route(9, {pathPrefix: 'a/'})], kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'a name that every object has', changes: [route(9, {}, 'constructor')], kind: FailureKind.settingsInvalid,
+		name: 'a name that every object inherits', changes: [route(9, {}, 'constructor')], kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'a service that a route needs is dropped', changes: [drop('service', 's', 9)], kind: FailureKind.settingsInvalid,
+		name: 'dropping a service that a route needs', changes: [drop('service', 's', 9)], kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'other content under the version that stands', changes: [route(3, {timeoutMilliseconds: 9})], kind: FailureKind.conflict,
+		name: 'different content under the current version', changes: [route(3, {timeoutMilliseconds: 9})], kind: FailureKind.conflict,
 	},
 	{
 		name: 'one bad item beside a good one', changes: [route(9, {}, 'good'), route(9, {targets: []})], kind: FailureKind.settingsInvalid,
@@ -102,14 +102,14 @@
 ];
 
 for (const {name, changes, kind} of refused) {
-	test(`items: refused is ${name}`, () => {
+	test(`items: rejects ${name}`, () => {
 		const changed = changeItems(held, changes);
 		assert.ok(changed.isErr);
 		assert.equal(changed.error.kind, kind);
 	});
 }
 
-/** The processor time of one change of so many routes, at best of a few tries. */
+/** Returns the processor time of one change of `count` routes, in microseconds: the minimum of 5 runs. */
 function costOf(count: number): number {
 	const changes = Array.from({length: count}, (_, position) => route(5, {pathPrefix: `/${position}/`}, `r${position}`));
 	const costs = Array.from({length: 5}, () => {
@@ -123,5 +123,5 @@
 
 test('items: a change of 16 times as many routes does not cost 100 times as much', () => {
 	const [few, many] = [costOf(250), costOf(4000)];
-	assert.ok(many < 100 * few, `${few} and ${many} µs`);
+	assert.ok(many < 100 * few, `250 routes cost ${few} µs, 4000 routes ${many} µs`);
 });
--- a/packages/directory/test/test-upstreams.ts
+++ b/packages/directory/test/test-upstreams.ts
@@ -17,37 +17,37 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly commands: readonly DirectoryCommand[]; readonly known: ReadonlyArray<readonly [string, number, UpstreamState]>; readonly refusals: number}> = [
 	{
-		name: 'a first life', commands: [announced(record('a', 1))], known: [['a', 1, 'ready']], refusals: 0,
+		name: 'a first incarnation', commands: [announced(record('a', 1))], known: [['a', 1, 'ready']], refusals: 0,
 	},
 	{
-		name: 'a later life of the same name', commands: [announced(record('a', 1)), announced(record('a', 2))], known: [['a', 2, 'ready']], refusals: 0,
+		name: 'a later incarnation with the same id', commands: [announced(record('a', 1)), announced(record('a', 2))], known: [['a', 2, 'ready']], refusals: 0,
 	},
 	{
-		name: 'an earlier life that is late', commands: [announced(record('a', 2)), announced(record('a', 1))], known: [['a', 2, 'ready']], refusals: 1,
+		name: 'a delayed announcement of an earlier incarnation', commands: [announced(record('a', 2)), announced(record('a', 1))], known: [['a', 2, 'ready']], refusals: 1,
 	},
 	{
-		name: 'another upstream at the address', commands: [announced(record('a', 1)), announced(record('b', 2))], known: [['b', 2, 'ready']], refusals: 0,
+		name: 'another upstream with the same address', commands: [announced(record('a', 1)), announced(record('b', 2))], known: [['b', 2, 'ready']], refusals: 0,
 	},
 	{
-		name: 'a late word of the one that had the address before', commands: [announced(record('a', 1)), announced(record('b', 2)), announced(record('a', 1))], known: [['b', 2, 'ready']], refusals: 1,
+		name: 'a delayed announcement of the upstream that had the address before', commands: [announced(record('a', 1)), announced(record('b', 2)), announced(record('a', 1))], known: [['b', 2, 'ready']], refusals: 1,
 	},
 	{
-		name: 'ready is no answer to draining', commands: [announced(record('a', 1, {state: UpstreamState.draining})), announced(record('a', 1))], known: [['a', 1, 'draining']], refusals: 1,
+		name: 'a draining upstream can\'t become ready again', commands: [announced(record('a', 1, {state: UpstreamState.draining})), announced(record('a', 1))], known: [['a', 1, 'draining']], refusals: 1,
 	},
 	{
-		name: 'a late word after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 1))], known: [], refusals: 1,
+		name: 'a delayed announcement after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 1))], known: [], refusals: 1,
 	},
 	{
-		name: 'a new life after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 2))], known: [['a', 2, 'ready']], refusals: 0,
+		name: 'a new incarnation after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 2))], known: [['a', 2, 'ready']], refusals: 0,
 	},
 	{
-		name: 'a departure of an earlier life', commands: [announced(record('a', 2)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}], known: [['a', 2, 'ready']], refusals: 0,
+		name: 'the departure of an earlier incarnation', commands: [announced(record('a', 2)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}], known: [['a', 2, 'ready']], refusals: 0,
 	},
 	{
-		name: 'an address that doesn\'t exist', commands: [announced(record('a', 1)), announced(record('b', 2, {address: '10.0.0.2:99999'}))], known: [['a', 1, 'ready']], refusals: 1,
+		name: 'an address that is not valid', commands: [announced(record('a', 1)), announced(record('b', 2, {address: '10.0.0.2:99999'}))], known: [['a', 1, 'ready']], refusals: 1,
 	},
 	{
-		name: 'silence is no departure', commands: [announced(record('a', 1)), {kind: 'upstreamRemoved', life: {id: 'a', born: 1}}, announced(record('a', 1))], known: [['a', 1, 'ready']], refusals: 0,
+		name: 'an upstream that was removed for lack of contact may return', commands: [announced(record('a', 1)), {kind: 'upstreamRemoved', life: {id: 'a', born: 1}}, announced(record('a', 1))], known: [['a', 1, 'ready']], refusals: 0,
 	},
 ];
 
@@ -60,7 +60,7 @@
 	});
 }
 
-test('upstreams: a life is over once a later one has its name or its address', () => {
+test('upstreams: an incarnation is replaced by a later one with its id or address', () => {
 	const {state} = applyDirectoryEntry(emptyDirectory, JSON.stringify([announced(record('a', 1)), announced(record('b', 2))]), 1);
 	assert.equal(state.formerAddresses['a#1'], '10.0.0.1:1');
 	assert.equal(isReplaced(state.upstreams, {id: 'a', born: 1}, state.formerAddresses['a#1']), true);
