--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -1,50 +1,52 @@
 /**
- * How often one entry instance may send requests for one key.
+ * Paces the requests that one entry instance sends for one key, by a token bucket
+ * for each key.
  *
- * Load pattern: from one moment to the next a single key gets more requests than
- * its holder can process. They can't be divided, and if all instances send what
- * they get, each answer waits behind a full queue and none comes in time. Each
- * instance therefore sends its equal part of what the holder can process; other
- * keys come nowhere near that. Where there are so many instances that an equal
- * part is one request in seconds, two requests that come close together by chance
- * would exceed it, and the parts that the leader tells have to do (`holder-load`).
+ * Load pattern: a single key suddenly gets more requests than its holder can
+ * process. They can't be divided among holders, and if all instances send what
+ * they receive, each request waits in a full queue and none is answered in time.
+ * Each instance therefore sends its equal share of what the holder can process;
+ * other keys stay far below that. With so many instances that an equal share is
+ * one request in several seconds, two requests that arrive close together by
+ * chance would exceed it; keys are then limited only by the shares that the leader
+ * announces (see `holder-load` in the key-lease package).
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** What a holder can process, and who shares it. */
+/** The capacity of a holder, and the number of instances that share it. */
 export type HolderCapacity = {
-	/** The requests that the holder processes at a time. */
+	/** The number of requests that the holder processes concurrently. */
 	readonly slots: number;
-	/** How long one takes. */
+	/** How long one request takes. */
 	readonly latency: Milliseconds;
-	/** The entry instances that may send to it. */
+	/** The number of entry instances that may send to it. */
 	readonly instances: number;
 };
 
-/** Requests for a key that may be sent at once after a pause: all instances together fill the holder's queue with more. */
+/** The bucket size: requests for an idle key that may be sent at once. With more, all instances together would fill the holder's queue. */
 const burst = 1;
 
-/** Instances together may send so many times what the holder can process: not all of them have as many callers, and a longer latency lowers the pace. */
+/** All instances together may send this many times what the holder can process: they don't all have equally many callers, and a rising latency lowers the rate. */
 const oversubscription = 1.3;
 
-/** An instance whose equal part of a holder is a smaller part of one slot is not paced by it. */
+/** Requests are not paced if an instance's equal share of the holder is below this fraction of a slot. */
 const leastPartOfSlot = 0.1;
 
-/** Keys that are remembered; beyond that, those that may send a whole burst again are forgotten. */
+/** Above this number of buckets, full ones are removed. */
 const mostKeys = 1024;
 
 type Bucket = {readonly tokens: number; readonly at: MonotonicTime; readonly perMillisecond: number};
 
-/** Whether an equal part of the holder is enough for an instance to be paced by it. */
+/** Whether an instance's equal share of the holder is large enough to pace its requests by. */
 export function isPaced({slots, instances}: Pick<HolderCapacity, 'slots' | 'instances'>): boolean {
 	return slots / instances >= leastPartOfSlot;
 }
 
-/** The paces of the keys of one service. It is updated in place: it is on the request path. */
+/** Paces requests for the keys of one service. It is on the request path, so it is updated in place. */
 export class KeyPace {
 	readonly #buckets = new Map<number, Bucket>();
 
-	/** How long a request has to wait until it may be sent, behind others for the same key. */
+	/** Returns how long a request must wait until it may be sent, with `ahead` others for the same key before it. */
 	waitFor(key: number, ahead: number, capacity: HolderCapacity, now: MonotonicTime): Milliseconds {
 		if (!isPaced(capacity)) {
 			return 0;
@@ -54,7 +56,7 @@
 		return Math.max(0, (1 + ahead - tokens) / perMillisecond);
 	}
 
-	/** Notes that a request is being sent. */
+	/** Takes a token for a request that is being sent. */
 	take(key: number, capacity: HolderCapacity, now: MonotonicTime): void {
 		if (!isPaced(capacity)) {
 			return;
--- a/packages/gateway/src/refusal.ts
+++ b/packages/gateway/src/refusal.ts
@@ -1,17 +1,17 @@
 /**
- * When a caller who was refused should come back.
+ * The delay after which a refused caller should retry.
  *
- * Load pattern: many callers are refused at the same moment. Told the same
- * pause, they would come back at the same moment too, so the pauses are spread.
+ * Load pattern: many callers are refused at the same moment. With equal delays
+ * they would also retry at the same moment, so the delays are randomized.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
 const shortestReturnMilliseconds: Milliseconds = 80;
 
-/** The share of a request's objective within which refused callers come back. */
+/** The range of the random part of the delay, as a share of the request's objective. */
 const returnShare = 0.6;
 
-/** The pause for a caller; `draw` is between 0 and 1. */
+/** Returns the retry delay for a caller; `draw` is a random number between 0 and 1. */
 export function returnAfter(objectiveMilliseconds: Milliseconds, draw: number): Milliseconds {
 	return shortestReturnMilliseconds + (objectiveMilliseconds * returnShare * draw);
 }
--- a/packages/gateway/src/route-table.ts
+++ b/packages/gateway/src/route-table.ts
@@ -1,15 +1,15 @@
 /**
- * Finds the route of a request by its host and the longest prefix of its path.
+ * Finds the route of a request by its host and the longest matching path prefix.
  */
 import {type Items, type Route, standing} from '@dogwooddeck/directory/item';
 
 /** A route and its name. */
 export type NamedRoute = Route & {readonly name: string};
 
-/** All routes, by host, those with the longest prefix first. */
+/** All routes by host, those with the longest prefix first. */
 export type RouteTable = ReadonlyMap<string, readonly NamedRoute[]>;
 
-/** Makes the table of the routes that stand. */
+/** Creates the table of all routes that are not dropped. */
 export function createRouteTable(routes: Items['route']): RouteTable {
 	const byHost = new Map<string, NamedRoute[]>();
 	for (const [name, route] of standing(routes)) {
@@ -28,7 +28,7 @@
 
 const port = /:\d+$/v;
 
-/** The route of a host and a path, or undefined where none matches. */
+/** Returns the route for a host and a path; undefined if none matches. */
 export function findRoute(table: RouteTable, host: string, path: string): NamedRoute | undefined {
 	return table.get(host.toLowerCase().replace(port, ''))?.find(({pathPrefix}) => path.startsWith(pathPrefix));
 }
--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -1,26 +1,25 @@
 /**
- * Which upstream of a service gets a request that belongs to no key.
+ * Selects the upstream for a request that belongs to no key.
  *
  * Load pattern: each zone has upstreams of its own. A request stays in its zone
- * while that has room, goes to another zone of its region before it waits, and
- * crosses regions only when the region has none.
+ * while an upstream there has room, is sent to another zone of its region before
+ * it waits, and crosses regions only if no upstream of the region has room.
  */
 import {
 	type Milliseconds, type MonotonicTime, type RegionName, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
 import {type UpstreamLoad} from './upstream-load.js';
 
-/** How far an upstream is from this instance. */
+/** The distance between this instance and an upstream. */
 export const Distance = {
 	sameZone: 'same-zone',
 	sameRegion: 'same-region',
 	otherRegion: 'other-region',
 } as const;
 
-/** One of the distances. */
 export type Distance = (typeof Distance)[keyof typeof Distance];
 
-/** How far a zone is from the own one. */
+/** Returns the distance between the own zone and another one. */
 export function distanceOf(own: ZoneName, zone: ZoneName, regions: Readonly<Record<ZoneName, RegionName>>): Distance {
 	if (zone === own) {
 		return Distance.sameZone;
@@ -29,26 +28,26 @@
 	return regions[zone] === regions[own] ? Distance.sameRegion : Distance.otherRegion;
 }
 
-/** An upstream that may be chosen. */
+/** An upstream that may be selected. */
 export type Choice = {
 	readonly id: string;
 	readonly distance: Distance;
 	readonly load: UpstreamLoad;
-	/** It is still slow after its start. */
+	/** Whether it is still slow after its start (warming up). */
 	readonly cold: boolean;
 };
 
-/** What a request costs for its distance, as if it took so much longer: its way, and the price of its bytes. */
+/** The cost of a distance, as additional latency: the network's delay, and the price of the traffic. */
 const distanceMilliseconds: Readonly<Record<Distance, Milliseconds>> = {
 	[Distance.sameZone]: 0,
 	[Distance.sameRegion]: 15,
 	[Distance.otherRegion]: 250,
 };
 
-/** A failing upstream counts as this many times slower at a failure share of 1. */
+/** A failure share of 1 adds this many times the expected latency to the cost of an upstream. */
 const failureWeight = 8;
 
-/** A cold upstream counts as this many times slower. */
+/** The factor by which the latency of a cold upstream is multiplied. */
 const coldWeight = 2;
 
 function costOf({distance, load, cold}: Choice): number {
@@ -56,7 +55,7 @@
 	return distanceMilliseconds[distance] + (busy * (1 + (failureWeight * load.failureShare)));
 }
 
-/** The best upstream with room, or undefined where none has any. `excluded` were tried already. */
+/** Returns the cheapest upstream with room, or undefined if none has any. `excluded` lists the upstreams that were tried already. */
 export function selectUpstream<Chosen extends Choice>(choices: readonly Chosen[], excluded: readonly string[], now: MonotonicTime): Chosen | undefined {
 	let best: Chosen | undefined;
 	let bestCost = Infinity;
--- a/packages/gateway/src/split.ts
+++ b/packages/gateway/src/split.ts
@@ -1,24 +1,25 @@
 /**
- * Divides a route's requests over its targets: after any number of requests,
- * each target has had its share to within one (smooth weighted round robin).
+ * Distributes a route's requests over its targets by smooth weighted round robin:
+ * after any number of requests, each target has received its share to within one
+ * request.
  */
 import {type Target} from '@dogwooddeck/directory/item';
 
 type Credit = {readonly target: Target; credit: number};
 
-/** The division of one route. It is updated in place: it is on the request path. */
+/** The distribution of one route's requests. It is on the request path, so it is updated in place. */
 export class Split {
 	readonly #credits: readonly Credit[];
 	readonly #total: number;
 
-	/** `offset` is between 0 and 1, and differs by instance so that not all begin with the same target. */
+	/** `offset` is between 0 and 1 and differs by instance, so that not all instances start with the same target. */
 	constructor(targets: readonly Target[], offset: number) {
 		const positive = targets.filter(({weight}) => weight > 0);
 		this.#total = positive.reduce((sum, {weight}) => sum + weight, 0);
 		this.#credits = positive.map((target, position) => ({target, credit: position === 0 ? offset * this.#total : -offset * this.#total / Math.max(1, positive.length - 1)}));
 	}
 
-	/** The service that the next request goes to. */
+	/** Returns the service for the next request. */
 	next(): string {
 		let chosen = this.#credits[0]!;
 		for (const credit of this.#credits) {
--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -1,52 +1,52 @@
 /**
- * What one entry instance knows of one upstream by its own requests, and how
- * much it may have under way there.
+ * What one entry instance learns about one upstream from its own requests: a
+ * concurrency limit (additive increase, multiplicative decrease), the latency, the
+ * failure rate, and a backoff after connection failures.
  *
- * Load patterns: an upstream that several instances share gets full, and each
- * of them has to give way without talking to the others; an upstream turns slow;
- * an upstream fails a part of its requests.
+ * Load patterns: an upstream that several instances share becomes full, and each
+ * instance must reduce its load without coordination; an upstream becomes slow; an
+ * upstream fails a part of its requests.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** What an attempt says about the upstream. */
+/** What the outcome of an attempt indicates about the upstream. */
 export const Signal = {
-	/** It answered by itself. */
+	/** It answered. */
 	answered: 'answered',
-	/** It answered with a failure of its own. */
+	/** It answered with a failure that it caused itself. */
 	failed: 'failed',
 	/** It had no room. */
 	full: 'full',
-	/** The connection failed or ended. */
+	/** The connection failed or was closed. */
 	broken: 'broken',
-	/** The attempt says nothing about it. */
+	/** The attempt indicates nothing about the upstream. */
 	none: 'none',
 } as const;
 
-/** One of the signals. */
 export type Signal = (typeof Signal)[keyof typeof Signal];
 
-/** The part of an estimate that a new sample replaces; the first samples of the latency, which weigh as much as each other, replace more. */
+/** The weight of a new sample in a moving average. The first samples of the latency weigh more, all of them equally, until an equal weight is below this one. */
 const sampleShare = 0.1;
 
-/** What an upstream is expected to take before it was measured. */
+/** The latency assumed before the first measurement. */
 const firstLatencyMilliseconds: Milliseconds = 60;
 
-/** What may be under way at an upstream that was not used yet. */
+/** The concurrency limit of an upstream that was not used yet. */
 const firstAllowance = 2;
 
 const leastAllowance = 1;
 
-/** Each answer raises the allowance by this, divided by the allowance. */
+/** Each answer raises the concurrency limit by this, divided by the limit. */
 const allowanceGrowth = 0.2;
 
-/** What remains of the allowance when the upstream is full. */
+/** The factor by which the concurrency limit is multiplied when the upstream is full or the connection breaks. */
 const allowanceCut = 0.5;
 
-/** The pause after the second broken connection in a row, doubled by each one that follows directly. */
+/** The pause after the second consecutive broken connection; each further one doubles it. */
 const shortestPauseMilliseconds: Milliseconds = 100;
 const longestPauseMilliseconds: Milliseconds = 2000;
 
-/** The load of one upstream. It is updated in place: it is on the request path. */
+/** The load of one upstream. It is on the request path, so it is updated in place. */
 export class UpstreamLoad {
 	underWay = 0;
 	#allowance = firstAllowance;
@@ -77,21 +77,21 @@
 			this.#brokenInTurn += 1;
 		},
 		none() {
-			// Nothing is known.
+			// Changes no estimate.
 		},
 	};
 
-	/** `slots` is what the upstream processes at a time, for all instances together. */
+	/** `slots` is the number of requests that the upstream processes concurrently, for all instances together. */
 	constructor(slots: number) {
 		this.#largestAllowance = slots + 1;
 	}
 
-	/** How long an answer takes, in milliseconds, smoothed. */
+	/** The smoothed latency of answers. */
 	get latency(): Milliseconds {
 		return this.#latency;
 	}
 
-	/** The share of recent attempts that failed. */
+	/** The smoothed share of attempts that failed. */
 	get failureShare(): number {
 		return this.#failureShare;
 	}
@@ -101,17 +101,17 @@
 		return now >= this.#pausedUntil && this.underWay < Math.floor(this.#allowance);
 	}
 
-	/** The requests that may be under way. */
+	/** The maximum number of requests in flight. */
 	get allowance(): number {
 		return Math.floor(this.#allowance);
 	}
 
-	/** How long a request will probably wait here behind others. */
+	/** Returns the expected wait of a request for this upstream with `ahead` others before it. */
 	waitBehind(ahead: number, now: MonotonicTime): Milliseconds {
 		return Math.max(0, this.#pausedUntil - now, ahead * this.#latency / this.#allowance);
 	}
 
-	/** Notes how an attempt ended. */
+	/** Records the outcome of an attempt. */
 	note(signal: Signal, latency: Milliseconds, now: MonotonicTime): void {
 		this.#notes[signal](latency, now);
 	}
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -1,53 +1,56 @@
 /**
- * Requests that wait for room at the upstreams of one service: the most urgent
- * first, keys by turns, and only for as long as an answer is still likely to
- * come in time.
+ * The queue of requests that wait for room at the upstreams of one service:
+ * ordered by priority, fair between keys (round robin), and limited to waits after
+ * which an answer is still likely to meet its objective.
  *
- * Load patterns: for seconds there is more work than the upstreams can do; what
- * can't be done is refused at once, so that its caller can come back, and what is
- * done is done within its objective. One key gets most of the requests; requests
- * for the other keys of its holder don't wait behind them.
+ * Load patterns: for some seconds there is more work than the upstreams can
+ * process; requests that can't be served in time are refused at once, so that their
+ * callers can retry, and the others are answered within their objective. One key
+ * gets most of the requests; requests for the other keys of its holder don't wait
+ * behind them.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** A request that waits. */
+/** A waiting request. */
 export type Waiter = {
+	/** 0 is the most urgent. */
 	readonly priority: number;
-	/** The requests for the same key that were waiting when this one came: keys take turns. 0 where there are no keys. */
+	/** The number of requests for the same key that were waiting when this one was queued: keys take turns. 0 if the service has no keys. */
 	readonly turn: number;
-	/** The key that it is about. Undefined: the service has no keys. */
+	/** The key that it belongs to; undefined if the service has no keys. */
 	readonly key: number | undefined;
-	/** The upstream that it waits for; undefined where any will do, or none is known. */
+	/** The upstream that it waits for; undefined if any will do, or if none is known. */
 	readonly upstream: string | undefined;
-	/** When it gives up. */
+	/** When its wait times out. */
 	readonly until: MonotonicTime;
-	/** Tries to go on. `true`: it is under way and waits no more. */
+	/** Tries to send the request. Returns `true` if it was sent and no longer waits. */
 	readonly tryToStart: (now: MonotonicTime) => boolean;
-	/** It waited too long. */
+	/** Called when the wait times out. */
 	readonly giveUp: () => void;
 };
 
-/** What a request's longest wait is made of. */
+/** The values that limit the wait of a request. */
 export type WaitBounds = {
-	/** When the caller came. */
+	/** When the request arrived. */
 	readonly arrivedAt: MonotonicTime;
 	readonly objectiveMilliseconds: Milliseconds;
 	readonly deadline: MonotonicTime;
-	/** How long an answer is expected to take once the request is sent. */
+	/** The expected time from sending the request to its answer. */
 	readonly expectedMilliseconds: Milliseconds;
 };
 
-/** The shares of a request's objective that it may spend waiting, at least and at most. */
+/** The minimum and maximum share of its objective that a request may wait. */
 export const leastWaitingShare = 0.15;
 export const mostWaitingShare = 0.6;
 
-/** Answers that take so many times longer than expected should still come within the objective. */
+/** An answer that takes this many times the expected latency should still arrive within the objective. */
 const latencyAllowance = 1.2;
 
 /**
- * Until when a request may wait: an answer should still come within its
- * objective, and surely before its deadline. Where upstreams alone take that long,
- * a short wait remains, as a late answer is better than none.
+ * Returns until when a request may wait, so that an answer is still likely to meet
+ * its objective, and is expected before its deadline. Where the upstreams alone take
+ * as long as the objective, a short wait remains: a delayed answer is better than
+ * none.
  */
 export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitBounds): MonotonicTime {
 	const spare = objectiveMilliseconds - (expectedMilliseconds * latencyAllowance);
@@ -61,7 +64,7 @@
 	return one.priority === other.priority ? one.turn < other.turn : one.priority < other.priority;
 }
 
-/** The waiting requests of one service, or of one holder of keys. It is updated in place: it is on the request path. */
+/** The waiting requests of one service, or of one holder of keys. It is on the request path, so it is updated in place. */
 export class WaitingQueue {
 	#waiters: Waiter[] = [];
 
@@ -70,28 +73,28 @@
 		return this.#waiters.length;
 	}
 
-	/** The requests for a key that wait. */
+	/** Returns the number of waiting requests for a key, which is the turn of the next one; 0 without a key. */
 	turnOf(key: number | undefined): number {
 		return key === undefined ? 0 : this.#waiters.filter(waiter => waiter.key === key).length;
 	}
 
-	/** The requests that wait for the same upstream and go before one with a priority and a turn. */
+	/** Returns the number of waiting requests for an upstream that precede a new one with the given priority and turn. */
 	ahead(upstream: string | undefined, priority: number, turn: number): number {
 		return this.#waiters.filter(waiter => waiter.upstream === upstream && !goesBefore({priority, turn}, waiter)).length;
 	}
 
-	/** Adds a request behind those that go before it. */
+	/** Inserts a request by its priority and turn, after equal ones. */
 	add(waiter: Waiter): void {
 		const position = this.#waiters.findIndex(other => goesBefore(waiter, other));
 		this.#waiters.splice(position === -1 ? this.#waiters.length : position, 0, waiter);
 	}
 
-	/** Takes a request out, whose caller has gone. */
+	/** Removes a request whose caller has disconnected. */
 	remove(waiter: Waiter): void {
 		this.#waiters = this.#waiters.filter(one => one !== waiter);
 	}
 
-	/** Starts what can start, in order, and ends what waited too long. */
+	/** Sends the requests that can be sent, in order, and times out those that waited too long. */
 	advance(now: MonotonicTime): void {
 		const waiters = this.#waiters;
 		this.#waiters = [];
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -72,28 +72,28 @@
 
 const loads: ReadonlyArray<{readonly name: string; readonly load: UpstreamLoad; readonly allowance: number; readonly hasRoomAt: ReadonlyArray<readonly [number, boolean]>}> = [
 	{
-		name: 'unused', load: loadAfter(), allowance: 2, hasRoomAt: [[1000, true]],
+		name: 'an unused upstream has the initial limit', load: loadAfter(), allowance: 2, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'full once gives way', load: loadAfter(Signal.full), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'one full signal halves the limit', load: loadAfter(Signal.full), allowance: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'full often still lets one through', load: loadAfter(Signal.full, Signal.full, Signal.full), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'repeated full signals leave a limit of one', load: loadAfter(Signal.full, Signal.full, Signal.full), allowance: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'many answers raise it to the slots and one', load: loadAfter(...Array.from({length: 200}, () => Signal.answered)), allowance: 4, hasRoomAt: [[1000, true]],
+		name: 'many answers raise the limit to the slots plus one', load: loadAfter(...Array.from({length: 200}, () => Signal.answered)), allowance: 4, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'one broken connection is no reason to pause', load: loadAfter(Signal.broken), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'one broken connection causes no pause', load: loadAfter(Signal.broken), allowance: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'two in a row are', load: loadAfter(Signal.broken, Signal.broken), allowance: 1, hasRoomAt: [[1099, false], [1100, true]],
+		name: 'two consecutive broken connections cause a pause', load: loadAfter(Signal.broken, Signal.broken), allowance: 1, hasRoomAt: [[1099, false], [1100, true]],
 	},
 	{
-		name: 'an answer between them ends the row', load: loadAfter(Signal.broken, Signal.answered, Signal.broken), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'an answer in between resets the count', load: loadAfter(Signal.broken, Signal.answered, Signal.broken), allowance: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'pauses grow up to a bound', load: loadAfter(...Array.from({length: 30}, () => Signal.broken)), allowance: 1, hasRoomAt: [[2999, false], [3000, true]],
+		name: 'pauses grow up to a maximum', load: loadAfter(...Array.from({length: 30}, () => Signal.broken)), allowance: 1, hasRoomAt: [[2999, false], [3000, true]],
 	},
 ];
 
@@ -101,7 +101,7 @@
 	test(`load: ${name}`, () => {
 		assert.equal(load.allowance, allowance);
 		for (const [now, hasRoom] of hasRoomAt) {
-			assert.equal(load.hasRoom(now), hasRoom, `at ${now}`);
+			assert.equal(load.hasRoom(now), hasRoom, `room at ${now} ms`);
 		}
 	});
 }
@@ -116,25 +116,25 @@
 
 const selections: ReadonlyArray<{readonly name: string; readonly choices: readonly Choice[]; readonly excluded?: readonly string[]; readonly chosen: string | undefined}> = [
 	{
-		name: 'the own zone', choices: [choice('far', Distance.otherRegion), choice('near', Distance.sameRegion), choice('own', Distance.sameZone)], chosen: 'own',
+		name: 'an upstream in the own zone', choices: [choice('far', Distance.otherRegion), choice('near', Distance.sameRegion), choice('own', Distance.sameZone)], chosen: 'own',
 	},
 	{
-		name: 'another zone before a queue in the own', choices: [choice('near', Distance.sameRegion), choice('own', Distance.sameZone, 1)], chosen: 'near',
+		name: 'another zone rather than a busy upstream in the own zone', choices: [choice('near', Distance.sameRegion), choice('own', Distance.sameZone, 1)], chosen: 'near',
 	},
 	{
-		name: 'the own region though busy', choices: [choice('far', Distance.otherRegion), choice('own', Distance.sameZone, 1)], chosen: 'own',
+		name: 'a busy upstream in the own region rather than another region', choices: [choice('far', Distance.otherRegion), choice('own', Distance.sameZone, 1)], chosen: 'own',
 	},
 	{
-		name: 'another region where the own has no room', choices: [choice('far', Distance.otherRegion), choice('own', Distance.sameZone, 2)], chosen: 'far',
+		name: 'another region if the own region has no room', choices: [choice('far', Distance.otherRegion), choice('own', Distance.sameZone, 2)], chosen: 'far',
 	},
 	{
-		name: 'one that fails less', choices: [choice('bad', Distance.sameZone, 0, [Signal.failed, Signal.failed, Signal.failed]), choice('good', Distance.sameRegion)], chosen: 'good',
+		name: 'an upstream with fewer failures', choices: [choice('bad', Distance.sameZone, 0, [Signal.failed, Signal.failed, Signal.failed]), choice('good', Distance.sameRegion)], chosen: 'good',
 	},
 	{
-		name: 'one that was not tried yet', choices: [choice('own', Distance.sameZone), choice('far', Distance.otherRegion)], excluded: ['own'], chosen: 'far',
+		name: 'an upstream that was not tried yet', choices: [choice('own', Distance.sameZone), choice('far', Distance.otherRegion)], excluded: ['own'], chosen: 'far',
 	},
 	{
-		name: 'nobody where none has room', choices: [choice('own', Distance.sameZone, 2)], chosen: undefined,
+		name: 'none if no upstream has room', choices: [choice('own', Distance.sameZone, 2)], chosen: undefined,
 	},
 ];
 
@@ -146,16 +146,16 @@
 
 const waits: ReadonlyArray<{readonly name: string; readonly deadline: number; readonly expected: number; readonly until: number}> = [
 	{
-		name: 'a share of the objective', deadline: 5000, expected: 60, until: 1300,
+		name: 'up to a share of the objective', deadline: 5000, expected: 60, until: 1300,
 	},
 	{
-		name: 'less where answers take long', deadline: 5000, expected: 250, until: 1200,
+		name: 'less if answers take long', deadline: 5000, expected: 250, until: 1200,
 	},
 	{
-		name: 'a little where answers take as long as the objective', deadline: 5000, expected: 480, until: 1075,
+		name: 'a minimum if answers take as long as the objective', deadline: 5000, expected: 480, until: 1075,
 	},
 	{
-		name: 'less where the deadline is near', deadline: 1200, expected: 60, until: 1140,
+		name: 'less if the deadline is near', deadline: 1200, expected: 60, until: 1140,
 	},
 ];
 
@@ -167,7 +167,7 @@
 	});
 }
 
-test('waiting: the most urgent first, and those that waited too long are told', () => {
+test('waiting: requests start by priority, and those that waited too long time out', () => {
 	const line = new WaitingQueue();
 	const told: string[] = [];
 	let room = 0;
@@ -208,7 +208,7 @@
 	assert.equal(line.length, 0);
 });
 
-test('refusal: callers who are refused together come back apart', () => {
+test('refusal: retry delays are spread', () => {
 	const pauses = [0, 0.25, 0.5, 0.75, 1].map(draw => returnAfter(500, draw));
 	assert.deepEqual(pauses, [80, 155, 230, 305, 380]);
 });
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -1,8 +1,8 @@
 /**
- * Replays overloads of one upstream that several instances send to without
- * talking to each other: a key gets more requests than its holder can process.
- * Control tells them so about a second later; the first seconds are lost where
- * the instances are too many to divide the holder among them.
+ * Simulates the overload of one upstream to which several instances send without
+ * coordination: a key gets more requests than its holder can process. The control
+ * role announces the holder's share about a second later; with too many instances
+ * to pace the key by equal shares, the requests of the first seconds are lost.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -19,26 +19,26 @@
 	readonly instances: number;
 	readonly slots: number;
 	readonly workMilliseconds: number;
-	/** The requests that wait in the upstream at most; more are turned away. */
+	/** The maximum length of the upstream's queue; further requests are rejected. */
 	readonly queue: number;
-	/** Requests for the hot key and for the upstream's other keys, as shares of what it can process. */
+	/** The rates of requests for the hot key and for the upstream's other keys, relative to its capacity. */
 	readonly hot: number;
 	readonly other: number;
 	readonly objectiveMilliseconds: number;
-	/** Of what came and the upstream can process, at least this share is answered within the objective. */
+	/** The minimum share answered within the objective, of the requests that arrived and that the upstream can process. */
 	readonly leastInObjective: number;
-	/** Of the requests for other keys, at least this share is answered within the objective. */
+	/** The minimum share of requests for other keys that is answered within the objective. */
 	readonly leastOther: number;
 };
 
-/** How often control counts, and how long a count takes to the leader and what it tells to the instances. */
+/** The interval of counting, and the delay until the counts reach the leader and its shares reach the instances. */
 const countMilliseconds = 300;
 const tellMilliseconds = 600;
 
-/** Counts lose all but 1/e of their weight within this time. */
+/** The time constant of the counts: their weight decays to 1/e within this time. */
 const memoryMilliseconds = 1000;
 
-/** What control makes of the requests that come, and tells a moment later. */
+/** The control role: counts requests and announces the holder's share after a delay. */
 class Control {
 	share = 1;
 	readonly #pattern: Pattern;
@@ -79,15 +79,15 @@
 type Sent = {readonly instance: number; readonly arrivedAt: number; readonly startedAt: number; readonly isHot: boolean};
 
 const stepMilliseconds = 5;
-/** Until then there are requests for the other keys only. */
+/** Until this time there are only requests for the other keys. */
 const quietMilliseconds = 6000;
 const lastMilliseconds = 12_000;
-/** What came last is answered until then. */
+/** The last requests may be answered until this time. */
 const endMilliseconds = 13_000;
 const deadlineMilliseconds = 2000;
 const hotKey = 7;
 
-/** An upstream that processes requests in the order in which they come. */
+/** An upstream that processes requests in order of arrival. */
 class Upstream {
 	readonly #pattern: Pattern;
 	readonly #queue: Sent[] = [];
@@ -97,7 +97,7 @@
 		this.#pattern = pattern;
 	}
 
-	/** Whether it has room. */
+	/** Queues a request; returns whether there was room. */
 	take(sent: Sent): boolean {
 		if (this.#queue.length >= this.#pattern.queue) {
 			return false;
@@ -107,7 +107,7 @@
 		return true;
 	}
 
-	/** What has been answered until now. */
+	/** Returns the requests that are answered at this step, and starts queued ones. */
 	step(now: number): readonly Sent[] {
 		const answered = this.#running.filter(({until}) => until <= now).map(({sent}) => sent);
 		const kept = this.#running.filter(({until}) => until > now);
@@ -210,9 +210,10 @@
 }
 
 /**
- * Of six hot seconds 2.7 are lost until control has counted (1 s) and told (0.6 s) and the
- * full queue has drained (1.1 s); then a holder is kept busy to 85%: 0.47, less chance.
- * Its other keys get as small a part of it as the hot one.
+ * Of six seconds of overload, 2.7 s are lost until control has counted (1 s) and
+ * announced the share (0.6 s) and the full queue has drained (1.1 s); after that the
+ * holder is kept at 85% utilization: 0.47, less a margin for chance. Its other keys
+ * get as small a share of it as the hot one.
  */
 const lateShare = 0.45;
 
@@ -243,8 +244,8 @@
 				arrived, inObjective, others, othersInObjective,
 			} = play(pattern, seed);
 			const possible = Math.min(arrived, (lastMilliseconds - quietMilliseconds) * pattern.slots / pattern.workMilliseconds);
-			assert.ok(inObjective >= possible * pattern.leastInObjective, `${inObjective} of ${possible} were answered within the objective`);
-			assert.ok(othersInObjective >= others * pattern.leastOther, `${othersInObjective} of ${others} for other keys`);
+			assert.ok(inObjective >= possible * pattern.leastInObjective, `${inObjective} of ${possible} processable requests were answered within the objective`);
+			assert.ok(othersInObjective >= others * pattern.leastOther, `${othersInObjective} of ${others} requests for other keys were answered within the objective`);
 		});
 	}
 }
