--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -31,7 +31,7 @@
 	return tables[service] ?? unheldRanges;
 }
 
-type Change = (range: KeyRange, row: HeldSpan & {readonly handover?: string}, index: LogIndex) => KeyRange;
+type CommandHandler = (range: KeyRange, row: HeldSpan & {readonly handover?: string}, index: LogIndex) => KeyRange;
 
 function withoutHolder({from, to, fence}: KeyRange, handover: string): KeyRange {
 	return {
@@ -39,7 +39,7 @@
 	};
 }
 
-const changes: Readonly<Record<KeyCommand['kind'], Change>> = {
+const changes: Readonly<Record<KeyCommand['kind'], CommandHandler>> = {
 	keysGranted: (range, {holder}, index) => range.holder === undefined
 		? {
 			...range, holder, fence: index, told: false,
