--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -39,7 +39,7 @@
 	};
 }
 
-const changes: Readonly<Record<KeyCommand['kind'], CommandHandler>> = {
+const commandHandlers: Readonly<Record<KeyCommand['kind'], CommandHandler>> = {
 	keysGranted: (range, {holder}, index) => range.holder === undefined
 		? {
 			...range, holder, fence: index, told: false,
@@ -54,11 +54,11 @@
 };
 
 /** The kinds of key commands. */
-export const keyCommandKinds = new Set<string>(Object.keys(changes));
+export const keyCommandKinds = new Set<string>(Object.keys(commandHandlers));
 
 /** Applies a command. Rows that no longer match the table change nothing. */
 export function applyKeyCommand(tables: KeyTables, command: KeyCommand, index: LogIndex): KeyTables {
 	const ranges = rangesOf(tables, command.service);
-	const change = changes[command.kind];
+	const change = commandHandlers[command.kind];
 	return {...tables, [command.service]: changeSpans<HeldSpan>(ranges, command.rows, (range, row) => change(range, row, index))};
 }
