--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -59,6 +59,6 @@
 /** Applies a command. Rows that no longer match the table change nothing. */
 export function applyKeyCommand(tables: KeyTables, command: KeyCommand, index: LogIndex): KeyTables {
 	const ranges = rangesOf(tables, command.service);
-	const change = commandHandlers[command.kind];
-	return {...tables, [command.service]: changeSpans<HeldSpan>(ranges, command.rows, (range, row) => change(range, row, index))};
+	const handler = commandHandlers[command.kind];
+	return {...tables, [command.service]: changeSpans<HeldSpan>(ranges, command.rows, (range, row) => handler(range, row, index))};
 }
