--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -51,20 +51,20 @@
 	return {electedAt, sightings: noObservations};
 }
 
-function longestHold({holdMilliseconds, clockDrift}: GrantingTerms): Milliseconds {
+function maxHoldDuration({holdMilliseconds, clockDrift}: GrantingTerms): Milliseconds {
 	return (holdMilliseconds / (1 - clockDrift)) + expiryMarginMilliseconds;
 }
 
 /** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
-	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + longestHold(terms)};
+	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + maxHoldDuration(terms)};
 	return {...state, sightings: withObservation(state.sightings, {...known, heardAt: now})};
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
 export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, answer.life);
-	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + longestHold(terms), answer.receivedAt + longestHold(terms));
+	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + maxHoldDuration(terms), answer.receivedAt + maxHoldDuration(terms));
 	const answered = known?.answered !== undefined && known.answered.sequence > answer.sequence
 		? known.answered
 		: {sequence: answer.sequence, index: answer.index};
@@ -78,7 +78,7 @@
 
 /** Returns the time until which an upstream may hold the keys it was granted. */
 export function mayHoldUntil(state: GrantingState, life: UpstreamIncarnation, terms: GrantingTerms): MonotonicTime {
-	return observationOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + longestHold(terms);
+	return observationOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + maxHoldDuration(terms);
 }
 
 /** Keys that their holder no longer holds, with the handover token for the next holder; empty if there is none. */
