--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -56,8 +56,8 @@
 }
 
 /** Records that an announcement was received at `now`. */
-export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, terms: GrantingTerms): GrantingState {
-	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + maxHoldDuration(terms)};
+export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, options: GrantingTerms): GrantingState {
+	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
 	return {...state, sightings: withObservation(state.sightings, {...known, heardAt: now})};
 }
 
