--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -62,9 +62,9 @@
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
-export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, terms: GrantingTerms): GrantingState {
+export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingTerms): GrantingState {
 	const known = observationOf(state.sightings, answer.life);
-	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + maxHoldDuration(terms), answer.receivedAt + maxHoldDuration(terms));
+	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options), answer.receivedAt + maxHoldDuration(options));
 	const answered = known?.answered !== undefined && known.answered.sequence > answer.sequence
 		? known.answered
 		: {sequence: answer.sequence, index: answer.index};
