--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -57,8 +57,8 @@
 
 /** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, options: GrantingTerms): GrantingState {
-	const known = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
-	return {...state, sightings: withObservation(state.sightings, {...known, heardAt: now})};
+	const previous = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
+	return {...state, sightings: withObservation(state.sightings, {...previous, heardAt: now})};
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
