--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -63,15 +63,15 @@
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
 export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingTerms): GrantingState {
-	const known = observationOf(state.sightings, answer.life);
-	const mayHoldUntil = Math.max(known?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options), answer.receivedAt + maxHoldDuration(options));
-	const answered = known?.answered !== undefined && known.answered.sequence > answer.sequence
-		? known.answered
+	const previous = observationOf(state.sightings, answer.life);
+	const mayHoldUntil = Math.max(previous?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options), answer.receivedAt + maxHoldDuration(options));
+	const answered = previous?.answered !== undefined && previous.answered.sequence > answer.sequence
+		? previous.answered
 		: {sequence: answer.sequence, index: answer.index};
 	return {
 		...state,
 		sightings: withObservation(state.sightings, {
-			life: answer.life, heardAt: known?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
+			life: answer.life, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
 		}),
 	};
 }
