--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -56,8 +56,8 @@
 }
 
 /** Records that an announcement was received at `now`. */
-export function recordContact(state: GrantingState, life: UpstreamIncarnation, now: MonotonicTime, options: GrantingTerms): GrantingState {
-	const previous = observationOf(state.sightings, life) ?? {life, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
+export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingTerms): GrantingState {
+	const previous = observationOf(state.sightings, holder) ?? {life: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
 	return {...state, sightings: withObservation(state.sightings, {...previous, heardAt: now})};
 }
 
