--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -77,8 +77,8 @@
 }
 
 /** Returns the time until which an upstream may hold the keys it was granted. */
-export function mayHoldUntil(state: GrantingState, life: UpstreamIncarnation, options: GrantingTerms): MonotonicTime {
-	return observationOf(state.sightings, life)?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options);
+export function mayHoldUntil(state: GrantingState, holder: UpstreamIncarnation, options: GrantingTerms): MonotonicTime {
+	return observationOf(state.sightings, holder)?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options);
 }
 
 /** Keys that their holder no longer holds, with the handover token for the next holder; empty if there is none. */
