--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -141,7 +141,7 @@
 }
 
 /** Returns the ranges of holders whose hold has expired, and of holders that a later incarnation has replaced. */
-export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], hasEnded: (life: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingTerms}): readonly VacatedRow[] {
+export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], hasEnded: (holder: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingTerms}): readonly VacatedRow[] {
 	return ranges.flatMap(({from, to, holder}) => {
 		const vacated = holder !== undefined && (hasEnded(holder) || clock.now > mayHoldUntil(state, holder, clock.terms));
 		return vacated
