--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -87,7 +87,7 @@
 /** The keys of an announcement that may be vacant: those its sender released, and those it doesn't list, sorted by first key. */
 export type AnnouncedKeys = Pick<HeldKeys, 'life' | 'sequence' | 'released'> & {readonly missing: readonly KeySpan[]};
 
-function releasedParts(range: KeyRange, released: readonly ReleasedRow[]): readonly VacatedRow[] {
+function releasedRows(range: KeyRange, released: readonly ReleasedRow[]): readonly VacatedRow[] {
 	return released.flatMap(row => {
 		const shared = sharedSpan(range, row);
 		return shared === undefined ? [] : [{...shared, holder: range.holder!, handover: row.handover}];
@@ -117,7 +117,7 @@
 	return rangesHeldBy(ranges, keys.life)
 		.filter(({releasingSince}) => releasingSince !== undefined)
 		.flatMap(range => {
-			const released = releasedParts(range, keys.released);
+			const released = releasedRows(range, keys.released);
 			return released.length > 0 || !isOmitted(range, keys, sighting)
 				? released
 				: [{
