--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -94,8 +94,8 @@
 	});
 }
 
-function isOmitted(range: KeyRange, keys: AnnouncedKeys, sighting: HolderObservation | undefined): boolean {
-	const answered = sighting?.answered;
+function isOmitted(range: KeyRange, keys: AnnouncedKeys, observation: HolderObservation | undefined): boolean {
+	const answered = observation?.answered;
 	return answered !== undefined
 		&& answered.sequence < keys.sequence
 		&& answered.index >= range.releasingSince!
