--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -109,8 +109,8 @@
  * announcement that arrives out of order proves nothing.
  */
 export function vacatedByAnnouncement(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly VacatedRow[] {
-	const sighting = observationOf(state.sightings, keys.life);
-	if (sighting?.answered !== undefined && keys.sequence <= sighting.answered.sequence) {
+	const observation = observationOf(state.sightings, keys.life);
+	if (observation?.answered !== undefined && keys.sequence <= observation.answered.sequence) {
 		return [];
 	}
 
@@ -118,7 +118,7 @@
 		.filter(({releasingSince}) => releasingSince !== undefined)
 		.flatMap(range => {
 			const released = releasedRows(range, keys.released);
-			return released.length > 0 || !isOmitted(range, keys, sighting)
+			return released.length > 0 || !isOmitted(range, keys, observation)
 				? released
 				: [{
 					from: range.from, to: range.to, holder: keys.life, handover: '',
