--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -17,10 +17,10 @@
 	readonly mayHoldUntil: MonotonicTime;
 };
 
-type Part = Readonly<Record<string, HolderObservation>>;
+type Bucket = Readonly<Record<string, HolderObservation>>;
 
 /** The records of all holders that made contact. */
-export type HolderObservations = readonly Part[];
+export type HolderObservations = readonly Bucket[];
 
 /** With ten thousand holders, a bucket has forty entries. */
 const parts = 256;
