--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -23,10 +23,10 @@
 export type HolderObservations = readonly Bucket[];
 
 /** With ten thousand holders, a bucket has forty entries. */
-const parts = 256;
+const bucketCount = 256;
 
 /** No holder made contact yet. */
-export const noObservations: HolderObservations = Array.from({length: parts}, () => ({}));
+export const noObservations: HolderObservations = Array.from({length: bucketCount}, () => ({}));
 
 /** Returns the index of the bucket that holds an incarnation's entry. */
 function partOf(key: string): number {
@@ -35,7 +35,7 @@
 		sum = ((sum * 31) + key.codePointAt(position)!) % 65_521;
 	}
 
-	return sum % parts;
+	return sum % bucketCount;
 }
 
 /** Returns the record of an incarnation. */
