--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -29,7 +29,7 @@
 export const noObservations: HolderObservations = Array.from({length: bucketCount}, () => ({}));
 
 /** Returns the index of the bucket that holds an incarnation's entry. */
-function partOf(key: string): number {
+function bucketOf(key: string): number {
 	let sum = 0;
 	for (let position = 0; position < key.length; position += 1) {
 		sum = ((sum * 31) + key.codePointAt(position)!) % 65_521;
@@ -41,12 +41,12 @@
 /** Returns the record of an incarnation. */
 export function observationOf(sightings: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
 	const key = incarnationText(life);
-	return sightings[partOf(key)]![key];
+	return sightings[bucketOf(key)]![key];
 }
 
 /** Returns the records with one entry replaced or added. */
 export function withObservation(sightings: HolderObservations, sighting: HolderObservation): HolderObservations {
 	const key = incarnationText(sighting.life);
-	const part = partOf(key);
+	const part = bucketOf(key);
 	return sightings.with(part, {...sightings[part], [key]: sighting});
 }
