--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -30,12 +30,12 @@
 
 /** Returns the index of the bucket that holds an incarnation's entry. */
 function bucketOf(key: string): number {
-	let sum = 0;
+	let hash = 0;
 	for (let position = 0; position < key.length; position += 1) {
-		sum = ((sum * 31) + key.codePointAt(position)!) % 65_521;
+		hash = ((hash * 31) + key.codePointAt(position)!) % 65_521;
 	}
 
-	return sum % bucketCount;
+	return hash % bucketCount;
 }
 
 /** Returns the record of an incarnation. */
