--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -39,9 +39,9 @@
 }
 
 /** Returns the record of an incarnation. */
-export function observationOf(sightings: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
+export function observationOf(observations: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
 	const key = incarnationText(life);
-	return sightings[bucketOf(key)]![key];
+	return observations[bucketOf(key)]![key];
 }
 
 /** Returns the records with one entry replaced or added. */
