--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -39,8 +39,8 @@
 }
 
 /** Returns the record of an incarnation. */
-export function observationOf(observations: HolderObservations, life: UpstreamIncarnation): HolderObservation | undefined {
-	const key = incarnationText(life);
+export function observationOf(observations: HolderObservations, holder: UpstreamIncarnation): HolderObservation | undefined {
+	const key = incarnationText(holder);
 	return observations[bucketOf(key)]![key];
 }
 
