--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -45,8 +45,8 @@
 }
 
 /** Returns the records with one entry replaced or added. */
-export function withObservation(sightings: HolderObservations, sighting: HolderObservation): HolderObservations {
+export function withObservation(observations: HolderObservations, sighting: HolderObservation): HolderObservations {
 	const key = incarnationText(sighting.life);
 	const part = bucketOf(key);
-	return sightings.with(part, {...sightings[part], [key]: sighting});
+	return observations.with(part, {...observations[part], [key]: sighting});
 }
