--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -47,6 +47,6 @@
 /** Returns the records with one entry replaced or added. */
 export function withObservation(observations: HolderObservations, observation: HolderObservation): HolderObservations {
 	const key = incarnationText(observation.life);
-	const part = bucketOf(key);
-	return observations.with(part, {...observations[part], [key]: observation});
+	const bucket = bucketOf(key);
+	return observations.with(bucket, {...observations[bucket], [key]: observation});
 }
