--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -34,7 +34,7 @@
 const minRelativeSpeed = 0.5;
 
 /** The utilization that a holder is kept at: above it, its queue fills and responses are delayed. */
-const busyShare = 0.85;
+const targetUtilization = 0.85;
 
 /** Shares from this value up are not announced: rates are estimates, and the holder's queue absorbs so small an excess. */
 const largestShareTold = 0.9;
@@ -43,7 +43,7 @@
 
 /** Returns the requests per second that a holder can process without a long queue; infinite if no latency was measured. */
 export function processedPerSecond({slots, meanLatency, speed}: HolderSpeed): number {
-	return meanLatency === undefined ? Infinity : busyShare * slots * Math.max(minRelativeSpeed, speed) * millisecondsPerSecond / meanLatency;
+	return meanLatency === undefined ? Infinity : targetUtilization * slots * Math.max(minRelativeSpeed, speed) * millisecondsPerSecond / meanLatency;
 }
 
 /** Returns the requests per second for the keys of each holder, by incarnation. Rates and ranges are sorted by key. */
