--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -37,7 +37,7 @@
 const targetUtilization = 0.85;
 
 /** Shares from this value up are not announced: rates are estimates, and the holder's queue absorbs so small an excess. */
-const largestShareTold = 0.9;
+const maxAnnouncedShare = 0.9;
 
 const millisecondsPerSecond = 1000;
 
@@ -72,6 +72,6 @@
 export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], perSecond: (life: UpstreamIncarnation) => number): readonly HolderShare[] {
 	return [...holderRates(ranges, rates).values()].flatMap(({life, rate}) => {
 		const share = perSecond(life) / rate;
-		return share < largestShareTold ? [{life, share}] : [];
+		return share < maxAnnouncedShare ? [{life, share}] : [];
 	});
 }
