--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -48,7 +48,7 @@
 
 /** Returns the requests per second for the keys of each holder, by incarnation. Rates and ranges are sorted by key. */
 function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly life: UpstreamIncarnation; readonly rate: number}> {
-	const sums = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
+	const totals = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
 	let position = 0;
 	for (const {to, holder} of ranges) {
 		let sum = 0;
@@ -59,13 +59,13 @@
 
 		if (holder !== undefined && sum > 0) {
 			const text = incarnationText(holder);
-			const known = sums.get(text) ?? {life: holder, rate: 0};
+			const known = totals.get(text) ?? {life: holder, rate: 0};
 			known.rate += sum;
-			sums.set(text, known);
+			totals.set(text, known);
 		}
 	}
 
-	return sums;
+	return totals;
 }
 
 /** Returns the overloaded holders, each with the share of requests that may be sent to it. */
