--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -51,16 +51,16 @@
 	const totals = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
 	let position = 0;
 	for (const {to, holder} of ranges) {
-		let sum = 0;
+		let rate = 0;
 		while (position < rates.length && rates[position]!.key <= to) {
-			sum += rates[position]!.rate;
+			rate += rates[position]!.rate;
 			position += 1;
 		}
 
-		if (holder !== undefined && sum > 0) {
+		if (holder !== undefined && rate > 0) {
 			const text = incarnationText(holder);
 			const known = totals.get(text) ?? {life: holder, rate: 0};
-			known.rate += sum;
+			known.rate += rate;
 			totals.set(text, known);
 		}
 	}
