--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -58,10 +58,10 @@
 		}
 
 		if (holder !== undefined && rate > 0) {
-			const text = incarnationText(holder);
-			const known = totals.get(text) ?? {life: holder, rate: 0};
+			const key = incarnationText(holder);
+			const known = totals.get(key) ?? {life: holder, rate: 0};
 			known.rate += rate;
-			totals.set(text, known);
+			totals.set(key, known);
 		}
 	}
 
