--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -59,9 +59,9 @@
 
 		if (holder !== undefined && rate > 0) {
 			const key = incarnationText(holder);
-			const known = totals.get(key) ?? {life: holder, rate: 0};
-			known.rate += rate;
-			totals.set(key, known);
+			const total = totals.get(key) ?? {life: holder, rate: 0};
+			total.rate += rate;
+			totals.set(key, total);
 		}
 	}
 
