--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -69,9 +69,9 @@
 }
 
 /** Returns the overloaded holders, each with the share of requests that may be sent to it. */
-export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], perSecond: (life: UpstreamIncarnation) => number): readonly HolderShare[] {
+export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], sustainableRateOf: (life: UpstreamIncarnation) => number): readonly HolderShare[] {
 	return [...holderRates(ranges, rates).values()].flatMap(({life, rate}) => {
-		const share = perSecond(life) / rate;
+		const share = sustainableRateOf(life) / rate;
 		return share < maxAnnouncedShare ? [{life, share}] : [];
 	});
 }
