--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -22,7 +22,7 @@
 };
 
 /** Assigns each holder its index in the list. */
-class Holders {
+class HolderList {
 	readonly lives: UpstreamIncarnation[] = [];
 	readonly #positions = new Map<string, HolderPosition>();
 
@@ -44,7 +44,7 @@
 
 /** Encodes the rows of a command. */
 export function packRows(rows: ReadonlyArray<HeldSpan & {readonly handover?: string}>): PackedRows {
-	const holders = new Holders();
+	const holders = new HolderList();
 	return {
 		rows: rows.map(({from, to, holder, handover}) => handover === undefined ? [from, to, holders.positionOf(holder)] : [from, to, holders.positionOf(holder), handover]),
 		holders: holders.lives,
@@ -60,7 +60,7 @@
 
 /** Encodes the key table of a service. */
 export function packRanges(ranges: readonly KeyRange[]): PackedRanges {
-	const holders = new Holders();
+	const holders = new HolderList();
 	return {
 		ranges: ranges.map(({from, to, fence, holder, told, releasingSince, handover}) => [from, to, fence, holders.positionOf(holder), told ? 1 : 0, releasingSince ?? 0, handover]),
 		holders: holders.lives,
