--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -23,7 +23,7 @@
 
 /** Assigns each holder its index in the list. */
 class HolderList {
-	readonly lives: UpstreamIncarnation[] = [];
+	readonly incarnations: UpstreamIncarnation[] = [];
 	readonly #positions = new Map<string, HolderPosition>();
 
 	positionOf(life: UpstreamIncarnation | undefined): HolderPosition {
@@ -32,9 +32,9 @@
 		}
 
 		const key = incarnationText(life);
-		const known = this.#positions.get(key) ?? this.lives.length;
-		if (known === this.lives.length) {
-			this.lives.push({id: life.id, born: life.born});
+		const known = this.#positions.get(key) ?? this.incarnations.length;
+		if (known === this.incarnations.length) {
+			this.incarnations.push({id: life.id, born: life.born});
 			this.#positions.set(key, known);
 		}
 
@@ -47,7 +47,7 @@
 	const holders = new HolderList();
 	return {
 		rows: rows.map(({from, to, holder, handover}) => handover === undefined ? [from, to, holders.positionOf(holder)] : [from, to, holders.positionOf(holder), handover]),
-		holders: holders.lives,
+		holders: holders.incarnations,
 	};
 }
 
@@ -63,7 +63,7 @@
 	const holders = new HolderList();
 	return {
 		ranges: ranges.map(({from, to, fence, holder, told, releasingSince, handover}) => [from, to, fence, holders.positionOf(holder), told ? 1 : 0, releasingSince ?? 0, handover]),
-		holders: holders.lives,
+		holders: holders.incarnations,
 	};
 }
 
