--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -26,15 +26,15 @@
 	readonly incarnations: UpstreamIncarnation[] = [];
 	readonly #positions = new Map<string, HolderPosition>();
 
-	positionOf(life: UpstreamIncarnation | undefined): HolderPosition {
-		if (life === undefined) {
+	positionOf(holder: UpstreamIncarnation | undefined): HolderPosition {
+		if (holder === undefined) {
 			return -1;
 		}
 
-		const key = incarnationText(life);
+		const key = incarnationText(holder);
 		const known = this.#positions.get(key) ?? this.incarnations.length;
 		if (known === this.incarnations.length) {
-			this.incarnations.push({id: life.id, born: life.born});
+			this.incarnations.push({id: holder.id, born: holder.born});
 			this.#positions.set(key, known);
 		}
 
