--- a/packages/key-lease/src/packing.ts
+++ b/packages/key-lease/src/packing.ts
@@ -32,13 +32,13 @@
 		}
 
 		const key = incarnationText(holder);
-		const known = this.#positions.get(key) ?? this.incarnations.length;
-		if (known === this.incarnations.length) {
+		const position = this.#positions.get(key) ?? this.incarnations.length;
+		if (position === this.incarnations.length) {
 			this.incarnations.push({id: holder.id, born: holder.born});
-			this.#positions.set(key, known);
+			this.#positions.set(key, position);
 		}
 
-		return known;
+		return position;
 	}
 }
 
