--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -45,7 +45,7 @@
 };
 
 /** The maximum size of a piece of unassigned keys, as a share of one upstream's equal part of the work. */
-const pieceShare = 0.34;
+const maxPieceShare = 0.34;
 
 /** Work moves when the most and the least loaded upstream differ by more than this share of the mean. */
 const unevenShare = 0.35;
@@ -185,7 +185,7 @@
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
 	const lightest = Math.min(...accepting.map(({candidate}) => candidate.weight));
 	const wantedPieces = Math.max(1, Math.min(mostPieces, Math.floor(accepting.length * input.mostRanges * dealtShare)));
-	const largest = {work: mean * lightest * pieceShare, keys: Math.ceil(keyCount / wantedPieces)};
+	const largest = {work: mean * lightest * maxPieceShare, keys: Math.ceil(keyCount / wantedPieces)};
 	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => cutIntoPieces(work, range, largest));
 	const granted: HeldSpan[] = [];
 	for (const piece of [...pieces].sort((one, other) => work.of(other) - work.of(one))) {
