--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -48,7 +48,7 @@
 const maxPieceShare = 0.34;
 
 /** Work moves when the most and the least loaded upstream differ by more than this share of the mean. */
-const unevenShare = 0.35;
+const imbalanceThreshold = 0.35;
 
 /** Counts differ by chance: a difference is ignored up to at least this many times its standard deviation. */
 const leastChanceFactor = 2;
@@ -254,7 +254,7 @@
 	while (recalled.length < movesAtOnce) {
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
-		const least = (mean * unevenShare) + (chanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
+		const least = (mean * imbalanceThreshold) + (chanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
 		const giver = givers.reduce<Share | undefined>((found, share) => found === undefined || relative(share) > relative(found) ? share : found, undefined);
 		const taker = idlest(givers, input.mostRanges);
 		if (giver === undefined || taker === undefined || giver === taker || relative(giver) - relative(taker) < least) {
