--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -51,7 +51,7 @@
 const imbalanceThreshold = 0.35;
 
 /** Counts differ by chance: a difference is ignored up to at least this many times its standard deviation. */
-const leastChanceFactor = 2;
+const minSignificanceFactor = 2;
 
 /**
  * Returns how many standard deviations a difference must exceed. The most and the
@@ -59,7 +59,7 @@
  * advance: the largest of n normal deviations is about sqrt(2 ln n).
  */
 function chanceFactor(upstreams: number): number {
-	return Math.max(leastChanceFactor, Math.sqrt(2 * Math.log(upstreams / 2)));
+	return Math.max(minSignificanceFactor, Math.sqrt(2 * Math.log(upstreams / 2)));
 }
 
 /** Work that is spread equally over all keys, as a share of the measured work: idle keys may become active. */
