--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -58,7 +58,7 @@
  * least loaded of many upstreams differ by more than two that are picked in
  * advance: the largest of n normal deviations is about sqrt(2 ln n).
  */
-function chanceFactor(upstreams: number): number {
+function significanceFactor(upstreams: number): number {
 	return Math.max(minSignificanceFactor, Math.sqrt(2 * Math.log(upstreams / 2)));
 }
 
@@ -254,7 +254,7 @@
 	while (recalled.length < movesAtOnce) {
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
-		const least = (mean * imbalanceThreshold) + (chanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
+		const least = (mean * imbalanceThreshold) + (significanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
 		const giver = givers.reduce<Share | undefined>((found, share) => found === undefined || relative(share) > relative(found) ? share : found, undefined);
 		const taker = idlest(givers, input.mostRanges);
 		if (giver === undefined || taker === undefined || giver === taker || relative(giver) - relative(taker) < least) {
