--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -63,7 +63,7 @@
 }
 
 /** Work that is spread equally over all keys, as a share of the measured work: idle keys may become active. */
-const restingShare = 0.25;
+const baselineShare = 0.25;
 
 /** The share of `mostRanges` that the division of unassigned keys into pieces may use up: the rest is left for keys of lost upstreams and for moves. */
 const dealtShare = 0.5;
@@ -97,7 +97,7 @@
 		const total = sums.at(-1)!;
 		this.#keys = rates.map(({key}) => key);
 		this.#sums = sums;
-		this.#resting = (total === 0 ? 1 : total * restingShare) / keyCount;
+		this.#resting = (total === 0 ? 1 : total * baselineShare) / keyCount;
 	}
 
 	/** Returns the work of all keys below `key`. */
