--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -69,7 +69,7 @@
 const plannedRangeShare = 0.5;
 
 /** The maximum number of pieces that all keys are divided into: each piece is a row of the replicated table. */
-const mostPieces = 512;
+const maxPieces = 512;
 
 /** The maximum number of pieces that move in one plan: enough to spread a hot run of keys over as many upstreams at once, or to fill one that joins. */
 const movesAtOnce = 32;
@@ -184,7 +184,7 @@
 	const weights = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
 	const lightest = Math.min(...accepting.map(({candidate}) => candidate.weight));
-	const wantedPieces = Math.max(1, Math.min(mostPieces, Math.floor(accepting.length * input.mostRanges * plannedRangeShare)));
+	const wantedPieces = Math.max(1, Math.min(maxPieces, Math.floor(accepting.length * input.mostRanges * plannedRangeShare)));
 	const largest = {work: mean * lightest * maxPieceShare, keys: Math.ceil(keyCount / wantedPieces)};
 	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => cutIntoPieces(work, range, largest));
 	const granted: HeldSpan[] = [];
