--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -72,7 +72,7 @@
 const maxPieces = 512;
 
 /** The maximum number of pieces that move in one plan: enough to spread a hot run of keys over as many upstreams at once, or to fill one that joins. */
-const movesAtOnce = 32;
+const maxMovesPerPlan = 32;
 
 /** After a move the target must have less work than the source had before, by at least this share of the significant difference. */
 const leastGainShare = 0.5;
@@ -251,7 +251,7 @@
 	const recalled: HeldSpan[] = [];
 	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
 	let givers = shares;
-	while (recalled.length < movesAtOnce) {
+	while (recalled.length < maxMovesPerPlan) {
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
