--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -75,7 +75,7 @@
 const maxMovesPerPlan = 32;
 
 /** After a move the target must have less work than the source had before, by at least this share of the significant difference. */
-const leastGainShare = 0.5;
+const minGainShare = 0.5;
 
 /** Each move aims for at least this share of the mean. */
 const leastMoveShare = 0.1;
@@ -265,7 +265,7 @@
 		const given = spans.get(key) ?? [];
 		const surplus = giver.work - (mean * giver.candidate.weight);
 		const room = (mean * taker.candidate.weight) - taker.work;
-		const most = (relative(giver) - relative(taker) - (least * leastGainShare)) * taker.candidate.weight;
+		const most = (relative(giver) - relative(taker) - (least * minGainShare)) * taker.candidate.weight;
 		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * leastMoveShare), most);
 		if (span === undefined) {
 			givers = givers.filter(share => share !== giver);
