--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -78,7 +78,7 @@
 const minGainShare = 0.5;
 
 /** Each move aims for at least this share of the mean. */
-const leastMoveShare = 0.1;
+const minMoveShare = 0.1;
 
 /** The estimated work of spans of keys, by prefix sums over the keys that had requests. */
 class Work {
@@ -266,7 +266,7 @@
 		const surplus = giver.work - (mean * giver.candidate.weight);
 		const room = (mean * taker.candidate.weight) - taker.work;
 		const most = (relative(giver) - relative(taker) - (least * minGainShare)) * taker.candidate.weight;
-		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * leastMoveShare), most);
+		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
 			givers = givers.filter(share => share !== giver);
 			continue;
