--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -81,7 +81,7 @@
 const minMoveShare = 0.1;
 
 /** The estimated work of spans of keys, by prefix sums over the keys that had requests. */
-class Work {
+class WorkEstimate {
 	readonly #keys: readonly number[];
 	/** `#sums[n]` is the measured work of the first `n` of these keys. */
 	readonly #sums: readonly number[];
@@ -162,7 +162,7 @@
 /** The maximum size of a piece of unassigned keys. */
 type PieceBounds = {readonly work: number; readonly keys: number};
 
-function cutIntoPieces(work: Work, range: KeyRange, largest: PieceBounds): readonly KeySpan[] {
+function cutIntoPieces(work: WorkEstimate, range: KeyRange, largest: PieceBounds): readonly KeySpan[] {
 	if (range.handover !== '') {
 		return [range];
 	}
@@ -179,7 +179,7 @@
 	return pieces;
 }
 
-function grantVacant(input: PlanInput, work: Work, shares: readonly Share[]): readonly HeldSpan[] {
+function grantVacant(input: PlanInput, work: WorkEstimate, shares: readonly Share[]): readonly HeldSpan[] {
 	const accepting = shares.filter(({candidate}) => candidate.accepting);
 	const weights = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
@@ -203,7 +203,7 @@
 }
 
 /** Adds the work of keys that are being released to the upstreams that will probably get them. */
-function expectReleased(input: PlanInput, work: Work, shares: readonly Share[]): void {
+function expectReleased(input: PlanInput, work: WorkEstimate, shares: readonly Share[]): void {
 	for (const range of input.ranges) {
 		const share = range.holder !== undefined && range.releasingSince !== undefined ? idlest(shares, input.mostRanges, work.of(range)) : undefined;
 		if (share !== undefined) {
@@ -214,7 +214,7 @@
 }
 
 /** Returns the part at either end of one of an upstream's spans whose work is nearest to `wanted`; undefined if its work exceeds `most`. */
-function pieceToMove(work: Work, spans: readonly KeySpan[], wanted: number, most: number): KeySpan | undefined {
+function pieceToMove(work: WorkEstimate, spans: readonly KeySpan[], wanted: number, most: number): KeySpan | undefined {
 	let best: {readonly span: KeySpan; readonly miss: number} | undefined;
 	for (const whole of spans) {
 		const to = work.cut(whole, wanted);
@@ -246,7 +246,7 @@
 }
 
 /** Moves work from the most to the least loaded upstream, piece by piece, until the two no longer differ significantly. */
-function balance(input: PlanInput, work: Work, shares: readonly Share[]): readonly HeldSpan[] {
+function balance(input: PlanInput, work: WorkEstimate, shares: readonly Share[]): readonly HeldSpan[] {
 	const spans = settledSpans(input.ranges);
 	const recalled: HeldSpan[] = [];
 	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
@@ -292,7 +292,7 @@
 
 /** Computes a plan from the current ranges, upstreams and request rates. */
 export function planKeys(input: PlanInput): Plan {
-	const work = new Work(input.rates);
+	const work = new WorkEstimate(input.rates);
 	const shares: Share[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
 	const byLife = new Map(shares.map(share => [incarnationText(share.candidate.life), share]));
 	for (const range of input.ranges) {
