--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -86,7 +86,7 @@
 	/** `#sums[n]` is the measured work of the first `n` of these keys. */
 	readonly #sums: readonly number[];
 	/** The work that every key counts for, whether it had requests or not. */
-	readonly #resting: number;
+	readonly #baseline: number;
 
 	constructor(rates: readonly KeyRate[]) {
 		const sums = [0];
@@ -97,7 +97,7 @@
 		const total = sums.at(-1)!;
 		this.#keys = rates.map(({key}) => key);
 		this.#sums = sums;
-		this.#resting = (total === 0 ? 1 : total * baselineShare) / keyCount;
+		this.#baseline = (total === 0 ? 1 : total * baselineShare) / keyCount;
 	}
 
 	/** Returns the work of all keys below `key`. */
@@ -113,7 +113,7 @@
 			}
 		}
 
-		return this.#sums[low]! + (key * this.#resting);
+		return this.#sums[low]! + (key * this.#baseline);
 	}
 
 	of({from, to}: KeySpan): number {
