--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -101,7 +101,7 @@
 	}
 
 	/** Returns the work of all keys below `key`. */
-	before(key: number): number {
+	workBefore(key: number): number {
 		let low = 0;
 		let high = this.#keys.length;
 		while (low < high) {
@@ -117,17 +117,17 @@
 	}
 
 	of({from, to}: KeySpan): number {
-		return this.before(to + 1) - this.before(from);
+		return this.workBefore(to + 1) - this.workBefore(from);
 	}
 
 	/** Returns the last key of the shortest prefix of a span that has at least the wanted work. */
 	cut({from, to}: KeySpan, wanted: number): number {
-		const goal = this.before(from) + wanted;
+		const goal = this.workBefore(from) + wanted;
 		let low = from;
 		let high = to;
 		while (low < high) {
 			const middle = Math.floor((low + high) / 2);
-			if (this.before(middle + 1) < goal) {
+			if (this.workBefore(middle + 1) < goal) {
 				low = middle + 1;
 			} else {
 				high = middle;
