--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -121,7 +121,7 @@
 	}
 
 	/** Returns the last key of the shortest prefix of a span that has at least the wanted work. */
-	cut({from, to}: KeySpan, wanted: number): number {
+	prefixEnd({from, to}: KeySpan, wanted: number): number {
 		const goal = this.workBefore(from) + wanted;
 		let low = from;
 		let high = to;
@@ -171,7 +171,7 @@
 	let {from} = range;
 	while (from <= range.to) {
 		const longest = Math.min(range.to, from + largest.keys - 1);
-		const to = work.of({from, to: longest}) <= largest.work * 1.2 ? longest : work.cut({from, to: longest}, largest.work);
+		const to = work.of({from, to: longest}) <= largest.work * 1.2 ? longest : work.prefixEnd({from, to: longest}, largest.work);
 		pieces.push({from, to});
 		from = to + 1;
 	}
@@ -217,8 +217,8 @@
 function pieceToMove(work: WorkEstimate, spans: readonly KeySpan[], wanted: number, most: number): KeySpan | undefined {
 	let best: {readonly span: KeySpan; readonly miss: number} | undefined;
 	for (const whole of spans) {
-		const to = work.cut(whole, wanted);
-		const from = Math.min(whole.to, work.cut(whole, Math.max(0, work.of(whole) - wanted)) + 1);
+		const to = work.prefixEnd(whole, wanted);
+		const from = Math.min(whole.to, work.prefixEnd(whole, Math.max(0, work.of(whole) - wanted)) + 1);
 		for (const span of [{from: whole.from, to}, {from: whole.from, to: to - 1}, {from, to: whole.to}].filter(part => part.from <= part.to)) {
 			const miss = Math.abs(work.of(span) - wanted);
 			if (best === undefined || miss < best.miss) {
