--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -138,15 +138,15 @@
 	}
 }
 
-type Share = {readonly candidate: Candidate; work: number; ranges: number};
+type CandidateLoad = {readonly candidate: Candidate; work: number; ranges: number};
 
-function relative({candidate, work}: Share): number {
+function relative({candidate, work}: CandidateLoad): number {
 	return work / candidate.weight;
 }
 
 /** Returns the accepting upstream with the lowest relative load once `more` work is added: a fast one for a key with much work. */
-function idlest(shares: readonly Share[], mostRanges: number, more = 0): Share | undefined {
-	let found: Share | undefined;
+function idlest(shares: readonly CandidateLoad[], mostRanges: number, more = 0): CandidateLoad | undefined {
+	let found: CandidateLoad | undefined;
 	let least = Infinity;
 	for (const share of shares) {
 		const work = (share.work + more) / share.candidate.weight;
@@ -179,7 +179,7 @@
 	return pieces;
 }
 
-function grantVacant(input: PlanInput, work: WorkEstimate, shares: readonly Share[]): readonly HeldSpan[] {
+function grantVacant(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
 	const accepting = shares.filter(({candidate}) => candidate.accepting);
 	const weights = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
@@ -203,7 +203,7 @@
 }
 
 /** Adds the work of keys that are being released to the upstreams that will probably get them. */
-function expectReleased(input: PlanInput, work: WorkEstimate, shares: readonly Share[]): void {
+function expectReleased(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): void {
 	for (const range of input.ranges) {
 		const share = range.holder !== undefined && range.releasingSince !== undefined ? idlest(shares, input.mostRanges, work.of(range)) : undefined;
 		if (share !== undefined) {
@@ -246,7 +246,7 @@
 }
 
 /** Moves work from the most to the least loaded upstream, piece by piece, until the two no longer differ significantly. */
-function balance(input: PlanInput, work: WorkEstimate, shares: readonly Share[]): readonly HeldSpan[] {
+function balance(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
 	const spans = settledSpans(input.ranges);
 	const recalled: HeldSpan[] = [];
 	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
@@ -255,7 +255,7 @@
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
-		const giver = givers.reduce<Share | undefined>((found, share) => found === undefined || relative(share) > relative(found) ? share : found, undefined);
+		const giver = givers.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relative(share) > relative(found) ? share : found, undefined);
 		const taker = idlest(givers, input.mostRanges);
 		if (giver === undefined || taker === undefined || giver === taker || relative(giver) - relative(taker) < least) {
 			break;
@@ -293,7 +293,7 @@
 /** Computes a plan from the current ranges, upstreams and request rates. */
 export function planKeys(input: PlanInput): Plan {
 	const work = new WorkEstimate(input.rates);
-	const shares: Share[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
+	const shares: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
 	const byLife = new Map(shares.map(share => [incarnationText(share.candidate.life), share]));
 	for (const range of input.ranges) {
 		const share = range.holder === undefined ? undefined : byLife.get(incarnationText(range.holder));
