--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -140,7 +140,7 @@
 
 type CandidateLoad = {readonly candidate: Candidate; work: number; ranges: number};
 
-function relative({candidate, work}: CandidateLoad): number {
+function relativeLoad({candidate, work}: CandidateLoad): number {
 	return work / candidate.weight;
 }
 
@@ -255,9 +255,9 @@
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
-		const giver = givers.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relative(share) > relative(found) ? share : found, undefined);
+		const giver = givers.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
 		const taker = idlest(givers, input.mostRanges);
-		if (giver === undefined || taker === undefined || giver === taker || relative(giver) - relative(taker) < least) {
+		if (giver === undefined || taker === undefined || giver === taker || relativeLoad(giver) - relativeLoad(taker) < least) {
 			break;
 		}
 
@@ -265,7 +265,7 @@
 		const given = spans.get(key) ?? [];
 		const surplus = giver.work - (mean * giver.candidate.weight);
 		const room = (mean * taker.candidate.weight) - taker.work;
-		const most = (relative(giver) - relative(taker) - (least * minGainShare)) * taker.candidate.weight;
+		const most = (relativeLoad(giver) - relativeLoad(taker) - (least * minGainShare)) * taker.candidate.weight;
 		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
 			givers = givers.filter(share => share !== giver);
