--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -145,7 +145,7 @@
 }
 
 /** Returns the accepting upstream with the lowest relative load once `more` work is added: a fast one for a key with much work. */
-function idlest(shares: readonly CandidateLoad[], mostRanges: number, more = 0): CandidateLoad | undefined {
+function leastLoaded(shares: readonly CandidateLoad[], mostRanges: number, more = 0): CandidateLoad | undefined {
 	let found: CandidateLoad | undefined;
 	let least = Infinity;
 	for (const share of shares) {
@@ -189,7 +189,7 @@
 	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => cutIntoPieces(work, range, largest));
 	const granted: HeldSpan[] = [];
 	for (const piece of [...pieces].sort((one, other) => work.of(other) - work.of(one))) {
-		const share = idlest(shares, input.mostRanges, work.of(piece));
+		const share = leastLoaded(shares, input.mostRanges, work.of(piece));
 		if (share === undefined) {
 			return granted;
 		}
@@ -205,7 +205,7 @@
 /** Adds the work of keys that are being released to the upstreams that will probably get them. */
 function expectReleased(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): void {
 	for (const range of input.ranges) {
-		const share = range.holder !== undefined && range.releasingSince !== undefined ? idlest(shares, input.mostRanges, work.of(range)) : undefined;
+		const share = range.holder !== undefined && range.releasingSince !== undefined ? leastLoaded(shares, input.mostRanges, work.of(range)) : undefined;
 		if (share !== undefined) {
 			share.work += work.of(range);
 			share.ranges += 1;
@@ -256,7 +256,7 @@
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
 		const giver = givers.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
-		const taker = idlest(givers, input.mostRanges);
+		const taker = leastLoaded(givers, input.mostRanges);
 		if (giver === undefined || taker === undefined || giver === taker || relativeLoad(giver) - relativeLoad(taker) < least) {
 			break;
 		}
