--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -145,11 +145,11 @@
 }
 
 /** Returns the accepting upstream with the lowest relative load once `more` work is added: a fast one for a key with much work. */
-function leastLoaded(loads: readonly CandidateLoad[], mostRanges: number, more = 0): CandidateLoad | undefined {
+function leastLoaded(loads: readonly CandidateLoad[], mostRanges: number, extraWork = 0): CandidateLoad | undefined {
 	let found: CandidateLoad | undefined;
 	let least = Infinity;
 	for (const share of loads) {
-		const work = (share.work + more) / share.candidate.weight;
+		const work = (share.work + extraWork) / share.candidate.weight;
 		if (share.candidate.accepting && share.ranges < mostRanges && work < least) {
 			found = share;
 			least = work;
