--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -147,12 +147,12 @@
 /** Returns the accepting upstream with the lowest relative load once `more` work is added: a fast one for a key with much work. */
 function leastLoaded(loads: readonly CandidateLoad[], mostRanges: number, extraWork = 0): CandidateLoad | undefined {
 	let found: CandidateLoad | undefined;
-	let least = Infinity;
+	let lowest = Infinity;
 	for (const share of loads) {
 		const work = (share.work + extraWork) / share.candidate.weight;
-		if (share.candidate.accepting && share.ranges < mostRanges && work < least) {
+		if (share.candidate.accepting && share.ranges < mostRanges && work < lowest) {
 			found = share;
-			least = work;
+			lowest = work;
 		}
 	}
 
