--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -148,10 +148,10 @@
 function leastLoaded(loads: readonly CandidateLoad[], mostRanges: number, extraWork = 0): CandidateLoad | undefined {
 	let found: CandidateLoad | undefined;
 	let lowest = Infinity;
-	for (const share of loads) {
-		const work = (share.work + extraWork) / share.candidate.weight;
-		if (share.candidate.accepting && share.ranges < mostRanges && work < lowest) {
-			found = share;
+	for (const load of loads) {
+		const work = (load.work + extraWork) / load.candidate.weight;
+		if (load.candidate.accepting && load.ranges < mostRanges && work < lowest) {
+			found = load;
 			lowest = work;
 		}
 	}
