--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -162,7 +162,7 @@
 /** The maximum size of a piece of unassigned keys. */
 type PieceBounds = {readonly work: number; readonly keys: number};
 
-function cutIntoPieces(work: WorkEstimate, range: KeyRange, largest: PieceBounds): readonly KeySpan[] {
+function splitIntoPieces(work: WorkEstimate, range: KeyRange, largest: PieceBounds): readonly KeySpan[] {
 	if (range.handover !== '') {
 		return [range];
 	}
@@ -186,7 +186,7 @@
 	const lightest = Math.min(...accepting.map(({candidate}) => candidate.weight));
 	const wantedPieces = Math.max(1, Math.min(maxPieces, Math.floor(accepting.length * input.mostRanges * plannedRangeShare)));
 	const largest = {work: mean * lightest * maxPieceShare, keys: Math.ceil(keyCount / wantedPieces)};
-	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => cutIntoPieces(work, range, largest));
+	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => splitIntoPieces(work, range, largest));
 	const granted: HeldSpan[] = [];
 	for (const piece of [...pieces].sort((one, other) => work.of(other) - work.of(one))) {
 		const share = leastLoaded(shares, input.mostRanges, work.of(piece));
