--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -162,7 +162,7 @@
 /** The maximum size of a piece of unassigned keys. */
 type PieceBounds = {readonly work: number; readonly keys: number};
 
-function splitIntoPieces(work: WorkEstimate, range: KeyRange, largest: PieceBounds): readonly KeySpan[] {
+function splitIntoPieces(work: WorkEstimate, range: KeyRange, maxPiece: PieceBounds): readonly KeySpan[] {
 	if (range.handover !== '') {
 		return [range];
 	}
@@ -170,8 +170,8 @@
 	const pieces: KeySpan[] = [];
 	let {from} = range;
 	while (from <= range.to) {
-		const longest = Math.min(range.to, from + largest.keys - 1);
-		const to = work.of({from, to: longest}) <= largest.work * 1.2 ? longest : work.prefixEnd({from, to: longest}, largest.work);
+		const longest = Math.min(range.to, from + maxPiece.keys - 1);
+		const to = work.of({from, to: longest}) <= maxPiece.work * 1.2 ? longest : work.prefixEnd({from, to: longest}, maxPiece.work);
 		pieces.push({from, to});
 		from = to + 1;
 	}
