--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -179,7 +179,7 @@
 	return pieces;
 }
 
-function grantVacant(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
+function grantUnassigned(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
 	const accepting = shares.filter(({candidate}) => candidate.accepting);
 	const weights = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
@@ -303,7 +303,7 @@
 		}
 	}
 
-	const granted = grantVacant(input, work, shares);
+	const granted = grantUnassigned(input, work, shares);
 	const leaving = recallFromLeaving(input);
 	expectReleased(input, work, shares);
 	return {granted, recalled: leaving.length > 0 ? leaving : balance(input, work, shares)};
