--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -179,8 +179,8 @@
 	return pieces;
 }
 
-function grantUnassigned(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
-	const accepting = shares.filter(({candidate}) => candidate.accepting);
+function grantUnassigned(input: PlanInput, work: WorkEstimate, loads: readonly CandidateLoad[]): readonly HeldSpan[] {
+	const accepting = loads.filter(({candidate}) => candidate.accepting);
 	const weights = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
 	const lightest = Math.min(...accepting.map(({candidate}) => candidate.weight));
@@ -189,7 +189,7 @@
 	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => splitIntoPieces(work, range, largest));
 	const granted: HeldSpan[] = [];
 	for (const piece of [...pieces].sort((one, other) => work.of(other) - work.of(one))) {
-		const share = leastLoaded(shares, input.mostRanges, work.of(piece));
+		const share = leastLoaded(loads, input.mostRanges, work.of(piece));
 		if (share === undefined) {
 			return granted;
 		}
