--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -181,8 +181,8 @@
 
 function grantUnassigned(input: PlanInput, work: WorkEstimate, loads: readonly CandidateLoad[]): readonly HeldSpan[] {
 	const accepting = loads.filter(({candidate}) => candidate.accepting);
-	const weights = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
-	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, weights);
+	const totalWeight = accepting.reduce((sum, {candidate}) => sum + candidate.weight, 0);
+	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, totalWeight);
 	const lightest = Math.min(...accepting.map(({candidate}) => candidate.weight));
 	const wantedPieces = Math.max(1, Math.min(maxPieces, Math.floor(accepting.length * input.mostRanges * plannedRangeShare)));
 	const largest = {work: mean * lightest * maxPieceShare, keys: Math.ceil(keyCount / wantedPieces)};
