--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -185,8 +185,8 @@
 	const mean = work.of({from: 0, to: keyCount - 1}) / Math.max(1, totalWeight);
 	const lightest = Math.min(...accepting.map(({candidate}) => candidate.weight));
 	const pieceCount = Math.max(1, Math.min(maxPieces, Math.floor(accepting.length * input.mostRanges * plannedRangeShare)));
-	const largest = {work: mean * lightest * maxPieceShare, keys: Math.ceil(keyCount / pieceCount)};
-	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => splitIntoPieces(work, range, largest));
+	const maxPiece = {work: mean * lightest * maxPieceShare, keys: Math.ceil(keyCount / pieceCount)};
+	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => splitIntoPieces(work, range, maxPiece));
 	const granted: HeldSpan[] = [];
 	for (const piece of [...pieces].sort((one, other) => work.of(other) - work.of(one))) {
 		const share = leastLoaded(loads, input.mostRanges, work.of(piece));
