--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -189,14 +189,14 @@
 	const pieces = input.ranges.filter(range => range.holder === undefined).flatMap(range => splitIntoPieces(work, range, maxPiece));
 	const granted: HeldSpan[] = [];
 	for (const piece of [...pieces].sort((one, other) => work.of(other) - work.of(one))) {
-		const share = leastLoaded(loads, input.mostRanges, work.of(piece));
-		if (share === undefined) {
+		const load = leastLoaded(loads, input.mostRanges, work.of(piece));
+		if (load === undefined) {
 			return granted;
 		}
 
-		share.work += work.of(piece);
-		share.ranges += 1;
-		granted.push({from: piece.from, to: piece.to, holder: share.candidate.life});
+		load.work += work.of(piece);
+		load.ranges += 1;
+		granted.push({from: piece.from, to: piece.to, holder: load.candidate.life});
 	}
 
 	return granted;
