--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -203,7 +203,7 @@
 }
 
 /** Adds the work of keys that are being released to the upstreams that will probably get them. */
-function expectReleased(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): void {
+function addExpectedWork(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): void {
 	for (const range of input.ranges) {
 		const share = range.holder !== undefined && range.releasingSince !== undefined ? leastLoaded(shares, input.mostRanges, work.of(range)) : undefined;
 		if (share !== undefined) {
@@ -305,6 +305,6 @@
 
 	const granted = grantUnassigned(input, work, shares);
 	const leaving = recallFromLeaving(input);
-	expectReleased(input, work, shares);
+	addExpectedWork(input, work, shares);
 	return {granted, recalled: leaving.length > 0 ? leaving : balance(input, work, shares)};
 }
