--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -205,10 +205,10 @@
 /** Adds the work of keys that are being released to the upstreams that will probably get them. */
 function addExpectedWork(input: PlanInput, work: WorkEstimate, loads: readonly CandidateLoad[]): void {
 	for (const range of input.ranges) {
-		const share = range.holder !== undefined && range.releasingSince !== undefined ? leastLoaded(loads, input.mostRanges, work.of(range)) : undefined;
-		if (share !== undefined) {
-			share.work += work.of(range);
-			share.ranges += 1;
+		const load = range.holder !== undefined && range.releasingSince !== undefined ? leastLoaded(loads, input.mostRanges, work.of(range)) : undefined;
+		if (load !== undefined) {
+			load.work += work.of(range);
+			load.ranges += 1;
 		}
 	}
 }
