--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -214,7 +214,7 @@
 }
 
 /** Returns the part at either end of one of an upstream's spans whose work is nearest to `wanted`; undefined if its work exceeds `most`. */
-function pieceToMove(work: WorkEstimate, spans: readonly KeySpan[], wanted: number, most: number): KeySpan | undefined {
+function pieceToMove(work: WorkEstimate, spans: readonly KeySpan[], wanted: number, maxWork: number): KeySpan | undefined {
 	let best: {readonly span: KeySpan; readonly miss: number} | undefined;
 	for (const whole of spans) {
 		const to = work.prefixEnd(whole, wanted);
@@ -227,7 +227,7 @@
 		}
 	}
 
-	return best !== undefined && work.of(best.span) <= most ? best.span : undefined;
+	return best !== undefined && work.of(best.span) <= maxWork ? best.span : undefined;
 }
 
 /** Returns the keys that each incarnation holds and that may be recalled. */
