--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -215,14 +215,14 @@
 
 /** Returns the part at either end of one of an upstream's spans whose work is nearest to `wanted`; undefined if its work exceeds `most`. */
 function pieceToMove(work: WorkEstimate, spans: readonly KeySpan[], wanted: number, maxWork: number): KeySpan | undefined {
-	let best: {readonly span: KeySpan; readonly miss: number} | undefined;
+	let best: {readonly span: KeySpan; readonly deviation: number} | undefined;
 	for (const whole of spans) {
 		const to = work.prefixEnd(whole, wanted);
 		const from = Math.min(whole.to, work.prefixEnd(whole, Math.max(0, work.of(whole) - wanted)) + 1);
 		for (const span of [{from: whole.from, to}, {from: whole.from, to: to - 1}, {from, to: whole.to}].filter(part => part.from <= part.to)) {
 			const miss = Math.abs(work.of(span) - wanted);
-			if (best === undefined || miss < best.miss) {
-				best = {span, miss};
+			if (best === undefined || miss < best.deviation) {
+				best = {span, deviation: miss};
 			}
 		}
 	}
