--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -220,9 +220,9 @@
 		const to = work.prefixEnd(whole, wanted);
 		const from = Math.min(whole.to, work.prefixEnd(whole, Math.max(0, work.of(whole) - wanted)) + 1);
 		for (const span of [{from: whole.from, to}, {from: whole.from, to: to - 1}, {from, to: whole.to}].filter(part => part.from <= part.to)) {
-			const miss = Math.abs(work.of(span) - wanted);
-			if (best === undefined || miss < best.deviation) {
-				best = {span, deviation: miss};
+			const deviation = Math.abs(work.of(span) - wanted);
+			if (best === undefined || deviation < best.deviation) {
+				best = {span, deviation: deviation};
 			}
 		}
 	}
