--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -231,7 +231,7 @@
 }
 
 /** Returns the keys that each incarnation holds and that may be recalled. */
-function settledSpans(ranges: readonly KeyRange[]): Map<string, readonly KeySpan[]> {
+function movableSpans(ranges: readonly KeyRange[]): Map<string, readonly KeySpan[]> {
 	const spans = new Map<string, KeySpan[]>();
 	for (const range of ranges) {
 		if (range.holder !== undefined && isSettled(range)) {
@@ -247,7 +247,7 @@
 
 /** Moves work from the most to the least loaded upstream, piece by piece, until the two no longer differ significantly. */
 function balance(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
-	const spans = settledSpans(input.ranges);
+	const spans = movableSpans(input.ranges);
 	const recalled: HeldSpan[] = [];
 	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
 	let givers = shares;
