--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -236,9 +236,9 @@
 	for (const range of ranges) {
 		if (range.holder !== undefined && isSettled(range)) {
 			const key = incarnationText(range.holder);
-			const known = spans.get(key) ?? [];
-			known.push(range);
-			spans.set(key, known);
+			const held = spans.get(key) ?? [];
+			held.push(range);
+			spans.set(key, held);
 		}
 	}
 
