--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -246,11 +246,11 @@
 }
 
 /** Moves work from the most to the least loaded upstream, piece by piece, until the two no longer differ significantly. */
-function balance(input: PlanInput, work: WorkEstimate, shares: readonly CandidateLoad[]): readonly HeldSpan[] {
+function balance(input: PlanInput, work: WorkEstimate, loads: readonly CandidateLoad[]): readonly HeldSpan[] {
 	const spans = movableSpans(input.ranges);
 	const recalled: HeldSpan[] = [];
 	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
-	let givers = shares;
+	let givers = loads;
 	while (recalled.length < maxMovesPerPlan) {
 		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
