--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -250,13 +250,13 @@
 	const spans = movableSpans(input.ranges);
 	const recalled: HeldSpan[] = [];
 	/** Without the upstreams that have no movable piece left: a key with much work can't be divided. */
-	let givers = loads;
+	let sources = loads;
 	while (recalled.length < maxMovesPerPlan) {
-		const weights = givers.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
-		const mean = givers.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
-		const least = (mean * imbalanceThreshold) + (significanceFactor(givers.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
-		const giver = givers.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
-		const taker = leastLoaded(givers, input.mostRanges);
+		const weights = sources.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
+		const mean = sources.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
+		const least = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
+		const giver = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
+		const taker = leastLoaded(sources, input.mostRanges);
 		if (giver === undefined || taker === undefined || giver === taker || relativeLoad(giver) - relativeLoad(taker) < least) {
 			break;
 		}
@@ -268,7 +268,7 @@
 		const most = (relativeLoad(giver) - relativeLoad(taker) - (least * minGainShare)) * taker.candidate.weight;
 		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
-			givers = givers.filter(share => share !== giver);
+			sources = sources.filter(share => share !== giver);
 			continue;
 		}
 
