--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -255,26 +255,26 @@
 		const weights = sources.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = sources.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
-		const giver = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
+		const source = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
 		const taker = leastLoaded(sources, input.mostRanges);
-		if (giver === undefined || taker === undefined || giver === taker || relativeLoad(giver) - relativeLoad(taker) < least) {
+		if (source === undefined || taker === undefined || source === taker || relativeLoad(source) - relativeLoad(taker) < least) {
 			break;
 		}
 
-		const key = incarnationText(giver.candidate.life);
+		const key = incarnationText(source.candidate.life);
 		const given = spans.get(key) ?? [];
-		const surplus = giver.work - (mean * giver.candidate.weight);
+		const surplus = source.work - (mean * source.candidate.weight);
 		const room = (mean * taker.candidate.weight) - taker.work;
-		const most = (relativeLoad(giver) - relativeLoad(taker) - (least * minGainShare)) * taker.candidate.weight;
+		const most = (relativeLoad(source) - relativeLoad(taker) - (least * minGainShare)) * taker.candidate.weight;
 		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
-			sources = sources.filter(share => share !== giver);
+			sources = sources.filter(share => share !== source);
 			continue;
 		}
 
-		recalled.push({...span, holder: giver.candidate.life});
+		recalled.push({...span, holder: source.candidate.life});
 		spans.set(key, given.flatMap(whole => withoutSpans(whole, [span])));
-		giver.work -= work.of(span);
+		source.work -= work.of(span);
 		taker.work += work.of(span);
 		taker.ranges += 1;
 	}
