--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -256,16 +256,16 @@
 		const mean = sources.reduce((sum, share) => sum + share.work, 0) / Math.max(1, weights);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
 		const source = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
-		const taker = leastLoaded(sources, input.mostRanges);
-		if (source === undefined || taker === undefined || source === taker || relativeLoad(source) - relativeLoad(taker) < least) {
+		const target = leastLoaded(sources, input.mostRanges);
+		if (source === undefined || target === undefined || source === target || relativeLoad(source) - relativeLoad(target) < least) {
 			break;
 		}
 
 		const key = incarnationText(source.candidate.life);
 		const given = spans.get(key) ?? [];
 		const surplus = source.work - (mean * source.candidate.weight);
-		const room = (mean * taker.candidate.weight) - taker.work;
-		const most = (relativeLoad(source) - relativeLoad(taker) - (least * minGainShare)) * taker.candidate.weight;
+		const room = (mean * target.candidate.weight) - target.work;
+		const most = (relativeLoad(source) - relativeLoad(target) - (least * minGainShare)) * target.candidate.weight;
 		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
 			sources = sources.filter(share => share !== source);
@@ -275,8 +275,8 @@
 		recalled.push({...span, holder: source.candidate.life});
 		spans.set(key, given.flatMap(whole => withoutSpans(whole, [span])));
 		source.work -= work.of(span);
-		taker.work += work.of(span);
-		taker.ranges += 1;
+		target.work += work.of(span);
+		target.ranges += 1;
 	}
 
 	return recalled;
