--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -262,18 +262,18 @@
 		}
 
 		const key = incarnationText(source.candidate.life);
-		const given = spans.get(key) ?? [];
+		const sourceSpans = spans.get(key) ?? [];
 		const surplus = source.work - (mean * source.candidate.weight);
 		const room = (mean * target.candidate.weight) - target.work;
 		const most = (relativeLoad(source) - relativeLoad(target) - (least * minGainShare)) * target.candidate.weight;
-		const span = pieceToMove(work, given, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
+		const span = pieceToMove(work, sourceSpans, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
 			sources = sources.filter(share => share !== source);
 			continue;
 		}
 
 		recalled.push({...span, holder: source.candidate.life});
-		spans.set(key, given.flatMap(whole => withoutSpans(whole, [span])));
+		spans.set(key, sourceSpans.flatMap(whole => withoutSpans(whole, [span])));
 		source.work -= work.of(span);
 		target.work += work.of(span);
 		target.ranges += 1;
