--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -253,7 +253,7 @@
 	let sources = loads;
 	while (recalled.length < maxMovesPerPlan) {
 		const totalWeight = sources.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
-		const mean = sources.reduce((sum, share) => sum + share.work, 0) / Math.max(1, totalWeight);
+		const mean = sources.reduce((sum, load) => sum + load.work, 0) / Math.max(1, totalWeight);
 		const least = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
 		const source = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
 		const target = leastLoaded(sources, input.mostRanges);
