--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -254,10 +254,10 @@
 	while (recalled.length < maxMovesPerPlan) {
 		const totalWeight = sources.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = sources.reduce((sum, load) => sum + load.work, 0) / Math.max(1, totalWeight);
-		const least = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
+		const threshold = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
 		const source = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
 		const target = leastLoaded(sources, input.mostRanges);
-		if (source === undefined || target === undefined || source === target || relativeLoad(source) - relativeLoad(target) < least) {
+		if (source === undefined || target === undefined || source === target || relativeLoad(source) - relativeLoad(target) < threshold) {
 			break;
 		}
 
@@ -265,7 +265,7 @@
 		const sourceSpans = spans.get(key) ?? [];
 		const surplus = source.work - (mean * source.candidate.weight);
 		const room = (mean * target.candidate.weight) - target.work;
-		const most = (relativeLoad(source) - relativeLoad(target) - (least * minGainShare)) * target.candidate.weight;
+		const most = (relativeLoad(source) - relativeLoad(target) - (threshold * minGainShare)) * target.candidate.weight;
 		const span = pieceToMove(work, sourceSpans, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
 		if (span === undefined) {
 			sources = sources.filter(share => share !== source);
