--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -255,7 +255,7 @@
 		const totalWeight = sources.filter(({candidate}) => candidate.accepting).reduce((sum, {candidate}) => sum + candidate.weight, 0);
 		const mean = sources.reduce((sum, load) => sum + load.work, 0) / Math.max(1, totalWeight);
 		const threshold = (mean * imbalanceThreshold) + (significanceFactor(sources.length) * Math.sqrt(2 * mean * 1000 / input.countedMilliseconds));
-		const source = sources.reduce<CandidateLoad | undefined>((found, share) => found === undefined || relativeLoad(share) > relativeLoad(found) ? share : found, undefined);
+		const source = sources.reduce<CandidateLoad | undefined>((found, load) => found === undefined || relativeLoad(load) > relativeLoad(found) ? load : found, undefined);
 		const target = leastLoaded(sources, input.mostRanges);
 		if (source === undefined || target === undefined || source === target || relativeLoad(source) - relativeLoad(target) < threshold) {
 			break;
