--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -265,8 +265,8 @@
 		const sourceSpans = spans.get(key) ?? [];
 		const surplus = source.work - (mean * source.candidate.weight);
 		const room = (mean * target.candidate.weight) - target.work;
-		const most = (relativeLoad(source) - relativeLoad(target) - (threshold * minGainShare)) * target.candidate.weight;
-		const span = pieceToMove(work, sourceSpans, Math.max(Math.min(surplus, room), mean * minMoveShare), most);
+		const maxWork = (relativeLoad(source) - relativeLoad(target) - (threshold * minGainShare)) * target.candidate.weight;
+		const span = pieceToMove(work, sourceSpans, Math.max(Math.min(surplus, room), mean * minMoveShare), maxWork);
 		if (span === undefined) {
 			sources = sources.filter(share => share !== source);
 			continue;
