--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -268,7 +268,7 @@
 		const maxWork = (relativeLoad(source) - relativeLoad(target) - (threshold * minGainShare)) * target.candidate.weight;
 		const span = pieceToMove(work, sourceSpans, Math.max(Math.min(surplus, room), mean * minMoveShare), maxWork);
 		if (span === undefined) {
-			sources = sources.filter(share => share !== source);
+			sources = sources.filter(load => load !== source);
 			continue;
 		}
 
