--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -293,8 +293,8 @@
 /** Computes a plan from the current ranges, upstreams and request rates. */
 export function planKeys(input: PlanInput): Plan {
 	const work = new WorkEstimate(input.rates);
-	const shares: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
-	const byLife = new Map(shares.map(share => [incarnationText(share.candidate.life), share]));
+	const loads: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
+	const byLife = new Map(loads.map(share => [incarnationText(share.candidate.life), share]));
 	for (const range of input.ranges) {
 		const share = range.holder === undefined ? undefined : byLife.get(incarnationText(range.holder));
 		if (share !== undefined) {
@@ -303,8 +303,8 @@
 		}
 	}
 
-	const granted = grantUnassigned(input, work, shares);
+	const granted = grantUnassigned(input, work, loads);
 	const leaving = recallFromLeaving(input);
-	addExpectedWork(input, work, shares);
-	return {granted, recalled: leaving.length > 0 ? leaving : balance(input, work, shares)};
+	addExpectedWork(input, work, loads);
+	return {granted, recalled: leaving.length > 0 ? leaving : balance(input, work, loads)};
 }
