--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -294,9 +294,9 @@
 export function planKeys(input: PlanInput): Plan {
 	const work = new WorkEstimate(input.rates);
 	const loads: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
-	const byLife = new Map(loads.map(share => [incarnationText(share.candidate.life), share]));
+	const loadByUpstream = new Map(loads.map(share => [incarnationText(share.candidate.life), share]));
 	for (const range of input.ranges) {
-		const share = range.holder === undefined ? undefined : byLife.get(incarnationText(range.holder));
+		const share = range.holder === undefined ? undefined : loadByUpstream.get(incarnationText(range.holder));
 		if (share !== undefined) {
 			share.work += range.releasingSince === undefined ? work.of(range) : 0;
 			share.ranges += 1;
