--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -294,7 +294,7 @@
 export function planKeys(input: PlanInput): Plan {
 	const work = new WorkEstimate(input.rates);
 	const loads: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
-	const loadByUpstream = new Map(loads.map(share => [incarnationText(share.candidate.life), share]));
+	const loadByUpstream = new Map(loads.map(load => [incarnationText(load.candidate.life), load]));
 	for (const range of input.ranges) {
 		const share = range.holder === undefined ? undefined : loadByUpstream.get(incarnationText(range.holder));
 		if (share !== undefined) {
