--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -296,10 +296,10 @@
 	const loads: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
 	const loadByUpstream = new Map(loads.map(load => [incarnationText(load.candidate.life), load]));
 	for (const range of input.ranges) {
-		const share = range.holder === undefined ? undefined : loadByUpstream.get(incarnationText(range.holder));
-		if (share !== undefined) {
-			share.work += range.releasingSince === undefined ? work.of(range) : 0;
-			share.ranges += 1;
+		const load = range.holder === undefined ? undefined : loadByUpstream.get(incarnationText(range.holder));
+		if (load !== undefined) {
+			load.work += range.releasingSince === undefined ? work.of(range) : 0;
+			load.ranges += 1;
 		}
 	}
 
