--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -53,17 +53,17 @@
 }
 
 const byHolder = memoize((ranges: readonly KeyRange[]) => {
-	const held = new Map<string, KeyRange[]>();
+	const rangesByHolder = new Map<string, KeyRange[]>();
 	for (const range of ranges) {
 		if (range.holder !== undefined) {
 			const key = incarnationText(range.holder);
-			const known = held.get(key) ?? [];
+			const known = rangesByHolder.get(key) ?? [];
 			known.push(range);
-			held.set(key, known);
+			rangesByHolder.set(key, known);
 		}
 	}
 
-	return held;
+	return rangesByHolder;
 });
 
 /** Returns the ranges that are granted to an incarnation, including recalled ones, in order. */
