--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -57,9 +57,9 @@
 	for (const range of ranges) {
 		if (range.holder !== undefined) {
 			const key = incarnationText(range.holder);
-			const known = rangesByHolder.get(key) ?? [];
-			known.push(range);
-			rangesByHolder.set(key, known);
+			const heldRanges = rangesByHolder.get(key) ?? [];
+			heldRanges.push(range);
+			rangesByHolder.set(key, heldRanges);
 		}
 	}
 
