--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -67,8 +67,8 @@
 });
 
 /** Returns the ranges that are granted to an incarnation, including recalled ones, in order. */
-export function rangesHeldBy(ranges: readonly KeyRange[], life: UpstreamIncarnation): readonly KeyRange[] {
-	return byHolder(ranges).get(incarnationText(life)) ?? [];
+export function rangesHeldBy(ranges: readonly KeyRange[], holder: UpstreamIncarnation): readonly KeyRange[] {
+	return byHolder(ranges).get(incarnationText(holder)) ?? [];
 }
 
 /** Returns the intersection of two spans; undefined if they are disjoint. */
