--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -102,7 +102,7 @@
 	return [...spans].sort((one, other) => one.from - other.from);
 }
 
-function joinable(one: KeyRange, other: KeyRange): boolean {
+function canMerge(one: KeyRange, other: KeyRange): boolean {
 	return one.told === other.told && one.releasingSince === other.releasingSince
 		&& (one.fence === other.fence || one.holder === undefined)
 		&& one.handover === '' && other.handover === '' && sameIncarnation(one.holder, other.holder);
@@ -113,7 +113,7 @@
 	const joined: KeyRange[] = [];
 	for (const range of ranges) {
 		const last = joined.at(-1);
-		if (last !== undefined && joinable(last, range)) {
+		if (last !== undefined && canMerge(last, range)) {
 			joined[joined.length - 1] = {...last, to: range.to, fence: Math.max(last.fence, range.fence)};
 		} else {
 			joined.push(range);
