--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -109,7 +109,7 @@
 }
 
 /** Merges adjacent ranges. Unassigned keys keep the highest fence among them: the fence of the next grant is higher than all. */
-function join(ranges: readonly KeyRange[]): readonly KeyRange[] {
+function mergeRanges(ranges: readonly KeyRange[]): readonly KeyRange[] {
 	const joined: KeyRange[] = [];
 	for (const range of ranges) {
 		const last = joined.at(-1);
@@ -153,7 +153,7 @@
 		}
 	}
 
-	return join(changed);
+	return mergeRanges(changed);
 }
 
 /** More spans than this are cheaper to change in one pass over the whole table. */
