--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -110,17 +110,17 @@
 
 /** Merges adjacent ranges. Unassigned keys keep the highest fence among them: the fence of the next grant is higher than all. */
 function mergeRanges(ranges: readonly KeyRange[]): readonly KeyRange[] {
-	const joined: KeyRange[] = [];
+	const merged: KeyRange[] = [];
 	for (const range of ranges) {
-		const last = joined.at(-1);
+		const last = merged.at(-1);
 		if (last !== undefined && canMerge(last, range)) {
-			joined[joined.length - 1] = {...last, to: range.to, fence: Math.max(last.fence, range.fence)};
+			merged[merged.length - 1] = {...last, to: range.to, fence: Math.max(last.fence, range.fence)};
 		} else {
-			joined.push(range);
+			merged.push(range);
 		}
 	}
 
-	return joined;
+	return merged;
 }
 
 type Change<Span extends KeySpan> = (range: KeyRange, span: Span) => KeyRange;
