--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -123,10 +123,10 @@
 	return merged;
 }
 
-type Change<Span extends KeySpan> = (range: KeyRange, span: Span) => KeyRange;
+type RangeChange<Span extends KeySpan> = (range: KeyRange, span: Span) => KeyRange;
 
 /** Changes the parts of ranges that lie in `sorted` spans, in one pass over both lists. */
-function walk<Span extends KeySpan>(ranges: readonly KeyRange[], sorted: readonly Span[], change: Change<Span>): readonly KeyRange[] {
+function walk<Span extends KeySpan>(ranges: readonly KeyRange[], sorted: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
 	const changed: KeyRange[] = [];
 	let position = 0;
 	for (const range of ranges) {
@@ -160,7 +160,7 @@
 const mostSingly = 16;
 
 /** Changes the parts of ranges that lie in one span; passes only over the ranges that the span touches and their neighbours. */
-function changeSpan<Span extends KeySpan>(ranges: readonly KeyRange[], span: Span, change: Change<Span>): readonly KeyRange[] {
+function changeSpan<Span extends KeySpan>(ranges: readonly KeyRange[], span: Span, change: RangeChange<Span>): readonly KeyRange[] {
 	const first = Math.max(0, positionOfKey(ranges, span.from) - 1);
 	const end = Math.min(ranges.length, positionOfKey(ranges, span.to) + 2);
 	return ranges.toSpliced(first, end - first, ...walk(ranges.slice(first, end), [span], change));
@@ -176,7 +176,7 @@
  * ranges; most commands change a few of them, a first grant about as many as
  * the table has.
  */
-export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: Change<Span>): readonly KeyRange[] {
+export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
 	const sorted = inOrder(spans);
 	return sorted.length > mostSingly || overlap(sorted)
 		? walk(ranges, sorted, change)
