--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -126,7 +126,7 @@
 type RangeChange<Span extends KeySpan> = (range: KeyRange, span: Span) => KeyRange;
 
 /** Changes the parts of ranges that lie in `sorted` spans, in one pass over both lists. */
-function walk<Span extends KeySpan>(ranges: readonly KeyRange[], sorted: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
+function changeSortedSpans<Span extends KeySpan>(ranges: readonly KeyRange[], sorted: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
 	const changed: KeyRange[] = [];
 	let position = 0;
 	for (const range of ranges) {
@@ -163,7 +163,7 @@
 function changeSpan<Span extends KeySpan>(ranges: readonly KeyRange[], span: Span, change: RangeChange<Span>): readonly KeyRange[] {
 	const first = Math.max(0, positionOfKey(ranges, span.from) - 1);
 	const end = Math.min(ranges.length, positionOfKey(ranges, span.to) + 2);
-	return ranges.toSpliced(first, end - first, ...walk(ranges.slice(first, end), [span], change));
+	return ranges.toSpliced(first, end - first, ...changeSortedSpans(ranges.slice(first, end), [span], change));
 }
 
 function overlap(spans: readonly KeySpan[]): boolean {
@@ -179,7 +179,7 @@
 export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
 	const sorted = inOrder(spans);
 	return sorted.length > mostSingly || overlap(sorted)
-		? walk(ranges, sorted, change)
+		? changeSortedSpans(ranges, sorted, change)
 		: sorted.reduce((changed, span) => changeSpan(changed, span, change), ranges);
 }
 
