--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -157,7 +157,7 @@
 }
 
 /** More spans than this are cheaper to change in one pass over the whole table. */
-const mostSingly = 16;
+const maxSingleChanges = 16;
 
 /** Changes the parts of ranges that lie in one span; passes only over the ranges that the span touches and their neighbours. */
 function changeSpan<Span extends KeySpan>(ranges: readonly KeyRange[], span: Span, change: RangeChange<Span>): readonly KeyRange[] {
@@ -178,7 +178,7 @@
  */
 export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
 	const sorted = inOrder(spans);
-	return sorted.length > mostSingly || overlap(sorted)
+	return sorted.length > maxSingleChanges || overlap(sorted)
 		? changeSortedSpans(ranges, sorted, change)
 		: sorted.reduce((changed, span) => changeSpan(changed, span, change), ranges);
 }
