--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -166,7 +166,7 @@
 	return ranges.toSpliced(first, end - first, ...changeSortedSpans(ranges.slice(first, end), [span], change));
 }
 
-function overlap(spans: readonly KeySpan[]): boolean {
+function hasOverlap(spans: readonly KeySpan[]): boolean {
 	return spans.some(({from}, position) => position > 0 && from <= spans[position - 1]!.to);
 }
 
@@ -178,7 +178,7 @@
  */
 export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
 	const sorted = inOrder(spans);
-	return sorted.length > maxSingleChanges || overlap(sorted)
+	return sorted.length > maxSingleChanges || hasOverlap(sorted)
 		? changeSortedSpans(ranges, sorted, change)
 		: sorted.reduce((changed, span) => changeSpan(changed, span, change), ranges);
 }
