--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -37,11 +37,11 @@
  * the leader's: keys that it doesn't assign to the upstream are never reported as
  * missing.
  */
-export function reportKeys(ranges: readonly KeyRange[], {life, sequence, holds, released}: HeldKeys): KeyReport {
+export function reportKeys(ranges: readonly KeyRange[], {life: holder, sequence, holds, released}: HeldKeys): KeyReport {
 	const listed = inOrder(holds);
-	const missing = rangesHeldBy(ranges, life).flatMap(range => withoutSpans(range, listed));
+	const missing = rangesHeldBy(ranges, holder).flatMap(range => withoutSpans(range, listed));
 	return {
-		life, sequence, missing, released, digest: rowsDigest(rowsOf(ranges, life)),
+		life: holder, sequence, missing, released, digest: rowsDigest(rowsOf(ranges, holder)),
 	};
 }
 
