--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -46,8 +46,8 @@
 }
 
 /** Returns the rows to send to an upstream. The handover token of a row is omitted once the upstream lists the row. */
-export function rowsFor(ranges: readonly KeyRange[], {life, missing}: Pick<KeyReport, 'life' | 'missing'>): readonly KeyRange[] {
-	return rowsOf(ranges, life).map(row => {
+export function rowsFor(ranges: readonly KeyRange[], {life: holder, missing}: Pick<KeyReport, 'life' | 'missing'>): readonly KeyRange[] {
+	return rowsOf(ranges, holder).map(row => {
 		const isListed = row.told && missing.every(({from, to}) => from > row.to || to < row.from);
 		return isListed && row.handover !== '' ? {...row, handover: ''} : row;
 	});
