--- a/packages/directory/src/announcement.ts
+++ b/packages/directory/src/announcement.ts
@@ -22,8 +22,8 @@
 
 /** Whether the directory's record matches the announced one. */
 export function isRecorded(state: DirectoryState, upstream: UpstreamRecord): boolean {
-	const known = state.upstreams[upstream.id];
-	return known !== undefined && sameRecord(known, upstream);
+	const recorded = state.upstreams[upstream.id];
+	return recorded !== undefined && sameRecord(recorded, upstream);
 }
 
 /** One in this many announcements without changes is still sent to the leader, which removes upstreams without contact. */
