--- a/packages/directory/src/announcement.ts
+++ b/packages/directory/src/announcement.ts
@@ -27,7 +27,7 @@
 }
 
 /** One in this many announcements without changes is still sent to the leader, which removes upstreams without contact. */
-const routineOf = 4;
+const leaderAnnouncementInterval = 4;
 
 /**
  * Whether any control instance in contact with the leader may answer an
@@ -35,7 +35,7 @@
  */
 export function isRoutine(state: DirectoryState, {upstream, keys}: Announcement): boolean {
 	const service = state.items.service[upstream.service]?.value;
-	return isRecorded(state, upstream) && service?.keyed === false && keys.sequence % routineOf !== 0;
+	return isRecorded(state, upstream) && service?.keyed === false && keys.sequence % leaderAnnouncementInterval !== 0;
 }
 
 /**
