--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -10,7 +10,7 @@
 } from './item.js';
 
 /** The maximum timeout of a route. */
-export const longestTimeoutMilliseconds = 600_000;
+export const maxTimeoutMilliseconds = 600_000;
 
 /** A route's objective must be below its timeout plus this. */
 export const objectiveSlackMilliseconds = 60_000;
@@ -23,7 +23,7 @@
 
 	const checks: ReadonlyArray<readonly [boolean, string]> = [
 		[!route.pathPrefix.startsWith('/'), 'the path prefix does not start with a slash'],
-		[!(route.timeoutMilliseconds > 0 && route.timeoutMilliseconds <= longestTimeoutMilliseconds), 'the timeout must be above 0 and at most ten minutes'],
+		[!(route.timeoutMilliseconds > 0 && route.timeoutMilliseconds <= maxTimeoutMilliseconds), 'the timeout must be above 0 and at most ten minutes'],
 		[route.objectiveMilliseconds >= route.timeoutMilliseconds + objectiveSlackMilliseconds, 'the objective exceeds the timeout by a minute or more'],
 		[!(route.targets.reduce((sum, {weight}) => sum + weight, 0) > 0), 'the sum of the weights is not above 0'],
 		[route.targets.some(({weight}) => weight < 0), 'a weight is negative'],
