--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -40,13 +40,13 @@
 	return one.document === other.document && (one.value === undefined) === (other.value === undefined);
 }
 
-function held(items: Items, {kind, name}: ItemChange): Item<unknown> | undefined {
+function itemOf(items: Items, {kind, name}: ItemChange): Item<unknown> | undefined {
 	const known: Readonly<Record<string, Item<unknown>>> = items[kind];
 	return known[name];
 }
 
 function conflictProblem(items: Items, change: ItemChange): string | undefined {
-	const known = held(items, change);
+	const known = itemOf(items, change);
 	return known?.version === change.item.version && !sameItem(known, change.item)
 		? `${change.kind} ${change.name}: version ${known.version} already exists with different content`
 		: undefined;
