--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -41,8 +41,8 @@
 }
 
 function itemOf(items: Items, {kind, name}: ItemChange): Item<unknown> | undefined {
-	const known: Readonly<Record<string, Item<unknown>>> = items[kind];
-	return known[name];
+	const itemsOfKind: Readonly<Record<string, Item<unknown>>> = items[kind];
+	return itemsOfKind[name];
 }
 
 function conflictProblem(items: Items, change: ItemChange): string | undefined {
