--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -46,9 +46,9 @@
 }
 
 function conflictProblem(items: Items, change: ItemChange): string | undefined {
-	const known = itemOf(items, change);
-	return known?.version === change.item.version && !sameItem(known, change.item)
-		? `${change.kind} ${change.name}: version ${known.version} already exists with different content`
+	const current = itemOf(items, change);
+	return current?.version === change.item.version && !sameItem(current, change.item)
+		? `${change.kind} ${change.name}: version ${current.version} already exists with different content`
 		: undefined;
 }
 
