--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -56,8 +56,8 @@
 function setItems(items: Items, changes: readonly ItemChange[]): Items {
 	const copies: Partial<Record<ItemKind, Record<string, Item<unknown>>>> = {};
 	for (const {kind, name, item} of changes) {
-		const known = (copies[kind] ?? items[kind])[name];
-		if (known === undefined || known.version < item.version) {
+		const current = (copies[kind] ?? items[kind])[name];
+		if (current === undefined || current.version < item.version) {
 			copies[kind] ??= {...items[kind]};
 			copies[kind][name] = item;
 		}
