--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -84,11 +84,11 @@
  * service.
  */
 function unknownTarget(changed: Items, changes: readonly ItemChange[]): string | undefined {
-	const sent = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
-	const inForce = sent.filter(([name, route]) => changed.route[name]?.value === route);
+	const changedRoutes = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
+	const inForce = changedRoutes.filter(([name, route]) => changed.route[name]?.value === route);
 	const drops = changes.some(({kind, item}) => kind === 'service' && item.value === undefined);
 	return unknownService(drops ? standing(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
-		?? unknownService(sent, service => changed.service[service] !== undefined);
+		?? unknownService(changedRoutes, service => changed.service[service] !== undefined);
 }
 
 function firstProblem(items: Items, changed: Items, changes: readonly ItemChange[]): Failure | undefined {
