--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -86,8 +86,8 @@
 function unknownTarget(changed: Items, changes: readonly ItemChange[]): string | undefined {
 	const changedRoutes = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
 	const inForce = changedRoutes.filter(([name, route]) => changed.route[name]?.value === route);
-	const drops = changes.some(({kind, item}) => kind === 'service' && item.value === undefined);
-	return unknownService(drops ? standing(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
+	const dropsService = changes.some(({kind, item}) => kind === 'service' && item.value === undefined);
+	return unknownService(dropsService ? standing(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
 		?? unknownService(changedRoutes, service => changed.service[service] !== undefined);
 }
 
