--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -83,7 +83,7 @@
  * was dropped since. Routes outside of the change are checked only if it drops a
  * service.
  */
-function unknownTarget(changed: Items, changes: readonly ItemChange[]): string | undefined {
+function targetProblem(changed: Items, changes: readonly ItemChange[]): string | undefined {
 	const changedRoutes = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
 	const inForce = changedRoutes.filter(([name, route]) => changed.route[name]?.value === route);
 	const dropsService = changes.some(({kind, item}) => kind === 'service' && item.value === undefined);
@@ -93,7 +93,7 @@
 
 function firstProblem(items: Items, changed: Items, changes: readonly ItemChange[]): Failure | undefined {
 	const invalid = changes.map(change => nameProblem(change) ?? (change.kind === 'route' ? routeProblem(change) : undefined)).find(problem => problem !== undefined)
-		?? unknownTarget(changed, changes);
+		?? targetProblem(changed, changes);
 	if (invalid !== undefined) {
 		return failure(FailureKind.settingsInvalid, invalid);
 	}
