--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -66,7 +66,7 @@
 	return Object.keys(copies).length === 0 ? items : {...items, ...copies as Partial<Items>};
 }
 
-function unknownService(targets: ReadonlyArray<readonly [string, Route]>, isKnown: (service: string) => boolean): string | undefined {
+function missingServiceProblem(targets: ReadonlyArray<readonly [string, Route]>, isKnown: (service: string) => boolean): string | undefined {
 	for (const [name, route] of targets) {
 		const unknown = route.targets.find(({service}) => !isKnown(service));
 		if (unknown !== undefined) {
@@ -87,8 +87,8 @@
 	const changedRoutes = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
 	const inForce = changedRoutes.filter(([name, route]) => changed.route[name]?.value === route);
 	const dropsService = changes.some(({kind, item}) => kind === 'service' && item.value === undefined);
-	return unknownService(dropsService ? standing(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
-		?? unknownService(changedRoutes, service => changed.service[service] !== undefined);
+	return missingServiceProblem(dropsService ? standing(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
+		?? missingServiceProblem(changedRoutes, service => changed.service[service] !== undefined);
 }
 
 function firstProblem(items: Items, changed: Items, changes: readonly ItemChange[]): Failure | undefined {
