--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -68,9 +68,9 @@
 
 function missingServiceProblem(targets: ReadonlyArray<readonly [string, Route]>, isKnown: (service: string) => boolean): string | undefined {
 	for (const [name, route] of targets) {
-		const unknown = route.targets.find(({service}) => !isKnown(service));
-		if (unknown !== undefined) {
-			return `route ${name}: there is no service ${unknown.service}`;
+		const missing = route.targets.find(({service}) => !isKnown(service));
+		if (missing !== undefined) {
+			return `route ${name}: there is no service ${missing.service}`;
 		}
 	}
 
