--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -66,9 +66,9 @@
 	return Object.keys(copies).length === 0 ? items : {...items, ...copies as Partial<Items>};
 }
 
-function missingServiceProblem(targets: ReadonlyArray<readonly [string, Route]>, isKnown: (service: string) => boolean): string | undefined {
+function missingServiceProblem(targets: ReadonlyArray<readonly [string, Route]>, exists: (service: string) => boolean): string | undefined {
 	for (const [name, route] of targets) {
-		const missing = route.targets.find(({service}) => !isKnown(service));
+		const missing = route.targets.find(({service}) => !exists(service));
 		if (missing !== undefined) {
 			return `route ${name}: there is no service ${missing.service}`;
 		}
