--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -37,7 +37,7 @@
 };
 
 /** The first grant of keys waits until no upstream has joined for this long. */
-export const gatheringMilliseconds: Milliseconds = 1500;
+export const firstGrantDelayMilliseconds: Milliseconds = 1500;
 
 /** An upstream without contact for this long is granted no more keys: two announcement intervals and a margin. */
 export const silentMilliseconds: Milliseconds = 2200;
@@ -81,7 +81,7 @@
 		return [{kind: 'keysVacated', service, rows: vacated}];
 	}
 
-	if (ranges.every(({fence}) => fence === 0) && now - joinedAt < gatheringMilliseconds) {
+	if (ranges.every(({fence}) => fence === 0) && now - joinedAt < firstGrantDelayMilliseconds) {
 		return [];
 	}
 
