--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -40,7 +40,7 @@
 export const firstGrantDelayMilliseconds: Milliseconds = 1500;
 
 /** An upstream without contact for this long is granted no more keys: two announcement intervals and a margin. */
-export const silentMilliseconds: Milliseconds = 2200;
+export const contactTimeoutMilliseconds: Milliseconds = 2200;
 
 /** An upstream without contact for this long is removed: longer than the partitions during which it may keep serving. */
 export const forgottenMilliseconds: Milliseconds = 20_000;
@@ -55,7 +55,7 @@
 }
 
 function isHeard(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
-	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - heardAt(input, upstream) <= silentMilliseconds;
+	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - heardAt(input, upstream) <= contactTimeoutMilliseconds;
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
