--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -43,7 +43,7 @@
 export const contactTimeoutMilliseconds: Milliseconds = 2200;
 
 /** An upstream without contact for this long is removed: longer than the partitions during which it may keep serving. */
-export const forgottenMilliseconds: Milliseconds = 20_000;
+export const removalTimeoutMilliseconds: Milliseconds = 20_000;
 
 function addressOf(state: DirectoryState, life: UpstreamIncarnation): string | undefined {
 	const known = state.upstreams[life.id];
@@ -97,7 +97,7 @@
 
 function forgottenUpstreams(input: DirectoryPlanInput): readonly DirectoryCommand[] {
 	return Object.values(input.state.upstreams)
-		.filter(upstream => input.now - heardAt(input, upstream) > forgottenMilliseconds)
+		.filter(upstream => input.now - heardAt(input, upstream) > removalTimeoutMilliseconds)
 		.map(({id, born}) => ({kind: 'upstreamRemoved', life: {id, born}}));
 }
 
