--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -50,12 +50,12 @@
 	return known !== undefined && sameIncarnation(known, life) ? known.address : state.formerAddresses[incarnationText(life)];
 }
 
-function heardAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
+function lastContactAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
 	return observationOf(granting.sightings, life)?.heardAt ?? granting.electedAt;
 }
 
 function isHeard(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
-	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - heardAt(input, upstream) <= contactTimeoutMilliseconds;
+	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - lastContactAt(input, upstream) <= contactTimeoutMilliseconds;
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
@@ -97,7 +97,7 @@
 
 function forgottenUpstreams(input: DirectoryPlanInput): readonly DirectoryCommand[] {
 	return Object.values(input.state.upstreams)
-		.filter(upstream => input.now - heardAt(input, upstream) > removalTimeoutMilliseconds)
+		.filter(upstream => input.now - lastContactAt(input, upstream) > removalTimeoutMilliseconds)
 		.map(({id, born}) => ({kind: 'upstreamRemoved', life: {id, born}}));
 }
 
