--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -54,14 +54,14 @@
 	return observationOf(granting.sightings, life)?.heardAt ?? granting.electedAt;
 }
 
-function isHeard(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
+function isInContact(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
 	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - lastContactAt(input, upstream) <= contactTimeoutMilliseconds;
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
 function candidatesOf(input: DirectoryPlanInput, service: string, {speedOf}: ServiceWork): readonly Candidate[] {
 	const upstreams = Object.values(input.state.upstreams).filter(upstream => upstream.service === service);
-	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isHeard(input, upstream));
+	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isInContact(input, upstream));
 	const isWarm = ready.some(({cold}) => !cold);
 	return upstreams.map(upstream => ({
 		life: {id: upstream.id, born: upstream.born},
