--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -95,7 +95,7 @@
 	];
 }
 
-function forgottenUpstreams(input: DirectoryPlanInput): readonly DirectoryCommand[] {
+function removeUnresponsive(input: DirectoryPlanInput): readonly DirectoryCommand[] {
 	return Object.values(input.state.upstreams)
 		.filter(upstream => input.now - lastContactAt(input, upstream) > removalTimeoutMilliseconds)
 		.map(({id, born}) => ({kind: 'upstreamRemoved', life: {id, born}}));
@@ -104,5 +104,5 @@
 /** Returns the commands that the leader should propose now. */
 export function planDirectory(input: DirectoryPlanInput): readonly DirectoryCommand[] {
 	const keyed = standing(input.state.items.service).filter(([, {keyed: isDivided}]) => isDivided);
-	return [...forgottenUpstreams(input), ...keyed.flatMap(([service]) => planService(input, service))];
+	return [...removeUnresponsive(input), ...keyed.flatMap(([service]) => planService(input, service))];
 }
