--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -103,6 +103,6 @@
 
 /** Returns the commands that the leader should propose now. */
 export function planDirectory(input: DirectoryPlanInput): readonly DirectoryCommand[] {
-	const keyed = standing(input.state.items.service).filter(([, {keyed: isDivided}]) => isDivided);
+	const keyed = standing(input.state.items.service).filter(([, {keyed: isKeyed}]) => isKeyed);
 	return [...removeUnresponsive(input), ...keyed.flatMap(([service]) => planService(input, service))];
 }
