--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -62,11 +62,11 @@
 function candidatesOf(input: DirectoryPlanInput, service: string, {speedOf}: ServiceWork): readonly Candidate[] {
 	const upstreams = Object.values(input.state.upstreams).filter(upstream => upstream.service === service);
 	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isInContact(input, upstream));
-	const isWarm = ready.some(({cold}) => !cold);
+	const hasWarm = ready.some(({cold}) => !cold);
 	return upstreams.map(upstream => ({
 		life: {id: upstream.id, born: upstream.born},
 		weight: upstream.slots * speedOf(upstream.id),
-		accepting: ready.includes(upstream) && (!isWarm || !upstream.cold),
+		accepting: ready.includes(upstream) && (!hasWarm || !upstream.cold),
 		leaving: upstream.state === UpstreamState.draining,
 	}));
 }
