--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -45,9 +45,9 @@
 /** An upstream without contact for this long is removed: longer than the partitions during which it may keep serving. */
 export const removalTimeoutMilliseconds: Milliseconds = 20_000;
 
-function addressOf(state: DirectoryState, life: UpstreamIncarnation): string | undefined {
-	const known = state.upstreams[life.id];
-	return known !== undefined && sameIncarnation(known, life) ? known.address : state.formerAddresses[incarnationText(life)];
+function addressOf(state: DirectoryState, holder: UpstreamIncarnation): string | undefined {
+	const known = state.upstreams[holder.id];
+	return known !== undefined && sameIncarnation(known, holder) ? known.address : state.formerAddresses[incarnationText(holder)];
 }
 
 function lastContactAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
