--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -50,8 +50,8 @@
 	return known !== undefined && sameIncarnation(known, holder) ? known.address : state.formerAddresses[incarnationText(holder)];
 }
 
-function lastContactAt({granting}: DirectoryPlanInput, life: UpstreamIncarnation): MonotonicTime {
-	return observationOf(granting.sightings, life)?.heardAt ?? granting.electedAt;
+function lastContactAt({granting}: DirectoryPlanInput, upstream: UpstreamIncarnation): MonotonicTime {
+	return observationOf(granting.sightings, upstream)?.heardAt ?? granting.electedAt;
 }
 
 function isInContact(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
