--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -46,8 +46,8 @@
 export const removalTimeoutMilliseconds: Milliseconds = 20_000;
 
 function addressOf(state: DirectoryState, holder: UpstreamIncarnation): string | undefined {
-	const known = state.upstreams[holder.id];
-	return known !== undefined && sameIncarnation(known, holder) ? known.address : state.formerAddresses[incarnationText(holder)];
+	const recorded = state.upstreams[holder.id];
+	return recorded !== undefined && sameIncarnation(recorded, holder) ? recorded.address : state.formerAddresses[incarnationText(holder)];
 }
 
 function lastContactAt({granting}: DirectoryPlanInput, upstream: UpstreamIncarnation): MonotonicTime {
