--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -73,10 +73,10 @@
 
 function planService(input: DirectoryPlanInput, service: string): readonly DirectoryCommand[] {
 	const {
-		state, granting, terms, now, joinedAt,
+		state, granting, terms: options, now, joinedAt,
 	} = input;
 	const ranges = rangesOf(state.keys, service);
-	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, terms});
+	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, terms: options});
 	if (vacated.length > 0) {
 		return [{kind: 'keysVacated', service, rows: vacated}];
 	}
