--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -53,7 +53,7 @@
 /** The maximum number of departed incarnations that are kept. */
 const mostDeparted = 500;
 
-function noteFormer(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
+function updateFormerAddresses(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
 	const gone = Object.values(state.upstreams).filter(({id, born}) => upstreams[id]?.born !== born);
 	const noted = [...Object.entries(state.formerAddresses), ...gone.map(({id, born, address}) => [incarnationText({id, born}), address] as const)];
 	return gone.length === 0 ? state.formerAddresses : Object.fromEntries(noted.slice(-mostFormerAddresses));
@@ -87,7 +87,7 @@
 		return isLate(state, command)
 			? err(failure(FailureKind.superseded, 'this incarnation has departed'))
 			: applyUpstreamCommand(state.upstreams, command).map(upstreams => ({
-				...state, upstreams, formerAddresses: noteFormer(state, upstreams), departed: noteDeparted(state, command),
+				...state, upstreams, formerAddresses: updateFormerAddresses(state, upstreams), departed: noteDeparted(state, command),
 			}));
 	}
 
