--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -55,8 +55,8 @@
 
 function updateFormerAddresses(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
 	const removed = Object.values(state.upstreams).filter(({id, born}) => upstreams[id]?.born !== born);
-	const noted = [...Object.entries(state.formerAddresses), ...removed.map(({id, born, address}) => [incarnationText({id, born}), address] as const)];
-	return removed.length === 0 ? state.formerAddresses : Object.fromEntries(noted.slice(-mostFormerAddresses));
+	const entries = [...Object.entries(state.formerAddresses), ...removed.map(({id, born, address}) => [incarnationText({id, born}), address] as const)];
+	return removed.length === 0 ? state.formerAddresses : Object.fromEntries(entries.slice(-mostFormerAddresses));
 }
 
 /** Whether an incarnation announced its departure. */
