--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -64,7 +64,7 @@
 	return state.departed.includes(incarnationText(life));
 }
 
-function isLate(state: DirectoryState, command: UpstreamCommand): boolean {
+function isStaleAnnouncement(state: DirectoryState, command: UpstreamCommand): boolean {
 	return command.kind === 'upstreamAnnounced' && hasDeparted(state, command.upstream);
 }
 
@@ -84,7 +84,7 @@
 
 function applyCommand(state: DirectoryState, command: DirectoryCommand, index: LogIndex): Result<DirectoryState, Failure> {
 	if (isUpstreamCommand(command)) {
-		return isLate(state, command)
+		return isStaleAnnouncement(state, command)
 			? err(failure(FailureKind.superseded, 'this incarnation has departed'))
 			: applyUpstreamCommand(state.upstreams, command).map(upstreams => ({
 				...state, upstreams, formerAddresses: updateFormerAddresses(state, upstreams), departed: noteDeparted(state, command),
