--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -68,7 +68,7 @@
 	return command.kind === 'upstreamAnnounced' && hasDeparted(state, command.upstream);
 }
 
-function noteDeparted(state: DirectoryState, command: UpstreamCommand): DirectoryState['departed'] {
+function updateDeparted(state: DirectoryState, command: UpstreamCommand): DirectoryState['departed'] {
 	return command.kind === 'upstreamDeparted' && !hasDeparted(state, command.life)
 		? [...state.departed, incarnationText(command.life)].slice(-mostDeparted)
 		: state.departed;
@@ -87,7 +87,7 @@
 		return isStaleAnnouncement(state, command)
 			? err(failure(FailureKind.superseded, 'this incarnation has departed'))
 			: applyUpstreamCommand(state.upstreams, command).map(upstreams => ({
-				...state, upstreams, formerAddresses: updateFormerAddresses(state, upstreams), departed: noteDeparted(state, command),
+				...state, upstreams, formerAddresses: updateFormerAddresses(state, upstreams), departed: updateDeparted(state, command),
 			}));
 	}
 
