--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -101,7 +101,7 @@
 }
 
 type PackedCommand = {readonly kind: KeyCommand['kind']; readonly service: string; readonly packed: PackedRows};
-type SentCommand = Exclude<DirectoryCommand, KeyCommand> | PackedCommand;
+type EncodedCommand = Exclude<DirectoryCommand, KeyCommand> | PackedCommand;
 
 function unpackCommand({kind, service, packed}: PackedCommand): KeyCommand {
 	const command: {readonly kind: KeyCommand['kind']; readonly service: string; readonly rows: ReturnType<typeof unpackRows>} = {kind, service, rows: unpackRows(packed)};
@@ -114,7 +114,7 @@
 }
 
 function readCommands(payload: string): readonly DirectoryCommand[] {
-	return (JSON.parse(payload) as readonly SentCommand[]).map(command => 'packed' in command ? unpackCommand(command) : command);
+	return (JSON.parse(payload) as readonly EncodedCommand[]).map(command => 'packed' in command ? unpackCommand(command) : command);
 }
 
 /** Applies a log entry, which is a list of commands; returns the new state and the answer to each command. */
