--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -113,14 +113,14 @@
 	return JSON.stringify(commands.map(command => isKeyCommand(command) ? {kind: command.kind, service: command.service, packed: packRows(command.rows)} : command));
 }
 
-function readCommands(payload: string): readonly DirectoryCommand[] {
+function decodeCommands(payload: string): readonly DirectoryCommand[] {
 	return (JSON.parse(payload) as readonly EncodedCommand[]).map(command => 'packed' in command ? unpackCommand(command) : command);
 }
 
 /** Applies a log entry, which is a list of commands; returns the new state and the answer to each command. */
 export function applyDirectoryEntry(state: DirectoryState, payload: string, index: LogIndex): {readonly state: DirectoryState; readonly answers: ReadonlyArray<Result<DirectoryAccepted, Failure>>} {
 	let next = state;
-	const answers = readCommands(payload).map(command => {
+	const answers = decodeCommands(payload).map(command => {
 		const applied = applyCommand(next, command, index);
 		next = applied.unwrapOr(next);
 		return applied.map(() => ({index}));
