--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -48,7 +48,7 @@
 };
 
 /** The maximum number of former addresses that are kept. */
-const mostFormerAddresses = 500;
+const maxFormerAddresses = 500;
 
 /** The maximum number of departed incarnations that are kept. */
 const mostDeparted = 500;
@@ -56,7 +56,7 @@
 function updateFormerAddresses(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
 	const removed = Object.values(state.upstreams).filter(({id, born}) => upstreams[id]?.born !== born);
 	const entries = [...Object.entries(state.formerAddresses), ...removed.map(({id, born, address}) => [incarnationText({id, born}), address] as const)];
-	return removed.length === 0 ? state.formerAddresses : Object.fromEntries(entries.slice(-mostFormerAddresses));
+	return removed.length === 0 ? state.formerAddresses : Object.fromEntries(entries.slice(-maxFormerAddresses));
 }
 
 /** Whether an incarnation announced its departure. */
