--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -51,7 +51,7 @@
 const maxFormerAddresses = 500;
 
 /** The maximum number of departed incarnations that are kept. */
-const mostDeparted = 500;
+const maxDeparted = 500;
 
 function updateFormerAddresses(state: DirectoryState, upstreams: Upstreams): DirectoryState['formerAddresses'] {
 	const removed = Object.values(state.upstreams).filter(({id, born}) => upstreams[id]?.born !== born);
@@ -70,7 +70,7 @@
 
 function updateDeparted(state: DirectoryState, command: UpstreamCommand): DirectoryState['departed'] {
 	return command.kind === 'upstreamDeparted' && !hasDeparted(state, command.life)
-		? [...state.departed, incarnationText(command.life)].slice(-mostDeparted)
+		? [...state.departed, incarnationText(command.life)].slice(-maxDeparted)
 		: state.departed;
 }
 
