--- a/packages/directory/src/state.ts
+++ b/packages/directory/src/state.ts
@@ -60,8 +60,8 @@
 }
 
 /** Whether an incarnation announced its departure. */
-export function hasDeparted(state: DirectoryState, life: UpstreamIncarnation): boolean {
-	return state.departed.includes(incarnationText(life));
+export function hasDeparted(state: DirectoryState, upstream: UpstreamIncarnation): boolean {
+	return state.departed.includes(incarnationText(upstream));
 }
 
 function isStaleAnnouncement(state: DirectoryState, command: UpstreamCommand): boolean {
