--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -43,7 +43,7 @@
 	/** An incarnation is removed after the contact timeout. */
 	| {readonly kind: 'upstreamRemoved'; readonly life: UpstreamIncarnation};
 
-function superseded(upstreams: Upstreams, {id, born, address, state}: UpstreamRecord): string | undefined {
+function supersededReason(upstreams: Upstreams, {id, born, address, state}: UpstreamRecord): string | undefined {
 	const known = upstreams[id];
 	if (known !== undefined && known.born > born) {
 		return `a later incarnation of ${id} is recorded`;
@@ -62,7 +62,7 @@
 		return err(failure(FailureKind.malformed, `${upstream.id}: ${upstream.address} is not a valid socket address`));
 	}
 
-	const problem = superseded(upstreams, upstream);
+	const problem = supersededReason(upstreams, upstream);
 	if (problem !== undefined) {
 		return err(failure(FailureKind.superseded, problem));
 	}
