--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -44,12 +44,12 @@
 	| {readonly kind: 'upstreamRemoved'; readonly life: UpstreamIncarnation};
 
 function supersededReason(upstreams: Upstreams, {id, born, address, state}: UpstreamRecord): string | undefined {
-	const known = upstreams[id];
-	if (known !== undefined && known.born > born) {
+	const recorded = upstreams[id];
+	if (recorded !== undefined && recorded.born > born) {
 		return `a later incarnation of ${id} is recorded`;
 	}
 
-	if (known?.born === born && known.state === UpstreamState.draining && state === UpstreamState.ready) {
+	if (recorded?.born === born && recorded.state === UpstreamState.draining && state === UpstreamState.ready) {
 		return `${id} is draining and can't become ready again`;
 	}
 
