--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -72,8 +72,8 @@
 }
 
 function remove(upstreams: Upstreams, life: UpstreamIncarnation): Result<Upstreams, Failure> {
-	const {[life.id]: known, ...others} = upstreams;
-	return ok(sameIncarnation(known, life) ? others : upstreams);
+	const {[life.id]: recorded, ...others} = upstreams;
+	return ok(sameIncarnation(recorded, life) ? others : upstreams);
 }
 
 const handlers: HandlerTable<UpstreamCommand, [Upstreams], Result<Upstreams, Failure>> = {
