--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -103,8 +103,8 @@
 
 /** Whether an incarnation has ended because a later one has its id or address. */
 export function isReplaced(upstreams: Upstreams, life: UpstreamIncarnation, address: string | undefined): boolean {
-	const known = upstreams[life.id];
+	const recorded = upstreams[life.id];
 	const successor = address === undefined ? undefined : newestByAddress(upstreams).get(address);
-	return (known !== undefined && known.born > life.born)
+	return (recorded !== undefined && recorded.born > life.born)
 		|| (successor !== undefined && successor.id !== life.id && successor.born > life.born);
 }
