--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -71,9 +71,9 @@
 	return ok({...Object.fromEntries(others), [upstream.id]: upstream});
 }
 
-function remove(upstreams: Upstreams, life: UpstreamIncarnation): Result<Upstreams, Failure> {
-	const {[life.id]: recorded, ...others} = upstreams;
-	return ok(sameIncarnation(recorded, life) ? others : upstreams);
+function remove(upstreams: Upstreams, upstream: UpstreamIncarnation): Result<Upstreams, Failure> {
+	const {[upstream.id]: recorded, ...others} = upstreams;
+	return ok(sameIncarnation(recorded, upstream) ? others : upstreams);
 }
 
 const handlers: HandlerTable<UpstreamCommand, [Upstreams], Result<Upstreams, Failure>> = {
