--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -102,9 +102,9 @@
 });
 
 /** Whether an incarnation has ended because a later one has its id or address. */
-export function isReplaced(upstreams: Upstreams, life: UpstreamIncarnation, address: string | undefined): boolean {
-	const recorded = upstreams[life.id];
+export function isReplaced(upstreams: Upstreams, upstream: UpstreamIncarnation, address: string | undefined): boolean {
+	const recorded = upstreams[upstream.id];
 	const successor = address === undefined ? undefined : newestByAddress(upstreams).get(address);
-	return (recorded !== undefined && recorded.born > life.born)
-		|| (successor !== undefined && successor.id !== life.id && successor.born > life.born);
+	return (recorded !== undefined && recorded.born > upstream.born)
+		|| (successor !== undefined && successor.id !== upstream.id && successor.born > upstream.born);
 }
