--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -30,7 +30,7 @@
 const oversubscription = 1.3;
 
 /** Requests are not paced if an instance's equal share of the holder is below this fraction of a slot. */
-const leastPartOfSlot = 0.1;
+const minSlotShare = 0.1;
 
 /** Above this number of buckets, full ones are removed. */
 const mostKeys = 1024;
@@ -39,7 +39,7 @@
 
 /** Whether an instance's equal share of the holder is large enough to pace its requests by. */
 export function isPaced({slots, instances}: Pick<HolderCapacity, 'slots' | 'instances'>): boolean {
-	return slots / instances >= leastPartOfSlot;
+	return slots / instances >= minSlotShare;
 }
 
 /** Paces requests for the keys of one service. It is on the request path, so it is updated in place. */
