--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -33,7 +33,7 @@
 const minSlotShare = 0.1;
 
 /** Above this number of buckets, full ones are removed. */
-const mostKeys = 1024;
+const maxBuckets = 1024;
 
 type Bucket = {readonly tokens: number; readonly at: MonotonicTime; readonly perMillisecond: number};
 
@@ -64,7 +64,7 @@
 
 		const filled = this.#filled(key, capacity, now);
 		this.#buckets.set(key, {...filled, tokens: filled.tokens - 1});
-		if (this.#buckets.size > mostKeys) {
+		if (this.#buckets.size > maxBuckets) {
 			this.#forgetFull(now);
 		}
 	}
