--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -35,7 +35,7 @@
 /** Above this number of buckets, full ones are removed. */
 const maxBuckets = 1024;
 
-type Bucket = {readonly tokens: number; readonly at: MonotonicTime; readonly perMillisecond: number};
+type Bucket = {readonly tokens: number; readonly refilledAt: MonotonicTime; readonly perMillisecond: number};
 
 /** Whether an instance's equal share of the holder is large enough to pace its requests by. */
 export function isPaced({slots, instances}: Pick<HolderCapacity, 'slots' | 'instances'>): boolean {
@@ -72,11 +72,11 @@
 	#filled(key: number, {slots, latency, instances}: HolderCapacity, now: MonotonicTime): Bucket {
 		const perMillisecond = oversubscription * slots / latency / instances;
 		const known = this.#buckets.get(key);
-		return {tokens: known === undefined ? burst : Math.min(burst, known.tokens + ((now - known.at) * perMillisecond)), at: now, perMillisecond};
+		return {tokens: known === undefined ? burst : Math.min(burst, known.tokens + ((now - known.refilledAt) * perMillisecond)), refilledAt: now, perMillisecond};
 	}
 
 	#forgetFull(now: MonotonicTime): void {
-		for (const [key, {tokens, at, perMillisecond}] of this.#buckets) {
+		for (const [key, {tokens, refilledAt: at, perMillisecond}] of this.#buckets) {
 			if (tokens + ((now - at) * perMillisecond) >= burst) {
 				this.#buckets.delete(key);
 			}
