--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -52,7 +52,7 @@
 			return 0;
 		}
 
-		const {tokens, perMillisecond} = this.#filled(key, capacity, now);
+		const {tokens, perMillisecond} = this.#refilled(key, capacity, now);
 		return Math.max(0, (1 + ahead - tokens) / perMillisecond);
 	}
 
@@ -62,14 +62,14 @@
 			return;
 		}
 
-		const filled = this.#filled(key, capacity, now);
+		const filled = this.#refilled(key, capacity, now);
 		this.#buckets.set(key, {...filled, tokens: filled.tokens - 1});
 		if (this.#buckets.size > maxBuckets) {
 			this.#forgetFull(now);
 		}
 	}
 
-	#filled(key: number, {slots, latency, instances}: HolderCapacity, now: MonotonicTime): Bucket {
+	#refilled(key: number, {slots, latency, instances}: HolderCapacity, now: MonotonicTime): Bucket {
 		const perMillisecond = oversubscription * slots / latency / instances;
 		const known = this.#buckets.get(key);
 		return {tokens: known === undefined ? burst : Math.min(burst, known.tokens + ((now - known.refilledAt) * perMillisecond)), refilledAt: now, perMillisecond};
