--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -62,8 +62,8 @@
 			return;
 		}
 
-		const filled = this.#refilled(key, capacity, now);
-		this.#buckets.set(key, {...filled, tokens: filled.tokens - 1});
+		const bucket = this.#refilled(key, capacity, now);
+		this.#buckets.set(key, {...bucket, tokens: bucket.tokens - 1});
 		if (this.#buckets.size > maxBuckets) {
 			this.#forgetFull(now);
 		}
