--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -65,7 +65,7 @@
 		const bucket = this.#refilled(key, capacity, now);
 		this.#buckets.set(key, {...bucket, tokens: bucket.tokens - 1});
 		if (this.#buckets.size > maxBuckets) {
-			this.#forgetFull(now);
+			this.#removeFull(now);
 		}
 	}
 
@@ -75,7 +75,7 @@
 		return {tokens: known === undefined ? burst : Math.min(burst, known.tokens + ((now - known.refilledAt) * perMillisecond)), refilledAt: now, perMillisecond};
 	}
 
-	#forgetFull(now: MonotonicTime): void {
+	#removeFull(now: MonotonicTime): void {
 		for (const [key, {tokens, refilledAt: at, perMillisecond}] of this.#buckets) {
 			if (tokens + ((now - at) * perMillisecond) >= burst) {
 				this.#buckets.delete(key);
