--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -71,8 +71,8 @@
 
 	#refilled(key: number, {slots, latency, instances}: HolderCapacity, now: MonotonicTime): Bucket {
 		const perMillisecond = oversubscription * slots / latency / instances;
-		const known = this.#buckets.get(key);
-		return {tokens: known === undefined ? burst : Math.min(burst, known.tokens + ((now - known.refilledAt) * perMillisecond)), refilledAt: now, perMillisecond};
+		const bucket = this.#buckets.get(key);
+		return {tokens: bucket === undefined ? burst : Math.min(burst, bucket.tokens + ((now - bucket.refilledAt) * perMillisecond)), refilledAt: now, perMillisecond};
 	}
 
 	#removeFull(now: MonotonicTime): void {
