--- a/packages/gateway/src/refusal.ts
+++ b/packages/gateway/src/refusal.ts
@@ -6,12 +6,12 @@
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-const shortestReturnMilliseconds: Milliseconds = 80;
+const minDelayMilliseconds: Milliseconds = 80;
 
 /** The range of the random part of the delay, as a share of the request's objective. */
 const returnShare = 0.6;
 
 /** Returns the retry delay for a caller; `draw` is a random number between 0 and 1. */
 export function returnAfter(objectiveMilliseconds: Milliseconds, draw: number): Milliseconds {
-	return shortestReturnMilliseconds + (objectiveMilliseconds * returnShare * draw);
+	return minDelayMilliseconds + (objectiveMilliseconds * returnShare * draw);
 }
