--- a/packages/gateway/src/refusal.ts
+++ b/packages/gateway/src/refusal.ts
@@ -9,9 +9,9 @@
 const minDelayMilliseconds: Milliseconds = 80;
 
 /** The range of the random part of the delay, as a share of the request's objective. */
-const returnShare = 0.6;
+const randomDelayShare = 0.6;
 
 /** Returns the retry delay for a caller; `draw` is a random number between 0 and 1. */
 export function returnAfter(objectiveMilliseconds: Milliseconds, draw: number): Milliseconds {
-	return minDelayMilliseconds + (objectiveMilliseconds * returnShare * draw);
+	return minDelayMilliseconds + (objectiveMilliseconds * randomDelayShare * draw);
 }
