--- a/packages/gateway/src/route-table.ts
+++ b/packages/gateway/src/route-table.ts
@@ -14,9 +14,9 @@
 	const byHost = new Map<string, NamedRoute[]>();
 	for (const [name, route] of standing(routes)) {
 		const hostname = route.hostname.toLowerCase();
-		const known = byHost.get(hostname) ?? [];
-		known.push({...route, name});
-		byHost.set(hostname, known);
+		const routesOfHost = byHost.get(hostname) ?? [];
+		routesOfHost.push({...route, name});
+		byHost.set(hostname, routesOfHost);
 	}
 
 	for (const known of byHost.values()) {
