--- a/packages/gateway/src/route-table.ts
+++ b/packages/gateway/src/route-table.ts
@@ -19,8 +19,8 @@
 		byHost.set(hostname, routesOfHost);
 	}
 
-	for (const known of byHost.values()) {
-		known.sort((one, other) => other.pathPrefix.length - one.pathPrefix.length);
+	for (const routesOfHost of byHost.values()) {
+		routesOfHost.sort((one, other) => other.pathPrefix.length - one.pathPrefix.length);
 	}
 
 	return byHost;
