--- a/packages/gateway/src/route-table.ts
+++ b/packages/gateway/src/route-table.ts
@@ -26,9 +26,9 @@
 	return byHost;
 }
 
-const port = /:\d+$/v;
+const portSuffix = /:\d+$/v;
 
 /** Returns the route for a host and a path; undefined if none matches. */
 export function findRoute(table: RouteTable, host: string, path: string): NamedRoute | undefined {
-	return table.get(host.toLowerCase().replace(port, ''))?.find(({pathPrefix}) => path.startsWith(pathPrefix));
+	return table.get(host.toLowerCase().replace(portSuffix, ''))?.find(({pathPrefix}) => path.startsWith(pathPrefix));
 }
