--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -51,8 +51,8 @@
 const coldWeight = 2;
 
 function costOf({distance, load, cold}: Choice): number {
-	const busy = (load.underWay + 1) * load.latency * (cold ? coldWeight : 1);
-	return distanceMilliseconds[distance] + (busy * (1 + (failureWeight * load.failureShare)));
+	const expectedMilliseconds = (load.underWay + 1) * load.latency * (cold ? coldWeight : 1);
+	return distanceMilliseconds[distance] + (expectedMilliseconds * (1 + (failureWeight * load.failureShare)));
 }
 
 /** Returns the cheapest upstream with room, or undefined if none has any. `excluded` lists the upstreams that were tried already. */
