--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -56,10 +56,10 @@
 }
 
 /** Returns the cheapest upstream with room, or undefined if none has any. `excluded` lists the upstreams that were tried already. */
-export function selectUpstream<Chosen extends Choice>(choices: readonly Chosen[], excluded: readonly string[], now: MonotonicTime): Chosen | undefined {
+export function selectUpstream<Chosen extends Choice>(candidates: readonly Chosen[], excluded: readonly string[], now: MonotonicTime): Chosen | undefined {
 	let best: Chosen | undefined;
 	let bestCost = Infinity;
-	for (const choice of choices) {
+	for (const choice of candidates) {
 		if (!choice.load.hasRoom(now) || excluded.includes(choice.id)) {
 			continue;
 		}
