--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -59,14 +59,14 @@
 export function selectUpstream<Chosen extends Choice>(candidates: readonly Chosen[], excluded: readonly string[], now: MonotonicTime): Chosen | undefined {
 	let best: Chosen | undefined;
 	let bestCost = Infinity;
-	for (const choice of candidates) {
-		if (!choice.load.hasRoom(now) || excluded.includes(choice.id)) {
+	for (const candidate of candidates) {
+		if (!candidate.load.hasRoom(now) || excluded.includes(candidate.id)) {
 			continue;
 		}
 
-		const cost = costOf(choice);
+		const cost = costOf(candidate);
 		if (cost < bestCost) {
-			best = choice;
+			best = candidate;
 			bestCost = cost;
 		}
 	}
