--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -45,14 +45,14 @@
 };
 
 /** A failure share of 1 adds this many times the expected latency to the cost of an upstream. */
-const failureWeight = 8;
+const failurePenalty = 8;
 
 /** The factor by which the latency of a cold upstream is multiplied. */
 const coldWeight = 2;
 
 function costOf({distance, load, cold}: Choice): number {
 	const expectedMilliseconds = (load.underWay + 1) * load.latency * (cold ? coldWeight : 1);
-	return distanceMilliseconds[distance] + (expectedMilliseconds * (1 + (failureWeight * load.failureShare)));
+	return distanceMilliseconds[distance] + (expectedMilliseconds * (1 + (failurePenalty * load.failureShare)));
 }
 
 /** Returns the cheapest upstream with room, or undefined if none has any. `excluded` lists the upstreams that were tried already. */
