--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -48,10 +48,10 @@
 const failurePenalty = 8;
 
 /** The factor by which the latency of a cold upstream is multiplied. */
-const coldWeight = 2;
+const coldFactor = 2;
 
 function costOf({distance, load, cold}: Choice): number {
-	const expectedMilliseconds = (load.underWay + 1) * load.latency * (cold ? coldWeight : 1);
+	const expectedMilliseconds = (load.underWay + 1) * load.latency * (cold ? coldFactor : 1);
 	return distanceMilliseconds[distance] + (expectedMilliseconds * (1 + (failurePenalty * load.failureShare)));
 }
 
