--- a/packages/gateway/src/split.ts
+++ b/packages/gateway/src/split.ts
@@ -14,9 +14,9 @@
 
 	/** `offset` is between 0 and 1 and differs by instance, so that not all instances start with the same target. */
 	constructor(targets: readonly Target[], offset: number) {
-		const positive = targets.filter(({weight}) => weight > 0);
-		this.#total = positive.reduce((sum, {weight}) => sum + weight, 0);
-		this.#credits = positive.map((target, position) => ({target, credit: position === 0 ? offset * this.#total : -offset * this.#total / Math.max(1, positive.length - 1)}));
+		const weighted = targets.filter(({weight}) => weight > 0);
+		this.#total = weighted.reduce((sum, {weight}) => sum + weight, 0);
+		this.#credits = weighted.map((target, position) => ({target, credit: position === 0 ? offset * this.#total : -offset * this.#total / Math.max(1, weighted.length - 1)}));
 	}
 
 	/** Returns the service for the next request. */
