--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -26,7 +26,7 @@
 export type Signal = (typeof Signal)[keyof typeof Signal];
 
 /** The weight of a new sample in a moving average. The first samples of the latency weigh more, all of them equally, until an equal weight is below this one. */
-const sampleShare = 0.1;
+const sampleWeight = 0.1;
 
 /** The latency assumed before the first measurement. */
 const firstLatencyMilliseconds: Milliseconds = 60;
@@ -59,19 +59,19 @@
 	readonly #notes: Readonly<Record<Signal, (latency: Milliseconds, now: MonotonicTime) => void>> = {
 		answered: latency => {
 			this.#answers += 1;
-			this.#latency += (latency - this.#latency) * Math.max(sampleShare, 1 / (this.#answers + 1));
+			this.#latency += (latency - this.#latency) * Math.max(sampleWeight, 1 / (this.#answers + 1));
 			this.#succeed();
 		},
 		failed: () => {
-			this.#failureShare += (1 - this.#failureShare) * sampleShare;
+			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 			this.#brokenInTurn = 0;
 		},
 		full: () => {
 			this.#allowance = Math.max(leastAllowance, this.#allowance * allowanceCut);
-			this.#failureShare += (1 - this.#failureShare) * sampleShare;
+			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 		},
 		broken: (_latency, now) => {
-			this.#failureShare += (1 - this.#failureShare) * sampleShare;
+			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 			this.#allowance = Math.max(leastAllowance, this.#allowance * allowanceCut);
 			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(longestPauseMilliseconds, shortestPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
 			this.#brokenInTurn += 1;
@@ -117,7 +117,7 @@
 	}
 
 	#succeed(): void {
-		this.#failureShare -= this.#failureShare * sampleShare;
+		this.#failureShare -= this.#failureShare * sampleWeight;
 		this.#brokenInTurn = 0;
 		this.#allowance = Math.min(this.#largestAllowance, this.#allowance + (allowanceGrowth / this.#allowance));
 	}
