--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -29,7 +29,7 @@
 const sampleWeight = 0.1;
 
 /** The latency assumed before the first measurement. */
-const firstLatencyMilliseconds: Milliseconds = 60;
+const initialLatencyMilliseconds: Milliseconds = 60;
 
 /** The concurrency limit of an upstream that was not used yet. */
 const firstAllowance = 2;
@@ -50,7 +50,7 @@
 export class UpstreamLoad {
 	underWay = 0;
 	#allowance = firstAllowance;
-	#latency = firstLatencyMilliseconds;
+	#latency = initialLatencyMilliseconds;
 	#answers = 0;
 	#failureShare = 0;
 	#brokenInTurn = 0;
