--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -32,7 +32,7 @@
 const initialLatencyMilliseconds: Milliseconds = 60;
 
 /** The concurrency limit of an upstream that was not used yet. */
-const firstAllowance = 2;
+const initialConcurrencyLimit = 2;
 
 const leastAllowance = 1;
 
@@ -49,7 +49,7 @@
 /** The load of one upstream. It is on the request path, so it is updated in place. */
 export class UpstreamLoad {
 	underWay = 0;
-	#allowance = firstAllowance;
+	#allowance = initialConcurrencyLimit;
 	#latency = initialLatencyMilliseconds;
 	#answers = 0;
 	#failureShare = 0;
