--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -34,7 +34,7 @@
 /** The concurrency limit of an upstream that was not used yet. */
 const initialConcurrencyLimit = 2;
 
-const leastAllowance = 1;
+const minConcurrencyLimit = 1;
 
 /** Each answer raises the concurrency limit by this, divided by the limit. */
 const allowanceGrowth = 0.2;
@@ -67,12 +67,12 @@
 			this.#brokenInTurn = 0;
 		},
 		full: () => {
-			this.#allowance = Math.max(leastAllowance, this.#allowance * allowanceCut);
+			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * allowanceCut);
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 		},
 		broken: (_latency, now) => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
-			this.#allowance = Math.max(leastAllowance, this.#allowance * allowanceCut);
+			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * allowanceCut);
 			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(longestPauseMilliseconds, shortestPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
 			this.#brokenInTurn += 1;
 		},
