--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -37,7 +37,7 @@
 const minConcurrencyLimit = 1;
 
 /** Each answer raises the concurrency limit by this, divided by the limit. */
-const allowanceGrowth = 0.2;
+const additiveIncrease = 0.2;
 
 /** The factor by which the concurrency limit is multiplied when the upstream is full or the connection breaks. */
 const allowanceCut = 0.5;
@@ -119,6 +119,6 @@
 	#succeed(): void {
 		this.#failureShare -= this.#failureShare * sampleWeight;
 		this.#brokenInTurn = 0;
-		this.#allowance = Math.min(this.#largestAllowance, this.#allowance + (allowanceGrowth / this.#allowance));
+		this.#allowance = Math.min(this.#largestAllowance, this.#allowance + (additiveIncrease / this.#allowance));
 	}
 }
