--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -40,7 +40,7 @@
 const additiveIncrease = 0.2;
 
 /** The factor by which the concurrency limit is multiplied when the upstream is full or the connection breaks. */
-const allowanceCut = 0.5;
+const multiplicativeDecrease = 0.5;
 
 /** The pause after the second consecutive broken connection; each further one doubles it. */
 const shortestPauseMilliseconds: Milliseconds = 100;
@@ -67,12 +67,12 @@
 			this.#brokenInTurn = 0;
 		},
 		full: () => {
-			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * allowanceCut);
+			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * multiplicativeDecrease);
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 		},
 		broken: (_latency, now) => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
-			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * allowanceCut);
+			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * multiplicativeDecrease);
 			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(longestPauseMilliseconds, shortestPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
 			this.#brokenInTurn += 1;
 		},
