--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -44,7 +44,7 @@
 
 /** The pause after the second consecutive broken connection; each further one doubles it. */
 const minPauseMilliseconds: Milliseconds = 100;
-const longestPauseMilliseconds: Milliseconds = 2000;
+const maxPauseMilliseconds: Milliseconds = 2000;
 
 /** The load of one upstream. It is on the request path, so it is updated in place. */
 export class UpstreamLoad {
@@ -73,7 +73,7 @@
 		broken: (_latency, now) => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * multiplicativeDecrease);
-			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(longestPauseMilliseconds, minPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
+			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(maxPauseMilliseconds, minPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
 			this.#brokenInTurn += 1;
 		},
 		none() {
