--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -49,7 +49,7 @@
 /** The load of one upstream. It is on the request path, so it is updated in place. */
 export class UpstreamLoad {
 	underWay = 0;
-	#allowance = initialConcurrencyLimit;
+	#concurrencyLimit = initialConcurrencyLimit;
 	#latency = initialLatencyMilliseconds;
 	#answers = 0;
 	#failureShare = 0;
@@ -67,12 +67,12 @@
 			this.#brokenInTurn = 0;
 		},
 		full: () => {
-			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * multiplicativeDecrease);
+			this.#concurrencyLimit = Math.max(minConcurrencyLimit, this.#concurrencyLimit * multiplicativeDecrease);
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 		},
 		broken: (_latency, now) => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
-			this.#allowance = Math.max(minConcurrencyLimit, this.#allowance * multiplicativeDecrease);
+			this.#concurrencyLimit = Math.max(minConcurrencyLimit, this.#concurrencyLimit * multiplicativeDecrease);
 			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(maxPauseMilliseconds, minPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
 			this.#brokenInTurn += 1;
 		},
@@ -98,17 +98,17 @@
 
 	/** Whether one more request may be sent now. */
 	hasRoom(now: MonotonicTime): boolean {
-		return now >= this.#pausedUntil && this.underWay < Math.floor(this.#allowance);
+		return now >= this.#pausedUntil && this.underWay < Math.floor(this.#concurrencyLimit);
 	}
 
 	/** The maximum number of requests in flight. */
 	get allowance(): number {
-		return Math.floor(this.#allowance);
+		return Math.floor(this.#concurrencyLimit);
 	}
 
 	/** Returns the expected wait of a request for this upstream with `ahead` others before it. */
 	waitBehind(ahead: number, now: MonotonicTime): Milliseconds {
-		return Math.max(0, this.#pausedUntil - now, ahead * this.#latency / this.#allowance);
+		return Math.max(0, this.#pausedUntil - now, ahead * this.#latency / this.#concurrencyLimit);
 	}
 
 	/** Records the outcome of an attempt. */
@@ -119,6 +119,6 @@
 	#succeed(): void {
 		this.#failureShare -= this.#failureShare * sampleWeight;
 		this.#brokenInTurn = 0;
-		this.#allowance = Math.min(this.#largestAllowance, this.#allowance + (additiveIncrease / this.#allowance));
+		this.#concurrencyLimit = Math.min(this.#largestAllowance, this.#concurrencyLimit + (additiveIncrease / this.#concurrencyLimit));
 	}
 }
