--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -55,7 +55,7 @@
 	#failureShare = 0;
 	#brokenInTurn = 0;
 	#pausedUntil = -Infinity;
-	readonly #largestAllowance: number;
+	readonly #maxConcurrencyLimit: number;
 	readonly #notes: Readonly<Record<Signal, (latency: Milliseconds, now: MonotonicTime) => void>> = {
 		answered: latency => {
 			this.#answers += 1;
@@ -83,7 +83,7 @@
 
 	/** `slots` is the number of requests that the upstream processes concurrently, for all instances together. */
 	constructor(slots: number) {
-		this.#largestAllowance = slots + 1;
+		this.#maxConcurrencyLimit = slots + 1;
 	}
 
 	/** The smoothed latency of answers. */
@@ -119,6 +119,6 @@
 	#succeed(): void {
 		this.#failureShare -= this.#failureShare * sampleWeight;
 		this.#brokenInTurn = 0;
-		this.#concurrencyLimit = Math.min(this.#largestAllowance, this.#concurrencyLimit + (additiveIncrease / this.#concurrencyLimit));
+		this.#concurrencyLimit = Math.min(this.#maxConcurrencyLimit, this.#concurrencyLimit + (additiveIncrease / this.#concurrencyLimit));
 	}
 }
