--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -53,7 +53,7 @@
 	#latency = initialLatencyMilliseconds;
 	#answers = 0;
 	#failureShare = 0;
-	#brokenInTurn = 0;
+	#consecutiveBroken = 0;
 	#pausedUntil = -Infinity;
 	readonly #maxConcurrencyLimit: number;
 	readonly #notes: Readonly<Record<Signal, (latency: Milliseconds, now: MonotonicTime) => void>> = {
@@ -64,7 +64,7 @@
 		},
 		failed: () => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
-			this.#brokenInTurn = 0;
+			this.#consecutiveBroken = 0;
 		},
 		full: () => {
 			this.#concurrencyLimit = Math.max(minConcurrencyLimit, this.#concurrencyLimit * multiplicativeDecrease);
@@ -73,8 +73,8 @@
 		broken: (_latency, now) => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
 			this.#concurrencyLimit = Math.max(minConcurrencyLimit, this.#concurrencyLimit * multiplicativeDecrease);
-			this.#pausedUntil = this.#brokenInTurn === 0 ? now : now + Math.min(maxPauseMilliseconds, minPauseMilliseconds * (2 ** (this.#brokenInTurn - 1)));
-			this.#brokenInTurn += 1;
+			this.#pausedUntil = this.#consecutiveBroken === 0 ? now : now + Math.min(maxPauseMilliseconds, minPauseMilliseconds * (2 ** (this.#consecutiveBroken - 1)));
+			this.#consecutiveBroken += 1;
 		},
 		none() {
 			// Changes no estimate.
@@ -118,7 +118,7 @@
 
 	#succeed(): void {
 		this.#failureShare -= this.#failureShare * sampleWeight;
-		this.#brokenInTurn = 0;
+		this.#consecutiveBroken = 0;
 		this.#concurrencyLimit = Math.min(this.#maxConcurrencyLimit, this.#concurrencyLimit + (additiveIncrease / this.#concurrencyLimit));
 	}
 }
