--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -56,7 +56,7 @@
 	#consecutiveBroken = 0;
 	#pausedUntil = -Infinity;
 	readonly #maxConcurrencyLimit: number;
-	readonly #notes: Readonly<Record<Signal, (latency: Milliseconds, now: MonotonicTime) => void>> = {
+	readonly #signalHandlers: Readonly<Record<Signal, (latency: Milliseconds, now: MonotonicTime) => void>> = {
 		answered: latency => {
 			this.#answers += 1;
 			this.#latency += (latency - this.#latency) * Math.max(sampleWeight, 1 / (this.#answers + 1));
@@ -113,7 +113,7 @@
 
 	/** Records the outcome of an attempt. */
 	note(signal: Signal, latency: Milliseconds, now: MonotonicTime): void {
-		this.#notes[signal](latency, now);
+		this.#signalHandlers[signal](latency, now);
 	}
 
 	#succeed(): void {
