--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -60,7 +60,7 @@
 		answered: latency => {
 			this.#answers += 1;
 			this.#latency += (latency - this.#latency) * Math.max(sampleWeight, 1 / (this.#answers + 1));
-			this.#succeed();
+			this.#recordSuccess();
 		},
 		failed: () => {
 			this.#failureShare += (1 - this.#failureShare) * sampleWeight;
@@ -116,7 +116,7 @@
 		this.#signalHandlers[signal](latency, now);
 	}
 
-	#succeed(): void {
+	#recordSuccess(): void {
 		this.#failureShare -= this.#failureShare * sampleWeight;
 		this.#consecutiveBroken = 0;
 		this.#concurrencyLimit = Math.min(this.#maxConcurrencyLimit, this.#concurrencyLimit + (additiveIncrease / this.#concurrencyLimit));
