--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -44,7 +44,7 @@
 export const mostWaitingShare = 0.6;
 
 /** An answer that takes this many times the expected latency should still arrive within the objective. */
-const latencyAllowance = 1.2;
+const latencyMargin = 1.2;
 
 /**
  * Returns until when a request may wait, so that an answer is still likely to meet
@@ -53,7 +53,7 @@
  * none.
  */
 export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitBounds): MonotonicTime {
-	const spare = objectiveMilliseconds - (expectedMilliseconds * latencyAllowance);
+	const spare = objectiveMilliseconds - (expectedMilliseconds * latencyMargin);
 	const wait = Math.min(objectiveMilliseconds * mostWaitingShare, Math.max(objectiveMilliseconds * leastWaitingShare, spare));
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
 }
