--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -41,7 +41,7 @@
 
 /** The minimum and maximum share of its objective that a request may wait. */
 export const minWaitingShare = 0.15;
-export const mostWaitingShare = 0.6;
+export const maxWaitingShare = 0.6;
 
 /** An answer that takes this many times the expected latency should still arrive within the objective. */
 const latencyMargin = 1.2;
@@ -54,7 +54,7 @@
  */
 export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitBounds): MonotonicTime {
 	const spare = objectiveMilliseconds - (expectedMilliseconds * latencyMargin);
-	const wait = Math.min(objectiveMilliseconds * mostWaitingShare, Math.max(objectiveMilliseconds * minWaitingShare, spare));
+	const wait = Math.min(objectiveMilliseconds * maxWaitingShare, Math.max(objectiveMilliseconds * minWaitingShare, spare));
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
 }
 
