--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -58,9 +58,9 @@
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
 }
 
-type Order = Pick<Waiter, 'priority' | 'turn'>;
+type QueuePosition = Pick<Waiter, 'priority' | 'turn'>;
 
-function goesBefore(one: Order, other: Order): boolean {
+function goesBefore(one: QueuePosition, other: QueuePosition): boolean {
 	return one.priority === other.priority ? one.turn < other.turn : one.priority < other.priority;
 }
 
