--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -60,7 +60,7 @@
 
 type QueuePosition = Pick<Waiter, 'priority' | 'turn'>;
 
-function goesBefore(one: QueuePosition, other: QueuePosition): boolean {
+function precedes(one: QueuePosition, other: QueuePosition): boolean {
 	return one.priority === other.priority ? one.turn < other.turn : one.priority < other.priority;
 }
 
@@ -80,12 +80,12 @@
 
 	/** Returns the number of waiting requests for an upstream that precede a new one with the given priority and turn. */
 	ahead(upstream: string | undefined, priority: number, turn: number): number {
-		return this.#waiters.filter(waiter => waiter.upstream === upstream && !goesBefore({priority, turn}, waiter)).length;
+		return this.#waiters.filter(waiter => waiter.upstream === upstream && !precedes({priority, turn}, waiter)).length;
 	}
 
 	/** Inserts a request by its priority and turn, after equal ones. */
 	add(waiter: Waiter): void {
-		const position = this.#waiters.findIndex(other => goesBefore(waiter, other));
+		const position = this.#waiters.findIndex(other => precedes(waiter, other));
 		this.#waiters.splice(position === -1 ? this.#waiters.length : position, 0, waiter);
 	}
 
