--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -66,41 +66,41 @@
 
 /** The waiting requests of one service, or of one holder of keys. It is on the request path, so it is updated in place. */
 export class WaitingQueue {
-	#waiters: Waiter[] = [];
+	#requests: Waiter[] = [];
 
 	/** The number of waiting requests. */
 	get length(): number {
-		return this.#waiters.length;
+		return this.#requests.length;
 	}
 
 	/** Returns the number of waiting requests for a key, which is the turn of the next one; 0 without a key. */
 	turnOf(key: number | undefined): number {
-		return key === undefined ? 0 : this.#waiters.filter(waiter => waiter.key === key).length;
+		return key === undefined ? 0 : this.#requests.filter(waiter => waiter.key === key).length;
 	}
 
 	/** Returns the number of waiting requests for an upstream that precede a new one with the given priority and turn. */
 	ahead(upstream: string | undefined, priority: number, turn: number): number {
-		return this.#waiters.filter(waiter => waiter.upstream === upstream && !precedes({priority, turn}, waiter)).length;
+		return this.#requests.filter(waiter => waiter.upstream === upstream && !precedes({priority, turn}, waiter)).length;
 	}
 
 	/** Inserts a request by its priority and turn, after equal ones. */
 	add(waiter: Waiter): void {
-		const position = this.#waiters.findIndex(other => precedes(waiter, other));
-		this.#waiters.splice(position === -1 ? this.#waiters.length : position, 0, waiter);
+		const position = this.#requests.findIndex(other => precedes(waiter, other));
+		this.#requests.splice(position === -1 ? this.#requests.length : position, 0, waiter);
 	}
 
 	/** Removes a request whose caller has disconnected. */
 	remove(waiter: Waiter): void {
-		this.#waiters = this.#waiters.filter(one => one !== waiter);
+		this.#requests = this.#requests.filter(one => one !== waiter);
 	}
 
 	/** Sends the requests that can be sent, in order, and times out those that waited too long. */
 	advance(now: MonotonicTime): void {
-		const waiters = this.#waiters;
-		this.#waiters = [];
+		const waiters = this.#requests;
+		this.#requests = [];
 		const kept = waiters.filter(waiter => !waiter.tryToStart(now) && !this.#hasGivenUp(waiter, now));
-		const added = this.#waiters;
-		this.#waiters = kept;
+		const added = this.#requests;
+		this.#requests = kept;
 		for (const waiter of added) {
 			this.add(waiter);
 		}
