--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -96,9 +96,9 @@
 
 	/** Sends the requests that can be sent, in order, and times out those that waited too long. */
 	advance(now: MonotonicTime): void {
-		const waiters = this.#requests;
+		const requests = this.#requests;
 		this.#requests = [];
-		const kept = waiters.filter(waiter => !waiter.tryToStart(now) && !this.#hasGivenUp(waiter, now));
+		const kept = requests.filter(waiter => !waiter.tryToStart(now) && !this.#hasGivenUp(waiter, now));
 		const added = this.#requests;
 		this.#requests = kept;
 		for (const waiter of added) {
