--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -98,7 +98,7 @@
 	advance(now: MonotonicTime): void {
 		const requests = this.#requests;
 		this.#requests = [];
-		const kept = requests.filter(waiter => !waiter.tryToStart(now) && !this.#hasGivenUp(waiter, now));
+		const kept = requests.filter(waiter => !waiter.tryToStart(now) && !this.#hasTimedOut(waiter, now));
 		const added = this.#requests;
 		this.#requests = kept;
 		for (const waiter of added) {
@@ -106,7 +106,7 @@
 		}
 	}
 
-	#hasGivenUp(waiter: Waiter, now: MonotonicTime): boolean {
+	#hasTimedOut(waiter: Waiter, now: MonotonicTime): boolean {
 		if (now < waiter.until) {
 			return false;
 		}
