--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -53,8 +53,8 @@
  * none.
  */
 export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitBounds): MonotonicTime {
-	const spare = objectiveMilliseconds - (expectedMilliseconds * latencyMargin);
-	const wait = Math.min(objectiveMilliseconds * maxWaitingShare, Math.max(objectiveMilliseconds * minWaitingShare, spare));
+	const slack = objectiveMilliseconds - (expectedMilliseconds * latencyMargin);
+	const wait = Math.min(objectiveMilliseconds * maxWaitingShare, Math.max(objectiveMilliseconds * minWaitingShare, slack));
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
 }
 
