--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -6,7 +6,7 @@
 import {reportKeys} from '@dogwooddeck/key-lease/report';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 
-const terms = {holdMilliseconds: 5000, clockDrift: 0.02};
+const options = {holdMilliseconds: 5000, clockDrift: 0.02};
 const holder: UpstreamIncarnation = {id: 'a', born: 1};
 const recalled: KeyRange = {
 	from: 0, to: 99, fence: 7, holder, releasingSince: 20, told: true, handover: '',
@@ -20,10 +20,10 @@
 
 /** A leader elected at time 0 that answered announcement 4 of the holder, received at 1000 ms, with the state at a log index. */
 function leaderThatAnswered(index: number): GrantingState {
-	const heard = recordContact(beginGranting(0), holder, 1000, terms);
+	const heard = recordContact(beginGranting(0), holder, 1000, options);
 	return recordAnswer(heard, {
 		life: holder, sequence: 4, receivedAt: 1000, index,
-	}, terms);
+	}, options);
 }
 
 const whole = {
@@ -122,7 +122,7 @@
 
 for (const {name, state, now, over = false, isVacated} of expiries) {
 	test(`granting: ${name}`, () => {
-		const rows = vacatedByTime(state, [recalled], () => over, {now, terms});
+		const rows = vacatedByTime(state, [recalled], () => over, {now, terms: options});
 		assert.deepEqual(rows, isVacated ? [whole] : []);
 	});
 }
