--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -20,8 +20,8 @@
 
 /** A leader elected at time 0 that answered announcement 4 of the holder, received at 1000 ms, with the state at a log index. */
 function leaderThatAnswered(index: number): GrantingState {
-	const heard = recordContact(beginGranting(0), holder, 1000, options);
-	return recordAnswer(heard, {
+	const contacted = recordContact(beginGranting(0), holder, 1000, options);
+	return recordAnswer(contacted, {
 		life: holder, sequence: 4, receivedAt: 1000, index,
 	}, options);
 }
