--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -26,19 +26,19 @@
 	}, options);
 }
 
-const whole = {
+const vacatedRange = {
 	from: 0, to: 99, holder, handover: '',
 };
 
 const announcements: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly keys: HeldKeys; readonly range?: KeyRange; readonly vacated: readonly unknown[]}> = [
 	{
-		name: 'a released row is evidence and passes its token on', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [{...whole, handover: 't'}],
+		name: 'a released row is evidence and passes its token on', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [{...vacatedRange, handover: 't'}],
 	},
 	{
-		name: 'a released part is evidence for that part only', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 50, to: 200, handover: 't'}]}), vacated: [{...whole, from: 50, handover: 't'}],
+		name: 'a released part is evidence for that part only', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 50, to: 200, handover: 't'}]}), vacated: [{...vacatedRange, from: 50, handover: 't'}],
 	},
 	{
-		name: 'a row no longer listed after an answer without it is vacated', state: leaderThatAnswered(20), keys: announced(5), vacated: [whole],
+		name: 'a row no longer listed after an answer without it is vacated', state: leaderThatAnswered(20), keys: announced(5), vacated: [vacatedRange],
 	},
 	{
 		name: 'a row that is still listed is not vacated', state: leaderThatAnswered(20), keys: announced(5, {holds: [{from: 90, to: 120, fence: 7}]}), vacated: [],
@@ -123,6 +123,6 @@
 for (const {name, state, now, over = false, isVacated} of expiries) {
 	test(`granting: ${name}`, () => {
 		const rows = vacatedByTime(state, [recalled], () => over, {now, terms: options});
-		assert.deepEqual(rows, isVacated ? [whole] : []);
+		assert.deepEqual(rows, isVacated ? [vacatedRange] : []);
 	});
 }
