--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -100,20 +100,20 @@
 }
 
 /** 5000 ms on a clock that runs 2% slow, plus the margin for delayed timers. */
-const longest = (5000 / 0.98) + 50;
+const maxHold = (5000 / 0.98) + 50;
 
 const expiries: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly now: number; readonly over?: boolean; readonly isVacated: boolean}> = [
 	{
-		name: 'a new leader waits for the longest hold that an earlier leader may have renewed', state: beginGranting(0), now: longest - 1, isVacated: false,
+		name: 'a new leader waits for the longest hold that an earlier leader may have renewed', state: beginGranting(0), now: maxHold - 1, isVacated: false,
 	},
 	{
-		name: 'a new leader waits no longer than that', state: beginGranting(0), now: longest + 1, isVacated: true,
+		name: 'a new leader waits no longer than that', state: beginGranting(0), now: maxHold + 1, isVacated: true,
 	},
 	{
-		name: 'a renewed hold is counted from when its announcement was received', state: leaderThatAnswered(20), now: 1000 + longest - 1, isVacated: false,
+		name: 'a renewed hold is counted from when its announcement was received', state: leaderThatAnswered(20), now: 1000 + maxHold - 1, isVacated: false,
 	},
 	{
-		name: 'a renewed hold expires', state: leaderThatAnswered(20), now: 1000 + longest + 1, isVacated: true,
+		name: 'a renewed hold expires', state: leaderThatAnswered(20), now: 1000 + maxHold + 1, isVacated: true,
 	},
 	{
 		name: 'a holder that a later incarnation has replaced holds nothing', state: leaderThatAnswered(20), now: 1001, over: true, isVacated: true,
