--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -102,7 +102,7 @@
 /** 5000 ms on a clock that runs 2% slow, plus the margin for delayed timers. */
 const maxHold = (5000 / 0.98) + 50;
 
-const expiries: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly now: number; readonly over?: boolean; readonly isVacated: boolean}> = [
+const expiries: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly now: number; readonly isReplaced?: boolean; readonly isVacated: boolean}> = [
 	{
 		name: 'a new leader waits for the longest hold that an earlier leader may have renewed', state: beginGranting(0), now: maxHold - 1, isVacated: false,
 	},
@@ -116,11 +116,11 @@
 		name: 'a renewed hold expires', state: leaderThatAnswered(20), now: 1000 + maxHold + 1, isVacated: true,
 	},
 	{
-		name: 'a holder that a later incarnation has replaced holds nothing', state: leaderThatAnswered(20), now: 1001, over: true, isVacated: true,
+		name: 'a holder that a later incarnation has replaced holds nothing', state: leaderThatAnswered(20), now: 1001, isReplaced: true, isVacated: true,
 	},
 ];
 
-for (const {name, state, now, over = false, isVacated} of expiries) {
+for (const {name, state, now, isReplaced: over = false, isVacated} of expiries) {
 	test(`granting: ${name}`, () => {
 		const rows = vacatedByTime(state, [recalled], () => over, {now, terms: options});
 		assert.deepEqual(rows, isVacated ? [vacatedRange] : []);
