--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -21,9 +21,9 @@
 const calls = 2000;
 const rounds = 7;
 
-type Scene = {readonly lives: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
+type Scenario = {readonly lives: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
 
-function sceneOf(count: number): Scene {
+function sceneOf(count: number): Scenario {
 	const lives = Array.from({length: count}, (_, position) => ({id: `i-${position}`, born: 1}));
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: lives[position % count]!, told: true, handover: '',
@@ -32,7 +32,7 @@
 	return {lives, ranges, granting};
 }
 
-type Cost = (scene: Scene, life: UpstreamIncarnation, call: number) => unknown;
+type Cost = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
 
 const costs: ReadonlyArray<{readonly name: string; readonly most?: number; readonly cost: Cost}> = [
 	{
@@ -72,7 +72,7 @@
 	},
 ];
 
-function timeOf(scene: Scene, cost: Cost): number {
+function timeOf(scene: Scenario, cost: Cost): number {
 	const startedAt = performance.now();
 	for (let call = 0; call < calls; call += 1) {
 		cost(scene, scene.lives[(call * 7) % scene.lives.length]!, call);
