--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -23,7 +23,7 @@
 
 type Scenario = {readonly lives: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
 
-function sceneOf(count: number): Scenario {
+function createScenario(count: number): Scenario {
 	const lives = Array.from({length: count}, (_, position) => ({id: `i-${position}`, born: 1}));
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: lives[position % count]!, told: true, handover: '',
@@ -83,8 +83,8 @@
 
 for (const {name, most = mostGrowth, cost} of costs) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
-		const small = sceneOf(few);
-		const large = sceneOf(many);
+		const small = createScenario(few);
+		const large = createScenario(many);
 		const times = Array.from({length: rounds}, () => ({small: timeOf(small, cost), large: timeOf(large, cost)})).slice(1);
 		const growth = Math.min(...times.map(time => time.large)) / Math.min(...times.map(time => time.small));
 		assert.ok(growth < most, `the cost grew ${growth.toFixed(1)}-fold`);
