--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -21,7 +21,7 @@
 const calls = 2000;
 const rounds = 7;
 
-type Scenario = {readonly lives: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
+type Scenario = {readonly upstreams: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
 
 function createScenario(count: number): Scenario {
 	const lives = Array.from({length: count}, (_, position) => ({id: `i-${position}`, born: 1}));
@@ -29,7 +29,7 @@
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: lives[position % count]!, told: true, handover: '',
 	}));
 	const granting = lives.reduce((state, life) => recordContact(state, life, 0, terms), beginGranting(0));
-	return {lives, ranges, granting};
+	return {upstreams: lives, ranges, granting};
 }
 
 type Cost = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
@@ -75,7 +75,7 @@
 function timeOf(scene: Scenario, cost: Cost): number {
 	const startedAt = performance.now();
 	for (let call = 0; call < calls; call += 1) {
-		cost(scene, scene.lives[(call * 7) % scene.lives.length]!, call);
+		cost(scene, scene.upstreams[(call * 7) % scene.upstreams.length]!, call);
 	}
 
 	return performance.now() - startedAt;
