--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -24,12 +24,12 @@
 type Scenario = {readonly upstreams: readonly UpstreamIncarnation[]; readonly ranges: readonly KeyRange[]; granting: GrantingState};
 
 function createScenario(count: number): Scenario {
-	const lives = Array.from({length: count}, (_, position) => ({id: `i-${position}`, born: 1}));
+	const upstreams = Array.from({length: count}, (_, position) => ({id: `i-${position}`, born: 1}));
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
-		from: position * 4, to: (position * 4) + 3, fence: 1, holder: lives[position % count]!, told: true, handover: '',
+		from: position * 4, to: (position * 4) + 3, fence: 1, holder: upstreams[position % count]!, told: true, handover: '',
 	}));
-	const granting = lives.reduce((state, life) => recordContact(state, life, 0, terms), beginGranting(0));
-	return {upstreams: lives, ranges, granting};
+	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, terms), beginGranting(0));
+	return {upstreams: upstreams, ranges, granting};
 }
 
 type Cost = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
