--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -11,7 +11,7 @@
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
-const terms = {holdMilliseconds: 5000, clockDrift: 0.02};
+const options = {holdMilliseconds: 5000, clockDrift: 0.02};
 const few = 250;
 const many = 16 * few;
 
@@ -28,7 +28,7 @@
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: upstreams[position % count]!, told: true, handover: '',
 	}));
-	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, terms), beginGranting(0));
+	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, options), beginGranting(0));
 	return {upstreams: upstreams, ranges, granting};
 }
 
@@ -38,7 +38,7 @@
 	{
 		name: 'recording contact',
 		cost(scene, life, call) {
-			scene.granting = recordContact(scene.granting, life, call, terms);
+			scene.granting = recordContact(scene.granting, life, call, options);
 		},
 	},
 	{
@@ -46,7 +46,7 @@
 		cost(scene, life, call) {
 			scene.granting = recordAnswer(scene.granting, {
 				life, sequence: call, receivedAt: call, index: call,
-			}, terms);
+			}, options);
 		},
 	},
 	{
