--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -12,8 +12,8 @@
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
 const options = {holdMilliseconds: 5000, clockDrift: 0.02};
-const few = 250;
-const many = 16 * few;
+const smallCount = 250;
+const many = 16 * smallCount;
 
 /** Allows for noise of the machine and its caches; a cost proportional to the number of upstreams would grow 16-fold. */
 const mostGrowth = 5;
@@ -83,7 +83,7 @@
 
 for (const {name, most = mostGrowth, cost} of costs) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
-		const small = createScenario(few);
+		const small = createScenario(smallCount);
 		const large = createScenario(many);
 		const times = Array.from({length: rounds}, () => ({small: timeOf(small, cost), large: timeOf(large, cost)})).slice(1);
 		const growth = Math.min(...times.map(time => time.large)) / Math.min(...times.map(time => time.small));
