--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -13,7 +13,7 @@
 
 const options = {holdMilliseconds: 5000, clockDrift: 0.02};
 const smallCount = 250;
-const many = 16 * smallCount;
+const largeCount = 16 * smallCount;
 
 /** Allows for noise of the machine and its caches; a cost proportional to the number of upstreams would grow 16-fold. */
 const mostGrowth = 5;
@@ -84,7 +84,7 @@
 for (const {name, most = mostGrowth, cost} of costs) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = createScenario(smallCount);
-		const large = createScenario(many);
+		const large = createScenario(largeCount);
 		const times = Array.from({length: rounds}, () => ({small: timeOf(small, cost), large: timeOf(large, cost)})).slice(1);
 		const growth = Math.min(...times.map(time => time.large)) / Math.min(...times.map(time => time.small));
 		assert.ok(growth < most, `the cost grew ${growth.toFixed(1)}-fold`);
