--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -16,7 +16,7 @@
 const largeCount = 16 * smallCount;
 
 /** Allows for noise of the machine and its caches; a cost proportional to the number of upstreams would grow 16-fold. */
-const mostGrowth = 5;
+const defaultMaxGrowth = 5;
 const rangesOfEach = 3;
 const calls = 2000;
 const rounds = 7;
@@ -81,7 +81,7 @@
 	return performance.now() - startedAt;
 }
 
-for (const {name, most = mostGrowth, cost} of costs) {
+for (const {name, most = defaultMaxGrowth, cost} of costs) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = createScenario(smallCount);
 		const large = createScenario(largeCount);
