--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -34,7 +34,7 @@
 
 type Cost = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
 
-const costs: ReadonlyArray<{readonly name: string; readonly most?: number; readonly cost: Cost}> = [
+const costs: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly cost: Cost}> = [
 	{
 		name: 'recording contact',
 		cost(scene, life, call) {
@@ -58,7 +58,7 @@
 	{
 		name: 'applying a command about its keys',
 		// A shallow copy of the list of ranges is made.
-		most: 10,
+		maxGrowth: 10,
 		cost: ({ranges}, life, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: life}]}, call),
 	},
 	{
@@ -81,7 +81,7 @@
 	return performance.now() - startedAt;
 }
 
-for (const {name, most = defaultMaxGrowth, cost} of costs) {
+for (const {name, maxGrowth: most = defaultMaxGrowth, cost} of costs) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = createScenario(smallCount);
 		const large = createScenario(largeCount);
