--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -32,9 +32,9 @@
 	return {upstreams: upstreams, ranges, granting};
 }
 
-type Cost = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
+type Operation = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
 
-const costs: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly cost: Cost}> = [
+const costs: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly cost: Operation}> = [
 	{
 		name: 'recording contact',
 		cost(scene, life, call) {
@@ -72,7 +72,7 @@
 	},
 ];
 
-function timeOf(scene: Scenario, cost: Cost): number {
+function timeOf(scene: Scenario, cost: Operation): number {
 	const startedAt = performance.now();
 	for (let call = 0; call < calls; call += 1) {
 		cost(scene, scene.upstreams[(call * 7) % scene.upstreams.length]!, call);
