--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -34,7 +34,7 @@
 
 type Operation = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
 
-const costs: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly cost: Operation}> = [
+const operations: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly cost: Operation}> = [
 	{
 		name: 'recording contact',
 		cost(scene, life, call) {
@@ -81,7 +81,7 @@
 	return performance.now() - startedAt;
 }
 
-for (const {name, maxGrowth: maxGrowth = defaultMaxGrowth, cost} of costs) {
+for (const {name, maxGrowth: maxGrowth = defaultMaxGrowth, cost} of operations) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = createScenario(smallCount);
 		const large = createScenario(largeCount);
