--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -34,16 +34,16 @@
 
 type Operation = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
 
-const operations: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly cost: Operation}> = [
+const operations: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly run: Operation}> = [
 	{
 		name: 'recording contact',
-		cost(scene, life, call) {
+		run(scene, life, call) {
 			scene.granting = recordContact(scene.granting, life, call, options);
 		},
 	},
 	{
 		name: 'recording the answer',
-		cost(scene, life, call) {
+		run(scene, life, call) {
 			scene.granting = recordAnswer(scene.granting, {
 				life, sequence: call, receivedAt: call, index: call,
 			}, options);
@@ -51,7 +51,7 @@
 	},
 	{
 		name: 'comparing it with the table',
-		cost: ({ranges}, life, call) => reportKeys(ranges, {
+		run: ({ranges}, life, call) => reportKeys(ranges, {
 			life, sequence: call, holds: [], released: [],
 		}),
 	},
@@ -59,14 +59,14 @@
 		name: 'applying a command about its keys',
 		// A shallow copy of the list of ranges is made.
 		maxGrowth: 10,
-		cost: ({ranges}, life, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: life}]}, call),
+		run: ({ranges}, life, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: life}]}, call),
 	},
 	{
-		name: 'finding its rows', cost: ({ranges}, life) => rowsFor(ranges, {life, missing: []}),
+		name: 'finding its rows', run: ({ranges}, life) => rowsFor(ranges, {life, missing: []}),
 	},
 	{
 		name: 'finding vacated keys',
-		cost: ({ranges, granting}, life, call) => vacatedByAnnouncement(granting, ranges, {
+		run: ({ranges, granting}, life, call) => vacatedByAnnouncement(granting, ranges, {
 			life, sequence: call, missing: [], released: [],
 		}),
 	},
@@ -81,7 +81,7 @@
 	return performance.now() - startedAt;
 }
 
-for (const {name, maxGrowth: maxGrowth = defaultMaxGrowth, cost} of operations) {
+for (const {name, maxGrowth: maxGrowth = defaultMaxGrowth, run: cost} of operations) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = createScenario(smallCount);
 		const large = createScenario(largeCount);
