--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -52,7 +52,7 @@
 	return work;
 }
 
-const even: readonly KeyRate[] = Array.from({length: keyCount}, (_value, key) => ({key, rate: 0.125}));
+const uniformRates: readonly KeyRate[] = Array.from({length: keyCount}, (_value, key) => ({key, rate: 0.125}));
 
 /** Rates in which a run of adjacent keys gets a given share of all requests. */
 function withHotRun(keys: number, share: number): readonly KeyRate[] {
@@ -69,10 +69,10 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly candidates: readonly Candidate[]; readonly rates: readonly KeyRate[]; readonly holders: number; readonly mostOverMean: number; readonly mostMoved: number; readonly mostRounds?: number}> = [
 	{
-		name: 'the first grant is even and moves nothing', ranges: unheldRanges, candidates: fleet, rates: even, holders: 16, mostOverMean: 1.2, mostMoved: 0,
+		name: 'the first grant is even and moves nothing', ranges: unheldRanges, candidates: fleet, rates: uniformRates, holders: 16, mostOverMean: 1.2, mostMoved: 0,
 	},
 	{
-		name: 'an even load moves nothing', ranges: started, candidates: fleet, rates: even, holders: 16, mostOverMean: 1.2, mostMoved: 0,
+		name: 'an even load moves nothing', ranges: started, candidates: fleet, rates: uniformRates, holders: 16, mostOverMean: 1.2, mostMoved: 0,
 	},
 	{
 		name: 'a hot run of 200 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(200, 0.43), holders: 16, mostOverMean: 1.5, mostMoved: keyCount * 0.6, mostRounds: 5,
@@ -87,13 +87,13 @@
 		name: 'a single key with 3.2 times the mean load keeps its holder, whose other keys move', ranges: started, candidates: fleet, rates: withHotRun(1, 0.2), holders: 16, mostOverMean: 3.5, mostMoved: keyCount * 0.08,
 	},
 	{
-		name: 'upstreams that join get their share', ranges: started, candidates: [...fleet, upstream('n0'), upstream('n1'), upstream('n2'), upstream('n3')], rates: even, holders: 20, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
+		name: 'upstreams that join get their share', ranges: started, candidates: [...fleet, upstream('n0'), upstream('n1'), upstream('n2'), upstream('n3')], rates: uniformRates, holders: 20, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
 	},
 	{
-		name: 'keys of upstreams that leave are spread', ranges: started, candidates: fleet.map((one, position) => position < 3 ? {...one, accepting: false, leaving: true} : one), rates: even, holders: 13, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
+		name: 'keys of upstreams that leave are spread', ranges: started, candidates: fleet.map((one, position) => position < 3 ? {...one, accepting: false, leaving: true} : one), rates: uniformRates, holders: 13, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
 	},
 	{
-		name: 'keys of an upstream that has no record any more are spread', ranges: started, candidates: fleet.slice(1), rates: even, holders: 15, mostOverMean: 1.4, mostMoved: keyCount * 0.12,
+		name: 'keys of an upstream that has no record any more are spread', ranges: started, candidates: fleet.slice(1), rates: uniformRates, holders: 15, mostOverMean: 1.4, mostMoved: keyCount * 0.12,
 	},
 ];
 
@@ -160,7 +160,7 @@
 for (const {upstreams, requestsPerSecond, mostPlansThatMove} of fleets) {
 	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
-		const alike = even.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
+		const alike = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
 		const {ranges} = settle(settle(unheldRanges, candidates, []).ranges, candidates, alike);
 		const moving = seeds.filter(seed => {
 			const {recalled} = planKeys({
