--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -60,7 +60,7 @@
 }
 
 const fleet = Array.from({length: 16}, (_value, position) => upstream(`u${position}`));
-const started = settle(unheldRanges, fleet, []).ranges;
+const initialRanges = settle(unheldRanges, fleet, []).ranges;
 
 /** Each upstream holds one run of adjacent keys. */
 const contiguous: readonly KeyRange[] = fleet.map(({life}, position) => ({
@@ -72,7 +72,7 @@
 		name: 'the first grant is even and moves nothing', ranges: unheldRanges, candidates: fleet, rates: uniformRates, holders: 16, mostOverMean: 1.2, mostMoved: 0,
 	},
 	{
-		name: 'an even load moves nothing', ranges: started, candidates: fleet, rates: uniformRates, holders: 16, mostOverMean: 1.2, mostMoved: 0,
+		name: 'an even load moves nothing', ranges: initialRanges, candidates: fleet, rates: uniformRates, holders: 16, mostOverMean: 1.2, mostMoved: 0,
 	},
 	{
 		name: 'a hot run of 200 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(200, 0.43), holders: 16, mostOverMean: 1.5, mostMoved: keyCount * 0.6, mostRounds: 5,
@@ -81,19 +81,19 @@
 		name: 'a hot run of 60 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(56, 0.42), holders: 16, mostOverMean: 2, mostMoved: keyCount * 0.6,
 	},
 	{
-		name: 'a warm run of 1000 keys that are already spread moves almost nothing', ranges: started, candidates: fleet, rates: withHotRun(1000, 0.25), holders: 16, mostOverMean: 1.4, mostMoved: keyCount * 0.01,
+		name: 'a warm run of 1000 keys that are already spread moves almost nothing', ranges: initialRanges, candidates: fleet, rates: withHotRun(1000, 0.25), holders: 16, mostOverMean: 1.4, mostMoved: keyCount * 0.01,
 	},
 	{
-		name: 'a single key with 3.2 times the mean load keeps its holder, whose other keys move', ranges: started, candidates: fleet, rates: withHotRun(1, 0.2), holders: 16, mostOverMean: 3.5, mostMoved: keyCount * 0.08,
+		name: 'a single key with 3.2 times the mean load keeps its holder, whose other keys move', ranges: initialRanges, candidates: fleet, rates: withHotRun(1, 0.2), holders: 16, mostOverMean: 3.5, mostMoved: keyCount * 0.08,
 	},
 	{
-		name: 'upstreams that join get their share', ranges: started, candidates: [...fleet, upstream('n0'), upstream('n1'), upstream('n2'), upstream('n3')], rates: uniformRates, holders: 20, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
+		name: 'upstreams that join get their share', ranges: initialRanges, candidates: [...fleet, upstream('n0'), upstream('n1'), upstream('n2'), upstream('n3')], rates: uniformRates, holders: 20, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
 	},
 	{
-		name: 'keys of upstreams that leave are spread', ranges: started, candidates: fleet.map((one, position) => position < 3 ? {...one, accepting: false, leaving: true} : one), rates: uniformRates, holders: 13, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
+		name: 'keys of upstreams that leave are spread', ranges: initialRanges, candidates: fleet.map((one, position) => position < 3 ? {...one, accepting: false, leaving: true} : one), rates: uniformRates, holders: 13, mostOverMean: 1.4, mostMoved: keyCount * 0.3,
 	},
 	{
-		name: 'keys of an upstream that has no record any more are spread', ranges: started, candidates: fleet.slice(1), rates: uniformRates, holders: 15, mostOverMean: 1.4, mostMoved: keyCount * 0.12,
+		name: 'keys of an upstream that has no record any more are spread', ranges: initialRanges, candidates: fleet.slice(1), rates: uniformRates, holders: 15, mostOverMean: 1.4, mostMoved: keyCount * 0.12,
 	},
 ];
 
