--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -136,7 +136,7 @@
 const seeds = Array.from({length: 20}, (_value, position) => position + 1);
 
 /** Random counts of requests that are uniformly distributed over all keys. */
-function countedByChance(requestsPerSecond: number, seed: number): readonly KeyRate[] {
+function randomCounts(requestsPerSecond: number, seed: number): readonly KeyRate[] {
 	const generator = xoroshiro128plus(seed);
 	const counts = new Map<number, number>();
 	for (let request = 0; request < requestsPerSecond * countedMilliseconds / 1000; request += 1) {
@@ -164,7 +164,7 @@
 		const {ranges} = settle(settle(unheldRanges, candidates, []).ranges, candidates, alike);
 		const moving = seeds.filter(seed => {
 			const {recalled} = planKeys({
-				ranges, candidates, rates: countedByChance(requestsPerSecond, seed), countedMilliseconds, mostRanges: 150,
+				ranges, candidates, rates: randomCounts(requestsPerSecond, seed), countedMilliseconds, mostRanges: 150,
 			});
 			return recalled.length > 0;
 		});
