--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -160,8 +160,8 @@
 for (const {upstreams, requestsPerSecond, mostPlansThatMove} of fleets) {
 	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
-		const alike = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
-		const {ranges} = settle(settle(unheldRanges, candidates, []).ranges, candidates, alike);
+		const expectedRates = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
+		const {ranges} = settle(settle(unheldRanges, candidates, []).ranges, candidates, expectedRates);
 		const moving = seeds.filter(seed => {
 			const {recalled} = planKeys({
 				ranges, candidates, rates: randomCounts(requestsPerSecond, seed), countedMilliseconds, mostRanges: 150,
