--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -97,7 +97,7 @@
 	},
 ];
 
-for (const {name, ranges, candidates, rates, holders, maxOverMean: mostOverMean, mostMoved, mostRounds = 60} of cases) {
+for (const {name, ranges, candidates, rates, holders, maxOverMean: maxOverMean, mostMoved, mostRounds = 60} of cases) {
 	test(`planning: ${name}`, () => {
 		const settled = settle(ranges, candidates, rates);
 		assert.ok(settled.rounds <= mostRounds, `converged after ${settled.rounds} plans`);
@@ -105,7 +105,7 @@
 		const mean = [...work.values()].reduce((sum, one) => sum + one, 0) / holders;
 		assert.equal(work.has('nobody'), false);
 		assert.equal(work.size, holders);
-		assert.ok(Math.max(...work.values()) <= mean * mostOverMean, `the highest load is ${(Math.max(...work.values()) / mean).toFixed(2)} times the mean`);
+		assert.ok(Math.max(...work.values()) <= mean * maxOverMean, `the highest load is ${(Math.max(...work.values()) / mean).toFixed(2)} times the mean`);
 		assert.ok(settled.moved <= mostMoved, `${settled.moved} keys moved`);
 	});
 }
