--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -67,7 +67,7 @@
 	from: position * keyCount / fleet.length, to: ((position + 1) * keyCount / fleet.length) - 1, fence: 1, holder: life, told: true, handover: '',
 }));
 
-const cases: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly candidates: readonly Candidate[]; readonly rates: readonly KeyRate[]; readonly holders: number; readonly maxOverMean: number; readonly maxMoved: number; readonly mostRounds?: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly candidates: readonly Candidate[]; readonly rates: readonly KeyRate[]; readonly holders: number; readonly maxOverMean: number; readonly maxMoved: number; readonly maxRounds?: number}> = [
 	{
 		name: 'the first grant is even and moves nothing', ranges: unheldRanges, candidates: fleet, rates: uniformRates, holders: 16, maxOverMean: 1.2, maxMoved: 0,
 	},
@@ -75,7 +75,7 @@
 		name: 'an even load moves nothing', ranges: initialRanges, candidates: fleet, rates: uniformRates, holders: 16, maxOverMean: 1.2, maxMoved: 0,
 	},
 	{
-		name: 'a hot run of 200 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(200, 0.43), holders: 16, maxOverMean: 1.5, maxMoved: keyCount * 0.6, mostRounds: 5,
+		name: 'a hot run of 200 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(200, 0.43), holders: 16, maxOverMean: 1.5, maxMoved: keyCount * 0.6, maxRounds: 5,
 	},
 	{
 		name: 'a hot run of 60 keys is divided', ranges: contiguous, candidates: fleet, rates: withHotRun(56, 0.42), holders: 16, maxOverMean: 2, maxMoved: keyCount * 0.6,
@@ -97,7 +97,7 @@
 	},
 ];
 
-for (const {name, ranges, candidates, rates, holders, maxOverMean: maxOverMean, maxMoved: maxMoved, mostRounds = 60} of cases) {
+for (const {name, ranges, candidates, rates, holders, maxOverMean: maxOverMean, maxMoved: maxMoved, maxRounds: mostRounds = 60} of cases) {
 	test(`planning: ${name}`, () => {
 		const settled = settle(ranges, candidates, rates);
 		assert.ok(settled.rounds <= mostRounds, `converged after ${settled.rounds} plans`);
