--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -97,10 +97,10 @@
 	},
 ];
 
-for (const {name, ranges, candidates, rates, holders, maxOverMean: maxOverMean, maxMoved: maxMoved, maxRounds: mostRounds = 60} of cases) {
+for (const {name, ranges, candidates, rates, holders, maxOverMean: maxOverMean, maxMoved: maxMoved, maxRounds: maxRounds = 60} of cases) {
 	test(`planning: ${name}`, () => {
 		const settled = settle(ranges, candidates, rates);
-		assert.ok(settled.rounds <= mostRounds, `converged after ${settled.rounds} plans`);
+		assert.ok(settled.rounds <= maxRounds, `converged after ${settled.rounds} plans`);
 		const work = workOf(settled.ranges, rates);
 		const mean = [...work.values()].reduce((sum, one) => sum + one, 0) / holders;
 		assert.equal(work.has('nobody'), false);
