--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -150,14 +150,14 @@
 const speeds = [0.5, 1, 1, 1.5];
 
 /** Guards against plans that mistake random differences for imbalance: they would move keys several times a second, indefinitely. */
-const fleets: ReadonlyArray<{readonly upstreams: number; readonly requestsPerSecond: number; readonly mostPlansThatMove: number}> = [
-	{upstreams: 9, requestsPerSecond: 140, mostPlansThatMove: 2},
-	{upstreams: 16, requestsPerSecond: 440, mostPlansThatMove: 2},
-	{upstreams: 194, requestsPerSecond: 930, mostPlansThatMove: 2},
-	{upstreams: 400, requestsPerSecond: 1900, mostPlansThatMove: 2},
+const fleets: ReadonlyArray<{readonly upstreams: number; readonly requestsPerSecond: number; readonly maxMovingPlans: number}> = [
+	{upstreams: 9, requestsPerSecond: 140, maxMovingPlans: 2},
+	{upstreams: 16, requestsPerSecond: 440, maxMovingPlans: 2},
+	{upstreams: 194, requestsPerSecond: 930, maxMovingPlans: 2},
+	{upstreams: 400, requestsPerSecond: 1900, maxMovingPlans: 2},
 ];
 
-for (const {upstreams, requestsPerSecond, mostPlansThatMove} of fleets) {
+for (const {upstreams, requestsPerSecond, maxMovingPlans: mostPlansThatMove} of fleets) {
 	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
 		const expectedRates = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
