--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -157,7 +157,7 @@
 	{upstreams: 400, requestsPerSecond: 1900, maxMovingPlans: 2},
 ];
 
-for (const {upstreams, requestsPerSecond, maxMovingPlans: mostPlansThatMove} of fleets) {
+for (const {upstreams, requestsPerSecond, maxMovingPlans: maxMovingPlans} of fleets) {
 	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
 		const expectedRates = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
@@ -168,6 +168,6 @@
 			});
 			return recalled.length > 0;
 		});
-		assert.ok(moving.length <= mostPlansThatMove, `${moving.length} of ${seeds.length} plans move keys`);
+		assert.ok(moving.length <= maxMovingPlans, `${moving.length} of ${seeds.length} plans move keys`);
 	});
 }
