--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -8,12 +8,12 @@
 } from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
-const life: UpstreamIncarnation = {id: 'a', born: 1};
+const upstream: UpstreamIncarnation = {id: 'a', born: 1};
 const other: UpstreamIncarnation = {id: 'b', born: 2};
 
 function range(from: number, to: number, fields: Partial<KeyRange> = {}): KeyRange {
 	return {
-		from, to, fence: 7, holder: life, told: true, handover: '', ...fields,
+		from, to, fence: 7, holder: upstream, told: true, handover: '', ...fields,
 	};
 }
 
@@ -37,7 +37,7 @@
 for (const {name, holds, missing, tokens} of reports) {
 	test(`report: an upstream that lists ${name}`, () => {
 		const report = reportKeys(table, {
-			life, sequence: 1, holds, released: [],
+			life: upstream, sequence: 1, holds, released: [],
 		});
 		assert.deepEqual(report.missing, missing);
 		assert.deepEqual(rowsFor(table, report).map(({handover}) => handover), tokens);
@@ -55,7 +55,7 @@
 for (const {name, ranges, isSame} of digests) {
 	test(`report: the digest with ${name} ${isSame ? 'stays the same' : 'changes'}`, () => {
 		const keys = {
-			life, sequence: 1, holds: [], released: [],
+			life: upstream, sequence: 1, holds: [], released: [],
 		};
 		assert.equal(reportKeys(ranges, keys).digest === reportKeys(table, keys).digest, isSame);
 	});
@@ -70,10 +70,10 @@
 }
 
 test('packing: rows survive a round trip', () => {
-	const rows = [{from: 1, to: 2, holder: life}, {
+	const rows = [{from: 1, to: 2, holder: upstream}, {
 		from: 3, to: 4, holder: other, handover: '',
 	}, {
-		from: 5, to: 6, holder: life, handover: 't',
+		from: 5, to: 6, holder: upstream, handover: 't',
 	}];
 	assert.deepEqual(unpackRows(packRows(rows)), rows);
 });
