--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -9,7 +9,7 @@
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
 const upstream: UpstreamIncarnation = {id: 'a', born: 1};
-const other: UpstreamIncarnation = {id: 'b', born: 2};
+const otherUpstream: UpstreamIncarnation = {id: 'b', born: 2};
 
 function range(from: number, to: number, fields: Partial<KeyRange> = {}): KeyRange {
 	return {
@@ -17,7 +17,7 @@
 	};
 }
 
-const table = [range(0, 99), range(100, 199, {holder: other}), range(200, 299, {releasingSince: 9}), range(300, 399, {handover: 't'})];
+const table = [range(0, 99), range(100, 199, {holder: otherUpstream}), range(200, 299, {releasingSince: 9}), range(300, 399, {handover: 't'})];
 
 const reports: ReadonlyArray<{readonly name: string; readonly holds: ReadonlyArray<KeySpan & {readonly fence: number}>; readonly missing: readonly KeySpan[]; readonly tokens: readonly string[]}> = [
 	{
@@ -46,7 +46,7 @@
 
 const digests: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly isSame: boolean}> = [
 	{name: 'the same table', ranges: [...table], isSame: true},
-	{name: 'changed keys of another upstream', ranges: [table[0]!, range(100, 199, {holder: other, fence: 8}), table[2]!, table[3]!], isSame: true},
+	{name: 'changed keys of another upstream', ranges: [table[0]!, range(100, 199, {holder: otherUpstream, fence: 8}), table[2]!, table[3]!], isSame: true},
 	{name: 'a higher fence', ranges: [range(0, 99, {fence: 8}), ...table.slice(1)], isSame: false},
 	{name: 'a recalled row', ranges: [range(0, 99, {releasingSince: 3}), ...table.slice(1)], isSame: false},
 	{name: 'one row missing', ranges: table.slice(1), isSame: false},
@@ -71,7 +71,7 @@
 
 test('packing: rows survive a round trip', () => {
 	const rows = [{from: 1, to: 2, holder: upstream}, {
-		from: 3, to: 4, holder: other, handover: '',
+		from: 3, to: 4, holder: otherUpstream, handover: '',
 	}, {
 		from: 5, to: 6, holder: upstream, handover: 't',
 	}];
