--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -78,7 +78,7 @@
 	assert.deepEqual(unpackRows(packRows(rows)), rows);
 });
 
-const rests: ReadonlyArray<{readonly others: readonly KeySpan[]; readonly rest: readonly KeySpan[]}> = [
+const differences: ReadonlyArray<{readonly others: readonly KeySpan[]; readonly rest: readonly KeySpan[]}> = [
 	{others: [], rest: [{from: 10, to: 19}]},
 	{others: [{from: 0, to: 30}], rest: []},
 	{others: [{from: 0, to: 10}, {from: 19, to: 25}], rest: [{from: 11, to: 18}]},
@@ -86,7 +86,7 @@
 	{others: [{from: 20, to: 30}], rest: [{from: 10, to: 19}]},
 ];
 
-for (const {others, rest} of rests) {
+for (const {others, rest} of differences) {
 	test(`spans: 10-19 without ${others.map(({from, to}) => `${from}-${to}`).join(', ')}`, () => {
 		assert.deepEqual(withoutSpans({from: 10, to: 19}, others), rest);
 	});
