--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -45,7 +45,7 @@
 type Breakage = {readonly expiryIsEarly?: boolean; readonly omissionCountsAtOnce?: boolean};
 
 /** Simulates one schedule; returns a description of the first moment at which a key had two holders, if any. */
-function play(seed: number, breakage: Breakage = {}): string | undefined {
+function simulate(seed: number, breakage: Breakage = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
 	const draw = (most: number) => uniformInt(generator, 0, most - 1);
 	let tables: KeyTables = {[service]: unheldRanges};
@@ -177,7 +177,7 @@
 
 for (const seed of seeds) {
 	test(`schedules: no key has two holders, seed ${seed}`, () => {
-		assert.equal(play(seed), undefined);
+		assert.equal(simulate(seed), undefined);
 	});
 }
 
@@ -188,6 +188,6 @@
 
 for (const {name, breakage} of variants) {
 	test(`schedules: the check detects a variant where ${name}`, () => {
-		assert.notEqual(seeds.map(seed => play(seed, breakage)).find(found => found !== undefined), undefined);
+		assert.notEqual(seeds.map(seed => simulate(seed, breakage)).find(found => found !== undefined), undefined);
 	});
 }
