--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -42,10 +42,10 @@
 
 type Answer = {readonly at: number; readonly to: Upstream; readonly born: number; readonly sequence: number; readonly sentAt: number; readonly rows: readonly Row[]};
 
-type Breakage = {readonly expiryIsEarly?: boolean; readonly omissionCountsAtOnce?: boolean};
+type LeaderFault = {readonly expiryIsEarly?: boolean; readonly omissionCountsAtOnce?: boolean};
 
 /** Simulates one schedule; returns a description of the first moment at which a key had two holders, if any. */
-function simulate(seed: number, breakage: Breakage = {}): string | undefined {
+function simulate(seed: number, breakage: LeaderFault = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
 	const draw = (most: number) => uniformInt(generator, 0, most - 1);
 	let tables: KeyTables = {[service]: unheldRanges};
@@ -181,7 +181,7 @@
 	});
 }
 
-const variants: ReadonlyArray<{readonly name: string; readonly breakage: Breakage}> = [
+const variants: ReadonlyArray<{readonly name: string; readonly breakage: LeaderFault}> = [
 	{name: 'the leader expires holds early', breakage: {expiryIsEarly: true}},
 	{name: 'a recall counts as a release', breakage: {omissionCountsAtOnce: true}},
 ];
