--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -45,13 +45,13 @@
 type LeaderFault = {readonly expiryIsEarly?: boolean; readonly omissionCountsAtOnce?: boolean};
 
 /** Simulates one schedule; returns a description of the first moment at which a key had two holders, if any. */
-function simulate(seed: number, breakage: LeaderFault = {}): string | undefined {
+function simulate(seed: number, fault: LeaderFault = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
 	const draw = (most: number) => uniformInt(generator, 0, most - 1);
 	let tables: KeyTables = {[service]: unheldRanges};
 	let index = 1;
 	let granting: GrantingState = beginGranting(0);
-	const usedTerms = breakage.expiryIsEarly === true ? {...terms, holdMilliseconds: terms.holdMilliseconds / 2} : terms;
+	const usedTerms = fault.expiryIsEarly === true ? {...terms, holdMilliseconds: terms.holdMilliseconds / 2} : terms;
 	let answers: Answer[] = [];
 	const upstreams: Upstream[] = Array.from({length: upstreamCount}, (_value, position) => ({
 		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], until: -1, released: [], nextAt: draw(400), leaving: false,
@@ -79,7 +79,7 @@
 		}
 
 		granting = recordContact(granting, life, now, usedTerms);
-		const relied = breakage.omissionCountsAtOnce === true
+		const relied = fault.omissionCountsAtOnce === true
 			? ranges().filter(range => range.releasingSince !== undefined && range.holder?.id === life.id).map(({from, to}) => ({
 				from, to, holder: life, handover: '',
 			}))
