--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -181,12 +181,12 @@
 	});
 }
 
-const variants: ReadonlyArray<{readonly name: string; readonly breakage: LeaderFault}> = [
-	{name: 'the leader expires holds early', breakage: {expiryIsEarly: true}},
-	{name: 'a recall counts as a release', breakage: {omissionCountsAtOnce: true}},
+const variants: ReadonlyArray<{readonly name: string; readonly fault: LeaderFault}> = [
+	{name: 'the leader expires holds early', fault: {expiryIsEarly: true}},
+	{name: 'a recall counts as a release', fault: {omissionCountsAtOnce: true}},
 ];
 
-for (const {name, breakage} of variants) {
+for (const {name, fault: breakage} of variants) {
 	test(`schedules: the check detects a variant where ${name}`, () => {
 		assert.notEqual(seeds.map(seed => simulate(seed, breakage)).find(found => found !== undefined), undefined);
 	});
