--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -51,7 +51,7 @@
 	let tables: KeyTables = {[service]: unheldRanges};
 	let index = 1;
 	let granting: GrantingState = beginGranting(0);
-	const usedTerms = fault.expiryIsEarly === true ? {...terms, holdMilliseconds: terms.holdMilliseconds / 2} : terms;
+	const leaderOptions = fault.expiryIsEarly === true ? {...terms, holdMilliseconds: terms.holdMilliseconds / 2} : terms;
 	let answers: Answer[] = [];
 	const upstreams: Upstream[] = Array.from({length: upstreamCount}, (_value, position) => ({
 		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], until: -1, released: [], nextAt: draw(400), leaving: false,
@@ -78,7 +78,7 @@
 			return;
 		}
 
-		granting = recordContact(granting, life, now, usedTerms);
+		granting = recordContact(granting, life, now, leaderOptions);
 		const relied = fault.omissionCountsAtOnce === true
 			? ranges().filter(range => range.releasingSince !== undefined && range.holder?.id === life.id).map(({from, to}) => ({
 				from, to, holder: life, handover: '',
@@ -88,7 +88,7 @@
 		const rows = rowsOf(ranges(), life);
 		granting = recordAnswer(granting, {
 			life, sequence: keys.sequence, receivedAt: now, index,
-		}, usedTerms);
+		}, leaderOptions);
 		commit({kind: 'keysTold', service, rows: rows.filter(({told}) => !told).map(({from, to}) => ({from, to, holder: life}))});
 		if (draw(8) > 0) {
 			answers.push({
@@ -129,7 +129,7 @@
 	];
 
 	function plan(now: number): void {
-		commit({kind: 'keysVacated', service, rows: vacatedByTime(granting, ranges(), () => false, {now, terms: usedTerms})});
+		commit({kind: 'keysVacated', service, rows: vacatedByTime(granting, ranges(), () => false, {now, terms: leaderOptions})});
 		const candidates = upstreams.map(upstream => ({
 			life: {id: upstream.id, born: upstream.born},
 			weight: 3,
