--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -19,7 +19,7 @@
 } from '@dogwooddeck/key-lease/range';
 
 const service = 's';
-const terms = {holdMilliseconds: 2000, clockDrift: 0.02};
+const options = {holdMilliseconds: 2000, clockDrift: 0.02};
 const stepMilliseconds = 25;
 const steps = 1600;
 const upstreamCount = 5;
@@ -51,7 +51,7 @@
 	let tables: KeyTables = {[service]: unheldRanges};
 	let index = 1;
 	let granting: GrantingState = beginGranting(0);
-	const leaderOptions = fault.expiryIsEarly === true ? {...terms, holdMilliseconds: terms.holdMilliseconds / 2} : terms;
+	const leaderOptions = fault.expiryIsEarly === true ? {...options, holdMilliseconds: options.holdMilliseconds / 2} : options;
 	let answers: Answer[] = [];
 	const upstreams: Upstream[] = Array.from({length: upstreamCount}, (_value, position) => ({
 		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], until: -1, released: [], nextAt: draw(400), leaving: false,
@@ -106,7 +106,7 @@
 		const dropped = now < upstream.until ? upstream.rows.filter(row => !kept.has(row)) : [];
 		upstream.released = dropped.map(({from, to}) => ({from, to, handover: `${upstream.id}-${from}`}));
 		upstream.rows = rows;
-		upstream.until = sentAt + (terms.holdMilliseconds / upstream.rate);
+		upstream.until = sentAt + (options.holdMilliseconds / upstream.rate);
 		upstream.nextAt = dropped.length > 0 ? now + 100 : upstream.nextAt;
 	}
 
