--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -69,27 +69,27 @@
 
 	function announce(upstream: Upstream, now: number): void {
 		upstream.sequence += 1;
-		const life = {id: upstream.id, born: upstream.born};
+		const incarnation = {id: upstream.id, born: upstream.born};
 		const keys = {
-			life, sequence: upstream.sequence, holds: upstream.rows, released: upstream.released,
+			life: incarnation, sequence: upstream.sequence, holds: upstream.rows, released: upstream.released,
 		};
 		upstream.nextAt = now + 300;
 		if (draw(10) === 0) {
 			return;
 		}
 
-		granting = recordContact(granting, life, now, leaderOptions);
+		granting = recordContact(granting, incarnation, now, leaderOptions);
 		const relied = fault.omissionCountsAtOnce === true
-			? ranges().filter(range => range.releasingSince !== undefined && range.holder?.id === life.id).map(({from, to}) => ({
-				from, to, holder: life, handover: '',
+			? ranges().filter(range => range.releasingSince !== undefined && range.holder?.id === incarnation.id).map(({from, to}) => ({
+				from, to, holder: incarnation, handover: '',
 			}))
 			: vacatedByAnnouncement(granting, ranges(), reportKeys(ranges(), keys));
 		commit({kind: 'keysVacated', service, rows: relied});
-		const rows = rowsOf(ranges(), life);
+		const rows = rowsOf(ranges(), incarnation);
 		granting = recordAnswer(granting, {
-			life, sequence: keys.sequence, receivedAt: now, index,
+			life: incarnation, sequence: keys.sequence, receivedAt: now, index,
 		}, leaderOptions);
-		commit({kind: 'keysTold', service, rows: rows.filter(({told}) => !told).map(({from, to}) => ({from, to, holder: life}))});
+		commit({kind: 'keysTold', service, rows: rows.filter(({told}) => !told).map(({from, to}) => ({from, to, holder: incarnation}))});
 		if (draw(8) > 0) {
 			answers.push({
 				at: now + draw(300), to: upstream, born: upstream.born, sequence: upstream.sequence, sentAt: now, rows,
