--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -79,12 +79,12 @@
 		}
 
 		granting = recordContact(granting, incarnation, now, leaderOptions);
-		const relied = fault.omissionCountsAtOnce === true
+		const vacated = fault.omissionCountsAtOnce === true
 			? ranges().filter(range => range.releasingSince !== undefined && range.holder?.id === incarnation.id).map(({from, to}) => ({
 				from, to, holder: incarnation, handover: '',
 			}))
 			: vacatedByAnnouncement(granting, ranges(), reportKeys(ranges(), keys));
-		commit({kind: 'keysVacated', service, rows: relied});
+		commit({kind: 'keysVacated', service, rows: vacated});
 		const rows = rowsOf(ranges(), incarnation);
 		granting = recordAnswer(granting, {
 			life: incarnation, sequence: keys.sequence, receivedAt: now, index,
