--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -97,7 +97,7 @@
 		}
 	}
 
-	function take({to: upstream, born, sequence, sentAt, rows}: Answer, now: number): void {
+	function applyAnswer({to: upstream, born, sequence, sentAt, rows}: Answer, now: number): void {
 		if (born !== upstream.born || sequence !== upstream.sequence) {
 			return;
 		}
@@ -147,7 +147,7 @@
 		const due = answers.filter(({at}) => at <= now);
 		answers = answers.filter(({at}) => at > now);
 		for (const answer of due) {
-			take(answer, now);
+			applyAnswer(answer, now);
 		}
 
 		for (const upstream of upstreams.filter(({nextAt}) => nextAt <= now)) {
