--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -110,7 +110,7 @@
 		upstream.nextAt = dropped.length > 0 ? now + 100 : upstream.nextAt;
 	}
 
-	const happenings: ReadonlyArray<(now: number) => void> = [
+	const disturbances: ReadonlyArray<(now: number) => void> = [
 		now => {
 			granting = beginGranting(now);
 		},
@@ -155,7 +155,7 @@
 		}
 
 		if (now > 2500 && draw(30) === 0) {
-			happenings[draw(happenings.length)]!(now);
+			disturbances[draw(disturbances.length)]!(now);
 		}
 
 		if (now % 250 === 0) {
