--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -119,8 +119,8 @@
 			upstream.leaving = !upstream.leaving;
 		},
 		() => {
-			const hot = draw(keyCount - 400);
-			rates = Array.from({length: 400}, (_value, position) => ({key: hot + position, rate: 1.25}));
+			const firstHotKey = draw(keyCount - 400);
+			rates = Array.from({length: 400}, (_value, position) => ({key: firstHotKey + position, rate: 1.25}));
 		},
 		now => {
 			const upstream = upstreams[draw(upstreamCount)]!;
