--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -34,7 +34,7 @@
 	readonly rate: number;
 	rows: readonly Row[];
 	/** The true time at which its hold on the rows expires by its own clock. */
-	until: number;
+	expiresAt: number;
 	released: ReadonlyArray<{readonly from: number; readonly to: number; readonly handover: string}>;
 	nextAt: number;
 	leaving: boolean;
@@ -103,10 +103,10 @@
 		}
 
 		const kept = new Set(upstream.rows.filter(row => rows.some(other => other.fence === row.fence && sharedSpan(row, other) !== undefined)));
-		const dropped = now < upstream.until ? upstream.rows.filter(row => !kept.has(row)) : [];
+		const dropped = now < upstream.expiresAt ? upstream.rows.filter(row => !kept.has(row)) : [];
 		upstream.released = dropped.map(({from, to}) => ({from, to, handover: `${upstream.id}-${from}`}));
 		upstream.rows = rows;
-		upstream.until = sentAt + (options.holdMilliseconds / upstream.rate);
+		upstream.expiresAt = sentAt + (options.holdMilliseconds / upstream.rate);
 		upstream.nextAt = dropped.length > 0 ? now + 100 : upstream.nextAt;
 	}
 
@@ -162,7 +162,7 @@
 			plan(now);
 		}
 
-		const holding = upstreams.filter(({until}) => now < until).flatMap(upstream => upstream.rows.map(row => ({...row, id: upstream.id})));
+		const holding = upstreams.filter(({expiresAt: until}) => now < until).flatMap(upstream => upstream.rows.map(row => ({...row, id: upstream.id})));
 		const sorted = holding.sort((one, other) => one.from - other.from);
 		const clash = sorted.find((row, position) => sorted[position + 1] !== undefined && sorted[position + 1]!.from <= row.to);
 		if (clash !== undefined) {
