--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -164,9 +164,9 @@
 
 		const holding = upstreams.filter(({expiresAt: until}) => now < until).flatMap(upstream => upstream.rows.map(row => ({...row, id: upstream.id})));
 		const sorted = holding.sort((one, other) => one.from - other.from);
-		const clash = sorted.find((row, position) => sorted[position + 1] !== undefined && sorted[position + 1]!.from <= row.to);
-		if (clash !== undefined) {
-			return `at ${now} ms some of the keys ${clash.from}-${clash.to} held by ${clash.id} have a second holder`;
+		const conflict = sorted.find((row, position) => sorted[position + 1] !== undefined && sorted[position + 1]!.from <= row.to);
+		if (conflict !== undefined) {
+			return `at ${now} ms some of the keys ${conflict.from}-${conflict.to} held by ${conflict.id} have a second holder`;
 		}
 	}
 
