--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -47,7 +47,7 @@
 /** Simulates one schedule; returns a description of the first moment at which a key had two holders, if any. */
 function simulate(seed: number, fault: LeaderFault = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
-	const draw = (most: number) => uniformInt(generator, 0, most - 1);
+	const draw = (bound: number) => uniformInt(generator, 0, bound - 1);
 	let tables: KeyTables = {[service]: unheldRanges};
 	let index = 1;
 	let granting: GrantingState = beginGranting(0);
