--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -10,7 +10,7 @@
 import {type DirectoryState, emptyDirectory} from '@dogwooddeck/directory/state';
 import {UpstreamState, type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 
-const terms = {holdMilliseconds: 5000, clockDrift: 0.02};
+const options = {holdMilliseconds: 5000, clockDrift: 0.02};
 const few = 128;
 const many = 8 * few;
 
@@ -40,10 +40,10 @@
 
 function timeOf(count: number): number {
 	const state = stateOf(count);
-	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => recordContact(noted, {id, born}, 1000, terms), beginGranting(0));
+	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => recordContact(noted, {id, born}, 1000, options), beginGranting(0));
 	const startedAt = performance.now();
 	const commands = planDirectory({
-		state, granting, terms, now: 1100, joinedAt: 0, mostRanges: 150, workOf: () => ({rates: [], countedMilliseconds: 8000, speedOf: () => 1}),
+		state, granting, terms: options, now: 1100, joinedAt: 0, mostRanges: 150, workOf: () => ({rates: [], countedMilliseconds: 8000, speedOf: () => 1}),
 	});
 	assert.deepEqual(commands, []);
 	return performance.now() - startedAt;
