--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -12,7 +12,7 @@
 
 const options = {holdMilliseconds: 5000, clockDrift: 0.02};
 const smallCount = 128;
-const many = 8 * smallCount;
+const largeCount = 8 * smallCount;
 
 /** Linear growth would be 8-fold, quadratic growth 64-fold. */
 const mostGrowth = 20;
@@ -50,7 +50,7 @@
 }
 
 test('growth: the cost of a plan for 8 times as many upstreams grows about linearly', () => {
-	const times = Array.from({length: rounds}, () => ({small: timeOf(smallCount), large: timeOf(many)})).slice(1);
+	const times = Array.from({length: rounds}, () => ({small: timeOf(smallCount), large: timeOf(largeCount)})).slice(1);
 	const growth = Math.min(...times.map(({large}) => large)) / Math.min(...times.map(({small}) => small));
 	assert.ok(growth < mostGrowth, `the cost grew ${growth.toFixed(1)}-fold`);
 });
