--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -22,7 +22,7 @@
 	return {kind, name, item: {version}};
 }
 
-const held = changeItems(noItems, [service(3), route(3)]).unwrapOr(noItems);
+const currentItems = changeItems(noItems, [service(3), route(3)]).unwrapOr(noItems);
 
 const taken: ReadonlyArray<{readonly name: string; readonly changes: ReadonlyArray<readonly ItemChange[]>; readonly version: number; readonly stands: boolean; readonly timeout?: number}> = [
 	{
@@ -50,7 +50,7 @@
 
 for (const {name, changes, version, stands, timeout} of taken) {
 	test(`items: ${name}`, () => {
-		let items = held;
+		let items = currentItems;
 		for (const change of changes) {
 			const changed = changeItems(items, change);
 			assert.ok(changed.isOk, changed.isErr ? changed.error.detail : '');
@@ -103,7 +103,7 @@
 
 for (const {name, changes, kind} of refused) {
 	test(`items: rejects ${name}`, () => {
-		const changed = changeItems(held, changes);
+		const changed = changeItems(currentItems, changes);
 		assert.ok(changed.isErr);
 		assert.equal(changed.error.kind, kind);
 	});
@@ -114,7 +114,7 @@
 	const changes = Array.from({length: count}, (_, position) => route(5, {pathPrefix: `/${position}/`}, `r${position}`));
 	const costs = Array.from({length: 5}, () => {
 		const before = process.cpuUsage();
-		assert.ok(changeItems(held, changes).isOk);
+		assert.ok(changeItems(currentItems, changes).isOk);
 		const {user, system} = process.cpuUsage(before);
 		return user + system;
 	});
