--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -24,7 +24,7 @@
 
 const currentItems = changeItems(noItems, [service(3), route(3)]).unwrapOr(noItems);
 
-const taken: ReadonlyArray<{readonly name: string; readonly changes: ReadonlyArray<readonly ItemChange[]>; readonly version: number; readonly stands: boolean; readonly timeout?: number}> = [
+const accepted: ReadonlyArray<{readonly name: string; readonly changes: ReadonlyArray<readonly ItemChange[]>; readonly version: number; readonly stands: boolean; readonly timeout?: number}> = [
 	{
 		name: 'a higher version replaces the item', changes: [[route(5, {timeoutMilliseconds: 9})]], version: 5, stands: true, timeout: 9,
 	},
@@ -48,7 +48,7 @@
 	},
 ];
 
-for (const {name, changes, version, stands, timeout} of taken) {
+for (const {name, changes, version, stands, timeout} of accepted) {
 	test(`items: ${name}`, () => {
 		let items = currentItems;
 		for (const change of changes) {
