--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -24,31 +24,31 @@
 
 const currentItems = changeItems(noItems, [service(3), route(3)]).unwrapOr(noItems);
 
-const accepted: ReadonlyArray<{readonly name: string; readonly changes: ReadonlyArray<readonly ItemChange[]>; readonly version: number; readonly stands: boolean; readonly timeout?: number}> = [
+const accepted: ReadonlyArray<{readonly name: string; readonly changes: ReadonlyArray<readonly ItemChange[]>; readonly version: number; readonly isDefined: boolean; readonly timeout?: number}> = [
 	{
-		name: 'a higher version replaces the item', changes: [[route(5, {timeoutMilliseconds: 9})]], version: 5, stands: true, timeout: 9,
+		name: 'a higher version replaces the item', changes: [[route(5, {timeoutMilliseconds: 9})]], version: 5, isDefined: true, timeout: 9,
 	},
 	{
-		name: 'a lower version has no effect', changes: [[route(2, {timeoutMilliseconds: 9})]], version: 3, stands: true, timeout: 1000,
+		name: 'a lower version has no effect', changes: [[route(2, {timeoutMilliseconds: 9})]], version: 3, isDefined: true, timeout: 1000,
 	},
 	{
-		name: 'applying the same change again has no effect', changes: [[route(3)], [route(3)]], version: 3, stands: true, timeout: 1000,
+		name: 'applying the same change again has no effect', changes: [[route(3)], [route(3)]], version: 3, isDefined: true, timeout: 1000,
 	},
 	{
-		name: 'a drop leaves a tombstone', changes: [[drop('route', 'r', 4)]], version: 4, stands: false,
+		name: 'a drop leaves a tombstone', changes: [[drop('route', 'r', 4)]], version: 4, isDefined: false,
 	},
 	{
-		name: 'a delayed older version does not undo a drop', changes: [[drop('route', 'r', 6)], [route(5)]], version: 6, stands: false,
+		name: 'a delayed older version does not undo a drop', changes: [[drop('route', 'r', 6)], [route(5)]], version: 6, isDefined: false,
 	},
 	{
-		name: 'a higher version restores a dropped item', changes: [[drop('route', 'r', 6)], [route(7)]], version: 7, stands: true, timeout: 1000,
+		name: 'a higher version restores a dropped item', changes: [[drop('route', 'r', 6)], [route(7)]], version: 7, isDefined: true, timeout: 1000,
 	},
 	{
-		name: 'a change that arrives out of order may name a service that was dropped since', changes: [[service(4, 't')], [route(5, {targets: [{service: 't', weight: 1}]})], [route(6)], [drop('service', 't', 5)], [route(5, {targets: [{service: 't', weight: 1}]})]], version: 6, stands: true, timeout: 1000,
+		name: 'a change that arrives out of order may name a service that was dropped since', changes: [[service(4, 't')], [route(5, {targets: [{service: 't', weight: 1}]})], [route(6)], [drop('service', 't', 5)], [route(5, {targets: [{service: 't', weight: 1}]})]], version: 6, isDefined: true, timeout: 1000,
 	},
 ];
 
-for (const {name, changes, version, stands, timeout} of accepted) {
+for (const {name, changes, version, isDefined: stands, timeout} of accepted) {
 	test(`items: ${name}`, () => {
 		let items = currentItems;
 		for (const change of changes) {
