--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -48,7 +48,7 @@
 	},
 ];
 
-for (const {name, changes, version, isDefined: stands, timeout} of accepted) {
+for (const {name, changes, version, isDefined: isDefined, timeout} of accepted) {
 	test(`items: ${name}`, () => {
 		let items = currentItems;
 		for (const change of changes) {
@@ -58,7 +58,7 @@
 		}
 
 		const item = items.route.r;
-		assert.deepEqual([item?.version, item?.value !== undefined, item?.value?.timeoutMilliseconds], [version, stands, timeout]);
+		assert.deepEqual([item?.version, item?.value !== undefined, item?.value?.timeoutMilliseconds], [version, isDefined, timeout]);
 	});
 }
 
