--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -62,7 +62,7 @@
 	});
 }
 
-const refused: ReadonlyArray<{readonly name: string; readonly changes: readonly ItemChange[]; readonly kind: FailureKind}> = [
+const rejected: ReadonlyArray<{readonly name: string; readonly changes: readonly ItemChange[]; readonly kind: FailureKind}> = [
 	{
 		name: 'an unknown service', changes: [route(9, {targets: [{service: 'nowhere', weight: 1}]})], kind: FailureKind.settingsInvalid,
 	},
@@ -101,7 +101,7 @@
 	},
 ];
 
-for (const {name, changes, kind} of refused) {
+for (const {name, changes, kind} of rejected) {
 	test(`items: rejects ${name}`, () => {
 		const changed = changeItems(currentItems, changes);
 		assert.ok(changed.isErr);
