--- a/packages/directory/test/test-upstreams.ts
+++ b/packages/directory/test/test-upstreams.ts
@@ -51,10 +51,10 @@
 	},
 ];
 
-for (const {name, commands, recorded: known, refusals} of cases) {
+for (const {name, commands, recorded: recorded, refusals} of cases) {
 	test(`upstreams: ${name}`, () => {
 		const {state, answers} = applyDirectoryEntry(emptyDirectory, JSON.stringify(commands), 1);
-		assert.deepEqual(Object.values(state.upstreams).map(({id, born, state: doing}) => [id, born, doing]), known);
+		assert.deepEqual(Object.values(state.upstreams).map(({id, born, state: doing}) => [id, born, doing]), recorded);
 		assert.equal(answers.filter(answer => answer.isErr).length, refusals);
 		assert.deepEqual(decodeDirectory(encodeDirectory(state)).unwrapOr(emptyDirectory), state);
 	});
