--- a/packages/directory/test/test-upstreams.ts
+++ b/packages/directory/test/test-upstreams.ts
@@ -15,43 +15,43 @@
 	return {kind: 'upstreamAnnounced', upstream};
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly commands: readonly DirectoryCommand[]; readonly recorded: ReadonlyArray<readonly [string, number, UpstreamState]>; readonly refusals: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly commands: readonly DirectoryCommand[]; readonly recorded: ReadonlyArray<readonly [string, number, UpstreamState]>; readonly rejections: number}> = [
 	{
-		name: 'a first incarnation', commands: [announced(record('a', 1))], recorded: [['a', 1, 'ready']], refusals: 0,
+		name: 'a first incarnation', commands: [announced(record('a', 1))], recorded: [['a', 1, 'ready']], rejections: 0,
 	},
 	{
-		name: 'a later incarnation with the same id', commands: [announced(record('a', 1)), announced(record('a', 2))], recorded: [['a', 2, 'ready']], refusals: 0,
+		name: 'a later incarnation with the same id', commands: [announced(record('a', 1)), announced(record('a', 2))], recorded: [['a', 2, 'ready']], rejections: 0,
 	},
 	{
-		name: 'a delayed announcement of an earlier incarnation', commands: [announced(record('a', 2)), announced(record('a', 1))], recorded: [['a', 2, 'ready']], refusals: 1,
+		name: 'a delayed announcement of an earlier incarnation', commands: [announced(record('a', 2)), announced(record('a', 1))], recorded: [['a', 2, 'ready']], rejections: 1,
 	},
 	{
-		name: 'another upstream with the same address', commands: [announced(record('a', 1)), announced(record('b', 2))], recorded: [['b', 2, 'ready']], refusals: 0,
+		name: 'another upstream with the same address', commands: [announced(record('a', 1)), announced(record('b', 2))], recorded: [['b', 2, 'ready']], rejections: 0,
 	},
 	{
-		name: 'a delayed announcement of the upstream that had the address before', commands: [announced(record('a', 1)), announced(record('b', 2)), announced(record('a', 1))], recorded: [['b', 2, 'ready']], refusals: 1,
+		name: 'a delayed announcement of the upstream that had the address before', commands: [announced(record('a', 1)), announced(record('b', 2)), announced(record('a', 1))], recorded: [['b', 2, 'ready']], rejections: 1,
 	},
 	{
-		name: 'a draining upstream can\'t become ready again', commands: [announced(record('a', 1, {state: UpstreamState.draining})), announced(record('a', 1))], recorded: [['a', 1, 'draining']], refusals: 1,
+		name: 'a draining upstream can\'t become ready again', commands: [announced(record('a', 1, {state: UpstreamState.draining})), announced(record('a', 1))], recorded: [['a', 1, 'draining']], rejections: 1,
 	},
 	{
-		name: 'a delayed announcement after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 1))], recorded: [], refusals: 1,
+		name: 'a delayed announcement after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 1))], recorded: [], rejections: 1,
 	},
 	{
-		name: 'a new incarnation after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 2))], recorded: [['a', 2, 'ready']], refusals: 0,
+		name: 'a new incarnation after the departure', commands: [announced(record('a', 1)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}, announced(record('a', 2))], recorded: [['a', 2, 'ready']], rejections: 0,
 	},
 	{
-		name: 'the departure of an earlier incarnation', commands: [announced(record('a', 2)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}], recorded: [['a', 2, 'ready']], refusals: 0,
+		name: 'the departure of an earlier incarnation', commands: [announced(record('a', 2)), {kind: 'upstreamDeparted', life: {id: 'a', born: 1}}], recorded: [['a', 2, 'ready']], rejections: 0,
 	},
 	{
-		name: 'an address that is not valid', commands: [announced(record('a', 1)), announced(record('b', 2, {address: '10.0.0.2:99999'}))], recorded: [['a', 1, 'ready']], refusals: 1,
+		name: 'an address that is not valid', commands: [announced(record('a', 1)), announced(record('b', 2, {address: '10.0.0.2:99999'}))], recorded: [['a', 1, 'ready']], rejections: 1,
 	},
 	{
-		name: 'an upstream that was removed for lack of contact may return', commands: [announced(record('a', 1)), {kind: 'upstreamRemoved', life: {id: 'a', born: 1}}, announced(record('a', 1))], recorded: [['a', 1, 'ready']], refusals: 0,
+		name: 'an upstream that was removed for lack of contact may return', commands: [announced(record('a', 1)), {kind: 'upstreamRemoved', life: {id: 'a', born: 1}}, announced(record('a', 1))], recorded: [['a', 1, 'ready']], rejections: 0,
 	},
 ];
 
-for (const {name, commands, recorded: recorded, refusals} of cases) {
+for (const {name, commands, recorded: recorded, rejections: refusals} of cases) {
 	test(`upstreams: ${name}`, () => {
 		const {state, answers} = applyDirectoryEntry(emptyDirectory, JSON.stringify(commands), 1);
 		assert.deepEqual(Object.values(state.upstreams).map(({id, born, state: doing}) => [id, born, doing]), recorded);
