--- a/packages/directory/test/test-upstreams.ts
+++ b/packages/directory/test/test-upstreams.ts
@@ -51,11 +51,11 @@
 	},
 ];
 
-for (const {name, commands, recorded: recorded, rejections: refusals} of cases) {
+for (const {name, commands, recorded: recorded, rejections: rejections} of cases) {
 	test(`upstreams: ${name}`, () => {
 		const {state, answers} = applyDirectoryEntry(emptyDirectory, JSON.stringify(commands), 1);
 		assert.deepEqual(Object.values(state.upstreams).map(({id, born, state: doing}) => [id, born, doing]), recorded);
-		assert.equal(answers.filter(answer => answer.isErr).length, refusals);
+		assert.equal(answers.filter(answer => answer.isErr).length, rejections);
 		assert.deepEqual(decodeDirectory(encodeDirectory(state)).unwrapOr(emptyDirectory), state);
 	});
 }
