--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -106,9 +106,9 @@
 	});
 }
 
-function choice(id: string, distance: Distance, underWay = 0, signals: readonly Signal[] = []): Choice {
+function choice(id: string, distance: Distance, inFlight = 0, signals: readonly Signal[] = []): Choice {
 	const load = loadAfter(...signals);
-	load.underWay = underWay;
+	load.underWay = inFlight;
 	return {
 		id, distance, load, cold: false,
 	};
