--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -106,7 +106,7 @@
 	});
 }
 
-function choice(id: string, distance: Distance, inFlight = 0, signals: readonly Signal[] = []): Choice {
+function candidate(id: string, distance: Distance, inFlight = 0, signals: readonly Signal[] = []): Choice {
 	const load = loadAfter(...signals);
 	load.underWay = inFlight;
 	return {
@@ -116,25 +116,25 @@
 
 const selections: ReadonlyArray<{readonly name: string; readonly choices: readonly Choice[]; readonly excluded?: readonly string[]; readonly chosen: string | undefined}> = [
 	{
-		name: 'an upstream in the own zone', choices: [choice('far', Distance.otherRegion), choice('near', Distance.sameRegion), choice('own', Distance.sameZone)], chosen: 'own',
+		name: 'an upstream in the own zone', choices: [candidate('far', Distance.otherRegion), candidate('near', Distance.sameRegion), candidate('own', Distance.sameZone)], chosen: 'own',
 	},
 	{
-		name: 'another zone rather than a busy upstream in the own zone', choices: [choice('near', Distance.sameRegion), choice('own', Distance.sameZone, 1)], chosen: 'near',
+		name: 'another zone rather than a busy upstream in the own zone', choices: [candidate('near', Distance.sameRegion), candidate('own', Distance.sameZone, 1)], chosen: 'near',
 	},
 	{
-		name: 'a busy upstream in the own region rather than another region', choices: [choice('far', Distance.otherRegion), choice('own', Distance.sameZone, 1)], chosen: 'own',
+		name: 'a busy upstream in the own region rather than another region', choices: [candidate('far', Distance.otherRegion), candidate('own', Distance.sameZone, 1)], chosen: 'own',
 	},
 	{
-		name: 'another region if the own region has no room', choices: [choice('far', Distance.otherRegion), choice('own', Distance.sameZone, 2)], chosen: 'far',
+		name: 'another region if the own region has no room', choices: [candidate('far', Distance.otherRegion), candidate('own', Distance.sameZone, 2)], chosen: 'far',
 	},
 	{
-		name: 'an upstream with fewer failures', choices: [choice('bad', Distance.sameZone, 0, [Signal.failed, Signal.failed, Signal.failed]), choice('good', Distance.sameRegion)], chosen: 'good',
+		name: 'an upstream with fewer failures', choices: [candidate('bad', Distance.sameZone, 0, [Signal.failed, Signal.failed, Signal.failed]), candidate('good', Distance.sameRegion)], chosen: 'good',
 	},
 	{
-		name: 'an upstream that was not tried yet', choices: [choice('own', Distance.sameZone), choice('far', Distance.otherRegion)], excluded: ['own'], chosen: 'far',
+		name: 'an upstream that was not tried yet', choices: [candidate('own', Distance.sameZone), candidate('far', Distance.otherRegion)], excluded: ['own'], chosen: 'far',
 	},
 	{
-		name: 'none if no upstream has room', choices: [choice('own', Distance.sameZone, 2)], chosen: undefined,
+		name: 'none if no upstream has room', choices: [candidate('own', Distance.sameZone, 2)], chosen: undefined,
 	},
 ];
 
