--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -168,7 +168,7 @@
 }
 
 test('waiting: requests start by priority, and those that waited too long time out', () => {
-	const line = new WaitingQueue();
+	const queue = new WaitingQueue();
 	const told: string[] = [];
 	let room = 0;
 	const add = (name: string, priority: number, until: number) => {
@@ -191,21 +191,21 @@
 				told.push(`${name} gives up`);
 			},
 		};
-		line.add(waiter);
+		queue.add(waiter);
 	};
 
 	add('low', 2, 300);
 	add('high', 0, 300);
 	add('middle', 1, 100);
 	add('high later', 0, 300);
-	line.advance(50);
+	queue.advance(50);
 	room = 2;
-	line.advance(60);
-	line.advance(100);
+	queue.advance(60);
+	queue.advance(100);
 	room = 1;
-	line.advance(200);
+	queue.advance(200);
 	assert.deepEqual(told, ['high starts', 'high later starts', 'middle gives up', 'low starts']);
-	assert.equal(line.length, 0);
+	assert.equal(queue.length, 0);
 });
 
 test('refusal: retry delays are spread', () => {
