--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -169,7 +169,7 @@
 
 test('waiting: requests start by priority, and those that waited too long time out', () => {
 	const queue = new WaitingQueue();
-	const told: string[] = [];
+	const events: string[] = [];
 	let room = 0;
 	const add = (name: string, priority: number, until: number) => {
 		const waiter: Waiter = {
@@ -184,11 +184,11 @@
 				}
 
 				room -= 1;
-				told.push(`${name} starts`);
+				events.push(`${name} starts`);
 				return true;
 			},
 			giveUp() {
-				told.push(`${name} gives up`);
+				events.push(`${name} gives up`);
 			},
 		};
 		queue.add(waiter);
@@ -204,7 +204,7 @@
 	queue.advance(100);
 	room = 1;
 	queue.advance(200);
-	assert.deepEqual(told, ['high starts', 'high later starts', 'middle gives up', 'low starts']);
+	assert.deepEqual(events, ['high starts', 'high later starts', 'middle gives up', 'low starts']);
 	assert.equal(queue.length, 0);
 });
 
