--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -209,6 +209,6 @@
 });
 
 test('refusal: retry delays are spread', () => {
-	const delays = [0, 0.25, 0.5, 0.75, 1].map(draw => returnAfter(500, draw));
+	const delays = [0, 0.25, 0.5, 0.75, 1].map(random => returnAfter(500, random));
 	assert.deepEqual(delays, [80, 155, 230, 305, 380]);
 });
