--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -33,7 +33,7 @@
 
 /** The interval of counting, and the delay until the counts reach the leader and its shares reach the instances. */
 const countMilliseconds = 300;
-const tellMilliseconds = 600;
+const announcementDelayMilliseconds = 600;
 
 /** The time constant of the counts: their weight decays to 1/e within this time. */
 const memoryMilliseconds = 1000;
@@ -57,7 +57,7 @@
 		const known = this.#told.findLast(({at}) => at <= now);
 		this.share = known?.share ?? 1;
 		if (now % countMilliseconds === 0) {
-			this.#told.push({at: now + tellMilliseconds, share: this.#shareNow()});
+			this.#told.push({at: now + announcementDelayMilliseconds, share: this.#shareNow()});
 			for (const [key, count] of this.#counts) {
 				this.#counts.set(key, count * Math.exp(-countMilliseconds / memoryMilliseconds));
 			}
