--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -36,7 +36,7 @@
 const announcementDelayMilliseconds = 600;
 
 /** The time constant of the counts: their weight decays to 1/e within this time. */
-const memoryMilliseconds = 1000;
+const decayMilliseconds = 1000;
 
 /** The control role: counts requests and announces the holder's share after a delay. */
 class Control {
@@ -59,7 +59,7 @@
 		if (now % countMilliseconds === 0) {
 			this.#told.push({at: now + announcementDelayMilliseconds, share: this.#shareNow()});
 			for (const [key, count] of this.#counts) {
-				this.#counts.set(key, count * Math.exp(-countMilliseconds / memoryMilliseconds));
+				this.#counts.set(key, count * Math.exp(-countMilliseconds / decayMilliseconds));
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 	#shareNow(): number {
 		const {slots, workMilliseconds} = this.#pattern;
 		const life = {id: 'u', born: 1};
-		const rates = [...this.#counts].map(([key, count]) => ({key, rate: count * 1000 / memoryMilliseconds})).sort((one, other) => one.key - other.key);
+		const rates = [...this.#counts].map(([key, count]) => ({key, rate: count * 1000 / decayMilliseconds})).sort((one, other) => one.key - other.key);
 		const perSecond = processedPerSecond({slots, meanLatency: workMilliseconds, speed: 1});
 		const [overload] = holderShares([{
 			from: 0, to: keyCount - 1, fence: 1, holder: life, told: true, handover: '',
