--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -81,7 +81,7 @@
 const stepMilliseconds = 5;
 /** Until this time there are only requests for the other keys. */
 const overloadStartMilliseconds = 6000;
-const lastMilliseconds = 12_000;
+const lastArrivalMilliseconds = 12_000;
 /** The last requests may be answered until this time. */
 const endMilliseconds = 13_000;
 const deadlineMilliseconds = 2000;
@@ -197,11 +197,11 @@
 			counts = noCounts;
 		}
 
-		if (now >= overloadStartMilliseconds && now < lastMilliseconds && draw() < perStep * pattern.hot) {
+		if (now >= overloadStartMilliseconds && now < lastArrivalMilliseconds && draw() < perStep * pattern.hot) {
 			arrive(true, now);
 		}
 
-		if (now < lastMilliseconds && draw() < perStep * pattern.other) {
+		if (now < lastArrivalMilliseconds && draw() < perStep * pattern.other) {
 			arrive(false, now);
 		}
 	}
@@ -243,7 +243,7 @@
 			const {
 				arrived, inObjective, others, othersInObjective,
 			} = play(pattern, seed);
-			const possible = Math.min(arrived, (lastMilliseconds - overloadStartMilliseconds) * pattern.slots / pattern.workMilliseconds);
+			const possible = Math.min(arrived, (lastArrivalMilliseconds - overloadStartMilliseconds) * pattern.slots / pattern.workMilliseconds);
 			assert.ok(inObjective >= possible * pattern.leastInObjective, `${inObjective} of ${possible} processable requests were answered within the objective`);
 			assert.ok(othersInObjective >= others * pattern.leastOther, `${othersInObjective} of ${others} requests for other keys were answered within the objective`);
 		});
