--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -43,7 +43,7 @@
 	share = 1;
 	readonly #pattern: Pattern;
 	readonly #counts = new Map<number, number>();
-	readonly #told: Array<{readonly at: number; readonly share: number}> = [];
+	readonly #announced: Array<{readonly at: number; readonly share: number}> = [];
 
 	constructor(pattern: Pattern) {
 		this.#pattern = pattern;
@@ -54,10 +54,10 @@
 	}
 
 	step(now: number): void {
-		const known = this.#told.findLast(({at}) => at <= now);
+		const known = this.#announced.findLast(({at}) => at <= now);
 		this.share = known?.share ?? 1;
 		if (now % countMilliseconds === 0) {
-			this.#told.push({at: now + announcementDelayMilliseconds, share: this.#shareNow()});
+			this.#announced.push({at: now + announcementDelayMilliseconds, share: this.#shareNow()});
 			for (const [key, count] of this.#counts) {
 				this.#counts.set(key, count * Math.exp(-countMilliseconds / decayMilliseconds));
 			}
