--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -54,8 +54,8 @@
 	}
 
 	step(now: number): void {
-		const known = this.#announced.findLast(({at}) => at <= now);
-		this.share = known?.share ?? 1;
+		const announced = this.#announced.findLast(({at}) => at <= now);
+		this.share = announced?.share ?? 1;
 		if (now % countMilliseconds === 0) {
 			this.#announced.push({at: now + announcementDelayMilliseconds, share: this.#shareNow()});
 			for (const [key, count] of this.#counts) {
