--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -76,7 +76,7 @@
 	}
 }
 
-type Sent = {readonly instance: number; readonly arrivedAt: number; readonly startedAt: number; readonly isHot: boolean};
+type SentRequest = {readonly instance: number; readonly arrivedAt: number; readonly startedAt: number; readonly isHot: boolean};
 
 const stepMilliseconds = 5;
 /** Until this time there are only requests for the other keys. */
@@ -90,15 +90,15 @@
 /** An upstream that processes requests in order of arrival. */
 class Upstream {
 	readonly #pattern: Pattern;
-	readonly #queue: Sent[] = [];
-	readonly #running: Array<{readonly sent: Sent; readonly until: number}> = [];
+	readonly #queue: SentRequest[] = [];
+	readonly #running: Array<{readonly sent: SentRequest; readonly until: number}> = [];
 
 	constructor(pattern: Pattern) {
 		this.#pattern = pattern;
 	}
 
 	/** Queues a request; returns whether there was room. */
-	take(sent: Sent): boolean {
+	take(sent: SentRequest): boolean {
 		if (this.#queue.length >= this.#pattern.queue) {
 			return false;
 		}
@@ -108,7 +108,7 @@
 	}
 
 	/** Returns the requests that are answered at this step, and starts queued ones. */
-	step(now: number): readonly Sent[] {
+	step(now: number): readonly SentRequest[] {
 		const answered = this.#running.filter(({until}) => until <= now).map(({sent}) => sent);
 		const kept = this.#running.filter(({until}) => until > now);
 		this.#running.splice(0, this.#running.length, ...kept);
