--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -98,7 +98,7 @@
 	}
 
 	/** Queues a request; returns whether there was room. */
-	take(sent: SentRequest): boolean {
+	accept(sent: SentRequest): boolean {
 		if (this.#queue.length >= this.#pattern.queue) {
 			return false;
 		}
@@ -150,7 +150,7 @@
 
 		load.underWay += 1;
 		pace.take(key, capacityOf(load), now);
-		if (!upstream.take({
+		if (!upstream.accept({
 			instance, arrivedAt, startedAt: now, isHot: key === hotKey,
 		})) {
 			end(instance, Signal.full, now, now);
