--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -120,13 +120,13 @@
 	}
 }
 
-type Played = {readonly arrived: number; readonly inObjective: number; readonly others: number; readonly othersInObjective: number};
+type SimulationResult = {readonly arrived: number; readonly inObjective: number; readonly others: number; readonly othersInObjective: number};
 
-const noCounts: Played = {
+const noCounts: SimulationResult = {
 	arrived: 0, inObjective: 0, others: 0, othersInObjective: 0,
 };
 
-function play(pattern: Pattern, seed: number): Played {
+function play(pattern: Pattern, seed: number): SimulationResult {
 	const generator = xoroshiro128plus(seed);
 	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
