--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -126,7 +126,7 @@
 	arrived: 0, inObjective: 0, others: 0, othersInObjective: 0,
 };
 
-function play(pattern: Pattern, seed: number): SimulationResult {
+function simulate(pattern: Pattern, seed: number): SimulationResult {
 	const generator = xoroshiro128plus(seed);
 	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
@@ -242,7 +242,7 @@
 		test(`overload: ${pattern.name}, seed ${seed}`, () => {
 			const {
 				arrived, inObjective, others, othersInObjective,
-			} = play(pattern, seed);
+			} = simulate(pattern, seed);
 			const possible = Math.min(arrived, (lastArrivalMilliseconds - overloadStartMilliseconds) * pattern.slots / pattern.workMilliseconds);
 			assert.ok(inObjective >= possible * pattern.leastInObjective, `${inObjective} of ${possible} processable requests were answered within the objective`);
 			assert.ok(othersInObjective >= others * pattern.leastOther, `${othersInObjective} of ${others} requests for other keys were answered within the objective`);
