--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -136,7 +136,7 @@
 	let counts = noCounts;
 	const capacityOf = (load: UpstreamLoad) => ({slots: pattern.slots, latency: load.latency, instances: pattern.instances});
 
-	function end(instance: number, signal: Signal, startedAt: number, now: number): void {
+	function complete(instance: number, signal: Signal, startedAt: number, now: number): void {
 		const {load} = instances[instance]!;
 		load.underWay -= 1;
 		load.note(signal, now - startedAt, now);
@@ -153,7 +153,7 @@
 		if (!upstream.accept({
 			instance, arrivedAt, startedAt: now, isHot: key === hotKey,
 		})) {
-			end(instance, Signal.full, now, now);
+			complete(instance, Signal.full, now, now);
 		}
 
 		return true;
@@ -183,7 +183,7 @@
 
 	for (let now = 0; now < endMilliseconds; now += stepMilliseconds) {
 		for (const {instance, arrivedAt, startedAt, isHot} of upstream.step(now)) {
-			end(instance, Signal.answered, startedAt, now);
+			complete(instance, Signal.answered, startedAt, now);
 			const isInTime = now - arrivedAt <= pattern.objectiveMilliseconds ? 1 : 0;
 			counts = {...counts, inObjective: counts.inObjective + isInTime, othersInObjective: counts.othersInObjective + (isHot ? 0 : isInTime)};
 		}
