--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -23,7 +23,7 @@
 	readonly queue: number;
 	/** The rates of requests for the hot key and for the upstream's other keys, relative to its capacity. */
 	readonly hotLoad: number;
-	readonly other: number;
+	readonly otherLoad: number;
 	readonly objectiveMilliseconds: number;
 	/** The minimum share answered within the objective, of the requests that arrived and that the upstream can process. */
 	readonly leastInObjective: number;
@@ -201,7 +201,7 @@
 			arrive(true, now);
 		}
 
-		if (now < lastArrivalMilliseconds && draw() < perStep * pattern.other) {
+		if (now < lastArrivalMilliseconds && draw() < perStep * pattern.otherLoad) {
 			arrive(false, now);
 		}
 	}
@@ -219,19 +219,19 @@
 
 const patterns: readonly Pattern[] = [
 	{
-		name: 'twice the work, few slots', instances: 9, slots: 2, workMilliseconds: 120, queue: 8, hotLoad: 2, other: 0.2, objectiveMilliseconds: 500, leastInObjective: 0.8, leastOther: 0.7,
+		name: 'twice the work, few slots', instances: 9, slots: 2, workMilliseconds: 120, queue: 8, hotLoad: 2, otherLoad: 0.2, objectiveMilliseconds: 500, leastInObjective: 0.8, leastOther: 0.7,
 	},
 	{
-		name: 'three times the work, short answers', instances: 9, slots: 3, workMilliseconds: 60, queue: 12, hotLoad: 3, other: 0.2, objectiveMilliseconds: 300, leastInObjective: 0.8, leastOther: 0.7,
+		name: 'three times the work, short answers', instances: 9, slots: 3, workMilliseconds: 60, queue: 12, hotLoad: 3, otherLoad: 0.2, objectiveMilliseconds: 300, leastInObjective: 0.8, leastOther: 0.7,
 	},
 	{
-		name: 'a hot key that its holder can process, many instances', instances: 86, slots: 2, workMilliseconds: 220, queue: 8, hotLoad: 0.4, other: 0.2, objectiveMilliseconds: 800, leastInObjective: 0.95, leastOther: 0.95,
+		name: 'a hot key that its holder can process, many instances', instances: 86, slots: 2, workMilliseconds: 220, queue: 8, hotLoad: 0.4, otherLoad: 0.2, objectiveMilliseconds: 800, leastInObjective: 0.95, leastOther: 0.95,
 	},
 	{
-		name: 'three times the work, many instances', instances: 86, slots: 2, workMilliseconds: 220, queue: 8, hotLoad: 3, other: 0.2, objectiveMilliseconds: 800, leastInObjective: minShareWithDelayedControl, leastOther: 0,
+		name: 'three times the work, many instances', instances: 86, slots: 2, workMilliseconds: 220, queue: 8, hotLoad: 3, otherLoad: 0.2, objectiveMilliseconds: 800, leastInObjective: minShareWithDelayedControl, leastOther: 0,
 	},
 	{
-		name: 'no overload', instances: 9, slots: 3, workMilliseconds: 60, queue: 12, hotLoad: 0.2, other: 0.3, objectiveMilliseconds: 300, leastInObjective: 0.97, leastOther: 0.97,
+		name: 'no overload', instances: 9, slots: 3, workMilliseconds: 60, queue: 12, hotLoad: 0.2, otherLoad: 0.3, objectiveMilliseconds: 300, leastInObjective: 0.97, leastOther: 0.97,
 	},
 ];
 
