--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -66,11 +66,11 @@
 
 	#shareNow(): number {
 		const {slots, workMilliseconds} = this.#pattern;
-		const life = {id: 'u', born: 1};
+		const holder = {id: 'u', born: 1};
 		const rates = [...this.#counts].map(([key, count]) => ({key, rate: count * 1000 / decayMilliseconds})).sort((one, other) => one.key - other.key);
 		const perSecond = processedPerSecond({slots, meanLatency: workMilliseconds, speed: 1});
 		const [overload] = holderShares([{
-			from: 0, to: keyCount - 1, fence: 1, holder: life, told: true, handover: '',
+			from: 0, to: keyCount - 1, fence: 1, holder: holder, told: true, handover: '',
 		}], rates, () => perSecond);
 		return overload?.share ?? 1;
 	}
