--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -130,7 +130,7 @@
 	const generator = xoroshiro128plus(seed);
 	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
-	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), line: new WaitingQueue(), pace: new KeyPace()}));
+	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), queue: new WaitingQueue(), pace: new KeyPace()}));
 	const control = new Control(pattern);
 	const perStep = pattern.slots * stepMilliseconds / pattern.workMilliseconds;
 	let counts = noCounts;
@@ -161,7 +161,7 @@
 
 	function arrive(isHot: boolean, now: number): void {
 		const instance = Math.floor(draw() * pattern.instances);
-		const {load, line, pace} = instances[instance]!;
+		const {load, queue: line, pace} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
 		const turn = line.turnOf(key);
 		const until = waitingUntil({
@@ -189,7 +189,7 @@
 		}
 
 		control.step(now);
-		for (const {line} of instances) {
+		for (const {queue: line} of instances) {
 			line.advance(now);
 		}
 
