--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -161,9 +161,9 @@
 
 	function arrive(isHot: boolean, now: number): void {
 		const instance = Math.floor(draw() * pattern.instances);
-		const {load, queue: line, pace} = instances[instance]!;
+		const {load, queue: queue, pace} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
-		const turn = line.turnOf(key);
+		const turn = queue.turnOf(key);
 		const until = waitingUntil({
 			arrivedAt: now, objectiveMilliseconds: pattern.objectiveMilliseconds, deadline: now + deadlineMilliseconds, expectedMilliseconds: load.latency,
 		});
@@ -173,9 +173,9 @@
 			return;
 		}
 
-		const expected = Math.max(load.waitBehind(line.ahead('u', 0, turn), now), pace.waitFor(key, turn, capacityOf(load), now));
+		const expected = Math.max(load.waitBehind(queue.ahead('u', 0, turn), now), pace.waitFor(key, turn, capacityOf(load), now));
 		if (!tryToStart(instance, now, key, now) && now + expected <= until) {
-			line.add({
+			queue.add({
 				priority: 0, turn, key, upstream: 'u', until, tryToStart: at => tryToStart(instance, now, key, at), giveUp: () => undefined,
 			});
 		}
