--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -189,8 +189,8 @@
 		}
 
 		control.step(now);
-		for (const {queue: line} of instances) {
-			line.advance(now);
+		for (const {queue: queue} of instances) {
+			queue.advance(now);
 		}
 
 		if (now === overloadStartMilliseconds) {
