--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -130,7 +130,7 @@
 	const generator = xoroshiro128plus(seed);
 	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
-	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), queue: new WaitingQueue(), pace: new KeyPace()}));
+	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), queue: new WaitingQueue(), pacer: new KeyPace()}));
 	const control = new Control(pattern);
 	const perStep = pattern.slots * stepMilliseconds / pattern.workMilliseconds;
 	let counts = noCounts;
@@ -143,7 +143,7 @@
 	}
 
 	function tryToStart(instance: number, arrivedAt: number, key: number, now: number): boolean {
-		const {load, pace} = instances[instance]!;
+		const {load, pacer: pace} = instances[instance]!;
 		if (!load.hasRoom(now) || pace.waitFor(key, 0, capacityOf(load), now) > 0) {
 			return false;
 		}
@@ -161,7 +161,7 @@
 
 	function arrive(isHot: boolean, now: number): void {
 		const instance = Math.floor(draw() * pattern.instances);
-		const {load, queue: queue, pace} = instances[instance]!;
+		const {load, queue: queue, pacer: pace} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
 		const turn = queue.turnOf(key);
 		const until = waitingUntil({
