--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -143,13 +143,13 @@
 	}
 
 	function tryToStart(instance: number, arrivedAt: number, key: number, now: number): boolean {
-		const {load, pacer: pace} = instances[instance]!;
-		if (!load.hasRoom(now) || pace.waitFor(key, 0, capacityOf(load), now) > 0) {
+		const {load, pacer: pacer} = instances[instance]!;
+		if (!load.hasRoom(now) || pacer.waitFor(key, 0, capacityOf(load), now) > 0) {
 			return false;
 		}
 
 		load.underWay += 1;
-		pace.take(key, capacityOf(load), now);
+		pacer.take(key, capacityOf(load), now);
 		if (!upstream.accept({
 			instance, arrivedAt, startedAt: now, isHot: key === hotKey,
 		})) {
