--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -161,7 +161,7 @@
 
 	function arrive(isHot: boolean, now: number): void {
 		const instance = Math.floor(draw() * pattern.instances);
-		const {load, queue: queue, pacer: pace} = instances[instance]!;
+		const {load, queue: queue, pacer: pacer} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
 		const turn = queue.turnOf(key);
 		const until = waitingUntil({
@@ -173,7 +173,7 @@
 			return;
 		}
 
-		const expected = Math.max(load.waitBehind(queue.ahead('u', 0, turn), now), pace.waitFor(key, turn, capacityOf(load), now));
+		const expected = Math.max(load.waitBehind(queue.ahead('u', 0, turn), now), pacer.waitFor(key, turn, capacityOf(load), now));
 		if (!tryToStart(instance, now, key, now) && now + expected <= until) {
 			queue.add({
 				priority: 0, turn, key, upstream: 'u', until, tryToStart: at => tryToStart(instance, now, key, at), giveUp: () => undefined,
