--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -48,7 +48,7 @@
 	},
 ];
 
-for (const {name, changes, version, isDefined: isDefined, timeout} of accepted) {
+for (const {name, changes, version, isDefined, timeout} of accepted) {
 	test(`items: ${name}`, () => {
 		let items = currentItems;
 		for (const change of changes) {
--- a/packages/directory/test/test-upstreams.ts
+++ b/packages/directory/test/test-upstreams.ts
@@ -51,7 +51,7 @@
 	},
 ];
 
-for (const {name, commands, recorded: recorded, rejections: rejections} of cases) {
+for (const {name, commands, recorded, rejections} of cases) {
 	test(`upstreams: ${name}`, () => {
 		const {state, answers} = applyDirectoryEntry(emptyDirectory, JSON.stringify(commands), 1);
 		assert.deepEqual(Object.values(state.upstreams).map(({id, born, state: phase}) => [id, born, phase]), recorded);
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -70,7 +70,7 @@
 		const rates = [...this.#counts].map(([key, count]) => ({key, rate: count * 1000 / decayMilliseconds})).sort((one, other) => one.key - other.key);
 		const perSecond = processedPerSecond({slots, meanLatency: workMilliseconds, speed: 1});
 		const [overload] = holderShares([{
-			from: 0, to: keyCount - 1, fence: 1, holder: holder, told: true, handover: '',
+			from: 0, to: keyCount - 1, fence: 1, holder, told: true, handover: '',
 		}], rates, () => perSecond);
 		return overload?.share ?? 1;
 	}
@@ -143,7 +143,7 @@
 	}
 
 	function tryToStart(instance: number, arrivedAt: number, key: number, now: number): boolean {
-		const {load, pacer: pacer} = instances[instance]!;
+		const {load, pacer} = instances[instance]!;
 		if (!load.hasRoom(now) || pacer.waitFor(key, 0, capacityOf(load), now) > 0) {
 			return false;
 		}
@@ -161,7 +161,7 @@
 
 	function arrive(isHot: boolean, now: number): void {
 		const instance = Math.floor(draw() * pattern.instances);
-		const {load, queue: queue, pacer: pacer} = instances[instance]!;
+		const {load, queue, pacer} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
 		const turn = queue.turnOf(key);
 		const until = waitingUntil({
@@ -189,7 +189,7 @@
 		}
 
 		control.step(now);
-		for (const {queue: queue} of instances) {
+		for (const {queue} of instances) {
 			queue.advance(now);
 		}
 
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -222,7 +222,7 @@
 		for (const span of [{from: whole.from, to}, {from: whole.from, to: to - 1}, {from, to: whole.to}].filter(part => part.from <= part.to)) {
 			const deviation = Math.abs(work.of(span) - wanted);
 			if (best === undefined || deviation < best.deviation) {
-				best = {span, deviation: deviation};
+				best = {span, deviation};
 			}
 		}
 	}
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -120,7 +120,7 @@
 	},
 ];
 
-for (const {name, state, now, isReplaced: isReplaced = false, isVacated} of expiries) {
+for (const {name, state, now, isReplaced = false, isVacated} of expiries) {
 	test(`granting: ${name}`, () => {
 		const rows = vacatedByTime(state, [recalled], () => isReplaced, {now, terms: options});
 		assert.deepEqual(rows, isVacated ? [vacatedRange] : []);
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -29,7 +29,7 @@
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: upstreams[position % count]!, told: true, handover: '',
 	}));
 	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, options), beginGranting(0));
-	return {upstreams: upstreams, ranges, granting};
+	return {upstreams, ranges, granting};
 }
 
 type Operation = (scene: Scenario, life: UpstreamIncarnation, call: number) => unknown;
@@ -81,7 +81,7 @@
 	return performance.now() - startedAt;
 }
 
-for (const {name, maxGrowth: maxGrowth = defaultMaxGrowth, run: run} of operations) {
+for (const {name, maxGrowth = defaultMaxGrowth, run} of operations) {
 	test(`growth: ${name} costs about the same per announcement with 16 times as many upstreams`, () => {
 		const small = createScenario(smallCount);
 		const large = createScenario(largeCount);
--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -97,7 +97,7 @@
 	},
 ];
 
-for (const {name, ranges, candidates, rates, holders, maxOverMean: maxOverMean, maxMoved: maxMoved, maxRounds: maxRounds = 60} of cases) {
+for (const {name, ranges, candidates, rates, holders, maxOverMean, maxMoved, maxRounds = 60} of cases) {
 	test(`planning: ${name}`, () => {
 		const settled = settle(ranges, candidates, rates);
 		assert.ok(settled.rounds <= maxRounds, `converged after ${settled.rounds} plans`);
@@ -157,7 +157,7 @@
 	{upstreams: 400, requestsPerSecond: 1900, maxMovingPlans: 2},
 ];
 
-for (const {upstreams, requestsPerSecond, maxMovingPlans: maxMovingPlans} of fleets) {
+for (const {upstreams, requestsPerSecond, maxMovingPlans} of fleets) {
 	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
 		const expectedRates = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -186,7 +186,7 @@
 	{name: 'a recall counts as a release', fault: {omissionCountsAtOnce: true}},
 ];
 
-for (const {name, fault: fault} of variants) {
+for (const {name, fault} of variants) {
 	test(`schedules: the check detects a variant where ${name}`, () => {
 		assert.notEqual(seeds.map(seed => simulate(seed, fault)).find(found => found !== undefined), undefined);
 	});
