--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -54,7 +54,7 @@
 	const leaderOptions = fault.expiryIsEarly === true ? {...options, holdMilliseconds: options.holdMilliseconds / 2} : options;
 	let answers: Answer[] = [];
 	const upstreams: Upstream[] = Array.from({length: upstreamCount}, (_value, position) => ({
-		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], until: -1, released: [], nextAt: draw(400), leaving: false,
+		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], expiresAt: -1, released: [], nextAt: draw(400), leaving: false,
 	}));
 	let rates: readonly KeyRate[] = [];
 
