--- a/packages/key-lease/src/command.ts
+++ b/packages/key-lease/src/command.ts
@@ -4,7 +4,7 @@
  */
 import {type LogIndex} from '@dogwooddeck/model/identifiers';
 import {
-	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, sameIncarnation, unheldRanges,
+	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, sameIncarnation, unassignedRanges,
 } from './range.js';
 
 /** Keys and their holder, as a command names them. */
@@ -28,7 +28,7 @@
 
 /** Returns the ranges of a service: one unassigned range if it has no table yet. */
 export function rangesOf(tables: KeyTables, service: string): readonly KeyRange[] {
-	return tables[service] ?? unheldRanges;
+	return tables[service] ?? unassignedRanges;
 }
 
 type CommandHandler = (range: KeyRange, row: HeldSpan & {readonly handover?: string}, index: LogIndex) => KeyRange;
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -33,7 +33,7 @@
 };
 
 /** All keys of a service, unassigned. */
-export const unheldRanges: readonly KeyRange[] = [{
+export const unassignedRanges: readonly KeyRange[] = [{
 	from: 0, to: keyCount - 1, fence: 0, told: false, handover: '',
 }];
 
--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -7,7 +7,7 @@
 	type Candidate, type KeyRate, planKeys,
 } from '@dogwooddeck/key-lease/planning';
 import {
-	keyCount, type KeyRange, rangeOfKey, unheldRanges,
+	keyCount, type KeyRange, rangeOfKey, unassignedRanges,
 } from '@dogwooddeck/key-lease/range';
 
 const service = 's';
@@ -60,7 +60,7 @@
 }
 
 const fleet = Array.from({length: 16}, (_value, position) => upstream(`u${position}`));
-const initialRanges = settle(unheldRanges, fleet, []).ranges;
+const initialRanges = settle(unassignedRanges, fleet, []).ranges;
 
 /** Each upstream holds one run of adjacent keys. */
 const contiguous: readonly KeyRange[] = fleet.map(({life}, position) => ({
@@ -69,7 +69,7 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly candidates: readonly Candidate[]; readonly rates: readonly KeyRate[]; readonly holders: number; readonly maxOverMean: number; readonly maxMoved: number; readonly maxRounds?: number}> = [
 	{
-		name: 'the first grant is even and moves nothing', ranges: unheldRanges, candidates: fleet, rates: uniformRates, holders: 16, maxOverMean: 1.2, maxMoved: 0,
+		name: 'the first grant is even and moves nothing', ranges: unassignedRanges, candidates: fleet, rates: uniformRates, holders: 16, maxOverMean: 1.2, maxMoved: 0,
 	},
 	{
 		name: 'an even load moves nothing', ranges: initialRanges, candidates: fleet, rates: uniformRates, holders: 16, maxOverMean: 1.2, maxMoved: 0,
@@ -161,7 +161,7 @@
 	test(`planning: random differences move no keys among ${upstreams} upstreams`, () => {
 		const candidates = Array.from({length: upstreams}, (_value, position) => upstream(`u${position}`, {weight: 2 * speeds[position % speeds.length]!}));
 		const expectedRates = uniformRates.map(({key}) => ({key, rate: requestsPerSecond / keyCount}));
-		const {ranges} = settle(settle(unheldRanges, candidates, []).ranges, candidates, expectedRates);
+		const {ranges} = settle(settle(unassignedRanges, candidates, []).ranges, candidates, expectedRates);
 		const moving = seeds.filter(seed => {
 			const {recalled} = planKeys({
 				ranges, candidates, rates: randomCounts(requestsPerSecond, seed), countedMilliseconds, mostRanges: 150,
--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -4,7 +4,7 @@
 	packRanges, packRows, unpackRanges, unpackRows,
 } from '@dogwooddeck/key-lease/packing';
 import {
-	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, unheldRanges, withoutSpans,
+	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, unassignedRanges, withoutSpans,
 } from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
@@ -61,7 +61,7 @@
 	});
 }
 
-const tables: ReadonlyArray<readonly KeyRange[]> = [unheldRanges, table, []];
+const tables: ReadonlyArray<readonly KeyRange[]> = [unassignedRanges, table, []];
 
 for (const ranges of tables) {
 	test(`packing: a table of ${ranges.length} ranges survives a round trip`, () => {
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -15,7 +15,7 @@
 import {type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
 import {
-	keyCount, type KeyRange, sharedSpan, unheldRanges,
+	keyCount, type KeyRange, sharedSpan, unassignedRanges,
 } from '@dogwooddeck/key-lease/range';
 
 const service = 's';
@@ -48,7 +48,7 @@
 function simulate(seed: number, fault: LeaderFault = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
 	const draw = (bound: number) => uniformInt(generator, 0, bound - 1);
-	let tables: KeyTables = {[service]: unheldRanges};
+	let tables: KeyTables = {[service]: unassignedRanges};
 	let index = 1;
 	let granting: GrantingState = beginGranting(0);
 	const leaderOptions = fault.expiryIsEarly === true ? {...options, holdMilliseconds: options.holdMilliseconds / 2} : options;
