--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -11,7 +11,7 @@
  */
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {
-	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, sharedSpan, withoutSpans,
+	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, intersectSpans, withoutSpans,
 } from './range.js';
 import {
 	type HolderObservation, noObservations, observationOf, type HolderObservations, withObservation,
@@ -89,7 +89,7 @@
 
 function releasedRows(range: KeyRange, released: readonly ReleasedRow[]): readonly VacatedRow[] {
 	return released.flatMap(row => {
-		const shared = sharedSpan(range, row);
+		const shared = intersectSpans(range, row);
 		return shared === undefined ? [] : [{...shared, holder: range.holder!, handover: row.handover}];
 	});
 }
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -72,7 +72,7 @@
 }
 
 /** Returns the intersection of two spans; undefined if they are disjoint. */
-export function sharedSpan(one: KeySpan, other: KeySpan): KeySpan | undefined {
+export function intersectSpans(one: KeySpan, other: KeySpan): KeySpan | undefined {
 	const from = Math.max(one.from, other.from);
 	const to = Math.min(one.to, other.to);
 	return from <= to ? {from, to} : undefined;
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -15,7 +15,7 @@
 import {type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
 import {
-	keyCount, type KeyRange, sharedSpan, unassignedRanges,
+	keyCount, type KeyRange, intersectSpans, unassignedRanges,
 } from '@dogwooddeck/key-lease/range';
 
 const service = 's';
@@ -102,7 +102,7 @@
 			return;
 		}
 
-		const kept = new Set(upstream.rows.filter(row => rows.some(other => other.fence === row.fence && sharedSpan(row, other) !== undefined)));
+		const kept = new Set(upstream.rows.filter(row => rows.some(other => other.fence === row.fence && intersectSpans(row, other) !== undefined)));
 		const dropped = now < upstream.expiresAt ? upstream.rows.filter(row => !kept.has(row)) : [];
 		upstream.released = dropped.map(({from, to}) => ({from, to, handover: `${upstream.id}-${from}`}));
 		upstream.rows = rows;
