--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -11,7 +11,7 @@
  */
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {
-	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, intersectSpans, withoutSpans,
+	isSettled, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, intersectSpans, subtractSpans,
 } from './range.js';
 import {
 	type HolderObservation, noObservations, observationOf, type HolderObservations, withObservation,
@@ -99,7 +99,7 @@
 	return answered !== undefined
 		&& answered.sequence < keys.sequence
 		&& answered.index >= range.releasingSince!
-		&& withoutSpans(range, keys.missing).length === 0;
+		&& subtractSpans(range, keys.missing).length === 0;
 }
 
 /**
@@ -137,7 +137,7 @@
 		return [];
 	}
 
-	return rangesHeldBy(ranges, keys.life).filter(range => isSettled(range) && range.fence <= answered.index && withoutSpans(range, keys.missing).length === 0);
+	return rangesHeldBy(ranges, keys.life).filter(range => isSettled(range) && range.fence <= answered.index && subtractSpans(range, keys.missing).length === 0);
 }
 
 /** Returns the ranges of holders whose hold has expired, and of holders that a later incarnation has replaced. */
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -9,7 +9,7 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type HeldSpan} from './command.js';
 import {
-	isSettled, keyCount, type KeyRange, type KeySpan, type UpstreamIncarnation, incarnationText, withoutSpans,
+	isSettled, keyCount, type KeyRange, type KeySpan, type UpstreamIncarnation, incarnationText, subtractSpans,
 } from './range.js';
 
 /** The requests per second for one key. */
@@ -273,7 +273,7 @@
 		}
 
 		recalled.push({...span, holder: source.candidate.life});
-		spans.set(key, sourceSpans.flatMap(whole => withoutSpans(whole, [span])));
+		spans.set(key, sourceSpans.flatMap(whole => subtractSpans(whole, [span])));
 		source.work -= work.of(span);
 		target.work += work.of(span);
 		target.ranges += 1;
--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -79,7 +79,7 @@
 }
 
 /** Returns the parts of a span that lie in none of `others`, which are sorted by first key. */
-export function withoutSpans({from, to}: KeySpan, others: readonly KeySpan[]): readonly KeySpan[] {
+export function subtractSpans({from, to}: KeySpan, others: readonly KeySpan[]): readonly KeySpan[] {
 	const rest: KeySpan[] = [];
 	let next = from;
 	for (const other of others) {
--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -4,7 +4,7 @@
 	packRanges, packRows, unpackRanges, unpackRows,
 } from '@dogwooddeck/key-lease/packing';
 import {
-	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, unassignedRanges, withoutSpans,
+	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, unassignedRanges, subtractSpans,
 } from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
 
@@ -88,7 +88,7 @@
 
 for (const {others, rest} of differences) {
 	test(`spans: 10-19 without ${others.map(({from, to}) => `${from}-${to}`).join(', ')}`, () => {
-		assert.deepEqual(withoutSpans({from: 10, to: 19}, others), rest);
+		assert.deepEqual(subtractSpans({from: 10, to: 19}, others), rest);
 	});
 }
 
