--- a/packages/key-lease/src/range.ts
+++ b/packages/key-lease/src/range.ts
@@ -98,7 +98,7 @@
 }
 
 /** Returns the spans sorted by first key. */
-export function inOrder<Span extends KeySpan>(spans: readonly Span[]): readonly Span[] {
+export function sortByFirstKey<Span extends KeySpan>(spans: readonly Span[]): readonly Span[] {
 	return [...spans].sort((one, other) => one.from - other.from);
 }
 
@@ -177,7 +177,7 @@
  * the table has.
  */
 export function changeSpans<Span extends KeySpan>(ranges: readonly KeyRange[], spans: readonly Span[], change: RangeChange<Span>): readonly KeyRange[] {
-	const sorted = inOrder(spans);
+	const sorted = sortByFirstKey(spans);
 	return sorted.length > maxSingleChanges || hasOverlap(sorted)
 		? changeSortedSpans(ranges, sorted, change)
 		: sorted.reduce((changed, span) => changeSpan(changed, span, change), ranges);
--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -6,7 +6,7 @@
 import {createHash} from 'node:crypto';
 import {type HeldKeys, type ReleasedRow, rowsOf} from './granting.js';
 import {
-	inOrder, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, subtractSpans,
+	sortByFirstKey, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, subtractSpans,
 } from './range.js';
 
 /** The differences between the keys of one announcement and the table. */
@@ -38,7 +38,7 @@
  * missing.
  */
 export function reportKeys(ranges: readonly KeyRange[], {life: holder, sequence, holds, released}: HeldKeys): KeyReport {
-	const listed = inOrder(holds);
+	const listed = sortByFirstKey(holds);
 	const missing = rangesHeldBy(ranges, holder).flatMap(range => subtractSpans(range, listed));
 	return {
 		life: holder, sequence, missing, released, digest: rowsDigest(rowsOf(ranges, holder)),
