--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -11,7 +11,7 @@
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {
-	beginGranting, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement,
+	createGrantingState, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type HeldSpan, rangesOf} from '@dogwooddeck/key-lease/command';
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
@@ -78,7 +78,7 @@
 
 /** Makes the desk. */
 export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: DeskParts): LeaderDesk {
-	let granting: GrantingState = beginGranting(monotonicNow());
+	let granting: GrantingState = createGrantingState(monotonicNow());
 	let loads = new LoadCounts();
 	let planning: NodeJS.Timeout | undefined;
 	let planningSoon: NodeJS.Timeout | undefined;
@@ -342,7 +342,7 @@
 		},
 		shares: () => shares,
 		begin() {
-			granting = beginGranting(monotonicNow());
+			granting = createGrantingState(monotonicNow());
 			loads = new LoadCounts();
 			joinedAt = monotonicNow();
 			clearInterval(planning);
--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {beginGranting, recordContact} from '@dogwooddeck/key-lease/granting';
+import {createGrantingState, recordContact} from '@dogwooddeck/key-lease/granting';
 import {keyCount, type KeyRange} from '@dogwooddeck/key-lease/range';
 import {planDirectory} from '@dogwooddeck/directory/key-plan';
 import {type DirectoryState, emptyDirectory} from '@dogwooddeck/directory/state';
@@ -40,7 +40,7 @@
 
 function timeOf(count: number): number {
 	const state = stateOf(count);
-	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => recordContact(noted, {id, born}, 1000, options), beginGranting(0));
+	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => recordContact(noted, {id, born}, 1000, options), createGrantingState(0));
 	const startedAt = performance.now();
 	const commands = planDirectory({
 		state, granting, terms: options, now: 1100, joinedAt: 0, mostRanges: 150, workOf: () => ({rates: [], countedMilliseconds: 8000, speedOf: () => 1}),
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -47,7 +47,7 @@
 export const expiryMarginMilliseconds: Milliseconds = 50;
 
 /** Creates the state of a newly elected leader. */
-export function beginGranting(electedAt: MonotonicTime): GrantingState {
+export function createGrantingState(electedAt: MonotonicTime): GrantingState {
 	return {electedAt, sightings: noObservations};
 }
 
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	beginGranting, type GrantingState, type HeldKeys, lapsedRows, recordAnswer, recordContact, vacatedByAnnouncement, vacatedByTime,
+	createGrantingState, type GrantingState, type HeldKeys, lapsedRows, recordAnswer, recordContact, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
@@ -20,7 +20,7 @@
 
 /** A leader elected at time 0 that answered announcement 4 of the holder, received at 1000 ms, with the state at a log index. */
 function leaderThatAnswered(index: number): GrantingState {
-	const contacted = recordContact(beginGranting(0), holder, 1000, options);
+	const contacted = recordContact(createGrantingState(0), holder, 1000, options);
 	return recordAnswer(contacted, {
 		life: holder, sequence: 4, receivedAt: 1000, index,
 	}, options);
@@ -50,7 +50,7 @@
 		name: 'an announcement that arrives out of order proves nothing', state: leaderThatAnswered(20), keys: announced(4, {released: [{from: 0, to: 99, handover: 't'}]}), vacated: [],
 	},
 	{
-		name: 'a leader that has answered nothing yet ignores omissions', state: beginGranting(0), keys: announced(5), vacated: [],
+		name: 'a leader that has answered nothing yet ignores omissions', state: createGrantingState(0), keys: announced(5), vacated: [],
 	},
 	{
 		name: 'a range that was not recalled is not vacated', state: leaderThatAnswered(20), keys: announced(5, {released: [{from: 0, to: 99, handover: 't'}]}), range: {
@@ -89,7 +89,7 @@
 		name: 'the announcement arrives out of order', state: leaderThatAnswered(20), keys: announced(4), isLapsed: false,
 	},
 	{
-		name: 'no announcement was answered yet', state: beginGranting(0), keys: announced(5), isLapsed: false,
+		name: 'no announcement was answered yet', state: createGrantingState(0), keys: announced(5), isLapsed: false,
 	},
 ];
 
@@ -104,10 +104,10 @@
 
 const expiries: ReadonlyArray<{readonly name: string; readonly state: GrantingState; readonly now: number; readonly isReplaced?: boolean; readonly isVacated: boolean}> = [
 	{
-		name: 'a new leader waits for the longest hold that an earlier leader may have renewed', state: beginGranting(0), now: maxHold - 1, isVacated: false,
+		name: 'a new leader waits for the longest hold that an earlier leader may have renewed', state: createGrantingState(0), now: maxHold - 1, isVacated: false,
 	},
 	{
-		name: 'a new leader waits no longer than that', state: beginGranting(0), now: maxHold + 1, isVacated: true,
+		name: 'a new leader waits no longer than that', state: createGrantingState(0), now: maxHold + 1, isVacated: true,
 	},
 	{
 		name: 'a renewed hold is counted from when its announcement was received', state: leaderThatAnswered(20), now: 1000 + maxHold - 1, isVacated: false,
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import {applyKeyCommand} from '@dogwooddeck/key-lease/command';
 import {
-	beginGranting, type GrantingState, recordAnswer, recordContact, vacatedByAnnouncement,
+	createGrantingState, type GrantingState, recordAnswer, recordContact, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
@@ -28,7 +28,7 @@
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: upstreams[position % count]!, told: true, handover: '',
 	}));
-	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, options), beginGranting(0));
+	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, options), createGrantingState(0));
 	return {upstreams, ranges, granting};
 }
 
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -10,7 +10,7 @@
 import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {applyKeyCommand, type KeyCommand, type KeyTables} from '@dogwooddeck/key-lease/command';
 import {
-	beginGranting, type GrantingState, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
+	createGrantingState, type GrantingState, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
@@ -50,7 +50,7 @@
 	const draw = (bound: number) => uniformInt(generator, 0, bound - 1);
 	let tables: KeyTables = {[service]: unassignedRanges};
 	let index = 1;
-	let granting: GrantingState = beginGranting(0);
+	let granting: GrantingState = createGrantingState(0);
 	const leaderOptions = fault.expiryIsEarly === true ? {...options, holdMilliseconds: options.holdMilliseconds / 2} : options;
 	let answers: Answer[] = [];
 	const upstreams: Upstream[] = Array.from({length: upstreamCount}, (_value, position) => ({
@@ -112,7 +112,7 @@
 
 	const disturbances: ReadonlyArray<(now: number) => void> = [
 		now => {
-			granting = beginGranting(now);
+			granting = createGrantingState(now);
 		},
 		() => {
 			const upstream = upstreams[draw(upstreamCount)]!;
