--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -11,7 +11,7 @@
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {
-	createGrantingState, type GrantingState, type GrantingTerms, lapsedRows, mayHoldUntil, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement,
+	createGrantingState, type GrantingState, type GrantingOptions, lapsedRows, mayHoldUntil, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type HeldSpan, rangesOf} from '@dogwooddeck/key-lease/command';
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
@@ -54,7 +54,7 @@
 export type DeskParts = {
 	readonly holder: DirectoryHolder;
 	readonly voter: () => DirectoryVoter;
-	readonly terms: GrantingTerms;
+	readonly terms: GrantingOptions;
 	/** The ranges of keys that one upstream may hold at most. */
 	readonly mostRanges: number;
 	readonly log: Log;
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -4,7 +4,7 @@
  * keys.
  */
 import {rangesOf} from '@dogwooddeck/key-lease/command';
-import {type GrantingState, type GrantingTerms, vacatedByTime} from '@dogwooddeck/key-lease/granting';
+import {type GrantingState, type GrantingOptions, vacatedByTime} from '@dogwooddeck/key-lease/granting';
 import {type Candidate, type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {type UpstreamIncarnation, incarnationText, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {observationOf} from '@dogwooddeck/key-lease/observations';
@@ -27,7 +27,7 @@
 export type DirectoryPlanInput = {
 	readonly state: DirectoryState;
 	readonly granting: GrantingState;
-	readonly terms: GrantingTerms;
+	readonly terms: GrantingOptions;
 	readonly now: MonotonicTime;
 	/** When the last upstream joined. */
 	readonly joinedAt: MonotonicTime;
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -37,7 +37,7 @@
 };
 
 /** How long an answer renews a hold. */
-export type GrantingTerms = {
+export type GrantingOptions = {
 	readonly holdMilliseconds: Milliseconds;
 	/** How much slower than the leader's clock a holder's clock may run, as a fraction. */
 	readonly clockDrift: number;
@@ -51,18 +51,18 @@
 	return {electedAt, sightings: noObservations};
 }
 
-function maxHoldDuration({holdMilliseconds, clockDrift}: GrantingTerms): Milliseconds {
+function maxHoldDuration({holdMilliseconds, clockDrift}: GrantingOptions): Milliseconds {
 	return (holdMilliseconds / (1 - clockDrift)) + expiryMarginMilliseconds;
 }
 
 /** Records that an announcement was received at `now`. */
-export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingTerms): GrantingState {
+export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingOptions): GrantingState {
 	const previous = observationOf(state.sightings, holder) ?? {life: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
 	return {...state, sightings: withObservation(state.sightings, {...previous, heardAt: now})};
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
-export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingTerms): GrantingState {
+export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingOptions): GrantingState {
 	const previous = observationOf(state.sightings, answer.life);
 	const mayHoldUntil = Math.max(previous?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options), answer.receivedAt + maxHoldDuration(options));
 	const answered = previous?.answered !== undefined && previous.answered.sequence > answer.sequence
@@ -77,7 +77,7 @@
 }
 
 /** Returns the time until which an upstream may hold the keys it was granted. */
-export function mayHoldUntil(state: GrantingState, holder: UpstreamIncarnation, options: GrantingTerms): MonotonicTime {
+export function mayHoldUntil(state: GrantingState, holder: UpstreamIncarnation, options: GrantingOptions): MonotonicTime {
 	return observationOf(state.sightings, holder)?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options);
 }
 
@@ -141,7 +141,7 @@
 }
 
 /** Returns the ranges of holders whose hold has expired, and of holders that a later incarnation has replaced. */
-export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], hasEnded: (holder: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingTerms}): readonly VacatedRow[] {
+export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], hasEnded: (holder: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingOptions}): readonly VacatedRow[] {
 	return ranges.flatMap(({from, to, holder}) => {
 		const vacated = holder !== undefined && (hasEnded(holder) || clock.now > mayHoldUntil(state, holder, clock.terms));
 		return vacated
