--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -144,7 +144,7 @@
 				sequence: keys.sequence,
 				ranges: lapsed.length,
 				until: Math.round(mayHoldUntil(granting, keys.life, terms) - receivedAt),
-				answered: observationOf(granting.sightings, keys.life)?.answered?.sequence,
+				answered: observationOf(granting.observations, keys.life)?.answered?.sequence,
 			});
 		}
 	}
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -51,11 +51,11 @@
 }
 
 function lastContactAt({granting}: DirectoryPlanInput, upstream: UpstreamIncarnation): MonotonicTime {
-	return observationOf(granting.sightings, upstream)?.heardAt ?? granting.electedAt;
+	return observationOf(granting.observations, upstream)?.heardAt ?? granting.electedAt;
 }
 
 function isInContact(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
-	return observationOf(input.granting.sightings, upstream) !== undefined && input.now - lastContactAt(input, upstream) <= contactTimeoutMilliseconds;
+	return observationOf(input.granting.observations, upstream) !== undefined && input.now - lastContactAt(input, upstream) <= contactTimeoutMilliseconds;
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -33,7 +33,7 @@
 /** The leader's record of holders. It is kept in memory and lost with the leadership. */
 export type GrantingState = {
 	readonly electedAt: MonotonicTime;
-	readonly sightings: HolderObservations;
+	readonly observations: HolderObservations;
 };
 
 /** How long an answer renews a hold. */
@@ -48,7 +48,7 @@
 
 /** Creates the state of a newly elected leader. */
 export function createGrantingState(electedAt: MonotonicTime): GrantingState {
-	return {electedAt, sightings: noObservations};
+	return {electedAt, observations: noObservations};
 }
 
 function maxHoldDuration({holdMilliseconds, clockDrift}: GrantingOptions): Milliseconds {
@@ -57,20 +57,20 @@
 
 /** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingOptions): GrantingState {
-	const previous = observationOf(state.sightings, holder) ?? {life: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
-	return {...state, sightings: withObservation(state.sightings, {...previous, heardAt: now})};
+	const previous = observationOf(state.observations, holder) ?? {life: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
+	return {...state, observations: withObservation(state.observations, {...previous, heardAt: now})};
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
 export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingOptions): GrantingState {
-	const previous = observationOf(state.sightings, answer.life);
+	const previous = observationOf(state.observations, answer.life);
 	const mayHoldUntil = Math.max(previous?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options), answer.receivedAt + maxHoldDuration(options));
 	const answered = previous?.answered !== undefined && previous.answered.sequence > answer.sequence
 		? previous.answered
 		: {sequence: answer.sequence, index: answer.index};
 	return {
 		...state,
-		sightings: withObservation(state.sightings, {
+		observations: withObservation(state.observations, {
 			life: answer.life, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
 		}),
 	};
@@ -78,7 +78,7 @@
 
 /** Returns the time until which an upstream may hold the keys it was granted. */
 export function mayHoldUntil(state: GrantingState, holder: UpstreamIncarnation, options: GrantingOptions): MonotonicTime {
-	return observationOf(state.sightings, holder)?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options);
+	return observationOf(state.observations, holder)?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options);
 }
 
 /** Keys that their holder no longer holds, with the handover token for the next holder; empty if there is none. */
@@ -109,7 +109,7 @@
  * announcement that arrives out of order proves nothing.
  */
 export function vacatedByAnnouncement(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly VacatedRow[] {
-	const observation = observationOf(state.sightings, keys.life);
+	const observation = observationOf(state.observations, keys.life);
 	if (observation?.answered !== undefined && keys.sequence <= observation.answered.sequence) {
 		return [];
 	}
@@ -132,7 +132,7 @@
  * answers did not reach it in time.
  */
 export function lapsedRows(state: GrantingState, ranges: readonly KeyRange[], keys: AnnouncedKeys): readonly KeyRange[] {
-	const {answered} = observationOf(state.sightings, keys.life) ?? {};
+	const {answered} = observationOf(state.observations, keys.life) ?? {};
 	if (answered === undefined || answered.sequence >= keys.sequence || keys.missing.length === 0) {
 		return [];
 	}
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -133,7 +133,7 @@
 		const candidates = upstreams.map(upstream => ({
 			life: {id: upstream.id, born: upstream.born},
 			weight: 3,
-			accepting: !upstream.leaving && observationOf(granting.sightings, upstream) !== undefined,
+			accepting: !upstream.leaving && observationOf(granting.observations, upstream) !== undefined,
 			leaving: upstream.leaving,
 		}));
 		const {granted, recalled} = planKeys({
