--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -113,7 +113,7 @@
 		const ranges = rangesOf(holder.state().keys, service);
 		const rows = rowsOf(ranges, life);
 		granting = recordAnswer(granting, {
-			life, sequence, receivedAt, index: holder.state().applied,
+			holder: life, sequence, receivedAt, index: holder.state().applied,
 		}, terms);
 		const untold = rows.filter(({told}) => !told);
 		const stopped = rangesHeldBy(ranges, life).filter(({told, releasingSince}) => told && releasingSince !== undefined);
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -62,8 +62,8 @@
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
-export function recordAnswer(state: GrantingState, answer: {readonly life: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingOptions): GrantingState {
-	const previous = observationOf(state.observations, answer.life);
+export function recordAnswer(state: GrantingState, answer: {readonly holder: UpstreamIncarnation; readonly sequence: number; readonly receivedAt: MonotonicTime; readonly index: LogIndex}, options: GrantingOptions): GrantingState {
+	const previous = observationOf(state.observations, answer.holder);
 	const mayHoldUntil = Math.max(previous?.mayHoldUntil ?? state.electedAt + maxHoldDuration(options), answer.receivedAt + maxHoldDuration(options));
 	const answered = previous?.answered !== undefined && previous.answered.sequence > answer.sequence
 		? previous.answered
@@ -71,7 +71,7 @@
 	return {
 		...state,
 		observations: withObservation(state.observations, {
-			life: answer.life, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
+			life: answer.holder, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
 		}),
 	};
 }
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -22,7 +22,7 @@
 function leaderThatAnswered(index: number): GrantingState {
 	const contacted = recordContact(createGrantingState(0), holder, 1000, options);
 	return recordAnswer(contacted, {
-		life: holder, sequence: 4, receivedAt: 1000, index,
+		holder: holder, sequence: 4, receivedAt: 1000, index,
 	}, options);
 }
 
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -45,7 +45,7 @@
 		name: 'recording the answer',
 		run(scene, life, call) {
 			scene.granting = recordAnswer(scene.granting, {
-				life, sequence: call, receivedAt: call, index: call,
+				holder: life, sequence: call, receivedAt: call, index: call,
 			}, options);
 		},
 	},
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -87,7 +87,7 @@
 		commit({kind: 'keysVacated', service, rows: vacated});
 		const rows = rowsOf(ranges(), incarnation);
 		granting = recordAnswer(granting, {
-			life: incarnation, sequence: keys.sequence, receivedAt: now, index,
+			holder: incarnation, sequence: keys.sequence, receivedAt: now, index,
 		}, leaderOptions);
 		commit({kind: 'keysTold', service, rows: rows.filter(({told}) => !told).map(({from, to}) => ({from, to, holder: incarnation}))});
 		if (draw(8) > 0) {
