--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -76,7 +76,7 @@
 		state, granting, terms: options, now, joinedAt,
 	} = input;
 	const ranges = rangesOf(state.keys, service);
-	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, terms: options});
+	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, options: options});
 	if (vacated.length > 0) {
 		return [{kind: 'keysVacated', service, rows: vacated}];
 	}
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -141,9 +141,9 @@
 }
 
 /** Returns the ranges of holders whose hold has expired, and of holders that a later incarnation has replaced. */
-export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], hasEnded: (holder: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly terms: GrantingOptions}): readonly VacatedRow[] {
+export function vacatedByTime(state: GrantingState, ranges: readonly KeyRange[], hasEnded: (holder: UpstreamIncarnation) => boolean, clock: {readonly now: MonotonicTime; readonly options: GrantingOptions}): readonly VacatedRow[] {
 	return ranges.flatMap(({from, to, holder}) => {
-		const vacated = holder !== undefined && (hasEnded(holder) || clock.now > mayHoldUntil(state, holder, clock.terms));
+		const vacated = holder !== undefined && (hasEnded(holder) || clock.now > mayHoldUntil(state, holder, clock.options));
 		return vacated
 			? [{
 				from, to, holder, handover: '',
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -122,7 +122,7 @@
 
 for (const {name, state, now, isReplaced = false, isVacated} of expiries) {
 	test(`granting: ${name}`, () => {
-		const rows = vacatedByTime(state, [recalled], () => isReplaced, {now, terms: options});
+		const rows = vacatedByTime(state, [recalled], () => isReplaced, {now, options: options});
 		assert.deepEqual(rows, isVacated ? [vacatedRange] : []);
 	});
 }
