--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -11,7 +11,7 @@
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {
-	createGrantingState, type GrantingState, type GrantingOptions, lapsedRows, mayHoldUntil, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement,
+	createGrantingState, type GrantingState, type GrantingOptions, lapsedRows, mayHoldUntil, recordAnswer, recordContact, grantedRows, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type HeldSpan, rangesOf} from '@dogwooddeck/key-lease/command';
 import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
@@ -111,7 +111,7 @@
 
 		const {life, sequence} = keys;
 		const ranges = rangesOf(holder.state().keys, service);
-		const rows = rowsOf(ranges, life);
+		const rows = grantedRows(ranges, life);
 		granting = recordAnswer(granting, {
 			holder: life, sequence, receivedAt, index: holder.state().applied,
 		}, terms);
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -153,6 +153,6 @@
 }
 
 /** Returns the ranges that are granted to an upstream and not being recalled. */
-export function rowsOf(ranges: readonly KeyRange[], holder: UpstreamIncarnation): readonly KeyRange[] {
+export function grantedRows(ranges: readonly KeyRange[], holder: UpstreamIncarnation): readonly KeyRange[] {
 	return rangesHeldBy(ranges, holder).filter(({releasingSince}) => releasingSince === undefined);
 }
--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -4,7 +4,7 @@
  * keys, which is long and mostly matches the table.
  */
 import {createHash} from 'node:crypto';
-import {type HeldKeys, type ReleasedRow, rowsOf} from './granting.js';
+import {type HeldKeys, type ReleasedRow, grantedRows} from './granting.js';
 import {
 	sortByFirstKey, type KeyRange, type KeySpan, type UpstreamIncarnation, rangesHeldBy, subtractSpans,
 } from './range.js';
@@ -41,13 +41,13 @@
 	const listed = sortByFirstKey(holds);
 	const missing = rangesHeldBy(ranges, holder).flatMap(range => subtractSpans(range, listed));
 	return {
-		life: holder, sequence, missing, released, digest: rowsDigest(rowsOf(ranges, holder)),
+		life: holder, sequence, missing, released, digest: rowsDigest(grantedRows(ranges, holder)),
 	};
 }
 
 /** Returns the rows to send to an upstream. The handover token of a row is omitted once the upstream lists the row. */
 export function rowsFor(ranges: readonly KeyRange[], {life: holder, missing}: Pick<KeyReport, 'life' | 'missing'>): readonly KeyRange[] {
-	return rowsOf(ranges, holder).map(row => {
+	return grantedRows(ranges, holder).map(row => {
 		const isListed = row.told && missing.every(({from, to}) => from > row.to || to < row.from);
 		return isListed && row.handover !== '' ? {...row, handover: ''} : row;
 	});
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -10,7 +10,7 @@
 import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {applyKeyCommand, type KeyCommand, type KeyTables} from '@dogwooddeck/key-lease/command';
 import {
-	createGrantingState, type GrantingState, recordAnswer, recordContact, rowsOf, vacatedByAnnouncement, vacatedByTime,
+	createGrantingState, type GrantingState, recordAnswer, recordContact, grantedRows, vacatedByAnnouncement, vacatedByTime,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRate, planKeys} from '@dogwooddeck/key-lease/planning';
 import {reportKeys} from '@dogwooddeck/key-lease/report';
@@ -85,7 +85,7 @@
 			}))
 			: vacatedByAnnouncement(granting, ranges(), reportKeys(ranges(), keys));
 		commit({kind: 'keysVacated', service, rows: vacated});
-		const rows = rowsOf(ranges(), incarnation);
+		const rows = grantedRows(ranges(), incarnation);
 		granting = recordAnswer(granting, {
 			holder: incarnation, sequence: keys.sequence, receivedAt: now, index,
 		}, leaderOptions);
