--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -57,7 +57,7 @@
 
 /** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingOptions): GrantingState {
-	const previous = observationOf(state.observations, holder) ?? {life: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
+	const previous = observationOf(state.observations, holder) ?? {holder: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
 	return {...state, observations: withObservation(state.observations, {...previous, heardAt: now})};
 }
 
@@ -71,7 +71,7 @@
 	return {
 		...state,
 		observations: withObservation(state.observations, {
-			life: answer.holder, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
+			holder: answer.holder, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
 		}),
 	};
 }
--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -8,7 +8,7 @@
 
 /** The leader's record of one holder. */
 export type HolderObservation = {
-	readonly life: UpstreamIncarnation;
+	readonly holder: UpstreamIncarnation;
 	/** When the last announcement was received. */
 	readonly heardAt: MonotonicTime;
 	/** The newest announcement that was answered, and the log index of the state that the answer reported. */
@@ -46,7 +46,7 @@
 
 /** Returns the records with one entry replaced or added. */
 export function withObservation(observations: HolderObservations, observation: HolderObservation): HolderObservations {
-	const key = incarnationText(observation.life);
+	const key = incarnationText(observation.holder);
 	const bucket = bucketOf(key);
 	return observations.with(bucket, {...observations[bucket], [key]: observation});
 }
