--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -51,7 +51,7 @@
 }
 
 function lastContactAt({granting}: DirectoryPlanInput, upstream: UpstreamIncarnation): MonotonicTime {
-	return observationOf(granting.observations, upstream)?.heardAt ?? granting.electedAt;
+	return observationOf(granting.observations, upstream)?.lastContactAt ?? granting.electedAt;
 }
 
 function isInContact(input: DirectoryPlanInput, upstream: UpstreamRecord): boolean {
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -58,7 +58,7 @@
 /** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingOptions): GrantingState {
 	const previous = observationOf(state.observations, holder) ?? {holder: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
-	return {...state, observations: withObservation(state.observations, {...previous, heardAt: now})};
+	return {...state, observations: withObservation(state.observations, {...previous, lastContactAt: now})};
 }
 
 /** Records that an announcement received at `receivedAt` is being answered with the state at log index `index`. */
@@ -71,7 +71,7 @@
 	return {
 		...state,
 		observations: withObservation(state.observations, {
-			holder: answer.holder, heardAt: previous?.heardAt ?? answer.receivedAt, answered, mayHoldUntil,
+			holder: answer.holder, lastContactAt: previous?.lastContactAt ?? answer.receivedAt, answered, mayHoldUntil,
 		}),
 	};
 }
--- a/packages/key-lease/src/observations.ts
+++ b/packages/key-lease/src/observations.ts
@@ -10,7 +10,7 @@
 export type HolderObservation = {
 	readonly holder: UpstreamIncarnation;
 	/** When the last announcement was received. */
-	readonly heardAt: MonotonicTime;
+	readonly lastContactAt: MonotonicTime;
 	/** The newest announcement that was answered, and the log index of the state that the answer reported. */
 	readonly answered?: {readonly sequence: number; readonly index: LogIndex};
 	/** Until when the holder may hold the keys it was granted, on the leader's clock. */
