--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -17,7 +17,7 @@
 
 /** An upstream that the plan may assign keys to. */
 export type Candidate = {
-	readonly life: UpstreamIncarnation;
+	readonly upstream: UpstreamIncarnation;
 	/** Its capacity relative to the others: its number of slots, scaled by its relative speed. */
 	readonly weight: number;
 	/** Whether it may be granted keys. */
@@ -196,7 +196,7 @@
 
 		load.work += work.of(piece);
 		load.ranges += 1;
-		granted.push({from: piece.from, to: piece.to, holder: load.candidate.life});
+		granted.push({from: piece.from, to: piece.to, holder: load.candidate.upstream});
 	}
 
 	return granted;
@@ -261,7 +261,7 @@
 			break;
 		}
 
-		const key = incarnationText(source.candidate.life);
+		const key = incarnationText(source.candidate.upstream);
 		const sourceSpans = spans.get(key) ?? [];
 		const surplus = source.work - (mean * source.candidate.weight);
 		const room = (mean * target.candidate.weight) - target.work;
@@ -272,7 +272,7 @@
 			continue;
 		}
 
-		recalled.push({...span, holder: source.candidate.life});
+		recalled.push({...span, holder: source.candidate.upstream});
 		spans.set(key, sourceSpans.flatMap(whole => subtractSpans(whole, [span])));
 		source.work -= work.of(span);
 		target.work += work.of(span);
@@ -284,7 +284,7 @@
 
 /** Recalls the keys of upstreams that are leaving or have no record any more. */
 function recallFromLeaving(input: PlanInput): readonly HeldSpan[] {
-	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({life}) => incarnationText(life)));
+	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({upstream: life}) => incarnationText(life)));
 	return input.ranges.flatMap(({from, to, holder, releasingSince}) => holder !== undefined && releasingSince === undefined && !staying.has(incarnationText(holder))
 		? [{from, to, holder}]
 		: []);
@@ -294,7 +294,7 @@
 export function planKeys(input: PlanInput): Plan {
 	const work = new WorkEstimate(input.rates);
 	const loads: CandidateLoad[] = input.candidates.filter(candidate => !candidate.leaving).map(candidate => ({candidate, work: 0, ranges: 0}));
-	const loadByUpstream = new Map(loads.map(load => [incarnationText(load.candidate.life), load]));
+	const loadByUpstream = new Map(loads.map(load => [incarnationText(load.candidate.upstream), load]));
 	for (const range of input.ranges) {
 		const load = range.holder === undefined ? undefined : loadByUpstream.get(incarnationText(range.holder));
 		if (load !== undefined) {
--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -14,7 +14,7 @@
 
 function upstream(id: string, fields: Partial<Candidate> = {}): Candidate {
 	return {
-		life: {id, born: 1}, weight: 3, accepting: true, leaving: false, ...fields,
+		upstream: {id, born: 1}, weight: 3, accepting: true, leaving: false, ...fields,
 	};
 }
 
@@ -63,7 +63,7 @@
 const initialRanges = settle(unassignedRanges, fleet, []).ranges;
 
 /** Each upstream holds one run of adjacent keys. */
-const contiguous: readonly KeyRange[] = fleet.map(({life}, position) => ({
+const contiguous: readonly KeyRange[] = fleet.map(({upstream: life}, position) => ({
 	from: position * keyCount / fleet.length, to: ((position + 1) * keyCount / fleet.length) - 1, fence: 1, holder: life, told: true, handover: '',
 }));
 
