--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -14,7 +14,7 @@
 	createGrantingState, type GrantingState, type GrantingOptions, lapsedRows, mayHoldUntil, recordAnswer, recordContact, grantedRows, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type HeldSpan, rangesOf} from '@dogwooddeck/key-lease/command';
-import {type HolderShare, holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
+import {type HolderShare, holderShares, sustainableRate} from '@dogwooddeck/key-lease/holder-load';
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {
 	type KeyRange, type UpstreamIncarnation, incarnationText, rangesHeldBy, sameIncarnation,
@@ -274,7 +274,7 @@
 	function overloadsOf(service: string, rates: readonly KeyRate[], now: MonotonicTime): readonly HolderShare[] {
 		const {keys, upstreams} = holder.state();
 		const meanLatency = loads.meanLatency(service, now);
-		return holderShares(rangesOf(keys, service), rates, ({id}) => processedPerSecond({
+		return holderShares(rangesOf(keys, service), rates, ({id}) => sustainableRate({
 			slots: upstreams[id]?.slots ?? 0, meanLatency, speed: loads.speed(id, service, now),
 		}));
 	}
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {holderShares, processedPerSecond} from '@dogwooddeck/key-lease/holder-load';
+import {holderShares, sustainableRate} from '@dogwooddeck/key-lease/holder-load';
 import {keyCount} from '@dogwooddeck/key-lease/range';
 import {isPaced, KeyPace} from '@dogwooddeck/gateway/key-pace';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
@@ -68,7 +68,7 @@
 		const {slots, workMilliseconds} = this.#pattern;
 		const holder = {id: 'u', born: 1};
 		const rates = [...this.#counts].map(([key, count]) => ({key, rate: count * 1000 / decayMilliseconds})).sort((one, other) => one.key - other.key);
-		const perSecond = processedPerSecond({slots, meanLatency: workMilliseconds, speed: 1});
+		const perSecond = sustainableRate({slots, meanLatency: workMilliseconds, speed: 1});
 		const [overload] = holderShares([{
 			from: 0, to: keyCount - 1, fence: 1, holder, told: true, handover: '',
 		}], rates, () => perSecond);
--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -42,7 +42,7 @@
 const millisecondsPerSecond = 1000;
 
 /** Returns the requests per second that a holder can process without a long queue; infinite if no latency was measured. */
-export function processedPerSecond({slots, meanLatency, speed}: HolderSpeed): number {
+export function sustainableRate({slots, meanLatency, speed}: HolderSpeed): number {
 	return meanLatency === undefined ? Infinity : targetUtilization * slots * Math.max(minRelativeSpeed, speed) * millisecondsPerSecond / meanLatency;
 }
 
