--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -275,7 +275,7 @@
 		const {keys, upstreams} = holder.state();
 		const meanLatency = loads.meanLatency(service, now);
 		return holderShares(rangesOf(keys, service), rates, ({id}) => sustainableRate({
-			slots: upstreams[id]?.slots ?? 0, meanLatency, speed: loads.speed(id, service, now),
+			slots: upstreams[id]?.slots ?? 0, meanLatency, relativeSpeed: loads.speed(id, service, now),
 		}));
 	}
 
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -68,7 +68,7 @@
 		const {slots, workMilliseconds} = this.#pattern;
 		const holder = {id: 'u', born: 1};
 		const rates = [...this.#counts].map(([key, count]) => ({key, rate: count * 1000 / decayMilliseconds})).sort((one, other) => one.key - other.key);
-		const perSecond = sustainableRate({slots, meanLatency: workMilliseconds, speed: 1});
+		const perSecond = sustainableRate({slots, meanLatency: workMilliseconds, relativeSpeed: 1});
 		const [overload] = holderShares([{
 			from: 0, to: keyCount - 1, fence: 1, holder, told: true, handover: '',
 		}], rates, () => perSecond);
--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -27,7 +27,7 @@
 	/** The mean response time over all upstreams of the service; undefined before any response was counted. */
 	readonly meanLatency: Milliseconds | undefined;
 	/** Its speed relative to the service's other upstreams; 1 is equal. */
-	readonly speed: number;
+	readonly relativeSpeed: number;
 };
 
 /** Lower bound of the relative speed: the responses of a full upstream include its queueing time, which makes it look slower than it is. */
@@ -42,7 +42,7 @@
 const millisecondsPerSecond = 1000;
 
 /** Returns the requests per second that a holder can process without a long queue; infinite if no latency was measured. */
-export function sustainableRate({slots, meanLatency, speed}: HolderSpeed): number {
+export function sustainableRate({slots, meanLatency, relativeSpeed: speed}: HolderSpeed): number {
 	return meanLatency === undefined ? Infinity : targetUtilization * slots * Math.max(minRelativeSpeed, speed) * millisecondsPerSecond / meanLatency;
 }
 
