--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -10,7 +10,7 @@
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
 import {rangesOf} from '@dogwooddeck/key-lease/command';
 import {isSettled, type KeyRange, incarnationText} from '@dogwooddeck/key-lease/range';
-import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
+import {reportKeys, rowsToSend} from '@dogwooddeck/key-lease/report';
 import {type AnnouncementAnswer, type AnnouncementOutcome, type AnnouncementReport} from '@dogwooddeck/mesh/calls';
 import {memoize} from '@dogwooddeck/model/memoize';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -103,7 +103,7 @@
 				isUrgent: !isQuiet || hasNews(announcement),
 			});
 			return outcome.map(({keyed, rows, holdMilliseconds: held}) => keyed
-				? {holdMilliseconds: held, holds: rows ?? rowsFor(ranges, report)}
+				? {holdMilliseconds: held, holds: rows ?? rowsToSend(ranges, report)}
 				: {holdMilliseconds: held});
 		},
 	};
--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -19,7 +19,7 @@
 import {
 	type KeyRange, type UpstreamIncarnation, incarnationText, rangesHeldBy, sameIncarnation,
 } from '@dogwooddeck/key-lease/range';
-import {type KeyReport, rowsDigest, rowsFor} from '@dogwooddeck/key-lease/report';
+import {type KeyReport, rowsDigest, rowsToSend} from '@dogwooddeck/key-lease/report';
 import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {
 	type AnnouncementOutcome, type AnnouncementReport, type LoadReport, type MeshCalls,
@@ -125,7 +125,7 @@
 			void propose(commands);
 		}
 
-		return rowsDigest(rows) === keys.digest ? {holdMilliseconds, keyed: true} : {holdMilliseconds, keyed: true, rows: rowsFor(ranges, keys)};
+		return rowsDigest(rows) === keys.digest ? {holdMilliseconds, keyed: true} : {holdMilliseconds, keyed: true, rows: rowsToSend(ranges, keys)};
 	}
 
 	/** Tells of keys that an upstream was told to hold and doesn't list any more. */
--- a/packages/key-lease/src/report.ts
+++ b/packages/key-lease/src/report.ts
@@ -46,7 +46,7 @@
 }
 
 /** Returns the rows to send to an upstream. The handover token of a row is omitted once the upstream lists the row. */
-export function rowsFor(ranges: readonly KeyRange[], {life: holder, missing}: Pick<KeyReport, 'life' | 'missing'>): readonly KeyRange[] {
+export function rowsToSend(ranges: readonly KeyRange[], {life: holder, missing}: Pick<KeyReport, 'life' | 'missing'>): readonly KeyRange[] {
 	return grantedRows(ranges, holder).map(row => {
 		const isListed = row.told && missing.every(({from, to}) => from > row.to || to < row.from);
 		return isListed && row.handover !== '' ? {...row, handover: ''} : row;
--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -9,7 +9,7 @@
 	createGrantingState, type GrantingState, recordAnswer, recordContact, vacatedByAnnouncement,
 } from '@dogwooddeck/key-lease/granting';
 import {type KeyRange, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
-import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
+import {reportKeys, rowsToSend} from '@dogwooddeck/key-lease/report';
 
 const options = {holdMilliseconds: 5000, clockDrift: 0.02};
 const smallCount = 250;
@@ -62,7 +62,7 @@
 		run: ({ranges}, life, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: life}]}, call),
 	},
 	{
-		name: 'finding its rows', run: ({ranges}, life) => rowsFor(ranges, {life, missing: []}),
+		name: 'finding its rows', run: ({ranges}, life) => rowsToSend(ranges, {life, missing: []}),
 	},
 	{
 		name: 'finding vacated keys',
--- a/packages/key-lease/test/test-report.ts
+++ b/packages/key-lease/test/test-report.ts
@@ -6,7 +6,7 @@
 import {
 	changeSpans, type KeyRange, type KeySpan, type UpstreamIncarnation, unassignedRanges, subtractSpans,
 } from '@dogwooddeck/key-lease/range';
-import {reportKeys, rowsFor} from '@dogwooddeck/key-lease/report';
+import {reportKeys, rowsToSend} from '@dogwooddeck/key-lease/report';
 
 const upstream: UpstreamIncarnation = {id: 'a', born: 1};
 const otherUpstream: UpstreamIncarnation = {id: 'b', born: 2};
@@ -40,7 +40,7 @@
 			life: upstream, sequence: 1, holds, released: [],
 		});
 		assert.deepEqual(report.missing, missing);
-		assert.deepEqual(rowsFor(table, report).map(({handover}) => handover), tokens);
+		assert.deepEqual(rowsToSend(table, report).map(({handover}) => handover), tokens);
 	});
 }
 
