--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -5,7 +5,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
 import {recordAnnouncement} from '@dogwooddeck/directory/announcement';
-import {type ItemChange, standing} from '@dogwooddeck/directory/item';
+import {type ItemChange, definedItems} from '@dogwooddeck/directory/item';
 import {isNoOp} from '@dogwooddeck/directory/item-change';
 import {planDirectory} from '@dogwooddeck/directory/key-plan';
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
@@ -285,7 +285,7 @@
 		}
 
 		const now = monotonicNow();
-		const keyed = standing(holder.state().items.service).filter(([, {keyed: isDivided}]) => isDivided);
+		const keyed = definedItems(holder.state().items.service).filter(([, {keyed: isDivided}]) => isDivided);
 		const rates = new Map(keyed.map(([service]) => [service, loads.rates(service, now)]));
 		const commands = planDirectory({
 			state: holder.state(),
--- a/packages/directory/src/announcement.ts
+++ b/packages/directory/src/announcement.ts
@@ -5,7 +5,7 @@
 import {type HeldKeys} from '@dogwooddeck/key-lease/granting';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {err, ok, type Result} from 'true-myth/result';
-import {standing} from './item.js';
+import {definedItems} from './item.js';
 import {type DirectoryState, hasDeparted} from './state.js';
 import {type UpstreamCommand, type UpstreamRecord} from './upstream.js';
 
@@ -45,7 +45,7 @@
  * declared.
  */
 export function recordAnnouncement(state: DirectoryState, upstream: UpstreamRecord): Result<readonly UpstreamCommand[], Failure> {
-	const services = standing(state.items.service);
+	const services = definedItems(state.items.service);
 	if (services.length === 0) {
 		return err(failure(FailureKind.notReady, 'no service is declared yet'));
 	}
--- a/packages/directory/src/item-change.ts
+++ b/packages/directory/src/item-change.ts
@@ -6,7 +6,7 @@
 import {isSafeRecordKey} from '@dogwooddeck/model/identifiers';
 import {err, ok, type Result} from 'true-myth/result';
 import {
-	type Item, type ItemChange, type ItemKind, type Items, type Route, standing,
+	type Item, type ItemChange, type ItemKind, type Items, type Route, definedItems,
 } from './item.js';
 
 /** The maximum timeout of a route. */
@@ -87,7 +87,7 @@
 	const changedRoutes = changes.flatMap(change => change.kind === 'route' && change.item.value !== undefined ? [[change.name, change.item.value] as const] : []);
 	const inForce = changedRoutes.filter(([name, route]) => changed.route[name]?.value === route);
 	const dropsService = changes.some(({kind, item}) => kind === 'service' && item.value === undefined);
-	return missingServiceProblem(dropsService ? standing(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
+	return missingServiceProblem(dropsService ? definedItems(changed.route) : inForce, service => changed.service[service]?.value !== undefined)
 		?? missingServiceProblem(changedRoutes, service => changed.service[service] !== undefined);
 }
 
--- a/packages/directory/src/item.ts
+++ b/packages/directory/src/item.ts
@@ -73,6 +73,6 @@
 export const limitsName = 'limits';
 
 /** Returns the names and values of the items that are not dropped. */
-export function standing<Value>(items: Readonly<Record<string, Item<Value>>>): ReadonlyArray<readonly [string, Value]> {
+export function definedItems<Value>(items: Readonly<Record<string, Item<Value>>>): ReadonlyArray<readonly [string, Value]> {
 	return Object.entries(items).flatMap(([name, {value}]) => value === undefined ? [] : [[name, value] as const]);
 }
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -9,7 +9,7 @@
 import {type UpstreamIncarnation, incarnationText, sameIncarnation} from '@dogwooddeck/key-lease/range';
 import {observationOf} from '@dogwooddeck/key-lease/observations';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {standing} from './item.js';
+import {definedItems} from './item.js';
 import {type DirectoryCommand, type DirectoryState} from './state.js';
 import {isReplaced, UpstreamState, type UpstreamRecord} from './upstream.js';
 
@@ -103,6 +103,6 @@
 
 /** Returns the commands that the leader should propose now. */
 export function planDirectory(input: DirectoryPlanInput): readonly DirectoryCommand[] {
-	const keyed = standing(input.state.items.service).filter(([, {keyed: isKeyed}]) => isKeyed);
+	const keyed = definedItems(input.state.items.service).filter(([, {keyed: isKeyed}]) => isKeyed);
 	return [...removeUnresponsive(input), ...keyed.flatMap(([service]) => planService(input, service))];
 }
--- a/packages/gateway/src/route-table.ts
+++ b/packages/gateway/src/route-table.ts
@@ -1,7 +1,7 @@
 /**
  * Finds the route of a request by its host and the longest matching path prefix.
  */
-import {type Items, type Route, standing} from '@dogwooddeck/directory/item';
+import {type Items, type Route, definedItems} from '@dogwooddeck/directory/item';
 
 /** A route and its name. */
 export type NamedRoute = Route & {readonly name: string};
@@ -12,7 +12,7 @@
 /** Creates the table of all routes that are not dropped. */
 export function createRouteTable(routes: Items['route']): RouteTable {
 	const byHost = new Map<string, NamedRoute[]>();
-	for (const [name, route] of standing(routes)) {
+	for (const [name, route] of definedItems(routes)) {
 		const hostname = route.hostname.toLowerCase();
 		const routesOfHost = byHost.get(hostname) ?? [];
 		routesOfHost.push({...route, name});
