--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -4,7 +4,7 @@
  * little of it as the leader doesn't know.
  */
 import {
-	type Announcement, isRecorded, isRoutine,
+	type Announcement, isRecorded, canAnswerLocally,
 } from '@dogwooddeck/directory/announcement';
 import {type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
@@ -83,7 +83,7 @@
 	return {
 		async announce(announcement) {
 			const {upstream, keys: announced} = announcement;
-			if (isFresh() && isRoutine(holder.state(), announcement)) {
+			if (isFresh() && canAnswerLocally(holder.state(), announcement)) {
 				return ok({holdMilliseconds});
 			}
 
--- a/packages/directory/src/announcement.ts
+++ b/packages/directory/src/announcement.ts
@@ -33,7 +33,7 @@
  * Whether any control instance in contact with the leader may answer an
  * announcement itself: the record matches, and the service has no keys to renew.
  */
-export function isRoutine(state: DirectoryState, {upstream, keys}: Announcement): boolean {
+export function canAnswerLocally(state: DirectoryState, {upstream, keys}: Announcement): boolean {
 	const service = state.items.service[upstream.service]?.value;
 	return isRecorded(state, upstream) && service?.keyed === false && keys.sequence % leaderAnnouncementInterval !== 0;
 }
