--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -290,7 +290,7 @@
 		const commands = planDirectory({
 			state: holder.state(),
 			granting,
-			terms,
+			options: terms,
 			now,
 			joinedAt,
 			mostRanges,
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -27,7 +27,7 @@
 export type DirectoryPlanInput = {
 	readonly state: DirectoryState;
 	readonly granting: GrantingState;
-	readonly terms: GrantingOptions;
+	readonly options: GrantingOptions;
 	readonly now: MonotonicTime;
 	/** When the last upstream joined. */
 	readonly joinedAt: MonotonicTime;
@@ -73,7 +73,7 @@
 
 function planService(input: DirectoryPlanInput, service: string): readonly DirectoryCommand[] {
 	const {
-		state, granting, terms: options, now, joinedAt,
+		state, granting, options: options, now, joinedAt,
 	} = input;
 	const ranges = rangesOf(state.keys, service);
 	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, options: options});
