--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -297,7 +297,7 @@
 			workOf: service => ({
 				rates: rates.get(service) ?? [],
 				countedMilliseconds: longMemoryMilliseconds,
-				speedOf: upstream => loads.speed(upstream, service, now),
+				relativeSpeedOf: upstream => loads.speed(upstream, service, now),
 			}),
 		});
 		shares = [...rates].flatMap(([service, counted]) => overloadsOf(service, counted, now));
--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -20,7 +20,7 @@
 	/** The time that the rates were counted over. */
 	readonly countedMilliseconds: Milliseconds;
 	/** The speed of an upstream relative to the others: 1 is equal, or not measured. */
-	readonly speedOf: (upstream: string) => number;
+	readonly relativeSpeedOf: (upstream: string) => number;
 };
 
 /** The input of a plan. */
@@ -59,7 +59,7 @@
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
-function candidatesOf(input: DirectoryPlanInput, service: string, {speedOf}: ServiceWork): readonly Candidate[] {
+function candidatesOf(input: DirectoryPlanInput, service: string, {relativeSpeedOf: speedOf}: ServiceWork): readonly Candidate[] {
 	const upstreams = Object.values(input.state.upstreams).filter(upstream => upstream.service === service);
 	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isInContact(input, upstream));
 	const hasWarm = ready.some(({cold}) => !cold);
