--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -4,7 +4,7 @@
  */
 import {type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState, type UpstreamRecord} from '@dogwooddeck/directory/upstream';
-import {KeyPace} from '@dogwooddeck/gateway/key-pace';
+import {KeyPacer} from '@dogwooddeck/gateway/key-pace';
 import {createRouteTable, type RouteTable} from '@dogwooddeck/gateway/route-table';
 import {type Distance, distanceOf} from '@dogwooddeck/gateway/selection';
 import {Split} from '@dogwooddeck/gateway/split';
@@ -32,7 +32,7 @@
 export type KnownService = {
 	readonly name: string;
 	readonly line: WaitingQueue;
-	readonly pace: KeyPace;
+	readonly pace: KeyPacer;
 	keyed: boolean;
 	maxConnections: number;
 	ranges: readonly KeyRange[];
@@ -122,7 +122,7 @@
 		}
 
 		const made: KnownService = {
-			name, line: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
+			name, line: new WaitingQueue(), pace: new KeyPacer(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
 		};
 		this.#services.set(name, made);
 		return made;
--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -43,7 +43,7 @@
 }
 
 /** Paces requests for the keys of one service. It is on the request path, so it is updated in place. */
-export class KeyPace {
+export class KeyPacer {
 	readonly #buckets = new Map<number, Bucket>();
 
 	/** Returns how long a request must wait until it may be sent, with `ahead` others for the same key before it. */
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -10,7 +10,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {holderShares, sustainableRate} from '@dogwooddeck/key-lease/holder-load';
 import {keyCount} from '@dogwooddeck/key-lease/range';
-import {isPaced, KeyPace} from '@dogwooddeck/gateway/key-pace';
+import {isPaced, KeyPacer} from '@dogwooddeck/gateway/key-pace';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
 
@@ -130,7 +130,7 @@
 	const generator = xoroshiro128plus(seed);
 	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
-	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), queue: new WaitingQueue(), pacer: new KeyPace()}));
+	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), queue: new WaitingQueue(), pacer: new KeyPacer()}));
 	const control = new Control(pattern);
 	const perStep = pattern.slots * stepMilliseconds / pattern.workMilliseconds;
 	let counts = noCounts;
