--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -60,7 +60,7 @@
 
 	/** A request for the key is being sent. */
 	take(holder: KnownUpstream, now: MonotonicTime): void {
-		this.#service.pace.take(this.key, this.#capacityOf(holder), now);
+		this.#service.pace.recordSend(this.key, this.#capacityOf(holder), now);
 	}
 
 	/** Whether this instance's equal part of the holder is enough for its requests to be paced by it. */
--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -57,7 +57,7 @@
 	}
 
 	/** Takes a token for a request that is being sent. */
-	take(key: number, capacity: HolderCapacity, now: MonotonicTime): void {
+	recordSend(key: number, capacity: HolderCapacity, now: MonotonicTime): void {
 		if (!isPaced(capacity)) {
 			return;
 		}
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -149,7 +149,7 @@
 		}
 
 		load.underWay += 1;
-		pacer.take(key, capacityOf(load), now);
+		pacer.recordSend(key, capacityOf(load), now);
 		if (!upstream.accept({
 			instance, arrivedAt, startedAt: now, isHot: key === hotKey,
 		})) {
