--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -6,7 +6,7 @@
 import {Buffer} from 'node:buffer';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type CallerLimits} from '@dogwooddeck/directory/item';
-import {returnAfter} from '@dogwooddeck/gateway/refusal';
+import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {findRoute, type NamedRoute} from '@dogwooddeck/gateway/route-table';
 import {selectUpstream} from '@dogwooddeck/gateway/selection';
 import {type Waiter, waitingUntil} from '@dogwooddeck/gateway/waiting';
@@ -400,7 +400,7 @@
 	#refuse(refusal: Refusal, waiting?: Wait): void {
 		this.#waiter = undefined;
 		const status = refusalStatus(refusal, this.#mayHaveRun > 0);
-		const pause = returnAfter(this.#route?.objectiveMilliseconds ?? 1000, this.#around.random());
+		const pause = retryDelay(this.#route?.objectiveMilliseconds ?? 1000, this.#around.random());
 		const body = Buffer.from(`${refusal}\n`);
 		const identified = this.identifier === undefined ? [] : [this.#around.fields.requestIdentifier, this.identifier];
 		const retry = status === notRunStatus ? ['Retry-After', (pause / 1000).toFixed(3)] : [];
--- a/packages/gateway/src/refusal.ts
+++ b/packages/gateway/src/refusal.ts
@@ -12,6 +12,6 @@
 const randomDelayShare = 0.6;
 
 /** Returns the retry delay for a caller; `draw` is a random number between 0 and 1. */
-export function returnAfter(objectiveMilliseconds: Milliseconds, random: number): Milliseconds {
+export function retryDelay(objectiveMilliseconds: Milliseconds, random: number): Milliseconds {
 	return minDelayMilliseconds + (objectiveMilliseconds * randomDelayShare * random);
 }
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {noItems, type Route} from '@dogwooddeck/directory/item';
-import {returnAfter} from '@dogwooddeck/gateway/refusal';
+import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {createRouteTable, findRoute} from '@dogwooddeck/gateway/route-table';
 import {type Choice, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
 import {Split} from '@dogwooddeck/gateway/split';
@@ -209,6 +209,6 @@
 });
 
 test('refusal: retry delays are spread', () => {
-	const delays = [0, 0.25, 0.5, 0.75, 1].map(random => returnAfter(500, random));
+	const delays = [0, 0.25, 0.5, 0.75, 1].map(random => retryDelay(500, random));
 	assert.deepEqual(delays, [80, 155, 230, 305, 380]);
 });
