--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -29,7 +29,7 @@
 }
 
 /** An upstream that may be selected. */
-export type Choice = {
+export type UpstreamCandidate = {
 	readonly id: string;
 	readonly distance: Distance;
 	readonly load: UpstreamLoad;
@@ -50,13 +50,13 @@
 /** The factor by which the latency of a cold upstream is multiplied. */
 const coldFactor = 2;
 
-function costOf({distance, load, cold}: Choice): number {
+function costOf({distance, load, cold}: UpstreamCandidate): number {
 	const expectedMilliseconds = (load.underWay + 1) * load.latency * (cold ? coldFactor : 1);
 	return distanceMilliseconds[distance] + (expectedMilliseconds * (1 + (failurePenalty * load.failureShare)));
 }
 
 /** Returns the cheapest upstream with room, or undefined if none has any. `excluded` lists the upstreams that were tried already. */
-export function selectUpstream<Chosen extends Choice>(candidates: readonly Chosen[], excluded: readonly string[], now: MonotonicTime): Chosen | undefined {
+export function selectUpstream<Chosen extends UpstreamCandidate>(candidates: readonly Chosen[], excluded: readonly string[], now: MonotonicTime): Chosen | undefined {
 	let best: Chosen | undefined;
 	let bestCost = Infinity;
 	for (const candidate of candidates) {
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -3,7 +3,7 @@
 import {noItems, type Route} from '@dogwooddeck/directory/item';
 import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {createRouteTable, findRoute} from '@dogwooddeck/gateway/route-table';
-import {type Choice, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
+import {type UpstreamCandidate, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
 import {Split} from '@dogwooddeck/gateway/split';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {type Waiter, WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
@@ -106,7 +106,7 @@
 	});
 }
 
-function candidate(id: string, distance: Distance, inFlight = 0, signals: readonly Signal[] = []): Choice {
+function candidate(id: string, distance: Distance, inFlight = 0, signals: readonly Signal[] = []): UpstreamCandidate {
 	const load = loadAfter(...signals);
 	load.underWay = inFlight;
 	return {
@@ -114,7 +114,7 @@
 	};
 }
 
-const selections: ReadonlyArray<{readonly name: string; readonly choices: readonly Choice[]; readonly excluded?: readonly string[]; readonly chosen: string | undefined}> = [
+const selections: ReadonlyArray<{readonly name: string; readonly choices: readonly UpstreamCandidate[]; readonly excluded?: readonly string[]; readonly chosen: string | undefined}> = [
 	{
 		name: 'an upstream in the own zone', choices: [candidate('far', Distance.otherRegion), candidate('near', Distance.sameRegion), candidate('own', Distance.sameZone)], chosen: 'own',
 	},
