--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -7,7 +7,7 @@
 import {KeyPacer} from '@dogwooddeck/gateway/key-pace';
 import {createRouteTable, type RouteTable} from '@dogwooddeck/gateway/route-table';
 import {type Distance, distanceOf} from '@dogwooddeck/gateway/selection';
-import {Split} from '@dogwooddeck/gateway/split';
+import {WeightedRoundRobin} from '@dogwooddeck/gateway/split';
 import {UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {WaitingQueue} from '@dogwooddeck/gateway/waiting';
 import {type KeyRange, rangeOfKey, sameIncarnation} from '@dogwooddeck/key-lease/range';
@@ -78,7 +78,7 @@
 	readonly #settings: EntrySettings;
 	readonly #services = new Map<string, KnownService>();
 	readonly #upstreams = new Map<string, KnownUpstream>();
-	readonly #splits = new Map<string, {readonly key: string; readonly split: Split}>();
+	readonly #splits = new Map<string, {readonly key: string; readonly split: WeightedRoundRobin}>();
 	readonly #random: () => number;
 	#leastUrgent: ReadonlyMap<string, number> = new Map();
 	#items: DirectoryState['items'] | undefined;
@@ -139,14 +139,14 @@
 	}
 
 	/** The division of a route's requests. */
-	split(name: string, targets: ConstructorParameters<typeof Split>[0]): Split {
+	split(name: string, targets: ConstructorParameters<typeof WeightedRoundRobin>[0]): WeightedRoundRobin {
 		const key = JSON.stringify(targets);
 		const known = this.#splits.get(name);
 		if (known?.key === key) {
 			return known.split;
 		}
 
-		const split = new Split(targets, this.#random());
+		const split = new WeightedRoundRobin(targets, this.#random());
 		this.#splits.set(name, {key, split});
 		return split;
 	}
--- a/packages/gateway/src/split.ts
+++ b/packages/gateway/src/split.ts
@@ -8,7 +8,7 @@
 type Credit = {readonly target: Target; credit: number};
 
 /** The distribution of one route's requests. It is on the request path, so it is updated in place. */
-export class Split {
+export class WeightedRoundRobin {
 	readonly #credits: readonly Credit[];
 	readonly #total: number;
 
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -4,7 +4,7 @@
 import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {createRouteTable, findRoute} from '@dogwooddeck/gateway/route-table';
 import {type UpstreamCandidate, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
-import {Split} from '@dogwooddeck/gateway/split';
+import {WeightedRoundRobin} from '@dogwooddeck/gateway/split';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {type Waiter, WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
 
@@ -49,7 +49,7 @@
 
 for (const {weights, offset} of splits) {
 	test(`split: ${weights.join('/')} from ${offset}`, () => {
-		const split = new Split(weights.map((weight, position) => ({service: String(position), weight})), offset);
+		const split = new WeightedRoundRobin(weights.map((weight, position) => ({service: String(position), weight})), offset);
 		const counts = weights.map(() => 0);
 		const total = weights.reduce((sum, weight) => sum + weight, 0);
 		for (let sent = 1; sent <= 1000; sent += 1) {
