--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -94,7 +94,7 @@
 					service,
 					upstream: upstream.id,
 					distance: upstream.distance,
-					underWay: upstream.load.underWay,
+					underWay: upstream.load.inFlight,
 					allowance: upstream.load.allowance,
 					status,
 					attempts,
@@ -137,7 +137,7 @@
 					status,
 					took: Math.round(milliseconds),
 					left: Math.round(left),
-					underWay: upstream.load.underWay,
+					underWay: upstream.load.inFlight,
 					allowance: upstream.load.allowance,
 					applied: applied(),
 				});
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -272,7 +272,7 @@
 		const {fields, table} = this.#around;
 		const {request} = this.#exchange;
 		const timeoutMilliseconds = this.#deadline - now;
-		upstream.load.underWay += 1;
+		upstream.load.inFlight += 1;
 		this.#target?.take(upstream, now);
 		this.#status = 0;
 		this.#tried.push(upstream.id);
@@ -318,7 +318,7 @@
 		const {journal, advance, countAnswer} = this.#around;
 		const now = monotonicNow();
 		this.#attempt = undefined;
-		upstream.load.underWay -= 1;
+		upstream.load.inFlight -= 1;
 		upstream.load.note(signalOf(result.seen, this.#status, result.answer?.status), result.milliseconds, now);
 		if (result.seen !== AttemptObservation.wholeAnswer) {
 			journal.attemptFailed({
--- a/packages/gateway/src/selection.ts
+++ b/packages/gateway/src/selection.ts
@@ -51,7 +51,7 @@
 const coldFactor = 2;
 
 function costOf({distance, load, cold}: UpstreamCandidate): number {
-	const expectedMilliseconds = (load.underWay + 1) * load.latency * (cold ? coldFactor : 1);
+	const expectedMilliseconds = (load.inFlight + 1) * load.latency * (cold ? coldFactor : 1);
 	return distanceMilliseconds[distance] + (expectedMilliseconds * (1 + (failurePenalty * load.failureShare)));
 }
 
--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -48,7 +48,7 @@
 
 /** The load of one upstream. It is on the request path, so it is updated in place. */
 export class UpstreamLoad {
-	underWay = 0;
+	inFlight = 0;
 	#concurrencyLimit = initialConcurrencyLimit;
 	#latency = initialLatencyMilliseconds;
 	#answers = 0;
@@ -98,7 +98,7 @@
 
 	/** Whether one more request may be sent now. */
 	hasRoom(now: MonotonicTime): boolean {
-		return now >= this.#pausedUntil && this.underWay < Math.floor(this.#concurrencyLimit);
+		return now >= this.#pausedUntil && this.inFlight < Math.floor(this.#concurrencyLimit);
 	}
 
 	/** The maximum number of requests in flight. */
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -108,7 +108,7 @@
 
 function candidate(id: string, distance: Distance, inFlight = 0, signals: readonly Signal[] = []): UpstreamCandidate {
 	const load = loadAfter(...signals);
-	load.underWay = inFlight;
+	load.inFlight = inFlight;
 	return {
 		id, distance, load, cold: false,
 	};
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -138,7 +138,7 @@
 
 	function complete(instance: number, signal: Signal, startedAt: number, now: number): void {
 		const {load} = instances[instance]!;
-		load.underWay -= 1;
+		load.inFlight -= 1;
 		load.note(signal, now - startedAt, now);
 	}
 
@@ -148,7 +148,7 @@
 			return false;
 		}
 
-		load.underWay += 1;
+		load.inFlight += 1;
 		pacer.recordSend(key, capacityOf(load), now);
 		if (!upstream.accept({
 			instance, arrivedAt, startedAt: now, isHot: key === hotKey,
