--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -95,7 +95,7 @@
 					upstream: upstream.id,
 					distance: upstream.distance,
 					underWay: upstream.load.inFlight,
-					allowance: upstream.load.allowance,
+					allowance: upstream.load.concurrencyLimit,
 					status,
 					attempts,
 					took: Math.round(now - run.arrivedAt),
@@ -138,7 +138,7 @@
 					took: Math.round(milliseconds),
 					left: Math.round(left),
 					underWay: upstream.load.inFlight,
-					allowance: upstream.load.allowance,
+					allowance: upstream.load.concurrencyLimit,
 					applied: applied(),
 				});
 			}
--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -102,7 +102,7 @@
 	}
 
 	/** The maximum number of requests in flight. */
-	get allowance(): number {
+	get concurrencyLimit(): number {
 		return Math.floor(this.#concurrencyLimit);
 	}
 
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -99,7 +99,7 @@
 
 for (const {name, load, allowance, hasRoomAt} of loads) {
 	test(`load: ${name}`, () => {
-		assert.equal(load.allowance, allowance);
+		assert.equal(load.concurrencyLimit, allowance);
 		for (const [now, hasRoom] of hasRoomAt) {
 			assert.equal(load.hasRoom(now), hasRoom, `room at ${now} ms`);
 		}
