--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -107,7 +107,7 @@
 	}
 
 	/** Returns the expected wait of a request for this upstream with `ahead` others before it. */
-	waitBehind(ahead: number, now: MonotonicTime): Milliseconds {
+	expectedWait(ahead: number, now: MonotonicTime): Milliseconds {
 		return Math.max(0, this.#pausedUntil - now, ahead * this.#latency / this.#concurrencyLimit);
 	}
 
