--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -319,7 +319,7 @@
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.inFlight -= 1;
-		upstream.load.note(signalOf(result.seen, this.#status, result.answer?.status), result.milliseconds, now);
+		upstream.load.record(signalOf(result.seen, this.#status, result.answer?.status), result.milliseconds, now);
 		if (result.seen !== AttemptObservation.wholeAnswer) {
 			journal.attemptFailed({
 				run: this, upstream, seen: result.seen, status: this.#status, milliseconds: result.milliseconds, left: this.#deadline - now,
--- a/packages/gateway/src/upstream-load.ts
+++ b/packages/gateway/src/upstream-load.ts
@@ -112,7 +112,7 @@
 	}
 
 	/** Records the outcome of an attempt. */
-	note(signal: Signal, latency: Milliseconds, now: MonotonicTime): void {
+	record(signal: Signal, latency: Milliseconds, now: MonotonicTime): void {
 		this.#signalHandlers[signal](latency, now);
 	}
 
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -64,7 +64,7 @@
 function loadAfter(...signals: readonly Signal[]): UpstreamLoad {
 	const load = new UpstreamLoad(3);
 	for (const signal of signals) {
-		load.note(signal, 60, 1000);
+		load.record(signal, 60, 1000);
 	}
 
 	return load;
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -139,7 +139,7 @@
 	function complete(instance: number, signal: Signal, startedAt: number, now: number): void {
 		const {load} = instances[instance]!;
 		load.inFlight -= 1;
-		load.note(signal, now - startedAt, now);
+		load.record(signal, now - startedAt, now);
 	}
 
 	function tryToStart(instance: number, arrivedAt: number, key: number, now: number): boolean {
