--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -9,7 +9,7 @@
 import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {findRoute, type NamedRoute} from '@dogwooddeck/gateway/route-table';
 import {selectUpstream} from '@dogwooddeck/gateway/selection';
-import {type Waiter, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {type WaitingRequest, waitingUntil} from '@dogwooddeck/gateway/waiting';
 import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
@@ -101,7 +101,7 @@
 	#body: Buffer | undefined;
 	#deadline: MonotonicTime = Infinity;
 	#attempt: SentAttempt | undefined;
-	#waiter: Waiter | undefined;
+	#waiter: WaitingRequest | undefined;
 	/** Connections on which an upstream refused the request. */
 	readonly #refusedOn = new Set<Connection>();
 	/** Upstreams that were sent to, and those of them that may have run the request. */
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -12,7 +12,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** A waiting request. */
-export type Waiter = {
+export type WaitingRequest = {
 	/** 0 is the most urgent. */
 	readonly priority: number;
 	/** The number of requests for the same key that were waiting when this one was queued: keys take turns. 0 if the service has no keys. */
@@ -58,7 +58,7 @@
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
 }
 
-type QueuePosition = Pick<Waiter, 'priority' | 'turn'>;
+type QueuePosition = Pick<WaitingRequest, 'priority' | 'turn'>;
 
 function precedes(one: QueuePosition, other: QueuePosition): boolean {
 	return one.priority === other.priority ? one.turn < other.turn : one.priority < other.priority;
@@ -66,7 +66,7 @@
 
 /** The waiting requests of one service, or of one holder of keys. It is on the request path, so it is updated in place. */
 export class WaitingQueue {
-	#requests: Waiter[] = [];
+	#requests: WaitingRequest[] = [];
 
 	/** The number of waiting requests. */
 	get length(): number {
@@ -84,13 +84,13 @@
 	}
 
 	/** Inserts a request by its priority and turn, after equal ones. */
-	add(waiter: Waiter): void {
+	add(waiter: WaitingRequest): void {
 		const position = this.#requests.findIndex(other => precedes(waiter, other));
 		this.#requests.splice(position === -1 ? this.#requests.length : position, 0, waiter);
 	}
 
 	/** Removes a request whose caller has disconnected. */
-	remove(waiter: Waiter): void {
+	remove(waiter: WaitingRequest): void {
 		this.#requests = this.#requests.filter(one => one !== waiter);
 	}
 
@@ -106,7 +106,7 @@
 		}
 	}
 
-	#hasTimedOut(waiter: Waiter, now: MonotonicTime): boolean {
+	#hasTimedOut(waiter: WaitingRequest, now: MonotonicTime): boolean {
 		if (now < waiter.until) {
 			return false;
 		}
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -6,7 +6,7 @@
 import {type UpstreamCandidate, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
 import {WeightedRoundRobin} from '@dogwooddeck/gateway/split';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
-import {type Waiter, WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {type WaitingRequest, WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
 
 function route(hostname: string, pathPrefix: string): Route {
 	return {
@@ -172,7 +172,7 @@
 	const events: string[] = [];
 	let room = 0;
 	const add = (name: string, priority: number, until: number) => {
-		const waiter: Waiter = {
+		const waiter: WaitingRequest = {
 			priority,
 			turn: 0,
 			key: undefined,
