--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -30,7 +30,7 @@
 };
 
 /** The values that limit the wait of a request. */
-export type WaitBounds = {
+export type WaitLimits = {
 	/** When the request arrived. */
 	readonly arrivedAt: MonotonicTime;
 	readonly objectiveMilliseconds: Milliseconds;
@@ -52,7 +52,7 @@
  * as long as the objective, a short wait remains: a delayed answer is better than
  * none.
  */
-export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitBounds): MonotonicTime {
+export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitLimits): MonotonicTime {
 	const slack = objectiveMilliseconds - (expectedMilliseconds * latencyMargin);
 	const wait = Math.min(objectiveMilliseconds * maxWaitingShare, Math.max(objectiveMilliseconds * minWaitingShare, slack));
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
