--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -9,7 +9,7 @@
 import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {findRoute, type NamedRoute} from '@dogwooddeck/gateway/route-table';
 import {selectUpstream} from '@dogwooddeck/gateway/selection';
-import {type WaitingRequest, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {type WaitingRequest, waitDeadline} from '@dogwooddeck/gateway/waiting';
 import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
@@ -232,7 +232,7 @@
 		const key = this.#target?.key;
 		const holder = this.#target?.holder;
 		const turn = service.line.turnOf(key);
-		const until = waitingUntil({
+		const until = waitDeadline({
 			arrivedAt: this.arrivedAt,
 			objectiveMilliseconds,
 			deadline: this.#deadline,
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -52,7 +52,7 @@
  * as long as the objective, a short wait remains: a delayed answer is better than
  * none.
  */
-export function waitingUntil({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitLimits): MonotonicTime {
+export function waitDeadline({arrivedAt, objectiveMilliseconds, deadline, expectedMilliseconds}: WaitLimits): MonotonicTime {
 	const slack = objectiveMilliseconds - (expectedMilliseconds * latencyMargin);
 	const wait = Math.min(objectiveMilliseconds * maxWaitingShare, Math.max(objectiveMilliseconds * minWaitingShare, slack));
 	return Math.min(arrivedAt + wait, deadline - expectedMilliseconds);
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -6,7 +6,7 @@
 import {type UpstreamCandidate, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
 import {WeightedRoundRobin} from '@dogwooddeck/gateway/split';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
-import {type WaitingRequest, WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {type WaitingRequest, WaitingQueue, waitDeadline} from '@dogwooddeck/gateway/waiting';
 
 function route(hostname: string, pathPrefix: string): Route {
 	return {
@@ -161,7 +161,7 @@
 
 for (const {name, deadline, expected, until} of waits) {
 	test(`waiting: ${name}`, () => {
-		assert.equal(waitingUntil({
+		assert.equal(waitDeadline({
 			arrivedAt: 1000, objectiveMilliseconds: 500, deadline, expectedMilliseconds: expected,
 		}), until);
 	});
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -12,7 +12,7 @@
 import {keyCount} from '@dogwooddeck/key-lease/range';
 import {isPaced, KeyPacer} from '@dogwooddeck/gateway/key-pace';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
-import {WaitingQueue, waitingUntil} from '@dogwooddeck/gateway/waiting';
+import {WaitingQueue, waitDeadline} from '@dogwooddeck/gateway/waiting';
 
 type Pattern = {
 	readonly name: string;
@@ -164,7 +164,7 @@
 		const {load, queue, pacer} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
 		const turn = queue.turnOf(key);
-		const until = waitingUntil({
+		const until = waitDeadline({
 			arrivedAt: now, objectiveMilliseconds: pattern.objectiveMilliseconds, deadline: now + deadlineMilliseconds, expectedMilliseconds: load.latency,
 		});
 		counts = {...counts, arrived: counts.arrived + 1, others: counts.others + (isHot ? 0 : 1)};
