--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -231,7 +231,7 @@
 		const {priority, objectiveMilliseconds} = this.#route!;
 		const key = this.#target?.key;
 		const holder = this.#target?.holder;
-		const turn = service.line.turnOf(key);
+		const turn = service.line.nextTurn(key);
 		const until = waitDeadline({
 			arrivedAt: this.arrivedAt,
 			objectiveMilliseconds,
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -74,7 +74,7 @@
 	}
 
 	/** Returns the number of waiting requests for a key, which is the turn of the next one; 0 without a key. */
-	turnOf(key: number | undefined): number {
+	nextTurn(key: number | undefined): number {
 		return key === undefined ? 0 : this.#requests.filter(waiter => waiter.key === key).length;
 	}
 
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -163,7 +163,7 @@
 		const instance = Math.floor(draw() * pattern.instances);
 		const {load, queue, pacer} = instances[instance]!;
 		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
-		const turn = queue.turnOf(key);
+		const turn = queue.nextTurn(key);
 		const until = waitDeadline({
 			arrivedAt: now, objectiveMilliseconds: pattern.objectiveMilliseconds, deadline: now + deadlineMilliseconds, expectedMilliseconds: load.latency,
 		});
