--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -238,7 +238,7 @@
 			deadline: this.#deadline,
 			expectedMilliseconds: (holder ?? service.upstreams[0])?.load.latency ?? 0,
 		});
-		const lineWait = holder === undefined ? 0 : holder.load.expectedWait(service.line.ahead(holder.id, priority, turn), now);
+		const lineWait = holder === undefined ? 0 : holder.load.expectedWait(service.line.countAhead(holder.id, priority, turn), now);
 		const paceWait = holder === undefined ? 0 : this.#target!.waitFor(holder, turn, now);
 		return {
 			holder, key, turn, lineWait, paceWait, until,
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -79,7 +79,7 @@
 	}
 
 	/** Returns the number of waiting requests for an upstream that precede a new one with the given priority and turn. */
-	ahead(upstream: string | undefined, priority: number, turn: number): number {
+	countAhead(upstream: string | undefined, priority: number, turn: number): number {
 		return this.#requests.filter(waiter => waiter.upstream === upstream && !precedes({priority, turn}, waiter)).length;
 	}
 
