--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -216,7 +216,7 @@
 			turn: waiting.turn,
 			key: waiting.key,
 			upstream: waiting.holder?.id,
-			until: waiting.until,
+			timesOutAt: waiting.until,
 			tryToStart: at => this.#exchange.isGone || this.#tryToSend(at),
 			giveUp: () => {
 				this.#refuse(Refusal.waitedTooLong);
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -22,7 +22,7 @@
 	/** The upstream that it waits for; undefined if any will do, or if none is known. */
 	readonly upstream: string | undefined;
 	/** When its wait times out. */
-	readonly until: MonotonicTime;
+	readonly timesOutAt: MonotonicTime;
 	/** Tries to send the request. Returns `true` if it was sent and no longer waits. */
 	readonly tryToStart: (now: MonotonicTime) => boolean;
 	/** Called when the wait times out. */
@@ -107,7 +107,7 @@
 	}
 
 	#hasTimedOut(waiter: WaitingRequest, now: MonotonicTime): boolean {
-		if (now < waiter.until) {
+		if (now < waiter.timesOutAt) {
 			return false;
 		}
 
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -177,7 +177,7 @@
 			turn: 0,
 			key: undefined,
 			upstream: undefined,
-			until,
+			timesOutAt: until,
 			tryToStart() {
 				if (room === 0) {
 					return false;
