--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -218,7 +218,7 @@
 			upstream: waiting.holder?.id,
 			timesOutAt: waiting.until,
 			tryToStart: at => this.#exchange.isGone || this.#tryToSend(at),
-			giveUp: () => {
+			onTimeout: () => {
 				this.#refuse(Refusal.waitedTooLong);
 			},
 		};
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -26,7 +26,7 @@
 	/** Tries to send the request. Returns `true` if it was sent and no longer waits. */
 	readonly tryToStart: (now: MonotonicTime) => boolean;
 	/** Called when the wait times out. */
-	readonly giveUp: () => void;
+	readonly onTimeout: () => void;
 };
 
 /** The values that limit the wait of a request. */
@@ -111,7 +111,7 @@
 			return false;
 		}
 
-		waiter.giveUp();
+		waiter.onTimeout();
 		return true;
 	}
 }
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -187,7 +187,7 @@
 				events.push(`${name} starts`);
 				return true;
 			},
-			giveUp() {
+			onTimeout() {
 				events.push(`${name} gives up`);
 			},
 		};
--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -176,7 +176,7 @@
 		const expected = Math.max(load.expectedWait(queue.countAhead('u', 0, turn), now), pacer.waitFor(key, turn, capacityOf(load), now));
 		if (!tryToStart(instance, now, key, now) && now + expected <= until) {
 			queue.add({
-				priority: 0, turn, key, upstream: 'u', timesOutAt: until, tryToStart: at => tryToStart(instance, now, key, at), giveUp: () => undefined,
+				priority: 0, turn, key, upstream: 'u', timesOutAt: until, tryToStart: at => tryToStart(instance, now, key, at), onTimeout: () => undefined,
 			});
 		}
 	}
