--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -64,7 +64,7 @@
 	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isInContact(input, upstream));
 	const hasWarm = ready.some(({cold}) => !cold);
 	return upstreams.map(upstream => ({
-		life: {id: upstream.id, born: upstream.born},
+		upstream: {id: upstream.id, born: upstream.born},
 		weight: upstream.slots * speedOf(upstream.id),
 		accepting: ready.includes(upstream) && (!hasWarm || !upstream.cold),
 		leaving: upstream.state === UpstreamState.draining,
@@ -73,10 +73,10 @@
 
 function planService(input: DirectoryPlanInput, service: string): readonly DirectoryCommand[] {
 	const {
-		state, granting, options: options, now, joinedAt,
+		state, granting, options, now, joinedAt,
 	} = input;
 	const ranges = rangesOf(state.keys, service);
-	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, options: options});
+	const vacated = vacatedByTime(granting, ranges, holder => isReplaced(state.upstreams, holder, addressOf(state, holder)), {now, options});
 	if (vacated.length > 0) {
 		return [{kind: 'keysVacated', service, rows: vacated}];
 	}
--- a/packages/directory/src/upstream.ts
+++ b/packages/directory/src/upstream.ts
@@ -54,7 +54,7 @@
 	}
 
 	const later = Object.values(upstreams).find(other => other.address === address && other.id !== id && other.born > born);
-	return later === undefined ? undefined : `the address ${address} belongs to the later upstream ${later.id}`;
+	return later === undefined ? undefined : `${later.id}, a later upstream, has the same address`;
 }
 
 function announce(upstreams: Upstreams, upstream: UpstreamRecord): Result<Upstreams, Failure> {
--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -43,7 +43,7 @@
 	const granting = Object.values(state.upstreams).reduce((noted, {id, born}) => recordContact(noted, {id, born}, 1000, options), createGrantingState(0));
 	const startedAt = performance.now();
 	const commands = planDirectory({
-		state, granting, options: options, now: 1100, joinedAt: 0, mostRanges: 150, workOf: () => ({rates: [], countedMilliseconds: 8000, relativeSpeedOf: () => 1}),
+		state, granting, options, now: 1100, joinedAt: 0, mostRanges: 150, workOf: () => ({rates: [], countedMilliseconds: 8000, relativeSpeedOf: () => 1}),
 	});
 	assert.deepEqual(commands, []);
 	return performance.now() - startedAt;
--- a/packages/key-lease/src/granting.ts
+++ b/packages/key-lease/src/granting.ts
@@ -57,7 +57,7 @@
 
 /** Records that an announcement was received at `now`. */
 export function recordContact(state: GrantingState, holder: UpstreamIncarnation, now: MonotonicTime, options: GrantingOptions): GrantingState {
-	const previous = observationOf(state.observations, holder) ?? {holder: holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
+	const previous = observationOf(state.observations, holder) ?? {holder, mayHoldUntil: state.electedAt + maxHoldDuration(options)};
 	return {...state, observations: withObservation(state.observations, {...previous, lastContactAt: now})};
 }
 
--- a/packages/key-lease/test/test-granting.ts
+++ b/packages/key-lease/test/test-granting.ts
@@ -22,7 +22,7 @@
 function leaderThatAnswered(index: number): GrantingState {
 	const contacted = recordContact(createGrantingState(0), holder, 1000, options);
 	return recordAnswer(contacted, {
-		holder: holder, sequence: 4, receivedAt: 1000, index,
+		holder, sequence: 4, receivedAt: 1000, index,
 	}, options);
 }
 
@@ -122,7 +122,7 @@
 
 for (const {name, state, now, isReplaced = false, isVacated} of expiries) {
 	test(`granting: ${name}`, () => {
-		const rows = vacatedByTime(state, [recalled], () => isReplaced, {now, options: options});
+		const rows = vacatedByTime(state, [recalled], () => isReplaced, {now, options});
 		assert.deepEqual(rows, isVacated ? [vacatedRange] : []);
 	});
 }
--- a/packages/key-lease/test/test-planning.ts
+++ b/packages/key-lease/test/test-planning.ts
@@ -64,7 +64,7 @@
 
 /** Each upstream holds one run of adjacent keys. */
 const contiguous: readonly KeyRange[] = fleet.map(({upstream: holder}, position) => ({
-	from: position * keyCount / fleet.length, to: ((position + 1) * keyCount / fleet.length) - 1, fence: 1, holder: holder, told: true, handover: '',
+	from: position * keyCount / fleet.length, to: ((position + 1) * keyCount / fleet.length) - 1, fence: 1, holder, told: true, handover: '',
 }));
 
 const cases: ReadonlyArray<{readonly name: string; readonly ranges: readonly KeyRange[]; readonly candidates: readonly Candidate[]; readonly rates: readonly KeyRate[]; readonly holders: number; readonly maxOverMean: number; readonly maxMoved: number; readonly maxRounds?: number}> = [
--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -131,7 +131,7 @@
 	function plan(now: number): void {
 		commit({kind: 'keysVacated', service, rows: vacatedByTime(granting, ranges(), () => false, {now, options: leaderOptions})});
 		const candidates = upstreams.map(upstream => ({
-			life: {id: upstream.id, born: upstream.born},
+			upstream: {id: upstream.id, born: upstream.born},
 			weight: 3,
 			accepting: !upstream.leaving && observationOf(granting.observations, upstream) !== undefined,
 			leaving: upstream.leaving,
