--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -47,7 +47,7 @@
 }
 
 /** Returns the requests per second for the keys of each holder, by incarnation. Rates and ranges are sorted by key. */
-function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly life: UpstreamIncarnation; readonly rate: number}> {
+function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly holder: UpstreamIncarnation; readonly rate: number}> {
 	const totals = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
 	let position = 0;
 	for (const {to, holder} of ranges) {
@@ -70,7 +70,7 @@
 
 /** Returns the overloaded holders, each with the share of requests that may be sent to it. */
 export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], sustainableRateOf: (life: UpstreamIncarnation) => number): readonly HolderShare[] {
-	return [...holderRates(ranges, rates).values()].flatMap(({life, rate}) => {
+	return [...holderRates(ranges, rates).values()].flatMap(({holder: life, rate}) => {
 		const share = sustainableRateOf(life) / rate;
 		return share < maxAnnouncedShare ? [{life, share}] : [];
 	});
