--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -48,7 +48,7 @@
 
 /** Returns the requests per second for the keys of each holder, by incarnation. Rates and ranges are sorted by key. */
 function holderRates(ranges: readonly KeyRange[], rates: readonly KeyRate[]): ReadonlyMap<string, {readonly holder: UpstreamIncarnation; readonly rate: number}> {
-	const totals = new Map<string, {readonly life: UpstreamIncarnation; rate: number}>();
+	const totals = new Map<string, {readonly holder: UpstreamIncarnation; rate: number}>();
 	let position = 0;
 	for (const {to, holder} of ranges) {
 		let rate = 0;
@@ -59,7 +59,7 @@
 
 		if (holder !== undefined && rate > 0) {
 			const key = incarnationText(holder);
-			const total = totals.get(key) ?? {life: holder, rate: 0};
+			const total = totals.get(key) ?? {holder: holder, rate: 0};
 			total.rate += rate;
 			totals.set(key, total);
 		}
