--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -70,8 +70,8 @@
 
 /** Returns the overloaded holders, each with the share of requests that may be sent to it. */
 export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], sustainableRateOf: (holder: UpstreamIncarnation) => number): readonly HolderShare[] {
-	return [...holderRates(ranges, rates).values()].flatMap(({holder: life, rate}) => {
-		const share = sustainableRateOf(life) / rate;
-		return share < maxAnnouncedShare ? [{life, share}] : [];
+	return [...holderRates(ranges, rates).values()].flatMap(({holder: holder, rate}) => {
+		const share = sustainableRateOf(holder) / rate;
+		return share < maxAnnouncedShare ? [{life: holder, share}] : [];
 	});
 }
