--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -28,7 +28,7 @@
 	const ranges = Array.from({length: count * rangesOfEach}, (_, position): KeyRange => ({
 		from: position * 4, to: (position * 4) + 3, fence: 1, holder: upstreams[position % count]!, told: true, handover: '',
 	}));
-	const granting = upstreams.reduce((state, life) => recordContact(state, life, 0, options), createGrantingState(0));
+	const granting = upstreams.reduce((state, upstream) => recordContact(state, upstream, 0, options), createGrantingState(0));
 	return {upstreams, ranges, granting};
 }
 
