--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -37,8 +37,8 @@
 const operations: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly run: Operation}> = [
 	{
 		name: 'recording contact',
-		run(scene, life, call) {
-			scene.granting = recordContact(scene.granting, life, call, options);
+		run(scene, upstream, call) {
+			scene.granting = recordContact(scene.granting, upstream, call, options);
 		},
 	},
 	{
