--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -43,9 +43,9 @@
 	},
 	{
 		name: 'recording the answer',
-		run(scene, life, call) {
+		run(scene, upstream, call) {
 			scene.granting = recordAnswer(scene.granting, {
-				holder: life, sequence: call, receivedAt: call, index: call,
+				holder: upstream, sequence: call, receivedAt: call, index: call,
 			}, options);
 		},
 	},
