--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -51,8 +51,8 @@
 	},
 	{
 		name: 'comparing it with the table',
-		run: ({ranges}, life, call) => reportKeys(ranges, {
-			life, sequence: call, holds: [], released: [],
+		run: ({ranges}, upstream, call) => reportKeys(ranges, {
+			life: upstream, sequence: call, holds: [], released: [],
 		}),
 	},
 	{
