--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -59,7 +59,7 @@
 		name: 'applying a command about its keys',
 		// A shallow copy of the list of ranges is made.
 		maxGrowth: 10,
-		run: ({ranges}, life, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: life}]}, call),
+		run: ({ranges}, upstream, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: upstream}]}, call),
 	},
 	{
 		name: 'finding its rows', run: ({ranges}, life) => rowsToSend(ranges, {life, missing: []}),
