--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -62,7 +62,7 @@
 		run: ({ranges}, upstream, call) => applyKeyCommand({s: ranges}, {kind: 'keysTold', service: 's', rows: [{...ranges[(call * 7) % ranges.length]!, holder: upstream}]}, call),
 	},
 	{
-		name: 'finding its rows', run: ({ranges}, life) => rowsToSend(ranges, {life, missing: []}),
+		name: 'finding its rows', run: ({ranges}, upstream) => rowsToSend(ranges, {life: upstream, missing: []}),
 	},
 	{
 		name: 'finding vacated keys',
