--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -66,8 +66,8 @@
 	},
 	{
 		name: 'finding vacated keys',
-		run: ({ranges, granting}, life, call) => vacatedByAnnouncement(granting, ranges, {
-			life, sequence: call, missing: [], released: [],
+		run: ({ranges, granting}, upstream, call) => vacatedByAnnouncement(granting, ranges, {
+			life: upstream, sequence: call, missing: [], released: [],
 		}),
 	},
 ];
