--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -32,7 +32,7 @@
 	return {upstreams, ranges, granting};
 }
 
-type Operation = (scene: Scenario, upstream: UpstreamIncarnation, call: number) => unknown;
+type Operation = (scenario: Scenario, upstream: UpstreamIncarnation, call: number) => unknown;
 
 const operations: ReadonlyArray<{readonly name: string; readonly maxGrowth?: number; readonly run: Operation}> = [
 	{
