--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -43,8 +43,8 @@
 	},
 	{
 		name: 'recording the answer',
-		run(scene, upstream, call) {
-			scene.granting = recordAnswer(scene.granting, {
+		run(scenario, upstream, call) {
+			scenario.granting = recordAnswer(scenario.granting, {
 				holder: upstream, sequence: call, receivedAt: call, index: call,
 			}, options);
 		},
