--- a/packages/key-lease/test/test-growth.ts
+++ b/packages/key-lease/test/test-growth.ts
@@ -72,10 +72,10 @@
 	},
 ];
 
-function timeOf(scene: Scenario, run: Operation): number {
+function timeOf(scenario: Scenario, run: Operation): number {
 	const startedAt = performance.now();
 	for (let call = 0; call < calls; call += 1) {
-		run(scene, scene.upstreams[(call * 7) % scene.upstreams.length]!, call);
+		run(scenario, scenario.upstreams[(call * 7) % scenario.upstreams.length]!, call);
 	}
 
 	return performance.now() - startedAt;
