--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -75,7 +75,7 @@
 
 	/** Returns the number of waiting requests for a key, which is the turn of the next one; 0 without a key. */
 	nextTurn(key: number | undefined): number {
-		return key === undefined ? 0 : this.#requests.filter(waiter => waiter.key === key).length;
+		return key === undefined ? 0 : this.#requests.filter(request => request.key === key).length;
 	}
 
 	/** Returns the number of waiting requests for an upstream that precede a new one with the given priority and turn. */
