--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -80,7 +80,7 @@
 
 	/** Returns the number of waiting requests for an upstream that precede a new one with the given priority and turn. */
 	countAhead(upstream: string | undefined, priority: number, turn: number): number {
-		return this.#requests.filter(waiter => waiter.upstream === upstream && !precedes({priority, turn}, waiter)).length;
+		return this.#requests.filter(request => request.upstream === upstream && !precedes({priority, turn}, request)).length;
 	}
 
 	/** Inserts a request by its priority and turn, after equal ones. */
