--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -84,9 +84,9 @@
 	}
 
 	/** Inserts a request by its priority and turn, after equal ones. */
-	add(waiter: WaitingRequest): void {
-		const position = this.#requests.findIndex(other => precedes(waiter, other));
-		this.#requests.splice(position === -1 ? this.#requests.length : position, 0, waiter);
+	add(request: WaitingRequest): void {
+		const position = this.#requests.findIndex(other => precedes(request, other));
+		this.#requests.splice(position === -1 ? this.#requests.length : position, 0, request);
 	}
 
 	/** Removes a request whose caller has disconnected. */
