--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -90,8 +90,8 @@
 	}
 
 	/** Removes a request whose caller has disconnected. */
-	remove(waiter: WaitingRequest): void {
-		this.#requests = this.#requests.filter(one => one !== waiter);
+	remove(request: WaitingRequest): void {
+		this.#requests = this.#requests.filter(one => one !== request);
 	}
 
 	/** Sends the requests that can be sent, in order, and times out those that waited too long. */
