--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -98,7 +98,7 @@
 	advance(now: MonotonicTime): void {
 		const requests = this.#requests;
 		this.#requests = [];
-		const kept = requests.filter(waiter => !waiter.tryToStart(now) && !this.#hasTimedOut(waiter, now));
+		const kept = requests.filter(request => !request.tryToStart(now) && !this.#hasTimedOut(request, now));
 		const added = this.#requests;
 		this.#requests = kept;
 		for (const waiter of added) {
