--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -101,8 +101,8 @@
 		const kept = requests.filter(request => !request.tryToStart(now) && !this.#hasTimedOut(request, now));
 		const added = this.#requests;
 		this.#requests = kept;
-		for (const waiter of added) {
-			this.add(waiter);
+		for (const request of added) {
+			this.add(request);
 		}
 	}
 
