--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -106,12 +106,12 @@
 		}
 	}
 
-	#hasTimedOut(waiter: WaitingRequest, now: MonotonicTime): boolean {
-		if (now < waiter.timesOutAt) {
+	#hasTimedOut(request: WaitingRequest, now: MonotonicTime): boolean {
+		if (now < request.timesOutAt) {
 			return false;
 		}
 
-		waiter.onTimeout();
+		request.onTimeout();
 		return true;
 	}
 }
