--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -70,34 +70,34 @@
 	return load;
 }
 
-const loads: ReadonlyArray<{readonly name: string; readonly load: UpstreamLoad; readonly allowance: number; readonly hasRoomAt: ReadonlyArray<readonly [number, boolean]>}> = [
+const loads: ReadonlyArray<{readonly name: string; readonly load: UpstreamLoad; readonly concurrencyLimit: number; readonly hasRoomAt: ReadonlyArray<readonly [number, boolean]>}> = [
 	{
-		name: 'an unused upstream has the initial limit', load: loadAfter(), allowance: 2, hasRoomAt: [[1000, true]],
+		name: 'an unused upstream has the initial limit', load: loadAfter(), concurrencyLimit: 2, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'one full signal halves the limit', load: loadAfter(Signal.full), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'one full signal halves the limit', load: loadAfter(Signal.full), concurrencyLimit: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'repeated full signals leave a limit of one', load: loadAfter(Signal.full, Signal.full, Signal.full), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'repeated full signals leave a limit of one', load: loadAfter(Signal.full, Signal.full, Signal.full), concurrencyLimit: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'many answers raise the limit to the slots plus one', load: loadAfter(...Array.from({length: 200}, () => Signal.answered)), allowance: 4, hasRoomAt: [[1000, true]],
+		name: 'many answers raise the limit to the slots plus one', load: loadAfter(...Array.from({length: 200}, () => Signal.answered)), concurrencyLimit: 4, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'one broken connection causes no pause', load: loadAfter(Signal.broken), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'one broken connection causes no pause', load: loadAfter(Signal.broken), concurrencyLimit: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'two consecutive broken connections cause a pause', load: loadAfter(Signal.broken, Signal.broken), allowance: 1, hasRoomAt: [[1099, false], [1100, true]],
+		name: 'two consecutive broken connections cause a pause', load: loadAfter(Signal.broken, Signal.broken), concurrencyLimit: 1, hasRoomAt: [[1099, false], [1100, true]],
 	},
 	{
-		name: 'an answer in between resets the count', load: loadAfter(Signal.broken, Signal.answered, Signal.broken), allowance: 1, hasRoomAt: [[1000, true]],
+		name: 'an answer in between resets the count', load: loadAfter(Signal.broken, Signal.answered, Signal.broken), concurrencyLimit: 1, hasRoomAt: [[1000, true]],
 	},
 	{
-		name: 'pauses grow up to a maximum', load: loadAfter(...Array.from({length: 30}, () => Signal.broken)), allowance: 1, hasRoomAt: [[2999, false], [3000, true]],
+		name: 'pauses grow up to a maximum', load: loadAfter(...Array.from({length: 30}, () => Signal.broken)), concurrencyLimit: 1, hasRoomAt: [[2999, false], [3000, true]],
 	},
 ];
 
-for (const {name, load, allowance, hasRoomAt} of loads) {
+for (const {name, load, concurrencyLimit: allowance, hasRoomAt} of loads) {
 	test(`load: ${name}`, () => {
 		assert.equal(load.concurrencyLimit, allowance);
 		for (const [now, hasRoom] of hasRoomAt) {
