--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -97,9 +97,9 @@
 	},
 ];
 
-for (const {name, load, concurrencyLimit: allowance, hasRoomAt} of loads) {
+for (const {name, load, concurrencyLimit: concurrencyLimit, hasRoomAt} of loads) {
 	test(`load: ${name}`, () => {
-		assert.equal(load.concurrencyLimit, allowance);
+		assert.equal(load.concurrencyLimit, concurrencyLimit);
 		for (const [now, hasRoom] of hasRoomAt) {
 			assert.equal(load.hasRoom(now), hasRoom, `room at ${now} ms`);
 		}
