--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -172,7 +172,7 @@
 	const events: string[] = [];
 	let room = 0;
 	const add = (name: string, priority: number, until: number) => {
-		const waiter: WaitingRequest = {
+		const request: WaitingRequest = {
 			priority,
 			turn: 0,
 			key: undefined,
@@ -191,7 +191,7 @@
 				events.push(`${name} gives up`);
 			},
 		};
-		queue.add(waiter);
+		queue.add(request);
 	};
 
 	add('low', 2, 300);
