--- a/packages/gateway/test/test-overload.ts
+++ b/packages/gateway/test/test-overload.ts
@@ -128,7 +128,7 @@
 
 function simulate(pattern: Pattern, seed: number): SimulationResult {
 	const generator = xoroshiro128plus(seed);
-	const draw = () => uniformInt(generator, 0, 999_999) / 1_000_000;
+	const random = () => uniformInt(generator, 0, 999_999) / 1_000_000;
 	const upstream = new Upstream(pattern);
 	const instances = Array.from({length: pattern.instances}, () => ({load: new UpstreamLoad(pattern.slots), queue: new WaitingQueue(), pacer: new KeyPacer()}));
 	const control = new Control(pattern);
@@ -160,16 +160,16 @@
 	}
 
 	function arrive(isHot: boolean, now: number): void {
-		const instance = Math.floor(draw() * pattern.instances);
+		const instance = Math.floor(random() * pattern.instances);
 		const {load, queue, pacer} = instances[instance]!;
-		const key = isHot ? hotKey : hotKey + 1 + Math.floor(draw() * 10_000);
+		const key = isHot ? hotKey : hotKey + 1 + Math.floor(random() * 10_000);
 		const turn = queue.nextTurn(key);
 		const until = waitDeadline({
 			arrivedAt: now, objectiveMilliseconds: pattern.objectiveMilliseconds, deadline: now + deadlineMilliseconds, expectedMilliseconds: load.latency,
 		});
 		counts = {...counts, arrived: counts.arrived + 1, others: counts.others + (isHot ? 0 : 1)};
 		control.count(key);
-		if (!isPaced(capacityOf(load)) && draw() >= control.share) {
+		if (!isPaced(capacityOf(load)) && random() >= control.share) {
 			return;
 		}
 
@@ -197,11 +197,11 @@
 			counts = noCounts;
 		}
 
-		if (now >= overloadStartMilliseconds && now < lastArrivalMilliseconds && draw() < perStep * pattern.hotLoad) {
+		if (now >= overloadStartMilliseconds && now < lastArrivalMilliseconds && random() < perStep * pattern.hotLoad) {
 			arrive(true, now);
 		}
 
-		if (now < lastArrivalMilliseconds && draw() < perStep * pattern.otherLoad) {
+		if (now < lastArrivalMilliseconds && random() < perStep * pattern.otherLoad) {
 			arrive(false, now);
 		}
 	}
