--- a/packages/key-lease/test/test-schedules.ts
+++ b/packages/key-lease/test/test-schedules.ts
@@ -47,14 +47,14 @@
 /** Simulates one schedule; returns a description of the first moment at which a key had two holders, if any. */
 function simulate(seed: number, fault: LeaderFault = {}): string | undefined {
 	const generator = xoroshiro128plus(seed);
-	const draw = (bound: number) => uniformInt(generator, 0, bound - 1);
+	const randomInt = (bound: number) => uniformInt(generator, 0, bound - 1);
 	let tables: KeyTables = {[service]: unassignedRanges};
 	let index = 1;
 	let granting: GrantingState = createGrantingState(0);
 	const leaderOptions = fault.expiryIsEarly === true ? {...options, holdMilliseconds: options.holdMilliseconds / 2} : options;
 	let answers: Answer[] = [];
 	const upstreams: Upstream[] = Array.from({length: upstreamCount}, (_value, position) => ({
-		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], expiresAt: -1, released: [], nextAt: draw(400), leaving: false,
+		id: `u${position}`, born: 1, sequence: 0, rate: 0.98 + (0.01 * (position % 3)), rows: [], expiresAt: -1, released: [], nextAt: randomInt(400), leaving: false,
 	}));
 	let rates: readonly KeyRate[] = [];
 
@@ -74,7 +74,7 @@
 			life: incarnation, sequence: upstream.sequence, holds: upstream.rows, released: upstream.released,
 		};
 		upstream.nextAt = now + 300;
-		if (draw(10) === 0) {
+		if (randomInt(10) === 0) {
 			return;
 		}
 
@@ -90,9 +90,9 @@
 			holder: incarnation, sequence: keys.sequence, receivedAt: now, index,
 		}, leaderOptions);
 		commit({kind: 'keysTold', service, rows: rows.filter(({told}) => !told).map(({from, to}) => ({from, to, holder: incarnation}))});
-		if (draw(8) > 0) {
+		if (randomInt(8) > 0) {
 			answers.push({
-				at: now + draw(300), to: upstream, born: upstream.born, sequence: upstream.sequence, sentAt: now, rows,
+				at: now + randomInt(300), to: upstream, born: upstream.born, sequence: upstream.sequence, sentAt: now, rows,
 			});
 		}
 	}
@@ -115,15 +115,15 @@
 			granting = createGrantingState(now);
 		},
 		() => {
-			const upstream = upstreams[draw(upstreamCount)]!;
+			const upstream = upstreams[randomInt(upstreamCount)]!;
 			upstream.leaving = !upstream.leaving;
 		},
 		() => {
-			const firstHotKey = draw(keyCount - 400);
+			const firstHotKey = randomInt(keyCount - 400);
 			rates = Array.from({length: 400}, (_value, position) => ({key: firstHotKey + position, rate: 1.25}));
 		},
 		now => {
-			const upstream = upstreams[draw(upstreamCount)]!;
+			const upstream = upstreams[randomInt(upstreamCount)]!;
 			upstream.nextAt = now + 3000;
 		},
 	];
@@ -154,8 +154,8 @@
 			announce(upstream, now);
 		}
 
-		if (now > 2500 && draw(30) === 0) {
-			disturbances[draw(disturbances.length)]!(now);
+		if (now > 2500 && randomInt(30) === 0) {
+			disturbances[randomInt(disturbances.length)]!(now);
 		}
 
 		if (now % 250 === 0) {
