--- a/packages/directory/test/test-item-change.ts
+++ b/packages/directory/test/test-item-change.ts
@@ -5,12 +5,12 @@
 import {type ItemChange, noItems, type Route} from '@dogwooddeck/directory/item';
 import {changeItems} from '@dogwooddeck/directory/item-change';
 
-const plain: Route = {
+const validRoute: Route = {
 	hostname: 'a.example', pathPrefix: '/a/', idempotent: true, timeoutMilliseconds: 1000, objectiveMilliseconds: 500, priority: 1, maxAttempts: 2, targets: [{service: 's', weight: 1}],
 };
 
 function route(version: number, fields: Partial<Route> = {}, name = 'r'): ItemChange {
-	const value = {...plain, ...fields};
+	const value = {...validRoute, ...fields};
 	return {kind: 'route', name, item: {version, value, document: JSON.stringify(value)}};
 }
 
