--- a/packages/directory/src/key-plan.ts
+++ b/packages/directory/src/key-plan.ts
@@ -59,13 +59,13 @@
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
-function candidatesOf(input: DirectoryPlanInput, service: string, {relativeSpeedOf: speedOf}: ServiceWork): readonly Candidate[] {
+function candidatesOf(input: DirectoryPlanInput, service: string, {relativeSpeedOf: relativeSpeedOf}: ServiceWork): readonly Candidate[] {
 	const upstreams = Object.values(input.state.upstreams).filter(upstream => upstream.service === service);
 	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isInContact(input, upstream));
 	const hasWarm = ready.some(({cold}) => !cold);
 	return upstreams.map(upstream => ({
 		upstream: {id: upstream.id, born: upstream.born},
-		weight: upstream.slots * speedOf(upstream.id),
+		weight: upstream.slots * relativeSpeedOf(upstream.id),
 		accepting: ready.includes(upstream) && (!hasWarm || !upstream.cold),
 		leaving: upstream.state === UpstreamState.draining,
 	}));
