--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -7,7 +7,7 @@
 import {KeyPacer} from '@dogwooddeck/gateway/key-pace';
 import {createRouteTable, type RouteTable} from '@dogwooddeck/gateway/route-table';
 import {type Distance, distanceOf} from '@dogwooddeck/gateway/selection';
-import {WeightedRoundRobin} from '@dogwooddeck/gateway/split';
+import {WeightedRoundRobin} from '@dogwooddeck/gateway/weighted-round-robin';
 import {UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {WaitingQueue} from '@dogwooddeck/gateway/waiting';
 import {type KeyRange, rangeOfKey, sameIncarnation} from '@dogwooddeck/key-lease/range';
