--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -5,7 +5,7 @@
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {directoryMachine, type DirectoryState} from '@dogwooddeck/directory/state';
-import {Distance, distanceOf} from '@dogwooddeck/gateway/selection';
+import {Distance, distanceOf} from '@dogwooddeck/gateway/upstream-selection';
 import {type UpstreamIncarnation, incarnationText} from '@dogwooddeck/key-lease/range';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
 import {type Following, type MeshClients} from '@dogwooddeck/mesh/client';
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -8,7 +8,7 @@
 import {type CallerLimits} from '@dogwooddeck/directory/item';
 import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {findRoute, type NamedRoute} from '@dogwooddeck/gateway/route-table';
-import {selectUpstream} from '@dogwooddeck/gateway/selection';
+import {selectUpstream} from '@dogwooddeck/gateway/upstream-selection';
 import {type WaitingRequest, waitDeadline} from '@dogwooddeck/gateway/waiting';
 import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -6,7 +6,7 @@
 import {UpstreamState, type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {KeyPacer} from '@dogwooddeck/gateway/key-pace';
 import {createRouteTable, type RouteTable} from '@dogwooddeck/gateway/route-table';
-import {type Distance, distanceOf} from '@dogwooddeck/gateway/selection';
+import {type Distance, distanceOf} from '@dogwooddeck/gateway/upstream-selection';
 import {WeightedRoundRobin} from '@dogwooddeck/gateway/weighted-round-robin';
 import {UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {WaitingQueue} from '@dogwooddeck/gateway/waiting';
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {Distance} from '@dogwooddeck/gateway/selection';
+import {Distance} from '@dogwooddeck/gateway/upstream-selection';
 import {type FollowListener, type MeshClients} from '@dogwooddeck/mesh/client';
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type Log} from '@dogwooddeck/telemetry/log';
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -3,7 +3,7 @@
 import {noItems, type Route} from '@dogwooddeck/directory/item';
 import {retryDelay} from '@dogwooddeck/gateway/refusal';
 import {createRouteTable, findRoute} from '@dogwooddeck/gateway/route-table';
-import {type UpstreamCandidate, Distance, selectUpstream} from '@dogwooddeck/gateway/selection';
+import {type UpstreamCandidate, Distance, selectUpstream} from '@dogwooddeck/gateway/upstream-selection';
 import {WeightedRoundRobin} from '@dogwooddeck/gateway/weighted-round-robin';
 import {Signal, UpstreamLoad} from '@dogwooddeck/gateway/upstream-load';
 import {type WaitingRequest, WaitingQueue, waitDeadline} from '@dogwooddeck/gateway/waiting';
