--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -7,7 +7,7 @@
 import {recordAnnouncement} from '@dogwooddeck/directory/announcement';
 import {type ItemChange, definedItems} from '@dogwooddeck/directory/item';
 import {isNoOp} from '@dogwooddeck/directory/item-change';
-import {planDirectory} from '@dogwooddeck/directory/key-plan';
+import {planDirectory} from '@dogwooddeck/directory/directory-plan';
 import {type DirectoryCommand} from '@dogwooddeck/directory/state';
 import {type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 import {
--- a/packages/directory/test/test-growth.ts
+++ b/packages/directory/test/test-growth.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import {createGrantingState, recordContact} from '@dogwooddeck/key-lease/granting';
 import {keyCount, type KeyRange} from '@dogwooddeck/key-lease/range';
-import {planDirectory} from '@dogwooddeck/directory/key-plan';
+import {planDirectory} from '@dogwooddeck/directory/directory-plan';
 import {type DirectoryState, emptyDirectory} from '@dogwooddeck/directory/state';
 import {UpstreamState, type UpstreamRecord} from '@dogwooddeck/directory/upstream';
 
