--- a/packages/directory/src/directory-plan.ts
+++ b/packages/directory/src/directory-plan.ts
@@ -59,7 +59,7 @@
 }
 
 /** Returns the candidates of a service. Cold upstreams, still slow after their start, are granted keys only while no warm one is ready. */
-function candidatesOf(input: DirectoryPlanInput, service: string, {relativeSpeedOf: relativeSpeedOf}: ServiceWork): readonly Candidate[] {
+function candidatesOf(input: DirectoryPlanInput, service: string, {relativeSpeedOf}: ServiceWork): readonly Candidate[] {
 	const upstreams = Object.values(input.state.upstreams).filter(upstream => upstream.service === service);
 	const ready = upstreams.filter(upstream => upstream.state === UpstreamState.ready && isInContact(input, upstream));
 	const hasWarm = ready.some(({cold}) => !cold);
--- a/packages/gateway/test/test-gateway.ts
+++ b/packages/gateway/test/test-gateway.ts
@@ -97,7 +97,7 @@
 	},
 ];
 
-for (const {name, load, concurrencyLimit: concurrencyLimit, hasRoomAt} of loads) {
+for (const {name, load, concurrencyLimit, hasRoomAt} of loads) {
 	test(`load: ${name}`, () => {
 		assert.equal(load.concurrencyLimit, concurrencyLimit);
 		for (const [now, hasRoom] of hasRoomAt) {
--- a/packages/key-lease/src/holder-load.ts
+++ b/packages/key-lease/src/holder-load.ts
@@ -59,7 +59,7 @@
 
 		if (holder !== undefined && rate > 0) {
 			const key = incarnationText(holder);
-			const total = totals.get(key) ?? {holder: holder, rate: 0};
+			const total = totals.get(key) ?? {holder, rate: 0};
 			total.rate += rate;
 			totals.set(key, total);
 		}
@@ -70,7 +70,7 @@
 
 /** Returns the overloaded holders, each with the share of requests that may be sent to it. */
 export function holderShares(ranges: readonly KeyRange[], rates: readonly KeyRate[], sustainableRateOf: (holder: UpstreamIncarnation) => number): readonly HolderShare[] {
-	return [...holderRates(ranges, rates).values()].flatMap(({holder: holder, rate}) => {
+	return [...holderRates(ranges, rates).values()].flatMap(({holder, rate}) => {
 		const share = sustainableRateOf(holder) / rate;
 		return share < maxAnnouncedShare ? [{life: holder, share}] : [];
 	});
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -284,7 +284,7 @@
 
 /** Recalls the keys of upstreams that are leaving or have no record any more. */
 function recallFromLeaving(input: PlanInput): readonly HeldSpan[] {
-	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({upstream: upstream}) => incarnationText(upstream)));
+	const staying = new Set(input.candidates.filter(candidate => !candidate.leaving).map(({upstream}) => incarnationText(upstream)));
 	return input.ranges.flatMap(({from, to, holder, releasingSince}) => holder !== undefined && releasingSince === undefined && !staying.has(incarnationText(holder))
 		? [{from, to, holder}]
 		: []);
