--- a/packages/gateway/src/key-pace.ts
+++ b/packages/gateway/src/key-pace.ts
@@ -56,7 +56,7 @@
 		return Math.max(0, (1 + ahead - tokens) / perMillisecond);
 	}
 
-	/** Takes a token for a request that is being sent. */
+	/** Records that a request is being sent, which takes a token. */
 	recordSend(key: number, capacity: HolderCapacity, now: MonotonicTime): void {
 		if (!isPaced(capacity)) {
 			return;
--- a/packages/gateway/src/refusal.ts
+++ b/packages/gateway/src/refusal.ts
@@ -11,7 +11,7 @@
 /** The range of the random part of the delay, as a share of the request's objective. */
 const randomDelayShare = 0.6;
 
-/** Returns the retry delay for a caller; `draw` is a random number between 0 and 1. */
+/** Returns the retry delay for a caller; `random` is a random number between 0 and 1. */
 export function retryDelay(objectiveMilliseconds: Milliseconds, random: number): Milliseconds {
 	return minDelayMilliseconds + (objectiveMilliseconds * randomDelayShare * random);
 }
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -91,7 +91,7 @@
 
 	/** Removes a request whose caller has disconnected. */
 	remove(request: WaitingRequest): void {
-		this.#requests = this.#requests.filter(request => request !== request);
+		this.#requests = this.#requests.filter(other => other !== request);
 	}
 
 	/** Sends the requests that can be sent, in order, and times out those that waited too long. */
--- a/packages/key-lease/src/planning.ts
+++ b/packages/key-lease/src/planning.ts
@@ -74,7 +74,7 @@
 /** The maximum number of pieces that move in one plan: enough to spread a hot run of keys over as many upstreams at once, or to fill one that joins. */
 const maxMovesPerPlan = 32;
 
-/** After a move the target must have less work than the source had before, by at least this share of the significant difference. */
+/** After a move the relative load of the target must be below the source's before it, by at least this share of the significant difference. */
 const minGainShare = 0.5;
 
 /** Each move aims for at least this share of the mean. */
@@ -144,7 +144,7 @@
 	return work / candidate.weight;
 }
 
-/** Returns the accepting upstream with the lowest relative load once `more` work is added: a fast one for a key with much work. */
+/** Returns the accepting upstream with the lowest relative load once `extraWork` is added: a fast one for a key with much work. */
 function leastLoaded(loads: readonly CandidateLoad[], mostRanges: number, extraWork = 0): CandidateLoad | undefined {
 	let found: CandidateLoad | undefined;
 	let lowest = Infinity;
@@ -213,7 +213,7 @@
 	}
 }
 
-/** Returns the part at either end of one of an upstream's spans whose work is nearest to `wanted`; undefined if its work exceeds `most`. */
+/** Returns the part at either end of one of an upstream's spans whose work is nearest to `wanted`; undefined if its work exceeds `maxWork`. */
 function pieceToMove(work: WorkEstimate, spans: readonly KeySpan[], wanted: number, maxWork: number): KeySpan | undefined {
 	let best: {readonly span: KeySpan; readonly deviation: number} | undefined;
 	for (const whole of spans) {
