--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -23,7 +23,7 @@
 	readonly upstream: string | undefined;
 	/** When its wait times out. */
 	readonly timesOutAt: MonotonicTime;
-	/** Tries to send the request. Returns `true` if it was sent and no longer waits. */
+	/** Tries to send the request. Returns `true` once it no longer waits: it was sent, or its caller has disconnected. */
 	readonly tryToStart: (now: MonotonicTime) => boolean;
 	/** Called when the wait times out. */
 	readonly onTimeout: () => void;
