--- a/packages/entry/src/answer-rules.ts
+++ b/packages/entry/src/answer-rules.ts
@@ -1,5 +1,5 @@
 /**
- * What an upstream's answer is held against, and what an attempt says about its upstream.
+ * Classifies the answers of upstreams, and derives from each attempt the signal for its upstream's load control.
  */
 import {Signal} from '@dogwooddeck/gateway/upstream-load';
 import {AttemptObservation} from '@dogwooddeck/routing/outcome';
@@ -28,17 +28,17 @@
 	[AttemptObservation.cancelledAfterFirstByte]: Signal.none,
 };
 
-/** Whether an upstream says that it did not run the request. */
+/** Whether an answer states that the upstream did not run the request. */
 export function isNotRun(fields: FieldNames, {headers}: AnswerHead): boolean {
 	return fieldOf(headers, fields.notRun) !== undefined;
 }
 
 /**
- * Whether an answer is not the upstream's answer to this request. It has to name
- * the request, which a refusal may leave out on a connection that had no request
- * before (`isFirst`): on others it may be an earlier one that is written again.
- * A success bears the upstream's stamp; none comes in a coding that the caller
- * didn't ask for.
+ * Whether an answer is not the upstream's answer to this request. An answer must echo
+ * the request's identifier. Only a refusal to the first request on a connection
+ * (`isFirst`) may omit it: on others it may be a repeated earlier refusal. A success
+ * must have the upstream's stamp. An answer with a content coding counts as foreign,
+ * as the caller did not ask for one.
  */
 export function isForeign(fields: FieldNames, identifier: string | undefined, {status, head, isFirst}: {readonly status: number; readonly head: AnswerHead; readonly isFirst: boolean}): boolean {
 	const echoed = fieldOf(head.headers, fields.requestIdentifier);
@@ -47,12 +47,12 @@
 	return isOther || (isSuccess && fieldOf(head.headers, fields.stamp) === undefined) || fieldOf(head.headers, 'content-encoding') !== undefined;
 }
 
-/** Whether an upstream refused a request because it is another one, or does not hold the key. */
+/** Whether an upstream refused a request that is addressed to another upstream, or whose key it doesn't hold. */
 export function isMisdirected(seen: AttemptObservation, status: number): boolean {
 	return seen === AttemptObservation.shed && status === misdirected;
 }
 
-/** What an attempt says about its upstream. `answered` is the status of a whole answer. */
+/** Returns the signal of an attempt for its upstream's load control. `refusedWith` is the status of a refusal, `answered` that of a whole answer. */
 export function signalOf(seen: AttemptObservation, refusedWith: number, answered: number | undefined): Signal {
 	if (isMisdirected(seen, refusedWith)) {
 		return Signal.none;
--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at one upstream: sends the request and gathers the answer. An
- * answer that is not whole is never told as one.
+ * One attempt to send a request to an upstream: sends it and buffers the answer.
+ * An incomplete answer is never reported as a whole one.
  */
 import {Buffer} from 'node:buffer';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -12,69 +12,69 @@
 import {type AnswerHead, type RawHeaders} from '@dogwooddeck/upstream-client/headers';
 import {type Connection} from './connection.js';
 
-/** A whole answer of an upstream. */
+/** The whole answer of an upstream. */
 export type UpstreamAnswer = {readonly status: number; readonly headers: RawHeaders; readonly body: Buffer};
 
 /** How an attempt ended. */
 export type AttemptResult = {
 	readonly seen: AttemptObservation;
 	readonly milliseconds: Milliseconds;
-	/** With `wholeAnswer`, unless its parts were passed on as they came. */
+	/** Set with `wholeAnswer`, unless the answer was streamed. */
 	readonly answer?: UpstreamAnswer;
 	readonly retryAfterMilliseconds?: Milliseconds;
 };
 
-/** Takes an answer that is too long to be gathered. */
+/** Receives an answer that is too long to buffer. `write` returns false to pause it until `SentAttempt.resume`. */
 export type LongAnswer = {
 	readonly begin: (status: number, headers: RawHeaders) => void;
 	readonly write: (chunk: Uint8Array) => boolean;
 };
 
-/** What an answer is held against. */
+/** The rules by which an answer is classified. */
 export type RequestRules = Pick<AnswerRules, 'isNotRun'> & {
-	/** Whether the answer belongs to another request, or isn't the upstream's own. `isFirst`: its connection has carried no other request. */
+	/** Whether the answer belongs to another request, or isn't the upstream's own. `isFirst`: this is the first request on its connection. */
 	readonly isForeign: (status: number, head: AnswerHead, isFirst: boolean) => boolean;
 };
 
-/** What is sent, and who hears of it. */
+/** The request to send, and the callbacks for its answer. */
 export type RequestSpecification = {
 	readonly method: string;
 	readonly path: string;
 	readonly headers: RawHeaders;
 	readonly body: Buffer | undefined;
 	readonly timeoutMilliseconds: Milliseconds;
-	/** The request is not sent on these again, and the connection is added where the upstream refuses it: the refusal may be written again there, and name the same request. */
+	/** Connections on which an upstream refused the request; each refusal adds its connection. The request is not sent on them again, since the upstream may repeat the refusal there, with the identifier of the same request. */
 	readonly refusedOn: Set<Connection>;
 	readonly rules: RequestRules;
-	/** Called right before the first byte is handed to a socket. `false`: nothing is sent. */
+	/** Called right before the first byte is written to a socket. If it returns false, nothing is sent. */
 	readonly mayStart: () => boolean;
 	readonly onLong: LongAnswer;
 	/** Called once. */
 	readonly onEnd: (result: AttemptResult) => void;
 };
 
-/** An attempt that is under way. */
+/** An attempt in flight. */
 export type SentAttempt = {
-	/** The caller is gone: the upstream sees its connection end. */
+	/** Closes the connection to the upstream, as the caller has disconnected. */
 	readonly cancel: () => void;
-	/** Goes on after `LongAnswer.write` returned `false`. */
+	/** Resumes reading after `LongAnswer.write` returned false. */
 	readonly resume: () => void;
 };
 
-/** Answers up to this size are gathered before they are passed on, so that a cut one can be asked for again. */
+/** Answers up to this size are buffered before they are forwarded, so that the request can be retried if the answer is truncated. */
 export const gatheredBytes = 131_072;
 
-/** What a request does to its connection. */
+/** Reports the progress of a request to the owner of its connection. */
 export type ConnectionHold = {
-	/** The head of an answer has come. */
+	/** The head of the answer was received. */
 	readonly answering: () => void;
-	/** The request is over; the rest of a refusal may still come. */
+	/** The request has ended; the rest of a refusal may still arrive. */
 	readonly ended: (seen: AttemptObservation) => void;
-	/** Nothing more comes of the request. */
+	/** No more data of the request's answer will arrive. */
 	readonly release: () => void;
 };
 
-/** Gathers an answer; what is longer than `gatheredBytes` is passed on as it comes. */
+/** Buffers an answer; one that is longer than `gatheredBytes` is streamed. */
 class Gathering implements AnswerSink {
 	readonly #specification: RequestSpecification;
 	readonly #startedAt = monotonicNow();
--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One caller's request and the answer to it, on the caller's connection.
+ * One request of a caller and its answer, on the caller's connection.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
@@ -9,8 +9,8 @@
 const exchangesOfSocket = new WeakMap<Socket, Set<() => void>>();
 
 /**
- * Calls back when a connection closes, until the returned function is called. The
- * caller's own end counts: the server ends the connection then, and an answer can't be given any more.
+ * Calls `gone` when a connection closes, until the returned function is called. A
+ * half-close by the caller counts: the server then ends the connection, and no answer can be sent any more.
  */
 function watchSocket(socket: Socket, gone: () => void): () => void {
 	let watchers = exchangesOfSocket.get(socket);
@@ -35,15 +35,15 @@
 	};
 }
 
-/** Why a body was not taken. */
+/** Why a body was rejected. */
 export const BodyProblem = {tooLarge: 'too-large', cut: 'cut'} as const;
 
-/** One of the reasons. */
+/** One of the values of `BodyProblem`. */
 export type BodyProblem = (typeof BodyProblem)[keyof typeof BodyProblem];
 
 const bodyless = new Set([204, 304]);
 
-/** The two sides of a caller's connection for one request. */
+/** A caller's request, and the operations that answer it. */
 export class CallerExchange {
 	readonly #response: ServerResponse;
 	readonly #unwatch: () => void;
@@ -65,22 +65,22 @@
 		});
 	}
 
-	/** Whether the caller has closed its connection. */
+	/** Whether the caller has disconnected. */
 	get isGone(): boolean {
 		return this.#isGone;
 	}
 
-	/** Whether an answer was begun. */
+	/** Whether an answer has been started. */
 	get isAnswered(): boolean {
 		return this.#isAnswered;
 	}
 
-	/** Called when the caller leaves before the end of its answer. */
+	/** Sets the callback for when the caller disconnects before the end of its answer. */
 	onGone(callback: () => void): void {
 		this.#whenGone = callback;
 	}
 
-	/** Reads the whole body, up to a size. */
+	/** Reads the whole body, of at most `mostBytes`. Calls back without a body if the request has none or on a problem. */
 	readBody(mostBytes: number, done: (body: Buffer | undefined, problem?: BodyProblem) => void): void {
 		const {headers} = this.request;
 		if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) {
@@ -114,7 +114,7 @@
 		});
 	}
 
-	/** Answers with a whole body. */
+	/** Sends an answer with its whole body. */
 	answer(status: number, headers: RawHeaders, body: Buffer): void {
 		if (!this.#begin()) {
 			return;
@@ -127,30 +127,30 @@
 		this.#unwatch();
 	}
 
-	/** Begins an answer whose parts follow. */
+	/** Starts a streamed answer, whose body follows by `write`. */
 	begin(status: number, headers: RawHeaders): void {
 		if (this.#begin()) {
 			this.#response.writeHead(status, [...headers]);
 		}
 	}
 
-	/** Passes a part on. `false`: wait for `onDrain`. */
+	/** Writes a part of a streamed body. Returns false if the next part should wait for `onDrain`. */
 	write(chunk: Uint8Array): boolean {
 		return this.#isGone || this.#response.write(chunk);
 	}
 
-	/** Calls back once the caller has read. */
+	/** Calls back once the connection's write buffer is empty. */
 	onDrain(callback: () => void): void {
 		this.#response.once('drain', callback);
 	}
 
-	/** Ends an answer that was begun. */
+	/** Ends a streamed answer. */
 	end(): void {
 		this.#response.end();
 		this.#unwatch();
 	}
 
-	/** Closes the connection in the middle of an answer, so that it can't look whole. */
+	/** Closes the connection in the middle of an answer, so that the caller can't take it for a whole one. */
 	cut(): void {
 		this.request.socket.destroy();
 	}
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -1,6 +1,6 @@
 /**
- * Listens for callers. Requests are handed on as they are: neither their path
- * nor their body is looked at by the framework.
+ * The HTTP server for callers. Requests are passed on unchanged: the framework
+ * interprets neither their path nor their body.
  */
 import {type Server} from 'node:http';
 import {type Socket} from 'node:net';
@@ -9,39 +9,39 @@
 import {CallerExchange} from './caller-exchange.js';
 import {type ListenAddress} from './settings.js';
 
-/** A server for callers. */
+/** The running server. */
 export type CallerServer = {
 	readonly setLimits: (limits: CallerLimits | undefined) => void;
 	readonly connections: () => number;
-	/** Takes no new connections. */
+	/** Accepts no new connections. */
 	readonly stopListening: () => void;
-	/** Closes connections on which nothing is under way. */
+	/** Closes connections without a request in flight. */
 	readonly closeIdle: () => void;
 	readonly closeAll: () => void;
 };
 
-/** Takes a request. */
+/** Handles a request. */
 export type TakeRequest = (exchange: CallerExchange, path: string) => void;
 
-/** Before limits are declared, callers may send this much of a head, in bytes. */
+/** The largest request head before limits are declared, in bytes. */
 const headerBytes = 16_384;
 
-/** The longest head of any declared limit that can be met: the parser's bound is fixed when the server starts. */
+/** The largest request head that a declared limit can allow, in bytes: the parser's limit is fixed when the server starts. */
 const mostHeaderBytes = 65_536;
 
 const defaultIdleMilliseconds = 15_000;
 const defaultHeaderMilliseconds = 3000;
 
-/** Added to the idle time that callers are told, for what is on its way. */
+/** Added to the declared idle timeout, for requests that are still on the network when it ends. */
 const idleMarginMilliseconds = 1000;
 
-/** No route has a schema: what compiles schemas takes a tenth of a start's processor time to load. */
+/** Replaces the schema compilers, whose loading takes a tenth of the processor time of a start: no route has a schema. */
 const noSchemas = {
 	buildValidator: (() => () => () => true) as never,
 	buildSerializer: (() => () => String) as never,
 };
 
-/** Starts to listen. `keepsConnections`: whether a connection may carry a request after the one that is answered. */
+/** Starts the server. `keepsConnections` returns whether a connection may carry another request after the current one. */
 export async function startCallerServer({host, port}: ListenAddress, take: TakeRequest, keepsConnections: () => boolean): Promise<CallerServer> {
 	const application = fastify({
 		logger: false,
--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -1,41 +1,41 @@
 /**
- * One connection to an upstream, which carries one request at a time.
+ * A persistent connection to an upstream, which carries one request at a time.
  */
 import {type Socket} from 'node:net';
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {buildConnector, Client} from 'undici';
 
-/** How connections are made. */
+/** The timeouts of connections. */
 export type ConnectionTerms = {
-	/** The longest wait for a connection, in milliseconds. */
+	/** The connect timeout, in milliseconds. */
 	readonly connectMilliseconds: number;
-	/** An unused connection is closed after this long, in milliseconds. */
+	/** The idle timeout, in milliseconds. */
 	readonly idleMilliseconds: number;
 };
 
-/** Bytes that may come before the head of an answer is whole: `undici` bounds its fields, and neither its first line nor the heads before it. */
+/** The maximum number of bytes received before the head of an answer is complete: `undici` limits its header fields, but neither its status line nor interim heads (1xx) before it. */
 const mostHeadBytes = 65_536;
 
-/** A connection that `undici` keeps. */
+/** A connection that is managed by `undici`. */
 export class Connection {
 	readonly client: Client;
 	isBusy = false;
 	isOpen = false;
-	/** Whether the rest of a refusal is awaited. */
+	/** Whether the rest of a refusal is still being read. */
 	isDraining = false;
-	/** The requests that it has carried, the present one among them. */
+	/** The number of requests that it has carried, including the current one. */
 	requests = 0;
-	/** Whether the connection has ended, or is about to. */
+	/** Whether the connection has closed or is being closed. */
 	isOver = false;
 	usedAt: MonotonicTime = 0;
-	/** Whether the head of the present request's answer has come. */
+	/** Whether the head of the current request's answer was received. */
 	hasHead = false;
 	#socket: Socket | undefined;
-	/** The bytes that had come when the present request began. */
+	/** The number of bytes received before the current request began. */
 	#bytesBefore = 0;
 	#endedInOrder = false;
 
-	/** Connects when the first request is sent. `onOver` is called once. */
+	/** Connects when the first request is sent. `onOver` is called once, when the connection closes. */
 	constructor(address: string, terms: ConnectionTerms, onOver: (connection: Connection) => void) {
 		const connect = buildConnector({timeout: terms.connectMilliseconds});
 		this.client = new Client(`http://${address}`, {
@@ -69,17 +69,17 @@
 		this.client.on('connectionError', end);
 	}
 
-	/** Whether the other side ended the connection without a reset. */
+	/** Whether the peer ended the connection without a reset. */
 	get endedInOrder(): boolean {
 		return this.#endedInOrder;
 	}
 
-	/** Whether far more has come since the present request began than the head of an answer, and no head. */
+	/** Whether far more bytes than an answer's head has were received since the current request began, without a complete head. */
 	get isEndless(): boolean {
 		return this.isBusy && !this.hasHead && (this.#socket?.bytesRead ?? 0) - this.#bytesBefore > mostHeadBytes;
 	}
 
-	/** A request begins. */
+	/** Marks the connection as used by a new request. */
 	begin(): void {
 		this.isBusy = true;
 		this.hasHead = false;
@@ -87,7 +87,7 @@
 		this.#bytesBefore = this.#socket?.bytesRead ?? 0;
 	}
 
-	/** Ends the connection. */
+	/** Closes the connection. */
 	destroy(): void {
 		this.isOver = true;
 		void this.client.destroy();
@@ -97,7 +97,7 @@
 		this.#socket = socket;
 		socket.setNoDelay(true);
 		socket.once('end', () => {
-			// A reset that comes right behind data reads as an end; only the peer's address is gone then.
+			// A reset right after data is reported as a regular end; only the missing peer address distinguishes it.
 			this.#endedInOrder = socket.remoteAddress !== undefined;
 		});
 		socket.once('error', () => {
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the directory: changes from the nearest control instance that is in
- * touch with the leader, the newest state wins. A stream that falls silent is
- * opened anew, and others are followed meanwhile.
+ * Replicates the directory: streams changes from the nearest control instance that
+ * is in contact with the leader, and keeps the newest state. A stream that stops
+ * sending is reopened, and other instances are followed in the meantime.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {directoryMachine, type DirectoryState} from '@dogwooddeck/directory/state';
@@ -18,24 +18,24 @@
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
 
-/** What the follower knows. */
+/** The replicated directory, and what control instances report beside it. */
 export type DirectoryFollower = {
 	readonly state: () => DirectoryState;
 	readonly listen: (listener: (state: DirectoryState) => void) => void;
-	/** Whether the directory was once confirmed by a control instance in touch with the leader. */
+	/** Whether a control instance in contact with the leader has confirmed the directory at least once. */
 	readonly isConfirmed: () => boolean;
-	/** The nearest control instance that is heard. */
+	/** Returns the address of the nearest control instance with an active stream. */
 	readonly nearest: () => string | undefined;
-	/** The number of entries of the deployment, as far as it is known; at least 1. */
+	/** Returns the number of entry instances of the deployment, as last reported; at least 1. */
 	readonly entryCount: () => number;
-	/** The part of the requests for its keys that an upstream with too much work can process; 1 for others. */
+	/** Returns the fraction of the requests for its keys that an overloaded upstream can process; 1 for other upstreams. */
 	readonly shareOf: (life: UpstreamIncarnation) => number;
 	/** Follows further control instances. */
 	readonly followAlso: (addresses: readonly string[]) => void;
 	readonly stop: () => void;
 };
 
-/** What the follower works with. */
+/** What the follower depends on. */
 export type FollowerParts = {
 	readonly name: string;
 	readonly zone: ZoneName;
@@ -46,27 +46,27 @@
 	readonly log: Log;
 };
 
-/** A stream is silent after this long: its sender writes each 250 ms. */
+/** A stream that receives no data for this long is closed and reopened: its sender writes each 250 ms. */
 const silentMilliseconds: Milliseconds = 900;
 const checkMilliseconds: Milliseconds = 200;
-/** Until a stream has brought its first message it gets more time, to connect. */
+/** The longer timeout for the first message of a stream, which includes connecting. */
 const connectMilliseconds: Milliseconds = 1500;
 
-/** While a nearer control instance has not been in touch with the leader for this long, others are followed beside it: an election takes as long. */
+/** When a nearer control instance has had no contact with the leader for this long, others are followed too: an election takes as long. */
 const staleMilliseconds: Milliseconds = 700;
 
-/** One control instance, as a follower knows it. */
+/** The state of the stream from one control instance. */
 export type FollowedControl = {
-	/** Undefined until it has said where it stands. */
+	/** Undefined until it has reported its zone. */
 	readonly distance?: Distance;
 	readonly isOpen: boolean;
 	readonly hasHeard: boolean;
 	readonly heardAt: MonotonicTime;
-	/** When it last said that it is in touch with the leader, or when its stream began. */
+	/** When it last reported contact with the leader, or when its stream began. */
 	readonly freshAt: MonotonicTime;
 };
 
-/** What was told of overloads holds for this long: a key is hot for seconds. */
+/** Reported overloads are valid for this long: a key is hot for seconds. */
 const sharesMilliseconds: Milliseconds = 1500;
 
 const ranks: Readonly<Record<Distance, number>> = {
@@ -75,21 +75,21 @@
 	[Distance.otherRegion]: 2,
 };
 
-/** Whether an instance is followed, and for what. */
+/** What is requested from a control instance. */
 export const Wanted = {
-	/** To hear where it stands. */
+	/** Its zone, members and contact with the leader, without changes of the directory. */
 	presence: 'presence',
 	changes: 'changes',
 	nothing: 'nothing',
 } as const;
 
-/** One of these. */
+/** One of the values of `Wanted`. */
 export type Wanted = (typeof Wanted)[keyof typeof Wanted];
 
 /**
- * For what a control instance should be followed: for changes while none that is
- * nearer is heard and in touch with the leader, since each message is paid by
- * volume where it crosses zones, and costs each instance processor time.
+ * Returns what to request from a control instance: changes, unless a nearer one has
+ * an active stream and contact with the leader, since traffic between zones is
+ * charged by volume, and each message costs each instance processor time.
  */
 export function wantedOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): Wanted {
 	if (distance === undefined) {
@@ -103,7 +103,7 @@
 
 type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; heardAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
 
-/** Starts to follow. */
+/** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
 	name, zone, regions, seeds, clients, log,
 }: FollowerParts): DirectoryFollower {
@@ -113,7 +113,7 @@
 	let isConfirmed = false;
 	let shares: ReadonlyMap<string, number> = new Map();
 	let sharesAt: MonotonicTime = -Infinity;
-	/** The highest index that any control instance said was committed. */
+	/** The highest log index that any control instance reported as committed. */
 	let committed: LogIndex = 0;
 
 	function take(address: string, stream: Stream, message: FollowMessage): void {
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,6 +1,6 @@
 /**
- * An entry instance: takes callers' requests, follows the directory, says
- * whether it is ready, and stops without cutting requests off.
+ * An entry instance: accepts callers' requests, follows the directory, serves a
+ * readiness check, and shuts down gracefully, without aborting requests.
  */
 import {createServer, type Server} from 'node:http';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -21,31 +21,31 @@
 import {type KnownService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
 
-/** An entry instance that runs. */
+/** A running entry instance. */
 export type Entry = {
-	/** The settings name further control instances. */
+	/** Follows further control instances, when the settings add addresses. */
 	readonly followAlso: (addresses: readonly string[]) => void;
-	/** Stops within the grace time. */
+	/** Shuts down within the grace period. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What an entry instance runs on. */
+/** What an entry instance depends on. */
 export type EntryParts = {
 	readonly settings: EntrySettings;
 	readonly log: Log;
 	readonly measures: Measures;
-	/** Gives numbers between 0 and 1. */
+	/** Returns numbers between 0 and 1. */
 	readonly random: () => number;
 };
 
-/** How often connections are looked at for bytes without end: often enough that they take little of the processor, beside deadlines of a second. */
+/** The interval at which connections are checked for endless data: short enough, against deadlines of a second, that reading such data takes little processor time. */
 const closeEndlessMilliseconds: Milliseconds = 100;
 
-/** After a stop was asked for, kept connections are used on for this long: the balancer asks each second and gives up after two misses. */
+/** How long kept-alive connections stay in use after a stop is requested: the balancer checks readiness each second and removes an instance after two failed checks. */
 const drainMilliseconds: Milliseconds = 2500;
 const closeIdleMilliseconds: Milliseconds = 100;
 
-/** Kept free at the end of the grace time. */
+/** Reserved at the end of the grace period. */
 const stopMarginMilliseconds: Milliseconds = 700;
 
 function startReadiness({readiness}: EntrySettings, isReady: () => boolean): Server {
@@ -128,7 +128,7 @@
 		tellReadiness();
 		advanceAll();
 	});
-	// Beside events: pauses of upstreams end, and requests give up.
+	// Needed beside events: backoffs of upstreams end, and waiting requests time out.
 	const advancing = setInterval(() => {
 		hearing.turn();
 		advanceAll();
--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -1,30 +1,30 @@
 /**
- * The key of one request: who holds it, whether that upstream has said that it
- * doesn't, and how often it may be sent requests for it.
+ * The key of one request: which upstream holds it, whether that upstream has
+ * refused it as not its own, and at what rate requests for it may be sent.
  */
 import {type HolderCapacity, isPaced} from '@dogwooddeck/gateway/key-pace';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type KnownService, type KnownUpstream, type ServiceTable} from './service-table.js';
 
-/** After an upstream said that it doesn't hold a key, its next table is awaited this long. */
+/** After an upstream answered that it doesn't hold a key, requests for the key wait this long for a newer table. */
 const staleTableMilliseconds: Milliseconds = 60;
 
-/** After so many refusals under one fence a new table is awaited. */
+/** After this many refusals under one fence number, requests for the key wait until the table has another one. */
 const mostFenceRefusals = 2;
 
-/** What keys are looked up in. */
+/** What a key target reads. */
 export type KeySurroundings = {
 	readonly table: ServiceTable;
-	/** The number of entries of the deployment. */
+	/** Returns the number of entry instances of the deployment. */
 	readonly entryCount: () => number;
 };
 
-/** One request's key. */
+/** The key of one request and its holder. */
 export class KeyTarget {
 	readonly #around: KeySurroundings;
 	readonly #service: KnownService;
 	#notBefore: MonotonicTime = -Infinity;
-	/** The fence under which an upstream said that it doesn't hold the key, and how often it did. */
+	/** The fence number under which an upstream last answered that it doesn't hold the key, and how often it did. */
 	#refusedFence = -1;
 	#fenceRefusals = 0;
 
@@ -33,19 +33,19 @@
 		this.#service = service;
 	}
 
-	/** Who holds the key by the table. */
+	/** The holder of the key according to the table. */
 	get holder(): KnownUpstream | undefined {
 		return this.#around.table.holderOf(this.#service, this.key)?.upstream;
 	}
 
-	/** Who may be sent the request now: an upstream may hear of its keys a moment after this instance; one that refuses twice under one fence has lost them. */
+	/** Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment after this instance is, so one refusal is retried; an upstream that refuses twice under one fence number has lost them. */
 	holderNow(now: MonotonicTime): KnownUpstream | undefined {
 		const held = this.#around.table.holderOf(this.#service, this.key);
 		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= mostFenceRefusals;
 		return now < this.#notBefore || hasLost ? undefined : held?.upstream;
 	}
 
-	/** The holder said that it doesn't hold the key. */
+	/** Records that the holder answered that it doesn't hold the key. */
 	noteMisdirected(now: MonotonicTime): void {
 		const fence = this.#around.table.holderOf(this.#service, this.key)?.range.fence ?? -1;
 		this.#notBefore = now + staleTableMilliseconds;
@@ -53,17 +53,17 @@
 		this.#refusedFence = fence;
 	}
 
-	/** How long a request for the key waits for its pace, behind others for it. */
+	/** Returns how long a request for the key waits for its pace, behind `ahead` others for the same key. */
 	waitFor(holder: KnownUpstream, ahead: number, now: MonotonicTime): Milliseconds {
 		return this.#service.pace.waitFor(this.key, ahead, this.#capacityOf(holder), now);
 	}
 
-	/** A request for the key is being sent. */
+	/** Records that a request for the key is being sent. */
 	take(holder: KnownUpstream, now: MonotonicTime): void {
 		this.#service.pace.take(this.key, this.#capacityOf(holder), now);
 	}
 
-	/** Whether this instance's equal part of the holder is enough for its requests to be paced by it. */
+	/** Whether this instance's equal share of the holder's capacity is large enough to pace its requests by. */
 	isPaced(holder: KnownUpstream): boolean {
 		return isPaced(this.#capacityOf(holder));
 	}
--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Counts requests by key for the leader, which divides the keys by it, and tells
- * the control instance that is followed, which passes it on.
+ * Counts requests by key and reports the counts to the nearest control instance,
+ * which forwards them to the leader. The leader distributes keys by this load.
  */
 import {type LoadReport} from '@dogwooddeck/mesh/calls';
 import {type MeshClients} from '@dogwooddeck/mesh/client';
@@ -12,15 +12,15 @@
 type Answers = {count: number; milliseconds: Milliseconds};
 type Counted = {readonly keys: Map<number, number>; readonly answers: Map<string, Answers>};
 
-/** Counts requests. */
+/** Counts requests and answers, and reports them periodically. */
 export type LoadReporter = {
 	readonly count: (service: string, key: number) => void;
-	/** An upstream of a keyed service answered. */
+	/** Records that an upstream of a keyed service answered, after `took` milliseconds. */
 	readonly answered: (service: string, upstream: string, took: Milliseconds) => void;
 	readonly stop: () => void;
 };
 
-/** Starts to count and to report. */
+/** Starts the reporter. `control` returns the address that reports are sent to; while it returns undefined, counts accumulate. */
 export function startLoadReporter(clients: MeshClients, control: () => string | undefined): LoadReporter {
 	let services = new Map<string, Counted>();
 
--- a/packages/entry/src/refusals.ts
+++ b/packages/entry/src/refusals.ts
@@ -1,5 +1,5 @@
 /**
- * The answers that an instance gives by itself.
+ * The reasons for which an entry instance refuses a request, and their HTTP statuses.
  */
 /** Why a request ends without an upstream's answer. */
 export const Refusal = {
@@ -8,12 +8,12 @@
 	badKey: 'bad-key',
 	bodyTooLarge: 'body-too-large',
 	lineFull: 'line-full',
-	/** Those that wait already leave no time for it. */
+	/** The requests that wait already would delay it beyond its time. */
 	noTimeToWait: 'no-time-to-wait',
 	waitedTooLong: 'waited-too-long',
-	/** The holder of the key gets more requests than it can process. */
+	/** The holder of the key receives more requests than it can process. */
 	holderOverloaded: 'holder-overloaded',
-	/** The instance would end before the request's time is over. */
+	/** The instance would stop before the request's deadline. */
 	stopping: 'stopping',
 	timeout: 'timeout',
 	attemptsSpent: 'attempts-spent',
@@ -21,10 +21,10 @@
 	unknownOutcome: 'unknown-outcome',
 } as const;
 
-/** One of the reasons. */
+/** One of the values of `Refusal`. */
 export type Refusal = (typeof Refusal)[keyof typeof Refusal];
 
-/** The status of each, as long as no upstream may have run the request. */
+/** The status of each refusal while it is certain that no upstream ran the request. */
 const statusOfRefusal: Readonly<Record<Refusal, number>> = {
 	[Refusal.noDirectory]: 503,
 	[Refusal.noRoute]: 404,
@@ -44,12 +44,12 @@
 const firstServerFailure = 500;
 const gatewayTimeout = 504;
 
-/** Such an answer says that the request did not run and tells when to come back. */
+/** An answer with this status states that the request did not run, and when to retry. */
 export const notRunStatus = 503;
 
 /**
- * The status that a caller is told. Once an upstream may have run the request,
- * none is told that promises that it did not.
+ * Returns the status that is sent to the caller. Once an upstream may have run the
+ * request, it is never one that promises that the request did not run.
  */
 export function refusalStatus(refusal: Refusal, mayHaveRun: boolean): number {
 	const status = statusOfRefusal[refusal];
--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -1,6 +1,6 @@
 /**
- * Tells what became of requests: counters and latencies for all, a line for
- * each failure and, as far as the budget of lines goes, for each answer.
+ * The request log: counters and latencies for all requests, and log lines for
+ * failures and answers, each limited to a number of lines a second.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -10,21 +10,21 @@
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
 import {type KnownUpstream} from './service-table.js';
 
-/** Which request a line is about. */
+/** The request that a log line is about. */
 export type JournalRun = {readonly identifier: string | undefined; readonly arrivedAt: MonotonicTime};
 
-/** A request to which an upstream's answer was passed on. */
+/** A request whose upstream's answer was forwarded to the caller. */
 export type AnsweredRequest = {
 	readonly run: JournalRun;
 	readonly upstream: KnownUpstream;
 	readonly service: string;
 	readonly route: string;
-	/** 0 where the answer was passed on in parts. */
+	/** 0 if the answer was streamed. */
 	readonly status: number;
 	readonly attempts: number;
 };
 
-/** A request that the instance answered itself. */
+/** A request that the instance refused. */
 export type RefusedRequest = {
 	readonly run: JournalRun;
 	readonly refusal: string;
@@ -33,44 +33,44 @@
 	readonly route: string | undefined;
 	readonly key: number | undefined;
 	readonly attempts: number;
-	/** Requests that wait for the service. */
+	/** The number of requests that wait for the service. */
 	readonly waiting: number;
-	/** How long the request would have waited behind others, and for its key's pace, where that was too long. */
+	/** How long the request would have waited behind others, and for its key's pace, if that was too long. */
 	readonly lineWait: Milliseconds | undefined;
 	readonly paceWait: Milliseconds | undefined;
 };
 
-/** An attempt that brought no answer to pass on. */
+/** An attempt that yielded no answer to forward. */
 export type FailedAttempt = {
 	readonly run: JournalRun;
 	readonly upstream: KnownUpstream;
 	readonly seen: string;
-	/** The status by which the upstream refused; 0 where it didn't. */
+	/** The status of the upstream's refusal; 0 if it did not refuse. */
 	readonly status: number;
 	readonly milliseconds: Milliseconds;
-	/** What was left of the request's time. */
+	/** The time that remained until the request's deadline. */
 	readonly left: Milliseconds;
 };
 
-/** What is told of requests. */
+/** Records the results of requests and attempts. */
 export type RequestJournal = {
 	readonly answered: (told: AnsweredRequest) => void;
 	readonly refused: (told: RefusedRequest) => void;
 	readonly attemptFailed: (told: FailedAttempt) => void;
 };
 
-/** Lines a second for requests that failed, and for those that were answered: writing costs processor time. */
+/** The maximum numbers of log lines a second for failed and for answered requests: writing them costs processor time. */
 const failureLinesPerSecond = 40;
 const answerLinesPerSecond = 10;
 
-/** How often the number of omitted lines is told. */
+/** How often the number of omitted lines is logged. */
 const droppedMilliseconds: Milliseconds = 5000;
 
 function rounded(milliseconds: Milliseconds | undefined): Milliseconds | undefined {
 	return milliseconds === undefined ? undefined : Math.round(milliseconds);
 }
 
-/** Makes the journal. `applied` tells the version of the directory that decisions are made by. */
+/** Creates the request log. `applied` returns the log index of the directory that decisions are based on. */
 export function createRequestJournal(log: Log, measures: Measures, applied: () => number): RequestJournal {
 	const failures = new LineBudget(failureLinesPerSecond);
 	const answers = new LineBudget(answerLinesPerSecond);
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -1,7 +1,7 @@
 /**
- * The way of one request: its route, its upstream, its attempts and its answer.
- * What to do next is decided by the tables of `routing` and `gateway`; here it
- * is carried out.
+ * Processes one request: finds its route and upstream, makes attempts and answers.
+ * The tables of `routing` and `gateway` decide what to do next; this file carries
+ * it out.
  */
 import {Buffer} from 'node:buffer';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -29,41 +29,41 @@
 } from './service-table.js';
 import {type FieldNames} from './settings.js';
 
-/** What all requests of an instance share. */
+/** The dependencies that all requests of an instance share. */
 export type RequestSurroundings = {
 	readonly table: ServiceTable;
 	readonly fields: FieldNames;
 	readonly journal: RequestJournal;
-	/** Whether any route is known: before that, nothing can be said about a request. */
+	/** Whether the directory has routes. Until then, every request is refused as `noDirectory`. */
 	readonly isReady: () => boolean;
 	readonly limits: () => CallerLimits | undefined;
 	readonly entryCount: () => number;
-	/** Notes a request for a key. */
+	/** Counts a request for a key. */
 	readonly countKey: (service: string, key: number) => void;
-	/** Notes how long an upstream of a keyed service took to answer. */
+	/** Counts an answer of an upstream of a keyed service, and the time it took. */
 	readonly countAnswer: (service: string, upstream: string, took: Milliseconds) => void;
-	/** Work of a service may go on. */
+	/** Starts waiting requests of a service for which there is room now. */
 	readonly advance: (service: KnownService) => void;
-	/** Goes on once it is known which callers have left. */
+	/** Calls back once closed connections of callers have been noticed. */
 	readonly whenHeard: (goOn: () => void) => void;
-	/** When this instance ends what is under way; infinite unless it is stopping. */
+	/** When this instance ends requests in flight; infinite unless it is stopping. */
 	readonly endsAt: () => MonotonicTime;
-	/** The part of the requests for its keys that an upstream can process, as control tells. */
+	/** The fraction of the requests for its keys that an upstream can process, as reported by control instances. */
 	readonly shareOf: (life: UpstreamIncarnation) => number;
-	/** Gives numbers between 0 and 1. */
+	/** Returns numbers between 0 and 1. */
 	readonly random: () => number;
 };
 
-/** A request is sent this often at most, refusals of upstreams among them. */
+/** The maximum number of attempts of a request, including those that upstreams refuse. */
 const tooManyAttempts = 4;
 
-/** The largest body that is taken before limits are declared, in bytes. */
+/** The largest body that is accepted before limits are declared, in bytes. */
 const mostBodyBytes = 67_108_864;
 
-/** A request that would have less time than this at an upstream is not sent. */
+/** A request with less time than this left until its deadline is not sent. */
 const leastSendMilliseconds: Milliseconds = 5;
 
-/** Requests that wait for one service at most; more would only wait in vain. */
+/** The maximum number of requests that wait for one service; more would only time out. */
 const longestLine = 400;
 
 const wholeMilliseconds = /^\d{1,9}$/v;
@@ -73,21 +73,21 @@
 	return typeof value === 'string' ? value : value?.[0];
 }
 
-/** What a request waits for. */
+/** What a request waits for, and how long. */
 type Wait = {
-	/** Who holds its key; undefined where there are no keys, or nobody holds it. */
+	/** The holder of its key; undefined if the service has no keys or the key has no holder. */
 	readonly holder: KnownUpstream | undefined;
 	readonly key: number | undefined;
-	/** The requests for its key that wait already. */
+	/** The number of requests for its key that wait already. */
 	readonly turn: number;
-	/** How long it will probably wait behind others, and for its key's pace. */
+	/** The expected wait behind other requests, and for its key's pace. */
 	readonly lineWait: Milliseconds;
 	readonly paceWait: Milliseconds;
-	/** Until when it may wait. */
+	/** When it stops waiting and is refused. */
 	readonly until: MonotonicTime;
 };
 
-/** One request on its way. */
+/** One request, from its arrival to its answer. */
 export class RequestRun {
 	readonly identifier: string | undefined;
 	readonly arrivedAt: MonotonicTime = monotonicNow();
@@ -96,7 +96,7 @@
 	readonly #path: string;
 	#route: NamedRoute | undefined;
 	#service: KnownService | undefined;
-	/** Undefined where the service has no keys. */
+	/** Undefined if the service has no keys. */
 	#target: KeyTarget | undefined;
 	#body: Buffer | undefined;
 	#deadline: MonotonicTime = Infinity;
@@ -104,10 +104,10 @@
 	#waiter: Waiter | undefined;
 	/** Connections on which an upstream refused the request. */
 	readonly #refusedOn = new Set<Connection>();
-	/** Upstreams that were sent to, and those of them that may have run the request. */
+	/** The upstreams of all attempts, and the number of attempts that may have run the request. */
 	readonly #tried: string[] = [];
 	#mayHaveRun = 0;
-	/** The status by which the last upstream refused; 0 where it didn't. */
+	/** The status of the last upstream's refusal; 0 if it did not refuse. */
 	#status = 0;
 
 	constructor(around: RequestSurroundings, exchange: CallerExchange, path: string) {
@@ -117,7 +117,7 @@
 		this.identifier = textOf(exchange.request.headers[around.fields.requestIdentifier]);
 	}
 
-	/** Finds the route and begins. */
+	/** Finds the route and reads the body. */
 	start(): void {
 		const {table, isReady, limits} = this.#around;
 		const {headers} = this.#exchange.request;
@@ -177,14 +177,14 @@
 		this.#place();
 	}
 
-	/** Of requests for a holder that has too much work, those of the least urgent kind are admitted in part, where their keys' pace doesn't do it. */
+	/** Admits only a fraction of the least urgent requests for an overloaded holder, unless the pace of keys limits them already. */
 	#isAdmitted(service: KnownService, target: KeyTarget): boolean {
 		const {table, shareOf, random} = this.#around;
 		const {holder} = target;
 		return holder === undefined || target.isPaced(holder) || this.#route!.priority < table.leastUrgent(service.name) || random() < shareOf(holder.record);
 	}
 
-	/** Sends the request if there is room, or lets it wait, or refuses it. */
+	/** Sends the request if there is room, or queues it, or refuses it. */
 	#place(): void {
 		this.#around.whenHeard(() => {
 			if (!this.#exchange.isGone) {
@@ -225,7 +225,7 @@
 		line.add(this.#waiter);
 	}
 
-	/** What the request would wait for, for how long probably, and for how long at most. */
+	/** Returns what the request would wait for, the expected wait and its limit. */
 	#waiting(now: MonotonicTime): Wait {
 		const service = this.#service!;
 		const {priority, objectiveMilliseconds} = this.#route!;
@@ -386,7 +386,7 @@
 		}
 	}
 
-	/** The caller is gone: nothing is done for it any more. */
+	/** Cancels the request, as the caller has disconnected. */
 	#leave(): void {
 		this.#attempt?.cancel();
 		this.#attempt = undefined;
@@ -396,7 +396,7 @@
 		}
 	}
 
-	/** Answers without an upstream. A status that says "not run" is given only where that is certain. */
+	/** Answers without an upstream. A status that means "not run" is sent only if that is certain. */
 	#refuse(refusal: Refusal, waiting?: Wait): void {
 		this.#waiter = undefined;
 		const status = refusalStatus(refusal, this.#mayHaveRun > 0);
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -1,6 +1,6 @@
 /**
- * What this instance knows of services and their upstreams: the directory's
- * records beside its own experience and connections.
+ * The services and upstreams of this instance: the directory's records, with
+ * the instance's own measurements and connections.
  */
 import {type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState, type UpstreamRecord} from '@dogwooddeck/directory/upstream';
@@ -18,7 +18,7 @@
 import {type EntrySettings} from './settings.js';
 import {UpstreamPool} from './upstream-pool.js';
 
-/** One upstream, as this instance uses it. */
+/** An upstream with this instance's measurements of its load, and its connections. */
 export type KnownUpstream = {
 	readonly id: string;
 	readonly record: UpstreamRecord;
@@ -28,7 +28,7 @@
 	readonly cold: boolean;
 };
 
-/** One service, as this instance uses it. It is updated in place: it is on the request path. */
+/** A service with this instance's queue and retry budget. It is updated in place, as it is on the request path. */
 export type KnownService = {
 	readonly name: string;
 	readonly line: WaitingQueue;
@@ -36,29 +36,29 @@
 	keyed: boolean;
 	maxConnections: number;
 	ranges: readonly KeyRange[];
-	/** Those that may be sent to. */
+	/** The upstreams that requests may be sent to. */
 	upstreams: readonly KnownUpstream[];
 	budget: RetryBudget;
 };
 
-/** Who a request for a key goes to. */
+/** The upstream that requests for a key are sent to, and the range that assigns it. */
 export type KeyHolder = {readonly range: KeyRange; readonly upstream: KnownUpstream};
 
-/** Connections that wait for use are closed after this long, below the 10 s after which upstreams close them. */
+/** The idle timeout of connections, below the 10 s after which upstreams close them. */
 const idleMilliseconds = 8000;
 
-/** A round between regions and its like for a lost packet. */
+/** One round trip between regions, and the same again for a lost packet. */
 const connectMilliseconds = 350;
 
 const connectionTerms: ConnectionTerms = {connectMilliseconds, idleMilliseconds};
 
-/** Of what a window's slack allows, all instances together save up half, as new instances start with full budgets. */
+/** All instances together save up this fraction of a window's slack, as new instances start with full budgets. */
 const slackShare = 0.5;
 
-/** A new instance begins with this many retries, since it can't know yet how many others there are. */
+/** A new instance starts with this many retries, since it doesn't know the number of instances yet. */
 const leastSavedRetries = 1;
 
-/** The part of the ratio that instances spend: windows slide, and the counts of instances differ for a moment. */
+/** The fraction of the ratio that instances use: windows slide, and the counts of instances differ for a moment. */
 const ratioShare = 0.75;
 
 function leastUrgentOf(routes: RouteTable): ReadonlyMap<string, number> {
@@ -72,7 +72,7 @@
 	return priorities;
 }
 
-/** The services and upstreams of this instance. */
+/** The services, upstreams and routes of this instance. */
 export class ServiceTable {
 	routes: RouteTable = new Map();
 	readonly #settings: EntrySettings;
@@ -83,13 +83,13 @@
 	#leastUrgent: ReadonlyMap<string, number> = new Map();
 	#items: DirectoryState['items'] | undefined;
 
-	/** `random` gives numbers between 0 and 1. */
+	/** `random` returns numbers between 0 and 1. */
 	constructor(settings: EntrySettings, random: () => number) {
 		this.#settings = settings;
 		this.#random = random;
 	}
 
-	/** Takes a newer directory. */
+	/** Updates the table to a newer directory. */
 	update(state: DirectoryState, entryCount: number): void {
 		if (state.items !== this.#items) {
 			this.#items = state.items;
@@ -114,7 +114,7 @@
 		}
 	}
 
-	/** A service by its name. */
+	/** Returns a service by its name, and creates it if needed. */
 	service(name: string): KnownService {
 		const known = this.#services.get(name);
 		if (known !== undefined) {
@@ -128,17 +128,17 @@
 		return made;
 	}
 
-	/** The priority of the least urgent routes to a service. */
+	/** Returns the priority of the least urgent route to a service, which is the highest number. */
 	leastUrgent(name: string): number {
 		return this.#leastUrgent.get(name) ?? 0;
 	}
 
-	/** All services that are known. */
+	/** Returns all services. */
 	services(): Iterable<KnownService> {
 		return this.#services.values();
 	}
 
-	/** The division of a route's requests. */
+	/** Returns the traffic split of a route, which is kept until its targets change. */
 	split(name: string, targets: ConstructorParameters<typeof Split>[0]): Split {
 		const key = JSON.stringify(targets);
 		const known = this.#splits.get(name);
@@ -151,7 +151,7 @@
 		return split;
 	}
 
-	/** The upstream that holds a key and was told so, if requests may be sent to it. */
+	/** Returns the upstream that holds a key and was notified of it, if requests may be sent to it. */
 	holderOf(service: KnownService, key: number): KeyHolder | undefined {
 		const range = rangeOfKey(service.ranges, key);
 		if (range?.holder === undefined || !range.told) {
@@ -162,13 +162,13 @@
 		return upstream !== undefined && sameIncarnation(upstream.record, range.holder) && upstream.record.state === UpstreamState.ready ? {range, upstream} : undefined;
 	}
 
-	/** Whether requests may still be sent to a life of an upstream. */
+	/** Whether requests may still be sent to this incarnation of an upstream. */
 	isCurrent({id, record}: KnownUpstream): boolean {
 		const known = this.#upstreams.get(id);
 		return known !== undefined && sameIncarnation(known.record, record) && known.record.state === UpstreamState.ready;
 	}
 
-	/** Closes connections on which bytes come without end in place of an answer. */
+	/** Closes connections that receive endless data in place of an answer. */
 	closeEndless(): void {
 		for (const {pool} of this.#upstreams.values()) {
 			pool.closeEndless();
@@ -210,7 +210,7 @@
 	}
 }
 
-/** Books a first attempt, or a retry if there is one left. */
+/** Records a retry and returns true, or returns false if the budget allows none. */
 export function bookRetry(service: KnownService): boolean {
 	if (!allowsRetry(service.budget)) {
 		return false;
@@ -220,7 +220,7 @@
 	return true;
 }
 
-/** Books the first attempt of a request. */
+/** Records the first attempt of a request. */
 export function bookFirst(service: KnownService): void {
 	service.budget = recordAttempt(service.budget, {kind: 'first-attempt'}).state;
 }
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -1,22 +1,22 @@
 /**
- * What an entry instance is told when it starts.
+ * The settings of an entry instance.
  */
 import {type RegionName, type ZoneName} from '@dogwooddeck/model/identifiers';
 
 /** An address to listen at. */
 export type ListenAddress = {readonly host: string; readonly port: number};
 
-/** The names of the header fields by which callers, entries and upstreams understand each other; all in lower case. */
+/** The names, in lower case, of the header fields that callers, entries and upstreams exchange. */
 export type FieldNames = {
-	/** Names a request; upstreams echo it. */
+	/** Identifies a request; upstreams echo it. */
 	readonly requestIdentifier: string;
-	/** The milliseconds that the caller will wait. */
+	/** How long the caller waits for its answer, in milliseconds. */
 	readonly deadline: string;
-	/** The upstream that a request is meant for; others refuse it. */
+	/** The upstream that a request is addressed to; other upstreams refuse it. */
 	readonly expectedUpstream: string;
-	/** Only an upstream's own answer has it. */
+	/** Present only on an upstream's own answers. */
 	readonly stamp: string;
-	/** The upstream did not run the request. */
+	/** Present on an answer if the upstream did not run the request. */
 	readonly notRun: string;
 	/** The key of a request of a keyed service: a whole number. */
 	readonly key: string;
@@ -30,18 +30,18 @@
 	readonly regions: Readonly<Record<ZoneName, RegionName>>;
 	readonly callers: ListenAddress;
 	readonly readiness: ListenAddress & {readonly path: string};
-	/** Where control instances were reachable when the settings were written. */
+	/** Addresses of control instances, as known when the settings were written. */
 	readonly seeds: readonly string[];
 	readonly fields: FieldNames;
 	readonly retries: RetryTerms;
-	/** A planned stop ends within this time, in milliseconds. */
+	/** The time limit of a graceful shutdown, in milliseconds. */
 	readonly graceMilliseconds: number;
 };
 
-/** The budget of requests that are sent again, over all instances together. */
+/** The retry budget of all instances together. */
 export type RetryTerms = {
-	/** The share of a service's requests. */
+	/** Retries allowed, as a fraction of a service's requests. */
 	readonly ratio: number;
-	/** Requests that may be sent again beside that share, within the window that the budget is counted over. */
+	/** Retries allowed in addition to that fraction, within the window that the budget is counted over. */
 	readonly slack: number;
 };
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -1,6 +1,6 @@
 /**
- * The connections of this instance to one upstream: few, kept, the one that was
- * used last first, so that those that aren't needed are closed by themselves.
+ * A pool of persistent connections to one upstream. The most recently used idle
+ * connection is reused first, so that surplus connections reach their idle timeout.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
@@ -8,7 +8,7 @@
 import {type RequestSpecification, sendRequest, type SentAttempt} from './attempt.js';
 import {Connection, type ConnectionTerms} from './connection.js';
 
-/** Ends a request whose upstream has an address that can't be reached. */
+/** Ends a request to an upstream whose address is invalid. */
 function unreachable({onEnd}: RequestSpecification): SentAttempt {
 	setImmediate(() => {
 		onEnd({seen: AttemptObservation.refusedConnection, milliseconds: 0});
@@ -23,13 +23,13 @@
 	#connections: Connection[] = [];
 	#isClosed = false;
 
-	/** Opens nothing yet. */
+	/** Opens no connection until the first request. */
 	constructor(address: string, terms: ConnectionTerms) {
 		this.#address = address;
 		this.#terms = terms;
 	}
 
-	/** Whether a request can be sent without more than so many connections, and on none of `refusedOn`. */
+	/** Whether a request can be sent with at most `most` connections, and on none of `refusedOn`. */
 	hasRoom(most: number, refusedOn: ReadonlySet<Connection>): boolean {
 		return this.#connections.length < most || this.#connections.some(connection => !connection.isBusy && !refusedOn.has(connection));
 	}
@@ -66,14 +66,14 @@
 		});
 	}
 
-	/** Closes connections on which more has come than the head of an answer may take, and no head. */
+	/** Closes connections that have received more bytes than an answer's head may have, and no complete head. */
 	closeEndless(): void {
 		for (const connection of this.#connections.filter(({isEndless}) => isEndless)) {
 			this.#end(connection);
 		}
 	}
 
-	/** Closes idle connections at once, and the others when their requests are over. */
+	/** Closes idle connections at once, and the others when their requests have ended. */
 	close(): void {
 		this.#isClosed = true;
 		for (const connection of this.#connections.filter(({isBusy}) => !isBusy)) {
@@ -92,7 +92,7 @@
 		return newest;
 	}
 
-	/** Undefined where no connection can ever be made to the address. */
+	/** Returns undefined if the address is invalid, so that no connection can ever be made to it. */
 	#open(): Connection | undefined {
 		if (!isSocketAddress(this.#address)) {
 			return undefined;
@@ -101,7 +101,7 @@
 		const connection = new Connection(this.#address, this.#terms, over => {
 			this.#forget(over);
 			if (over.isDraining) {
-				// Otherwise the client connects again for a request that is over.
+				// Otherwise `undici` reconnects for a request that has ended.
 				over.destroy();
 			}
 		});
@@ -109,7 +109,7 @@
 		return connection;
 	}
 
-	/** After any end but a whole answer or a refusal, what a connection still brings belongs to nobody. */
+	/** Closes a connection whose request ended other than by a whole answer or a refusal: data that still arrives on it belongs to no request. */
 	#end(connection: Connection): void {
 		this.#forget(connection);
 		connection.destroy();
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's server for callers, its table and its connections, to upstreams
- * that are plain TCP servers in this process.
+ * Test fixtures: an entry's server for callers, service table and connections, and
+ * upstreams that are plain TCP servers in the same process.
  */
 import {once} from 'node:events';
 import {
@@ -14,9 +14,9 @@
 import {type KnownService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
 
-/** What an upstream was sent. */
+/** A request that an upstream received. */
 export type Request = {readonly head: string; readonly body: string; readonly identifier: string};
-/** What an upstream does with a request; `seen` counts its requests. */
+/** How an upstream handles a request; `seen` is the number of requests that it has received. */
 export type Behaviour = (socket: Socket, request: Request, seen: number) => void;
 
 const fields = {
@@ -28,7 +28,7 @@
 	name: 'entry', zone: 'z', regions: {z: 'r'}, callers: {host: '127.0.0.1', port: 0}, readiness: {host: '127.0.0.1', port: 0, path: '/'}, seeds: [], fields, retries: {ratio: 0.2, slack: 20}, graceMilliseconds: 1000,
 };
 
-/** Answers a request with a body. */
+/** Answers a request successfully with a body. */
 export function answer(socket: Socket, {identifier}: Request, body: string): void {
 	socket.write(`HTTP/1.1 200 OK\r\nRequest: ${identifier}\r\nStamp: s\r\nContent-Length: ${body.length}\r\n\r\n${body}`);
 }
@@ -38,7 +38,7 @@
 	return {head, body, identifier: /^request: (.*)$/imv.exec(head)?.[1] ?? ''};
 }
 
-/** An upstream that listens. */
+/** A listening upstream; `closed` counts its closed connections. */
 export type Upstream = {readonly server: Server; readonly requests: Request[]; closed: number};
 
 /** Starts an upstream. */
@@ -86,10 +86,10 @@
 	};
 }
 
-/** An entry that takes requests. */
+/** A running entry. */
 export type Entry = {readonly port: number; readonly callers: CallerServer; readonly table: ServiceTable; readonly advancing: NodeJS.Timeout};
 
-/** Starts an entry; `isKnown`: it has a directory. */
+/** Starts an entry; `isKnown`: whether it has a directory. `told` replaces dependencies of its requests. */
 export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestSurroundings> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
 	const hearing = new Hearing();
@@ -145,13 +145,13 @@
 	};
 }
 
-/** A request as text. */
+/** Returns the text of a request with a deadline of 800 ms. */
 export function requestText(path: string, identifier: string, method = 'GET', body = ''): string {
 	const length = body === '' ? '' : `Content-Length: ${body.length}\r\n`;
 	return `${method} ${path} HTTP/1.1\r\nHost: a.example\r\nRequest: ${identifier}\r\nDeadline: 800\r\n${length}\r\n${body}`;
 }
 
-/** What a caller reads until the connection has been quiet for a moment after an answer. */
+/** Sends a request and returns what is received until `until` is true or the connection closes. */
 export async function call(port: number, text: string, until: (received: string) => boolean): Promise<string> {
 	const socket = connect(port, '127.0.0.1');
 	let received = '';
@@ -172,15 +172,15 @@
 	});
 }
 
-/** Whether a head of an answer has come. */
+/** Whether the head of an answer was received. */
 export const hasHead = (received: string): boolean => received.includes('\r\n\r\n');
 
-/** Answers with the name of the request. */
+/** Answers with the identifier of the request. */
 export const whole: Behaviour = (socket, request) => {
 	answer(socket, request, `for ${request.identifier}`);
 };
 
-/** Runs a test with an entry and upstreams that behave so. */
+/** Runs a test with an entry and one upstream for each behaviour. */
 export async function withEntry(behaviours: readonly Behaviour[], isKnown: boolean, use: (entry: Entry, upstreams: readonly Upstream[]) => Promise<void>, told: Partial<RequestSurroundings> = {}): Promise<void> {
 	const upstreams = await Promise.all(behaviours.map(async behaviour => startUpstream(behaviour)));
 	const entry = await startEntry(upstreams, isKnown, told);
--- a/packages/entry/test/test-answers.ts
+++ b/packages/entry/test/test-answers.ts
@@ -22,28 +22,28 @@
 		name: 'a success without a stamp', status: 200, headers: ['Request', 'a'], foreign: true,
 	},
 	{
-		name: 'a success that names another request', status: 200, headers: ['Request', 'b', 'Stamp', 's'], foreign: true,
+		name: 'a success with the identifier of another request', status: 200, headers: ['Request', 'b', 'Stamp', 's'], foreign: true,
 	},
 	{
-		name: 'a success that names none', status: 200, headers: ['Stamp', 's'], foreign: true,
+		name: 'a success without a request identifier', status: 200, headers: ['Stamp', 's'], foreign: true,
 	},
 	{
-		name: 'a success in a coding', status: 200, headers: ['Request', 'a', 'Stamp', 's', 'Content-Encoding', 'gzip'], foreign: true,
+		name: 'a success with a content coding', status: 200, headers: ['Request', 'a', 'Stamp', 's', 'Content-Encoding', 'gzip'], foreign: true,
 	},
 	{
 		name: 'a failure of the upstream', status: 500, headers: ['Request', 'a', 'Stamp', 's'], foreign: false,
 	},
 	{
-		name: 'a refusal that names no request, on a new connection', status: 503, headers: ['Not-Run', '1'], foreign: false, notRun: true, isFirst: true,
+		name: 'a refusal without a request identifier, on a new connection', status: 503, headers: ['Not-Run', '1'], foreign: false, notRun: true, isFirst: true,
 	},
 	{
-		name: 'a refusal that names no request, on a connection that had others', status: 503, headers: ['Not-Run', '1'], foreign: true, notRun: true,
+		name: 'a refusal without a request identifier, on a connection that has carried others', status: 503, headers: ['Not-Run', '1'], foreign: true, notRun: true,
 	},
 	{
 		name: 'a refusal of another request', status: 503, headers: ['Not-Run', '1', 'Request', 'b'], foreign: true, notRun: true,
 	},
 	{
-		name: 'an unavailable upstream that doesn\'t say that it ran nothing', status: 503, headers: ['Request', 'a'], foreign: false, notRun: false,
+		name: 'an unavailable upstream that doesn\'t state that the request did not run', status: 503, headers: ['Request', 'a'], foreign: false, notRun: false,
 	},
 ];
 
@@ -74,12 +74,12 @@
 		name: 'a reset', seen: AttemptObservation.closedAfterFirstByte, refusedWith: 0, signal: Signal.broken,
 	},
 	{
-		name: 'a caller that left', seen: AttemptObservation.cancelledAfterFirstByte, refusedWith: 0, signal: Signal.none,
+		name: 'a caller that disconnected', seen: AttemptObservation.cancelledAfterFirstByte, refusedWith: 0, signal: Signal.none,
 	},
 ];
 
 for (const {name, seen, refusedWith, answered, signal} of signals) {
-	test(`answers: ${name} says of the upstream: ${signal}`, () => {
+	test(`answers: the signal of ${name} is ${signal}`, () => {
 		assert.equal(signalOf(seen, refusedWith, answered), signal);
 		assert.equal(isMisdirected(seen, refusedWith), refusedWith === 421);
 	});
--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -9,7 +9,7 @@
 
 type Case = {
 	readonly name: string;
-	/** What the upstream does with the connection once it has read the request. */
+	/** Answers on the connection after the upstream has received the request. */
 	readonly answer: (socket: Socket) => void;
 	readonly seen: AttemptObservation;
 	readonly body?: string;
--- a/packages/entry/test/test-cut-heads.ts
+++ b/packages/entry/test/test-cut-heads.ts
@@ -1,6 +1,6 @@
 /**
- * Upstreams that stop in the middle of an answer's head and close: no caller
- * gets an answer that looks whole (MIXED, ORDER).
+ * Upstreams that close a connection in the middle of an answer's head: no caller
+ * receives an answer that looks whole (MIXED, ORDER).
  */
 import assert from 'node:assert/strict';
 import {type Socket} from 'node:net';
@@ -16,7 +16,7 @@
 		socket.end();
 	},
 	reset(socket) {
-		// Lets the bytes arrive first: a reset throws away what is unread.
+		// Lets the bytes arrive first: a reset discards unread data.
 		setTimeout(() => {
 			socket.resetAndDestroy();
 		}, 5);
@@ -34,7 +34,7 @@
 
 const positionsApart = 7;
 
-/** Writes the head up to a position on the first request of each connection that comes `after` others, and whole answers before. */
+/** Answers the first `after` requests whole, and later ones with the head up to a position. */
 function cutting(head: (identifier: string) => string, position: number, end: End, after: number): Behaviour {
 	return (socket, request, seen) => {
 		if (seen <= after) {
@@ -48,7 +48,7 @@
 	};
 }
 
-/** A head is whole once its empty line has come. */
+/** Returns the positions at which a head is truncated. It is complete only with its empty line. */
 function positionsOf(head: (identifier: string) => string): readonly number[] {
 	const last = head('a').length - 1;
 	return [...Array.from({length: Math.ceil(last / positionsApart)}, (_, step) => step * positionsApart), last - 2, last - 1, last];
@@ -57,14 +57,14 @@
 for (const {name, head} of heads) {
 	for (const [how, end] of Object.entries(ends)) {
 		for (const after of [0, 1]) {
-			test(`cut heads: a head ${name} that is cut and ${how} on a connection that has carried ${after} requests`, async () => {
+			test(`truncated heads: a head ${name} that is truncated and ${how} on a connection that has carried ${after} requests`, async () => {
 				await Promise.all(positionsOf(head).map(async position => withEntry([cutting(head, position, end, after)], true, async ({port}, [upstream]) => {
 					if (after > 0) {
 						await call(port, requestText('/once/x', 'first', 'POST', 'booking'), hasHead);
 					}
 
 					const received = await call(port, requestText('/once/x', 'a', 'POST', 'booking'), hasHead);
-					assert.match(received, /^HTTP\/1\.1 502 /v, `cut at ${position}`);
+					assert.match(received, /^HTTP\/1\.1 502 /v, `truncated at ${position}`);
 					assert.equal(upstream!.requests.length, after + 1);
 				})));
 			});
--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -1,6 +1,6 @@
 /**
- * Upstreams that send bytes without end: a request ends by its deadline at the
- * latest, the connection is closed, and what was read is not kept.
+ * Upstreams that send endless data: a request ends by its deadline at the latest,
+ * the connection is closed, and the data is not kept in memory.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -14,9 +14,9 @@
 
 const timeoutMilliseconds = 400;
 const slackMilliseconds = 500;
-/** As an entry does. */
+/** The interval of an entry's check for endless data. */
 const closeMilliseconds = 100;
-/** What one answer may add to the memory of the process: many times what is gathered of it. */
+/** What one answer may add to the memory of the process: many times the size of its buffer. */
 const mostMemoryBytes = 67_108_864;
 
 const named = 'Identifier: a\r\n';
@@ -24,18 +24,18 @@
 type Case = {
 	readonly name: string;
 	readonly begin: string;
-	/** What follows again and again. */
+	/** Sent repeatedly after `begin`. */
 	readonly more: string;
-	/** How often a second it is sent; as fast as it is read where left out. */
+	/** How often it is sent a second; if omitted, as fast as it is read. */
 	readonly perSecond?: number;
 	readonly seen: readonly AttemptObservation[];
-	/** Whether it has to end well before the deadline, as no answer can come of it any more. */
+	/** Whether the request must end before its deadline, as the data can no longer become an answer. */
 	readonly endsEarly: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'bytes that are no answer', begin: '', more: '\u0000\u0001garbage', seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'bytes that are not HTTP', begin: '', more: '\u0000\u0001garbage', seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
 		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
@@ -47,10 +47,10 @@
 		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'heads that announce another', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', seen: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'interim heads', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', seen: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'heads that announce another, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'interim heads, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
 		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
@@ -75,7 +75,7 @@
 	},
 ];
 
-/** Writes the same again and again until the connection is closed by the other side. */
+/** Writes the same data repeatedly until the entry closes the connection. */
 function pour(socket: Socket, {begin, more, perSecond}: Case): void {
 	socket.write(begin);
 	if (perSecond !== undefined) {
@@ -99,7 +99,7 @@
 	write();
 }
 
-/** A request to a pool, by its deadline. */
+/** Sends a request through a pool, with a timeout. */
 async function attempt(pool: UpstreamPool, milliseconds: number): Promise<AttemptResult> {
 	return new Promise(resolve => {
 		pool.send({
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -26,7 +26,7 @@
 		name: 'one of the own zone', control: own, others: [near, far], wanted: Wanted.changes,
 	},
 	{
-		name: 'one that has not said where it stands', control: control(undefined), others: [own], wanted: Wanted.presence,
+		name: 'one that has not reported its zone', control: control(undefined), others: [own], wanted: Wanted.presence,
 	},
 	{
 		name: 'one of the region beside one of the own zone', control: near, others: [own], wanted: Wanted.nothing,
@@ -38,7 +38,7 @@
 		name: 'another region beside a near one', control: far, others: [near], wanted: Wanted.nothing,
 	},
 	{
-		name: 'another region while the near one is silent', control: far, others: [control(Distance.sameRegion, {heardAt: now - 2000})], wanted: Wanted.changes,
+		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {heardAt: now - 2000})], wanted: Wanted.changes,
 	},
 	{
 		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {freshAt: now - 800})], wanted: Wanted.changes,
@@ -62,7 +62,7 @@
 
 type Heard = {readonly address: string; readonly wantsChanges: boolean; readonly listener: FollowListener};
 
-/** Clients that keep what is followed, and send nothing. */
+/** Clients that record the streams that are opened, and send nothing. */
 function silentClients(heard: Heard[]): MeshClients {
 	return {
 		call: async () => err(failure(FailureKind.unreachable, 'nobody listens')),
@@ -81,13 +81,13 @@
 
 const confirmations: ReadonlyArray<{readonly name: string; readonly freshPresence: boolean; readonly freshChanges: boolean | undefined; readonly isConfirmed: boolean}> = [
 	{
-		name: 'a presence alone', freshPresence: true, freshChanges: undefined, isConfirmed: false,
+		name: 'presence without changes', freshPresence: true, freshChanges: undefined, isConfirmed: false,
 	},
 	{
-		name: 'changes of one that is not in touch with the leader', freshPresence: true, freshChanges: false, isConfirmed: false,
+		name: 'changes of one without contact with the leader', freshPresence: true, freshChanges: false, isConfirmed: false,
 	},
 	{
-		name: 'changes of one that is', freshPresence: false, freshChanges: true, isConfirmed: true,
+		name: 'changes of one with contact with the leader', freshPresence: false, freshChanges: true, isConfirmed: true,
 	},
 ];
 
--- a/packages/entry/test/test-late-loop.ts
+++ b/packages/entry/test/test-late-loop.ts
@@ -1,6 +1,6 @@
 /**
- * Callers that leave while the entry's loop is held up, as it is after a restart
- * under load: nothing is sent on for them once the loop goes on (GONE).
+ * Callers that disconnect while the entry's event loop is blocked, as after a restart
+ * under load: nothing is sent to upstreams for them once the loop resumes (GONE).
  */
 import assert from 'node:assert/strict';
 import {spawn} from 'node:child_process';
@@ -12,7 +12,7 @@
 	call, hasHead, requestText, whole, withEntry,
 } from './scene.js';
 
-/** A caller in a process of its own: it connects, and once it is told to, sends a request and leaves after a while. */
+/** A caller in its own process: it connects, and after input on stdin sends a request and disconnects after a while. */
 const callerProgram = `
 const [port, text, stays] = process.argv.slice(1);
 const socket = require('node:net').connect(Number(port), '127.0.0.1', () => console.log('connected'));
@@ -33,19 +33,19 @@
 function holdUp(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
-		// The loop stands still, as in a process that gets no processor time.
+		// Blocks the loop, as in a process that gets no processor time.
 	}
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly text: string; readonly staysMilliseconds: number; readonly sent: number}> = [
 	{
-		name: 'a caller that has left', text: requestText('/safe/x', 'late'), staysMilliseconds: 100, sent: 0,
+		name: 'a caller that has disconnected', text: requestText('/safe/x', 'late'), staysMilliseconds: 100, sent: 0,
 	},
 	{
-		name: 'a caller with a body that has left', text: requestText('/once/x', 'late', 'POST', 'booking'), staysMilliseconds: 100, sent: 0,
+		name: 'a caller with a body that has disconnected', text: requestText('/once/x', 'late', 'POST', 'booking'), staysMilliseconds: 100, sent: 0,
 	},
 	{
-		name: 'a caller of a key that has left', text: requestText('/keyed/x', 'late').replace('Deadline', 'Key: 7\r\nDeadline'), staysMilliseconds: 100, sent: 0,
+		name: 'a caller of a key that has disconnected', text: requestText('/keyed/x', 'late').replace('Deadline', 'Key: 7\r\nDeadline'), staysMilliseconds: 100, sent: 0,
 	},
 	{
 		name: 'a caller that waits', text: requestText('/safe/x', 'late'), staysMilliseconds: 5000, sent: 1,
@@ -53,9 +53,9 @@
 ];
 
 for (const {name, text, staysMilliseconds, sent} of cases) {
-	test(`late loop: ${name} has ${sent} requests sent on`, async () => {
+	test(`delayed loop: ${name} has ${sent} requests forwarded`, async () => {
 		await withEntry([whole], true, async ({port}, [upstream]) => {
-			// Opens the connection to the upstream on which the next request can go out at once.
+			// Opens the connection to the upstream, so that the next request can be sent at once.
 			await call(port, requestText(text.includes('/keyed/') ? '/keyed/x' : '/safe/x', 'first').replace('Deadline', 'Key: 7\r\nDeadline'), hasHead);
 			const caller = spawn(process.execPath, ['-e', callerProgram, String(port), text, String(staysMilliseconds)]);
 			await once(caller.stdout, 'data');
--- a/packages/entry/test/test-planned-stop.ts
+++ b/packages/entry/test/test-planned-stop.ts
@@ -1,6 +1,6 @@
 /**
- * A planned stop of an entry: a request that comes late in the grace time is
- * answered whole, or refused as not run; it is never cut off (LOST).
+ * Graceful shutdown of an entry: a request that arrives late in the grace period is
+ * answered whole or refused as not run; it is never aborted (LOST).
  */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
@@ -31,7 +31,7 @@
 	return port;
 }
 
-/** Answers after most of the callers' time of 800 ms. */
+/** Answers after most of the callers' deadline of 800 ms. */
 const slowly: Behaviour = (socket, request) => {
 	setTimeout(answer, 600, socket, request, `for ${request.identifier}`);
 };
@@ -84,7 +84,7 @@
 	return received;
 }
 
-/** What the caller has sent when the stop begins. */
+/** What the caller has sent when the shutdown begins, by what is sent later. */
 const openings: Readonly<Record<string, string>> = {
 	'a connection that has carried nothing': '',
 	'the rest of a head': 'POST /once/x HTTP/1.1\r\nHost: a.example\r\n',
@@ -94,7 +94,7 @@
 const sentAfterMilliseconds = [2000, 3500, 4600, 5000, 5200];
 
 for (const [name, opening] of Object.entries(openings)) {
-	test(`planned stop: a request that comes late, on ${name}, is answered or refused`, async () => inScene(async ({entry, port, upstream}) => {
+	test(`graceful shutdown: a request that arrives late, on ${name}, is answered or refused`, async () => inScene(async ({entry, port, upstream}) => {
 		const callers = await Promise.all(sentAfterMilliseconds.map(async sentAfter => {
 			const socket = connect(port, '127.0.0.1');
 			await once(socket, 'connect');
@@ -117,6 +117,6 @@
 		}
 
 		const answered = callers.filter(({received}) => received.text.includes(' 200 ')).length;
-		assert.equal(upstream.requests.length, answered, 'what is passed on is answered');
+		assert.equal(upstream.requests.length, answered, 'every forwarded request is answered');
 	}));
 }
--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -1,5 +1,5 @@
 /**
- * Whole requests through an entry.
+ * Requests of callers through an entry to upstreams, end to end.
  */
 import assert from 'node:assert/strict';
 import {connect, type Socket} from 'node:net';
@@ -30,19 +30,19 @@
 
 const requestsOfSocket = new WeakMap<Socket, number>();
 
-/** How many requests a connection has carried, this one among them. */
+/** Returns how many requests a connection has carried, including this one. */
 function countOn(socket: Socket): number {
 	const count = (requestsOfSocket.get(socket) ?? 0) + 1;
 	requestsOfSocket.set(socket, count);
 	return count;
 }
 
-/** Refuses once, then writes the same refusal again on that connection while it works on the next request. */
+/** Refuses once, then repeats that refusal on the same connection in answer to the next request. */
 const repeatsRefusal: Behaviour = (socket, request, seen) => {
 	(countOn(socket) > 1 || seen === 1 ? refuses : whole)(socket, request, seen);
 };
 
-/** Answers what comes first on a connection, and writes an earlier refusal, which names no request, in place of the next answer. */
+/** Answers the first request whole, and later ones with a refusal without a request identifier, as if an earlier one were repeated. */
 const refusesUnnamed: Behaviour = (socket, request, seen) => {
 	if (countOn(socket) === 1 && seen === 1) {
 		whole(socket, request, seen);
@@ -55,15 +55,15 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'an answer is passed on', upstreams: [whole], text: requestText('/safe/x?q=1', 'a'), status: 200, sent: 1, says: /for a$/v,
+		name: 'an answer is forwarded', upstreams: [whole], text: requestText('/safe/x?q=1', 'a'), status: 200, sent: 1, says: /for a$/v,
 	},
 	{
-		name: 'a body goes along', upstreams: [(socket, request) => {
+		name: 'a body is forwarded', upstreams: [(socket, request) => {
 			answer(socket, request, request.body);
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 1, says: /booking$/v,
 	},
 	{
-		name: 'before anything is known the answer is 503', upstreams: [], isKnown: false, text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
+		name: 'before the directory is received the answer is 503', upstreams: [], isKnown: false, text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
 	},
 	{
 		name: 'no route', upstreams: [], text: requestText('/other/x', 'a'), status: 404, sent: 0,
@@ -72,38 +72,38 @@
 		name: 'no upstream', upstreams: [], text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
 	},
 	{
-		name: 'an idempotent request is sent again after a reset', upstreams: [firstResets], text: requestText('/safe/x', 'a'), status: 200, sent: 2,
+		name: 'an idempotent request is retried after a reset', upstreams: [firstResets], text: requestText('/safe/x', 'a'), status: 200, sent: 2,
 	},
 	{
-		name: 'any other is not, and is not called "not run"', upstreams: [firstResets], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 502, sent: 1,
+		name: 'any other request is not, and is not reported as "not run"', upstreams: [firstResets], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 502, sent: 1,
 	},
 	{
-		name: 'a refused one goes to another upstream', upstreams: [refuses, whole], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
+		name: 'a refused request is sent to another upstream', upstreams: [refuses, whole], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
 	},
 	{
-		name: 'one that all refuse did not run', upstreams: [refuses], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4, says: /retry-after: 0\.\d+/iv,
+		name: 'a request that all upstreams refuse did not run', upstreams: [refuses], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4, says: /retry-after: 0\.\d+/iv,
 	},
 	{
-		name: 'a refusal that is written again on its connection does not stand for a later attempt', upstreams: [repeatsRefusal], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
+		name: 'a refusal that is repeated on its connection does not count for a later attempt', upstreams: [repeatsRefusal], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
 	},
 	{
-		name: 'a refusal that names no request counts on a new connection', upstreams: [(socket, request, seen) => {
+		name: 'a refusal without a request identifier counts on a new connection', upstreams: [(socket, request, seen) => {
 			refusesUnnamed(socket, request, seen + 1);
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4,
 	},
 	{
-		name: 'a holder that hears of its keys a moment later gets the request again', upstreams: [firstMisdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 200, sent: 2,
+		name: 'a holder that is notified of its keys a moment later gets the request again', upstreams: [firstMisdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 200, sent: 2,
 	},
 	{
-		name: 'a holder that has lost its keys is not asked again and again', upstreams: [misdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 503, sent: 2,
+		name: 'a holder that has lost its keys is not tried repeatedly', upstreams: [misdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 503, sent: 2,
 	},
 	{
-		name: 'an answer to another request is not passed on', upstreams: [socket => {
+		name: 'an answer to another request is not forwarded', upstreams: [socket => {
 			socket.write('HTTP/1.1 200 OK\r\nRequest: other\r\nStamp: s\r\nContent-Length: 5\r\n\r\nother');
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 502, sent: 1,
 	},
 	{
-		name: 'a silent upstream ends with the deadline', upstreams: [() => undefined], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 504, sent: 1,
+		name: 'a request to an unresponsive upstream ends with its deadline', upstreams: [() => undefined], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 504, sent: 1,
 	},
 ];
 
@@ -126,7 +126,7 @@
 
 const longestAfterLeavingMilliseconds = 500;
 
-test('requests: a caller that leaves ends the work at the upstream', async () => {
+test('requests: a caller that disconnects ends the work at the upstream', async () => {
 	await withEntry([() => undefined], true, async ({port}, [upstream]) => {
 		const socket = connect(port, '127.0.0.1');
 		socket.write(requestText('/safe/x', 'a'));
@@ -158,7 +158,7 @@
 	});
 });
 
-test('requests: a refusal that names no request says nothing on a connection that had others', async () => {
+test('requests: a refusal without a request identifier does not count on a connection that has carried others', async () => {
 	await withEntry([refusesUnnamed], true, async ({port}, [upstream]) => {
 		assert.match(await call(port, requestText('/once/x', 'a', 'POST', 'booking'), text => text.endsWith('for a')), /^HTTP\/1\.1 200/v);
 		assert.match(await call(port, requestText('/once/x', 'b', 'POST', 'booking'), hasHead), /^HTTP\/1\.1 502/v);
@@ -166,7 +166,7 @@
 	});
 });
 
-test('requests: a record with an address that can\'t be reached ends nothing', async () => {
+test('requests: an upstream record with an invalid address does not stop the entry', async () => {
 	await withEntry([whole], true, async ({port, table}, upstreams) => {
 		const directory = directoryOf(upstreams);
 		const odd = {...directory.upstreams.u0!, id: 'odd', address: '127.0.0.1:99999'};
@@ -181,16 +181,16 @@
 
 const overloads: ReadonlyArray<{readonly name: string; readonly entries: number; readonly share: number; readonly draw: number; readonly status: number}> = [
 	{
-		name: 'beyond the part that its holder can process is refused at once', entries: 86, share: 0.3, draw: 0.4, status: 503,
+		name: 'beyond the fraction that its holder can process is refused at once', entries: 86, share: 0.3, draw: 0.4, status: 503,
 	},
 	{
-		name: 'within that part is sent', entries: 86, share: 0.3, draw: 0.2, status: 200,
+		name: 'within that fraction is sent', entries: 86, share: 0.3, draw: 0.2, status: 200,
 	},
 	{
 		name: 'for a holder with room is sent', entries: 86, share: 1, draw: 0.99, status: 200,
 	},
 	{
-		name: 'is paced and not drawn for where few entries share the holder', entries: 9, share: 0.3, draw: 0.4, status: 200,
+		name: 'is paced and not drawn for when few entries share the holder', entries: 9, share: 0.3, draw: 0.4, status: 200,
 	},
 ];
 
--- a/packages/entry/test/test-retry-budget.ts
+++ b/packages/entry/test/test-retry-budget.ts
@@ -18,14 +18,14 @@
 	graceMilliseconds: 1000,
 };
 
-/** Of the platform's budget: a fifth of the requests, and 58. */
+/** The platform's retry budget: a fifth of the requests, plus 58. */
 function allowed(requests: number): number {
 	return (requests * 0.2) + 58;
 }
 
 type Case = {
 	readonly name: string;
-	/** What each entry is told of the number of entries, before and while requests come. */
+	/** The numbers of entries that each entry is notified of, in order, before requests come. */
 	readonly told: readonly number[];
 	readonly entries: number;
 	/** Requests of each entry before all upstreams begin to fail, and after. */
@@ -38,10 +38,10 @@
 		name: 'entries that know their number', told: [9], entries: 9, before: 400, failing: 100,
 	},
 	{
-		name: 'entries that were told they are alone at their start', told: [1, 9], entries: 9, before: 400, failing: 100,
+		name: 'entries that were notified of one entry at their start', told: [1, 9], entries: 9, before: 400, failing: 100,
 	},
 	{
-		name: 'entries that were told so until now', told: [1, 9], entries: 9, before: 0, failing: 30,
+		name: 'entries that have just been notified of the others', told: [1, 9], entries: 9, before: 0, failing: 30,
 	},
 	{
 		name: 'many entries with few requests', told: [1, 67], entries: 67, before: 20, failing: 5,
--- a/packages/entry/test/test-slow-stream.ts
+++ b/packages/entry/test/test-slow-stream.ts
@@ -1,6 +1,6 @@
 /**
- * An entry behind a slow link follows a control instance: real connections
- * through a relay that passes on so many bytes a second.
+ * An entry follows a control instance over a slow link: real connections through a
+ * relay that limits the bytes a second.
  */
 import assert from 'node:assert/strict';
 import {randomBytes} from 'node:crypto';
@@ -29,7 +29,7 @@
 
 type Relay = {readonly port: number; readonly close: () => void};
 
-/** Passes the bytes of one socket on to another, so many a tick. */
+/** Forwards data from one socket to another, at most `bytesPerTick` each tick. */
 function throttle(from: Socket, to: Socket, bytesPerTick: number): NodeJS.Timeout {
 	from.on('error', () => {
 		to.destroy();
@@ -81,7 +81,7 @@
 	return port;
 }
 
-/** A change whose text can't be made much shorter. */
+/** Returns changes whose text hardly compresses. */
 function routes(count: number): readonly ItemChange[] {
 	return [
 		{kind: 'service', name: 's', item: {version: 1, value: {keyed: false, maxConnections: 10}, document: '{}'}},
@@ -107,7 +107,7 @@
 ];
 
 for (const {name, bytesPerSecond, routes: count} of cases) {
-	test(`slow stream: ${name} reach an entry though they take longer than a stream may be silent`, async () => {
+	test(`slow stream: ${name} reach an entry though they take longer than the timeout of a stream`, async () => {
 		const source = createStateHolder(directoryMachine);
 		source.apply(1, encodeCommands([{kind: 'itemsChanged', changes: routes(count)}]));
 		const port = await freePort();
