--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -15,7 +15,7 @@
 import {type CallerServer, startCallerServer} from './caller-server.js';
 import {followDirectory} from './directory-follower.js';
 import {startLoadReporter} from './load-reporter.js';
-import {Hearing, turnMilliseconds} from './hearing.js';
+import {LoopDelayGuard, turnMilliseconds} from './hearing.js';
 import {createRequestJournal} from './request-journal.js';
 import {RequestRun, type RequestSurroundings} from './request-run.js';
 import {type KnownService, ServiceTable} from './service-table.js';
@@ -70,7 +70,7 @@
 	let endsAt: MonotonicTime = Infinity;
 	let wasReady = false;
 
-	const hearing = new Hearing();
+	const hearing = new LoopDelayGuard();
 
 	function advance(service: KnownService): void {
 		if (service.line.length > 0) {
--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -13,7 +13,7 @@
 const lateMilliseconds: Milliseconds = 100;
 
 /** Measures the delay of the event loop. It is updated in place, as it is on the request path. */
-export class Hearing {
+export class LoopDelayGuard {
 	#turnedAt: MonotonicTime = monotonicNow();
 	#lateBy: Milliseconds = 0;
 
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -9,7 +9,7 @@
 import {emptyDirectory, type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
 import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
-import {Hearing, turnMilliseconds} from '@dogwooddeck/entry/hearing';
+import {LoopDelayGuard, turnMilliseconds} from '@dogwooddeck/entry/hearing';
 import {RequestRun, type RequestSurroundings} from '@dogwooddeck/entry/request-run';
 import {type KnownService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
@@ -92,7 +92,7 @@
 /** Starts an entry; `isKnown`: whether it has a directory. `told` replaces dependencies of its requests. */
 export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestSurroundings> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
-	const hearing = new Hearing();
+	const hearing = new LoopDelayGuard();
 	const advance = ({line}: KnownService) => {
 		hearing.whenHeard(() => {
 			line.advance(performance.now());
