--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -74,7 +74,7 @@
 
 	function advance(service: KnownService): void {
 		if (service.line.length > 0) {
-			hearing.whenHeard(() => {
+			hearing.afterPendingReads(() => {
 				service.line.advance(monotonicNow());
 			});
 		}
@@ -98,7 +98,7 @@
 		countAnswer: reporter.answered,
 		advance,
 		whenHeard(goOn) {
-			hearing.whenHeard(goOn);
+			hearing.afterPendingReads(goOn);
 		},
 		endsAt: () => endsAt,
 		shareOf: follower.shareOf,
--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -25,7 +25,7 @@
 	}
 
 	/** Calls back at once, or if the loop is delayed, after all input that has arrived by now is read. */
-	whenHeard(goOn: () => void): void {
+	afterPendingReads(goOn: () => void): void {
 		if (Math.max(this.#lateBy, monotonicNow() - this.#turnedAt) < lateMilliseconds) {
 			goOn();
 			return;
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -94,7 +94,7 @@
 	const table = new ServiceTable(settings, () => 0);
 	const hearing = new LoopDelayGuard();
 	const advance = ({line}: KnownService) => {
-		hearing.whenHeard(() => {
+		hearing.afterPendingReads(() => {
 			line.advance(performance.now());
 		});
 	};
@@ -112,7 +112,7 @@
 		countAnswer: () => undefined,
 		advance,
 		whenHeard(goOn) {
-			hearing.whenHeard(goOn);
+			hearing.afterPendingReads(goOn);
 		},
 		endsAt: () => Infinity,
 		shareOf: () => 1,
