--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -97,7 +97,7 @@
 		countKey: reporter.count,
 		countAnswer: reporter.answered,
 		advance,
-		whenHeard(goOn) {
+		afterPendingReads(goOn) {
 			hearing.afterPendingReads(goOn);
 		},
 		endsAt: () => endsAt,
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -45,7 +45,7 @@
 	/** Starts waiting requests of a service for which there is room now. */
 	readonly advance: (service: KnownService) => void;
 	/** Calls back once closed connections of callers have been noticed. */
-	readonly whenHeard: (goOn: () => void) => void;
+	readonly afterPendingReads: (goOn: () => void) => void;
 	/** When this instance ends requests in flight; infinite unless it is stopping. */
 	readonly endsAt: () => MonotonicTime;
 	/** The fraction of the requests for its keys that an upstream can process, as reported by control instances. */
@@ -186,7 +186,7 @@
 
 	/** Sends the request if there is room, or queues it, or refuses it. */
 	#place(): void {
-		this.#around.whenHeard(() => {
+		this.#around.afterPendingReads(() => {
 			if (!this.#exchange.isGone) {
 				this.#placeNow();
 			}
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -111,7 +111,7 @@
 		countKey: () => undefined,
 		countAnswer: () => undefined,
 		advance,
-		whenHeard(goOn) {
+		afterPendingReads(goOn) {
 			hearing.afterPendingReads(goOn);
 		},
 		endsAt: () => Infinity,
