--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -25,15 +25,15 @@
 	}
 
 	/** Calls back at once, or if the loop is delayed, after all input that has arrived by now is read. */
-	afterPendingReads(goOn: () => void): void {
+	afterPendingReads(callback: () => void): void {
 		if (Math.max(this.#lateBy, monotonicNow() - this.#turnedAt) < lateMilliseconds) {
-			goOn();
+			callback();
 			return;
 		}
 
 		// The first callback runs after this turn's reads, the second one after those of the next turn.
 		setImmediate(() => {
-			setImmediate(goOn);
+			setImmediate(callback);
 		});
 	}
 }
