--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -45,7 +45,7 @@
 	/** Starts waiting requests of a service for which there is room now. */
 	readonly advance: (service: KnownService) => void;
 	/** Calls back once closed connections of callers have been noticed. */
-	readonly afterPendingReads: (goOn: () => void) => void;
+	readonly afterPendingReads: (callback: () => void) => void;
 	/** When this instance ends requests in flight; infinite unless it is stopping. */
 	readonly endsAt: () => MonotonicTime;
 	/** The fraction of the requests for its keys that an upstream can process, as reported by control instances. */
