--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -97,8 +97,8 @@
 		countKey: reporter.count,
 		countAnswer: reporter.answered,
 		advance,
-		afterPendingReads(goOn) {
-			hearing.afterPendingReads(goOn);
+		afterPendingReads(callback) {
+			hearing.afterPendingReads(callback);
 		},
 		endsAt: () => endsAt,
 		shareOf: follower.shareOf,
