--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -111,8 +111,8 @@
 		countKey: () => undefined,
 		countAnswer: () => undefined,
 		advance,
-		afterPendingReads(goOn) {
-			hearing.afterPendingReads(goOn);
+		afterPendingReads(callback) {
+			hearing.afterPendingReads(callback);
 		},
 		endsAt: () => Infinity,
 		shareOf: () => 1,
