--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -15,7 +15,7 @@
 import {type CallerServer, startCallerServer} from './caller-server.js';
 import {followDirectory} from './directory-follower.js';
 import {startLoadReporter} from './load-reporter.js';
-import {LoopDelayGuard, turnMilliseconds} from './hearing.js';
+import {LoopDelayGuard, turnIntervalMilliseconds} from './hearing.js';
 import {createRequestJournal} from './request-journal.js';
 import {RequestRun, type RequestSurroundings} from './request-run.js';
 import {type KnownService, ServiceTable} from './service-table.js';
@@ -132,7 +132,7 @@
 	const advancing = setInterval(() => {
 		hearing.turn();
 		advanceAll();
-	}, turnMilliseconds);
+	}, turnIntervalMilliseconds);
 	const load = startLoadWatch(log, measures);
 	const closingEndless = setInterval(() => {
 		table.closeEndless();
--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -7,7 +7,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** The interval at which `turn` is called when the loop isn't delayed. */
-export const turnMilliseconds: Milliseconds = 10;
+export const turnIntervalMilliseconds: Milliseconds = 10;
 
 /** Shorter delays are ignored: nobody can distinguish callers that disconnect within them from others. */
 const lateMilliseconds: Milliseconds = 100;
@@ -20,7 +20,7 @@
 	/** Records a turn; called each `turnMilliseconds` by a timer. */
 	turn(): void {
 		const now = monotonicNow();
-		this.#lateBy = now - this.#turnedAt - turnMilliseconds;
+		this.#lateBy = now - this.#turnedAt - turnIntervalMilliseconds;
 		this.#turnedAt = now;
 	}
 
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -9,7 +9,7 @@
 import {emptyDirectory, type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
 import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
-import {LoopDelayGuard, turnMilliseconds} from '@dogwooddeck/entry/hearing';
+import {LoopDelayGuard, turnIntervalMilliseconds} from '@dogwooddeck/entry/hearing';
 import {RequestRun, type RequestSurroundings} from '@dogwooddeck/entry/request-run';
 import {type KnownService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
@@ -139,7 +139,7 @@
 		for (const service of table.services()) {
 			advance(service);
 		}
-	}, turnMilliseconds);
+	}, turnIntervalMilliseconds);
 	return {
 		port, callers, table, advancing,
 	};
