--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -10,7 +10,7 @@
 export const turnIntervalMilliseconds: Milliseconds = 10;
 
 /** Shorter delays are ignored: nobody can distinguish callers that disconnect within them from others. */
-const lateMilliseconds: Milliseconds = 100;
+const delayThresholdMilliseconds: Milliseconds = 100;
 
 /** Measures the delay of the event loop. It is updated in place, as it is on the request path. */
 export class LoopDelayGuard {
@@ -26,7 +26,7 @@
 
 	/** Calls back at once, or if the loop is delayed, after all input that has arrived by now is read. */
 	afterPendingReads(callback: () => void): void {
-		if (Math.max(this.#lateBy, monotonicNow() - this.#turnedAt) < lateMilliseconds) {
+		if (Math.max(this.#lateBy, monotonicNow() - this.#turnedAt) < delayThresholdMilliseconds) {
 			callback();
 			return;
 		}
