--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -15,18 +15,18 @@
 /** Measures the delay of the event loop. It is updated in place, as it is on the request path. */
 export class LoopDelayGuard {
 	#lastTurnAt: MonotonicTime = monotonicNow();
-	#lateBy: Milliseconds = 0;
+	#delay: Milliseconds = 0;
 
 	/** Records a turn; called each `turnMilliseconds` by a timer. */
 	turn(): void {
 		const now = monotonicNow();
-		this.#lateBy = now - this.#lastTurnAt - turnIntervalMilliseconds;
+		this.#delay = now - this.#lastTurnAt - turnIntervalMilliseconds;
 		this.#lastTurnAt = now;
 	}
 
 	/** Calls back at once, or if the loop is delayed, after all input that has arrived by now is read. */
 	afterPendingReads(callback: () => void): void {
-		if (Math.max(this.#lateBy, monotonicNow() - this.#lastTurnAt) < delayThresholdMilliseconds) {
+		if (Math.max(this.#delay, monotonicNow() - this.#lastTurnAt) < delayThresholdMilliseconds) {
 			callback();
 			return;
 		}
