--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -130,7 +130,7 @@
 	});
 	// Needed beside events: backoffs of upstreams end, and waiting requests time out.
 	const advancing = setInterval(() => {
-		hearing.turn();
+		hearing.recordTurn();
 		advanceAll();
 	}, turnIntervalMilliseconds);
 	const load = startLoadWatch(log, measures);
--- a/packages/entry/src/hearing.ts
+++ b/packages/entry/src/hearing.ts
@@ -18,7 +18,7 @@
 	#delay: Milliseconds = 0;
 
 	/** Records a turn; called each `turnMilliseconds` by a timer. */
-	turn(): void {
+	recordTurn(): void {
 		const now = monotonicNow();
 		this.#delay = now - this.#lastTurnAt - turnIntervalMilliseconds;
 		this.#lastTurnAt = now;
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -135,7 +135,7 @@
 		new RequestRun(around, exchange, path).start();
 	}, () => true);
 	const advancing = setInterval(() => {
-		hearing.turn();
+		hearing.recordTurn();
 		for (const service of table.services()) {
 			advance(service);
 		}
