--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -70,11 +70,11 @@
 	let endsAt: MonotonicTime = Infinity;
 	let wasReady = false;
 
-	const hearing = new LoopDelayGuard();
+	const loopDelayGuard = new LoopDelayGuard();
 
 	function advance(service: KnownService): void {
 		if (service.line.length > 0) {
-			hearing.afterPendingReads(() => {
+			loopDelayGuard.afterPendingReads(() => {
 				service.line.advance(monotonicNow());
 			});
 		}
@@ -98,7 +98,7 @@
 		countAnswer: reporter.answered,
 		advance,
 		afterPendingReads(callback) {
-			hearing.afterPendingReads(callback);
+			loopDelayGuard.afterPendingReads(callback);
 		},
 		endsAt: () => endsAt,
 		shareOf: follower.shareOf,
@@ -130,7 +130,7 @@
 	});
 	// Needed beside events: backoffs of upstreams end, and waiting requests time out.
 	const advancing = setInterval(() => {
-		hearing.recordTurn();
+		loopDelayGuard.recordTurn();
 		advanceAll();
 	}, turnIntervalMilliseconds);
 	const load = startLoadWatch(log, measures);
