--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -92,9 +92,9 @@
 /** Starts an entry; `isKnown`: whether it has a directory. `told` replaces dependencies of its requests. */
 export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestSurroundings> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
-	const hearing = new LoopDelayGuard();
+	const loopDelayGuard = new LoopDelayGuard();
 	const advance = ({line}: KnownService) => {
-		hearing.afterPendingReads(() => {
+		loopDelayGuard.afterPendingReads(() => {
 			line.advance(performance.now());
 		});
 	};
@@ -112,7 +112,7 @@
 		countAnswer: () => undefined,
 		advance,
 		afterPendingReads(callback) {
-			hearing.afterPendingReads(callback);
+			loopDelayGuard.afterPendingReads(callback);
 		},
 		endsAt: () => Infinity,
 		shareOf: () => 1,
@@ -135,7 +135,7 @@
 		new RequestRun(around, exchange, path).start();
 	}, () => true);
 	const advancing = setInterval(() => {
-		hearing.recordTurn();
+		loopDelayGuard.recordTurn();
 		for (const service of table.services()) {
 			advance(service);
 		}
