--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -17,7 +17,7 @@
 import {startLoadReporter} from './load-reporter.js';
 import {LoopDelayGuard, turnIntervalMilliseconds} from './hearing.js';
 import {createRequestJournal} from './request-journal.js';
-import {RequestRun, type RequestSurroundings} from './request-run.js';
+import {RequestRun, type RequestDependencies} from './request-run.js';
 import {type KnownService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
 
@@ -87,7 +87,7 @@
 	}
 
 	const hasRoutes = () => table.routes.size > 0;
-	const around: RequestSurroundings = {
+	const around: RequestDependencies = {
 		table,
 		fields: settings.fields,
 		journal: createRequestJournal(log, measures, () => follower.state().applied),
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -30,7 +30,7 @@
 import {type FieldNames} from './settings.js';
 
 /** The dependencies that all requests of an instance share. */
-export type RequestSurroundings = {
+export type RequestDependencies = {
 	readonly table: ServiceTable;
 	readonly fields: FieldNames;
 	readonly journal: RequestJournal;
@@ -91,7 +91,7 @@
 export class RequestRun {
 	readonly identifier: string | undefined;
 	readonly arrivedAt: MonotonicTime = monotonicNow();
-	readonly #around: RequestSurroundings;
+	readonly #around: RequestDependencies;
 	readonly #exchange: CallerExchange;
 	readonly #path: string;
 	#route: NamedRoute | undefined;
@@ -110,7 +110,7 @@
 	/** The status of the last upstream's refusal; 0 if it did not refuse. */
 	#status = 0;
 
-	constructor(around: RequestSurroundings, exchange: CallerExchange, path: string) {
+	constructor(around: RequestDependencies, exchange: CallerExchange, path: string) {
 		this.#around = around;
 		this.#exchange = exchange;
 		this.#path = path;
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -10,7 +10,7 @@
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
 import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
 import {LoopDelayGuard, turnIntervalMilliseconds} from '@dogwooddeck/entry/hearing';
-import {RequestRun, type RequestSurroundings} from '@dogwooddeck/entry/request-run';
+import {RequestRun, type RequestDependencies} from '@dogwooddeck/entry/request-run';
 import {type KnownService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
 
@@ -90,7 +90,7 @@
 export type Entry = {readonly port: number; readonly callers: CallerServer; readonly table: ServiceTable; readonly advancing: NodeJS.Timeout};
 
 /** Starts an entry; `isKnown`: whether it has a directory. `told` replaces dependencies of its requests. */
-export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestSurroundings> = {}): Promise<Entry> {
+export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestDependencies> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
 	const loopDelayGuard = new LoopDelayGuard();
 	const advance = ({line}: KnownService) => {
@@ -99,7 +99,7 @@
 		});
 	};
 
-	const around: RequestSurroundings = {
+	const around: RequestDependencies = {
 		table,
 		fields,
 		journal: {
@@ -181,7 +181,7 @@
 };
 
 /** Runs a test with an entry and one upstream for each behaviour. */
-export async function withEntry(behaviours: readonly Behaviour[], isKnown: boolean, use: (entry: Entry, upstreams: readonly Upstream[]) => Promise<void>, told: Partial<RequestSurroundings> = {}): Promise<void> {
+export async function withEntry(behaviours: readonly Behaviour[], isKnown: boolean, use: (entry: Entry, upstreams: readonly Upstream[]) => Promise<void>, told: Partial<RequestDependencies> = {}): Promise<void> {
 	const upstreams = await Promise.all(behaviours.map(async behaviour => startUpstream(behaviour)));
 	const entry = await startEntry(upstreams, isKnown, told);
 	try {
