--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -91,7 +91,7 @@
 export class RequestRun {
 	readonly identifier: string | undefined;
 	readonly arrivedAt: MonotonicTime = monotonicNow();
-	readonly #around: RequestDependencies;
+	readonly #dependencies: RequestDependencies;
 	readonly #exchange: CallerExchange;
 	readonly #path: string;
 	#route: NamedRoute | undefined;
@@ -111,7 +111,7 @@
 	#status = 0;
 
 	constructor(around: RequestDependencies, exchange: CallerExchange, path: string) {
-		this.#around = around;
+		this.#dependencies = around;
 		this.#exchange = exchange;
 		this.#path = path;
 		this.identifier = textOf(exchange.request.headers[around.fields.requestIdentifier]);
@@ -119,7 +119,7 @@
 
 	/** Finds the route and reads the body. */
 	start(): void {
-		const {table, isReady, limits} = this.#around;
+		const {table, isReady, limits} = this.#dependencies;
 		const {headers} = this.#exchange.request;
 		if (!isReady()) {
 			this.#refuse(Refusal.noDirectory);
@@ -132,10 +132,10 @@
 			return;
 		}
 
-		const asked = textOf(headers[this.#around.fields.deadline]);
+		const asked = textOf(headers[this.#dependencies.fields.deadline]);
 		const timeout = this.#route.timeoutMilliseconds;
 		this.#deadline = this.arrivedAt + (asked !== undefined && wholeMilliseconds.test(asked) ? Math.min(Number(asked), timeout) : timeout);
-		if (this.#deadline > this.#around.endsAt()) {
+		if (this.#deadline > this.#dependencies.endsAt()) {
 			this.#refuse(Refusal.stopping);
 			return;
 		}
@@ -154,7 +154,7 @@
 			return;
 		}
 
-		const {table, fields, countKey} = this.#around;
+		const {table, fields, countKey} = this.#dependencies;
 		const route = this.#route!;
 		this.#body = body;
 		this.#service = table.service(table.split(route.name, route.targets).next());
@@ -166,7 +166,7 @@
 				return;
 			}
 
-			this.#target = new KeyTarget(this.#around, this.#service, Number(key));
+			this.#target = new KeyTarget(this.#dependencies, this.#service, Number(key));
 			countKey(this.#service.name, this.#target.key);
 			if (!this.#isAdmitted(this.#service, this.#target)) {
 				this.#refuse(Refusal.holderOverloaded);
@@ -179,14 +179,14 @@
 
 	/** Admits only a fraction of the least urgent requests for an overloaded holder, unless the pace of keys limits them already. */
 	#isAdmitted(service: KnownService, target: KeyTarget): boolean {
-		const {table, shareOf, random} = this.#around;
+		const {table, shareOf, random} = this.#dependencies;
 		const {holder} = target;
 		return holder === undefined || target.isPaced(holder) || this.#route!.priority < table.leastUrgent(service.name) || random() < shareOf(holder.record);
 	}
 
 	/** Sends the request if there is room, or queues it, or refuses it. */
 	#place(): void {
-		this.#around.afterPendingReads(() => {
+		this.#dependencies.afterPendingReads(() => {
 			if (!this.#exchange.isGone) {
 				this.#placeNow();
 			}
@@ -247,7 +247,7 @@
 
 	#choose(now: MonotonicTime): KnownUpstream | undefined {
 		const service = this.#service!;
-		const connections = Math.max(1, Math.floor(service.maxConnections / (this.#around.entryCount() + 1)));
+		const connections = Math.max(1, Math.floor(service.maxConnections / (this.#dependencies.entryCount() + 1)));
 		if (this.#target !== undefined) {
 			const holder = this.#target.holderNow(now);
 			return holder?.load.hasRoom(now) === true && holder.pool.hasRoom(connections, this.#refusedOn) && this.#target.waitFor(holder, 0, now) === 0 ? holder : undefined;
@@ -269,7 +269,7 @@
 	}
 
 	#send(upstream: KnownUpstream, now: MonotonicTime): void {
-		const {fields, table} = this.#around;
+		const {fields, table} = this.#dependencies;
 		const {request} = this.#exchange;
 		const timeoutMilliseconds = this.#deadline - now;
 		upstream.load.underWay += 1;
@@ -315,7 +315,7 @@
 	}
 
 	#finishAttempt(upstream: KnownUpstream, result: AttemptResult): void {
-		const {journal, advance, countAnswer} = this.#around;
+		const {journal, advance, countAnswer} = this.#dependencies;
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
@@ -350,7 +350,7 @@
 			this.#sendAgainOrRefuse(result, now);
 		} else {
 			this.#exchange.answer(result.answer.status, result.answer.headers, result.answer.body);
-			this.#around.journal.answered({
+			this.#dependencies.journal.answered({
 				run: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#tried.length,
 			});
 		}
@@ -363,7 +363,7 @@
 			this.#exchange.cut();
 		}
 
-		this.#around.journal.answered({
+		this.#dependencies.journal.answered({
 			run: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#tried.length,
 		});
 	}
@@ -400,12 +400,12 @@
 	#refuse(refusal: Refusal, waiting?: Wait): void {
 		this.#waiter = undefined;
 		const status = refusalStatus(refusal, this.#mayHaveRun > 0);
-		const pause = returnAfter(this.#route?.objectiveMilliseconds ?? 1000, this.#around.random());
+		const pause = returnAfter(this.#route?.objectiveMilliseconds ?? 1000, this.#dependencies.random());
 		const body = Buffer.from(`${refusal}\n`);
-		const identified = this.identifier === undefined ? [] : [this.#around.fields.requestIdentifier, this.identifier];
+		const identified = this.identifier === undefined ? [] : [this.#dependencies.fields.requestIdentifier, this.identifier];
 		const retry = status === notRunStatus ? ['Retry-After', (pause / 1000).toFixed(3)] : [];
 		this.#exchange.answer(status, ['Content-Type', 'text/plain', ...identified, ...retry], body);
-		this.#around.journal.refused({
+		this.#dependencies.journal.refused({
 			run: this,
 			refusal,
 			status,
