--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -110,11 +110,11 @@
 	/** The status of the last upstream's refusal; 0 if it did not refuse. */
 	#status = 0;
 
-	constructor(around: RequestDependencies, exchange: CallerExchange, path: string) {
-		this.#dependencies = around;
+	constructor(dependencies: RequestDependencies, exchange: CallerExchange, path: string) {
+		this.#dependencies = dependencies;
 		this.#exchange = exchange;
 		this.#path = path;
-		this.identifier = textOf(exchange.request.headers[around.fields.requestIdentifier]);
+		this.identifier = textOf(exchange.request.headers[dependencies.fields.requestIdentifier]);
 	}
 
 	/** Finds the route and reads the body. */
