--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -87,7 +87,7 @@
 	}
 
 	const hasRoutes = () => table.routes.size > 0;
-	const around: RequestDependencies = {
+	const dependencies: RequestDependencies = {
 		table,
 		fields: settings.fields,
 		journal: createRequestJournal(log, measures, () => follower.state().applied),
@@ -105,7 +105,7 @@
 		random,
 	};
 	const callers: CallerServer = await startCallerServer(settings.callers, (exchange, path) => {
-		new RequestRun(around, exchange, path).start();
+		new RequestRun(dependencies, exchange, path).start();
 	}, () => !isStopping);
 
 	function isReady(): boolean {
@@ -123,7 +123,7 @@
 
 	follower.listen(state => {
 		table.update(state, follower.entryCount());
-		callers.setLimits(around.limits());
+		callers.setLimits(dependencies.limits());
 		measures.set(MeasureName.applied, state.applied);
 		tellReadiness();
 		advanceAll();
