--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -99,7 +99,7 @@
 		});
 	};
 
-	const around: RequestDependencies = {
+	const dependencies: RequestDependencies = {
 		table,
 		fields,
 		journal: {
@@ -132,7 +132,7 @@
 	probe.close();
 	await once(probe, 'close');
 	const callers = await startCallerServer({host: '127.0.0.1', port}, (exchange, path) => {
-		new RequestRun(around, exchange, path).start();
+		new RequestRun(dependencies, exchange, path).start();
 	}, () => true);
 	const advancing = setInterval(() => {
 		loopDelayGuard.recordTurn();
