--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -13,7 +13,7 @@
 const mostFenceRefusals = 2;
 
 /** What a key target reads. */
-export type KeySurroundings = {
+export type KeyDependencies = {
 	readonly table: ServiceTable;
 	/** Returns the number of entry instances of the deployment. */
 	readonly entryCount: () => number;
@@ -21,14 +21,14 @@
 
 /** The key of one request and its holder. */
 export class KeyTarget {
-	readonly #around: KeySurroundings;
+	readonly #around: KeyDependencies;
 	readonly #service: KnownService;
 	#notBefore: MonotonicTime = -Infinity;
 	/** The fence number under which an upstream last answered that it doesn't hold the key, and how often it did. */
 	#refusedFence = -1;
 	#fenceRefusals = 0;
 
-	constructor(around: KeySurroundings, service: KnownService, readonly key: number) {
+	constructor(around: KeyDependencies, service: KnownService, readonly key: number) {
 		this.#around = around;
 		this.#service = service;
 	}
