--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -21,7 +21,7 @@
 
 /** The key of one request and its holder. */
 export class KeyTarget {
-	readonly #around: KeyDependencies;
+	readonly #dependencies: KeyDependencies;
 	readonly #service: KnownService;
 	#notBefore: MonotonicTime = -Infinity;
 	/** The fence number under which an upstream last answered that it doesn't hold the key, and how often it did. */
@@ -29,25 +29,25 @@
 	#fenceRefusals = 0;
 
 	constructor(around: KeyDependencies, service: KnownService, readonly key: number) {
-		this.#around = around;
+		this.#dependencies = around;
 		this.#service = service;
 	}
 
 	/** The holder of the key according to the table. */
 	get holder(): KnownUpstream | undefined {
-		return this.#around.table.holderOf(this.#service, this.key)?.upstream;
+		return this.#dependencies.table.holderOf(this.#service, this.key)?.upstream;
 	}
 
 	/** Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment after this instance is, so one refusal is retried; an upstream that refuses twice under one fence number has lost them. */
 	holderNow(now: MonotonicTime): KnownUpstream | undefined {
-		const held = this.#around.table.holderOf(this.#service, this.key);
+		const held = this.#dependencies.table.holderOf(this.#service, this.key);
 		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= mostFenceRefusals;
 		return now < this.#notBefore || hasLost ? undefined : held?.upstream;
 	}
 
 	/** Records that the holder answered that it doesn't hold the key. */
 	noteMisdirected(now: MonotonicTime): void {
-		const fence = this.#around.table.holderOf(this.#service, this.key)?.range.fence ?? -1;
+		const fence = this.#dependencies.table.holderOf(this.#service, this.key)?.range.fence ?? -1;
 		this.#notBefore = now + staleTableMilliseconds;
 		this.#fenceRefusals = fence === this.#refusedFence ? this.#fenceRefusals + 1 : 1;
 		this.#refusedFence = fence;
@@ -69,6 +69,6 @@
 	}
 
 	#capacityOf({record, load}: KnownUpstream): HolderCapacity {
-		return {slots: record.slots, latency: load.latency, instances: this.#around.entryCount()};
+		return {slots: record.slots, latency: load.latency, instances: this.#dependencies.entryCount()};
 	}
 }
