--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -28,8 +28,8 @@
 	#refusedFence = -1;
 	#fenceRefusals = 0;
 
-	constructor(around: KeyDependencies, service: KnownService, readonly key: number) {
-		this.#dependencies = around;
+	constructor(dependencies: KeyDependencies, service: KnownService, readonly key: number) {
+		this.#dependencies = dependencies;
 		this.#service = service;
 	}
 
