--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -30,7 +30,7 @@
 };
 
 /** What an entry instance depends on. */
-export type EntryParts = {
+export type EntryDependencies = {
 	readonly settings: EntrySettings;
 	readonly log: Log;
 	readonly measures: Measures;
@@ -59,7 +59,7 @@
 }
 
 /** Starts an entry instance. */
-export async function startEntry({settings, log, measures, random}: EntryParts): Promise<Entry> {
+export async function startEntry({settings, log, measures, random}: EntryDependencies): Promise<Entry> {
 	const clients = createMeshClients();
 	const follower = followDirectory({
 		name: settings.name, zone: settings.zone, regions: settings.regions, seeds: settings.seeds, clients, log,
