--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -36,7 +36,7 @@
 };
 
 /** What the follower depends on. */
-export type FollowerParts = {
+export type FollowerDependencies = {
 	readonly name: string;
 	readonly zone: ZoneName;
 	/** The region of each zone. */
@@ -106,7 +106,7 @@
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
 	name, zone, regions, seeds, clients, log,
-}: FollowerParts): DirectoryFollower {
+}: FollowerDependencies): DirectoryFollower {
 	const holder = createStateHolder(directoryMachine);
 	const streams = new Map<string, Stream>();
 	const lag = new LagWatch(log);
