--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -4,7 +4,7 @@
  */
 import {type HolderCapacity, isPaced} from '@dogwooddeck/gateway/key-pace';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {type KnownService, type KnownUpstream, type ServiceTable} from './service-table.js';
+import {type KnownService, type CachedUpstream, type ServiceTable} from './service-table.js';
 
 /** After an upstream answered that it doesn't hold a key, requests for the key wait this long for a newer table. */
 const staleTableMilliseconds: Milliseconds = 60;
@@ -34,12 +34,12 @@
 	}
 
 	/** The holder of the key according to the table. */
-	get holder(): KnownUpstream | undefined {
+	get holder(): CachedUpstream | undefined {
 		return this.#dependencies.table.holderOf(this.#service, this.key)?.upstream;
 	}
 
 	/** Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment after this instance is, so one refusal is retried; an upstream that refuses twice under one fence number has lost them. */
-	holderNow(now: MonotonicTime): KnownUpstream | undefined {
+	holderNow(now: MonotonicTime): CachedUpstream | undefined {
 		const held = this.#dependencies.table.holderOf(this.#service, this.key);
 		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= mostFenceRefusals;
 		return now < this.#notBefore || hasLost ? undefined : held?.upstream;
@@ -54,21 +54,21 @@
 	}
 
 	/** Returns how long a request for the key waits for its pace, behind `ahead` others for the same key. */
-	waitFor(holder: KnownUpstream, ahead: number, now: MonotonicTime): Milliseconds {
+	waitFor(holder: CachedUpstream, ahead: number, now: MonotonicTime): Milliseconds {
 		return this.#service.pace.waitFor(this.key, ahead, this.#capacityOf(holder), now);
 	}
 
 	/** Records that a request for the key is being sent. */
-	take(holder: KnownUpstream, now: MonotonicTime): void {
+	take(holder: CachedUpstream, now: MonotonicTime): void {
 		this.#service.pace.take(this.key, this.#capacityOf(holder), now);
 	}
 
 	/** Whether this instance's equal share of the holder's capacity is large enough to pace its requests by. */
-	isPaced(holder: KnownUpstream): boolean {
+	isPaced(holder: CachedUpstream): boolean {
 		return isPaced(this.#capacityOf(holder));
 	}
 
-	#capacityOf({record, load}: KnownUpstream): HolderCapacity {
+	#capacityOf({record, load}: CachedUpstream): HolderCapacity {
 		return {slots: record.slots, latency: load.latency, instances: this.#dependencies.entryCount()};
 	}
 }
--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -8,7 +8,7 @@
 import {LineBudget} from '@dogwooddeck/telemetry/line-budget';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
-import {type KnownUpstream} from './service-table.js';
+import {type CachedUpstream} from './service-table.js';
 
 /** The request that a log line is about. */
 export type JournalRun = {readonly identifier: string | undefined; readonly arrivedAt: MonotonicTime};
@@ -16,7 +16,7 @@
 /** A request whose upstream's answer was forwarded to the caller. */
 export type AnsweredRequest = {
 	readonly run: JournalRun;
-	readonly upstream: KnownUpstream;
+	readonly upstream: CachedUpstream;
 	readonly service: string;
 	readonly route: string;
 	/** 0 if the answer was streamed. */
@@ -43,7 +43,7 @@
 /** An attempt that yielded no answer to forward. */
 export type FailedAttempt = {
 	readonly run: JournalRun;
-	readonly upstream: KnownUpstream;
+	readonly upstream: CachedUpstream;
 	readonly seen: string;
 	/** The status of the upstream's refusal; 0 if it did not refuse. */
 	readonly status: number;
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -25,7 +25,7 @@
 import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
 import {type RequestJournal} from './request-journal.js';
 import {
-	bookFirst, bookRetry, type KnownService, type KnownUpstream, type ServiceTable,
+	bookFirst, bookRetry, type KnownService, type CachedUpstream, type ServiceTable,
 } from './service-table.js';
 import {type FieldNames} from './settings.js';
 
@@ -76,7 +76,7 @@
 /** What a request waits for, and how long. */
 type Wait = {
 	/** The holder of its key; undefined if the service has no keys or the key has no holder. */
-	readonly holder: KnownUpstream | undefined;
+	readonly holder: CachedUpstream | undefined;
 	readonly key: number | undefined;
 	/** The number of requests for its key that wait already. */
 	readonly turn: number;
@@ -245,7 +245,7 @@
 		};
 	}
 
-	#choose(now: MonotonicTime): KnownUpstream | undefined {
+	#choose(now: MonotonicTime): CachedUpstream | undefined {
 		const service = this.#service!;
 		const connections = Math.max(1, Math.floor(service.maxConnections / (this.#dependencies.entryCount() + 1)));
 		if (this.#target !== undefined) {
@@ -268,7 +268,7 @@
 		return true;
 	}
 
-	#send(upstream: KnownUpstream, now: MonotonicTime): void {
+	#send(upstream: CachedUpstream, now: MonotonicTime): void {
 		const {fields, table} = this.#dependencies;
 		const {request} = this.#exchange;
 		const timeoutMilliseconds = this.#deadline - now;
@@ -314,7 +314,7 @@
 		return hasRoom;
 	}
 
-	#finishAttempt(upstream: KnownUpstream, result: AttemptResult): void {
+	#finishAttempt(upstream: CachedUpstream, result: AttemptResult): void {
 		const {journal, advance, countAnswer} = this.#dependencies;
 		const now = monotonicNow();
 		this.#attempt = undefined;
@@ -339,7 +339,7 @@
 		advance(this.#service!);
 	}
 
-	#conclude(upstream: KnownUpstream, result: AttemptResult, now: MonotonicTime): void {
+	#conclude(upstream: CachedUpstream, result: AttemptResult, now: MonotonicTime): void {
 		if (this.#exchange.isGone) {
 			return;
 		}
@@ -356,7 +356,7 @@
 		}
 	}
 
-	#concludeLong(upstream: KnownUpstream, result: AttemptResult): void {
+	#concludeLong(upstream: CachedUpstream, result: AttemptResult): void {
 		if (result.seen === AttemptObservation.wholeAnswer) {
 			this.#exchange.end();
 		} else {
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -19,7 +19,7 @@
 import {UpstreamPool} from './upstream-pool.js';
 
 /** An upstream with this instance's measurements of its load, and its connections. */
-export type KnownUpstream = {
+export type CachedUpstream = {
 	readonly id: string;
 	readonly record: UpstreamRecord;
 	readonly distance: Distance;
@@ -37,12 +37,12 @@
 	maxConnections: number;
 	ranges: readonly KeyRange[];
 	/** The upstreams that requests may be sent to. */
-	upstreams: readonly KnownUpstream[];
+	upstreams: readonly CachedUpstream[];
 	budget: RetryBudget;
 };
 
 /** The upstream that requests for a key are sent to, and the range that assigns it. */
-export type KeyHolder = {readonly range: KeyRange; readonly upstream: KnownUpstream};
+export type KeyHolder = {readonly range: KeyRange; readonly upstream: CachedUpstream};
 
 /** The idle timeout of connections, below the 10 s after which upstreams close them. */
 const idleMilliseconds = 8000;
@@ -77,7 +77,7 @@
 	routes: RouteTable = new Map();
 	readonly #settings: EntrySettings;
 	readonly #services = new Map<string, KnownService>();
-	readonly #upstreams = new Map<string, KnownUpstream>();
+	readonly #upstreams = new Map<string, CachedUpstream>();
 	readonly #splits = new Map<string, {readonly key: string; readonly split: Split}>();
 	readonly #random: () => number;
 	#leastUrgent: ReadonlyMap<string, number> = new Map();
@@ -163,7 +163,7 @@
 	}
 
 	/** Whether requests may still be sent to this incarnation of an upstream. */
-	isCurrent({id, record}: KnownUpstream): boolean {
+	isCurrent({id, record}: CachedUpstream): boolean {
 		const known = this.#upstreams.get(id);
 		return known !== undefined && sameIncarnation(known.record, record) && known.record.state === UpstreamState.ready;
 	}
@@ -198,7 +198,7 @@
 		}
 	}
 
-	#known(record: UpstreamRecord, earlier: KnownUpstream | undefined): KnownUpstream {
+	#known(record: UpstreamRecord, earlier: CachedUpstream | undefined): CachedUpstream {
 		return {
 			id: record.id,
 			record,
