--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -18,7 +18,7 @@
 import {LoopDelayGuard, turnIntervalMilliseconds} from './hearing.js';
 import {createRequestJournal} from './request-journal.js';
 import {RequestRun, type RequestDependencies} from './request-run.js';
-import {type KnownService, ServiceTable} from './service-table.js';
+import {type CachedService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
 
 /** A running entry instance. */
@@ -72,7 +72,7 @@
 
 	const loopDelayGuard = new LoopDelayGuard();
 
-	function advance(service: KnownService): void {
+	function advance(service: CachedService): void {
 		if (service.line.length > 0) {
 			loopDelayGuard.afterPendingReads(() => {
 				service.line.advance(monotonicNow());
--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -4,7 +4,7 @@
  */
 import {type HolderCapacity, isPaced} from '@dogwooddeck/gateway/key-pace';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {type KnownService, type CachedUpstream, type ServiceTable} from './service-table.js';
+import {type CachedService, type CachedUpstream, type ServiceTable} from './service-table.js';
 
 /** After an upstream answered that it doesn't hold a key, requests for the key wait this long for a newer table. */
 const staleTableMilliseconds: Milliseconds = 60;
@@ -22,13 +22,13 @@
 /** The key of one request and its holder. */
 export class KeyTarget {
 	readonly #dependencies: KeyDependencies;
-	readonly #service: KnownService;
+	readonly #service: CachedService;
 	#notBefore: MonotonicTime = -Infinity;
 	/** The fence number under which an upstream last answered that it doesn't hold the key, and how often it did. */
 	#refusedFence = -1;
 	#fenceRefusals = 0;
 
-	constructor(dependencies: KeyDependencies, service: KnownService, readonly key: number) {
+	constructor(dependencies: KeyDependencies, service: CachedService, readonly key: number) {
 		this.#dependencies = dependencies;
 		this.#service = service;
 	}
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -25,7 +25,7 @@
 import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
 import {type RequestJournal} from './request-journal.js';
 import {
-	bookFirst, bookRetry, type KnownService, type CachedUpstream, type ServiceTable,
+	bookFirst, bookRetry, type CachedService, type CachedUpstream, type ServiceTable,
 } from './service-table.js';
 import {type FieldNames} from './settings.js';
 
@@ -43,7 +43,7 @@
 	/** Counts an answer of an upstream of a keyed service, and the time it took. */
 	readonly countAnswer: (service: string, upstream: string, took: Milliseconds) => void;
 	/** Starts waiting requests of a service for which there is room now. */
-	readonly advance: (service: KnownService) => void;
+	readonly advance: (service: CachedService) => void;
 	/** Calls back once closed connections of callers have been noticed. */
 	readonly afterPendingReads: (callback: () => void) => void;
 	/** When this instance ends requests in flight; infinite unless it is stopping. */
@@ -95,7 +95,7 @@
 	readonly #exchange: CallerExchange;
 	readonly #path: string;
 	#route: NamedRoute | undefined;
-	#service: KnownService | undefined;
+	#service: CachedService | undefined;
 	/** Undefined if the service has no keys. */
 	#target: KeyTarget | undefined;
 	#body: Buffer | undefined;
@@ -178,7 +178,7 @@
 	}
 
 	/** Admits only a fraction of the least urgent requests for an overloaded holder, unless the pace of keys limits them already. */
-	#isAdmitted(service: KnownService, target: KeyTarget): boolean {
+	#isAdmitted(service: CachedService, target: KeyTarget): boolean {
 		const {table, shareOf, random} = this.#dependencies;
 		const {holder} = target;
 		return holder === undefined || target.isPaced(holder) || this.#route!.priority < table.leastUrgent(service.name) || random() < shareOf(holder.record);
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -29,7 +29,7 @@
 };
 
 /** A service with this instance's queue and retry budget. It is updated in place, as it is on the request path. */
-export type KnownService = {
+export type CachedService = {
 	readonly name: string;
 	readonly line: WaitingQueue;
 	readonly pace: KeyPace;
@@ -76,7 +76,7 @@
 export class ServiceTable {
 	routes: RouteTable = new Map();
 	readonly #settings: EntrySettings;
-	readonly #services = new Map<string, KnownService>();
+	readonly #services = new Map<string, CachedService>();
 	readonly #upstreams = new Map<string, CachedUpstream>();
 	readonly #splits = new Map<string, {readonly key: string; readonly split: Split}>();
 	readonly #random: () => number;
@@ -115,13 +115,13 @@
 	}
 
 	/** Returns a service by its name, and creates it if needed. */
-	service(name: string): KnownService {
+	service(name: string): CachedService {
 		const known = this.#services.get(name);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const made: KnownService = {
+		const made: CachedService = {
 			name, line: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
 		};
 		this.#services.set(name, made);
@@ -134,7 +134,7 @@
 	}
 
 	/** Returns all services. */
-	services(): Iterable<KnownService> {
+	services(): Iterable<CachedService> {
 		return this.#services.values();
 	}
 
@@ -152,7 +152,7 @@
 	}
 
 	/** Returns the upstream that holds a key and was notified of it, if requests may be sent to it. */
-	holderOf(service: KnownService, key: number): KeyHolder | undefined {
+	holderOf(service: CachedService, key: number): KeyHolder | undefined {
 		const range = rangeOfKey(service.ranges, key);
 		if (range?.holder === undefined || !range.told) {
 			return undefined;
@@ -211,7 +211,7 @@
 }
 
 /** Records a retry and returns true, or returns false if the budget allows none. */
-export function bookRetry(service: KnownService): boolean {
+export function bookRetry(service: CachedService): boolean {
 	if (!allowsRetry(service.budget)) {
 		return false;
 	}
@@ -221,6 +221,6 @@
 }
 
 /** Records the first attempt of a request. */
-export function bookFirst(service: KnownService): void {
+export function bookFirst(service: CachedService): void {
 	service.budget = recordAttempt(service.budget, {kind: 'first-attempt'}).state;
 }
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -11,7 +11,7 @@
 import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
 import {LoopDelayGuard, turnIntervalMilliseconds} from '@dogwooddeck/entry/hearing';
 import {RequestRun, type RequestDependencies} from '@dogwooddeck/entry/request-run';
-import {type KnownService, ServiceTable} from '@dogwooddeck/entry/service-table';
+import {type CachedService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
 
 /** A request that an upstream received. */
@@ -93,7 +93,7 @@
 export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestDependencies> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
 	const loopDelayGuard = new LoopDelayGuard();
-	const advance = ({line}: KnownService) => {
+	const advance = ({line}: CachedService) => {
 		loopDelayGuard.afterPendingReads(() => {
 			line.advance(performance.now());
 		});
