--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -25,7 +25,7 @@
 import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
 import {type RequestJournal} from './request-journal.js';
 import {
-	bookFirst, bookRetry, type CachedService, type CachedUpstream, type ServiceTable,
+	recordFirstAttempt, bookRetry, type CachedService, type CachedUpstream, type ServiceTable,
 } from './service-table.js';
 import {type FieldNames} from './settings.js';
 
@@ -158,7 +158,7 @@
 		const route = this.#route!;
 		this.#body = body;
 		this.#service = table.service(table.split(route.name, route.targets).next());
-		bookFirst(this.#service);
+		recordFirstAttempt(this.#service);
 		if (this.#service.keyed) {
 			const key = textOf(this.#exchange.request.headers[fields.key]);
 			if (key === undefined || !keyForm.test(key) || Number(key) >= keyCount) {
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -221,6 +221,6 @@
 }
 
 /** Records the first attempt of a request. */
-export function bookFirst(service: CachedService): void {
+export function recordFirstAttempt(service: CachedService): void {
 	service.budget = recordAttempt(service.budget, {kind: 'first-attempt'}).state;
 }
