--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -25,7 +25,7 @@
 import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
 import {type RequestJournal} from './request-journal.js';
 import {
-	recordFirstAttempt, bookRetry, type CachedService, type CachedUpstream, type ServiceTable,
+	recordFirstAttempt, tryRecordRetry, type CachedService, type CachedUpstream, type ServiceTable,
 } from './service-table.js';
 import {type FieldNames} from './settings.js';
 
@@ -379,7 +379,7 @@
 			this.#refuse(Refusal.unknownOutcome);
 		} else if (this.#mayHaveRun >= route.maxAttempts || this.#tried.length >= tooManyAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
-		} else if (bookRetry(this.#service!)) {
+		} else if (tryRecordRetry(this.#service!)) {
 			this.#place();
 		} else {
 			this.#refuse(Refusal.budgetSpent);
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -211,7 +211,7 @@
 }
 
 /** Records a retry and returns true, or returns false if the budget allows none. */
-export function bookRetry(service: CachedService): boolean {
+export function tryRecordRetry(service: CachedService): boolean {
 	if (!allowsRetry(service.budget)) {
 		return false;
 	}
--- a/packages/entry/test/test-retry-budget.ts
+++ b/packages/entry/test/test-retry-budget.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {emptyDirectory} from '@dogwooddeck/directory/state';
-import {recordFirstAttempt, bookRetry, ServiceTable} from '@dogwooddeck/entry/service-table';
+import {recordFirstAttempt, tryRecordRetry, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
 
 const settings: EntrySettings = {
@@ -64,7 +64,7 @@
 
 			for (let request = 0; request < failing; request += 1) {
 				recordFirstAttempt(service);
-				retries += bookRetry(service) ? 1 : 0;
+				retries += tryRecordRetry(service) ? 1 : 0;
 			}
 		}
 
