--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -193,12 +193,12 @@
 		for (const record of Object.values(records)) {
 			const known = this.#upstreams.get(record.id);
 			if (known?.record !== record) {
-				this.#upstreams.set(record.id, this.#known(record, known));
+				this.#upstreams.set(record.id, this.#createUpstream(record, known));
 			}
 		}
 	}
 
-	#known(record: UpstreamRecord, earlier: CachedUpstream | undefined): CachedUpstream {
+	#createUpstream(record: UpstreamRecord, earlier: CachedUpstream | undefined): CachedUpstream {
 		return {
 			id: record.id,
 			record,
