--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -116,9 +116,9 @@
 
 	/** Returns a service by its name, and creates it if needed. */
 	service(name: string): CachedService {
-		const known = this.#services.get(name);
-		if (known !== undefined) {
-			return known;
+		const cached = this.#services.get(name);
+		if (cached !== undefined) {
+			return cached;
 		}
 
 		const made: CachedService = {
