--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -141,9 +141,9 @@
 	/** Returns the traffic split of a route, which is kept until its targets change. */
 	split(name: string, targets: ConstructorParameters<typeof Split>[0]): Split {
 		const key = JSON.stringify(targets);
-		const known = this.#splits.get(name);
-		if (known?.key === key) {
-			return known.split;
+		const cached = this.#splits.get(name);
+		if (cached?.key === key) {
+			return cached.split;
 		}
 
 		const split = new Split(targets, this.#random());
