--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -164,8 +164,8 @@
 
 	/** Whether requests may still be sent to this incarnation of an upstream. */
 	isCurrent({id, record}: CachedUpstream): boolean {
-		const known = this.#upstreams.get(id);
-		return known !== undefined && sameIncarnation(known.record, record) && known.record.state === UpstreamState.ready;
+		const cached = this.#upstreams.get(id);
+		return cached !== undefined && sameIncarnation(cached.record, record) && cached.record.state === UpstreamState.ready;
 	}
 
 	/** Closes connections that receive endless data in place of an answer. */
