--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -183,9 +183,9 @@
 	}
 
 	#updateUpstreams(records: DirectoryState['upstreams']): void {
-		for (const [id, known] of this.#upstreams) {
-			if (!sameIncarnation(records[id], known.record)) {
-				known.pool.close();
+		for (const [id, cached] of this.#upstreams) {
+			if (!sameIncarnation(records[id], cached.record)) {
+				cached.pool.close();
 				this.#upstreams.delete(id);
 			}
 		}
