--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -191,9 +191,9 @@
 		}
 
 		for (const record of Object.values(records)) {
-			const known = this.#upstreams.get(record.id);
-			if (known?.record !== record) {
-				this.#upstreams.set(record.id, this.#createUpstream(record, known));
+			const cached = this.#upstreams.get(record.id);
+			if (cached?.record !== record) {
+				this.#upstreams.set(record.id, this.#createUpstream(record, cached));
 			}
 		}
 	}
