--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -121,11 +121,11 @@
 			return cached;
 		}
 
-		const made: CachedService = {
+		const created: CachedService = {
 			name, line: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
 		};
-		this.#services.set(name, made);
-		return made;
+		this.#services.set(name, created);
+		return created;
 	}
 
 	/** Returns the priority of the least urgent route to a service, which is the highest number. */
