--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -73,9 +73,9 @@
 	const loopDelayGuard = new LoopDelayGuard();
 
 	function advance(service: CachedService): void {
-		if (service.line.length > 0) {
+		if (service.queue.length > 0) {
 			loopDelayGuard.afterPendingReads(() => {
-				service.line.advance(monotonicNow());
+				service.queue.advance(monotonicNow());
 			});
 		}
 	}
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -199,7 +199,7 @@
 			return;
 		}
 
-		const {line} = this.#service!;
+		const {queue: line} = this.#service!;
 		const waiting = this.#waiting(now);
 		if (waiting.until <= now || line.length >= longestLine) {
 			this.#refuse(line.length >= longestLine ? Refusal.lineFull : Refusal.waitedTooLong);
@@ -231,14 +231,14 @@
 		const {priority, objectiveMilliseconds} = this.#route!;
 		const key = this.#target?.key;
 		const holder = this.#target?.holder;
-		const turn = service.line.turnOf(key);
+		const turn = service.queue.turnOf(key);
 		const until = waitingUntil({
 			arrivedAt: this.arrivedAt,
 			objectiveMilliseconds,
 			deadline: this.#deadline,
 			expectedMilliseconds: (holder ?? service.upstreams[0])?.load.latency ?? 0,
 		});
-		const lineWait = holder === undefined ? 0 : holder.load.waitBehind(service.line.ahead(holder.id, priority, turn), now);
+		const lineWait = holder === undefined ? 0 : holder.load.waitBehind(service.queue.ahead(holder.id, priority, turn), now);
 		const paceWait = holder === undefined ? 0 : this.#target!.waitFor(holder, turn, now);
 		return {
 			holder, key, turn, lineWait, paceWait, until,
@@ -391,7 +391,7 @@
 		this.#attempt?.cancel();
 		this.#attempt = undefined;
 		if (this.#waiter !== undefined) {
-			this.#service?.line.remove(this.#waiter);
+			this.#service?.queue.remove(this.#waiter);
 			this.#waiter = undefined;
 		}
 	}
@@ -413,7 +413,7 @@
 			route: this.#route?.name,
 			key: this.#target?.key,
 			attempts: this.#tried.length,
-			waiting: this.#service?.line.length ?? 0,
+			waiting: this.#service?.queue.length ?? 0,
 			lineWait: waiting?.lineWait,
 			paceWait: waiting?.paceWait,
 		});
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -31,7 +31,7 @@
 /** A service with this instance's queue and retry budget. It is updated in place, as it is on the request path. */
 export type CachedService = {
 	readonly name: string;
-	readonly line: WaitingQueue;
+	readonly queue: WaitingQueue;
 	readonly pace: KeyPace;
 	keyed: boolean;
 	maxConnections: number;
@@ -122,7 +122,7 @@
 		}
 
 		const created: CachedService = {
-			name, line: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
+			name, queue: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
 		};
 		this.#services.set(name, created);
 		return created;
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -93,7 +93,7 @@
 export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, told: Partial<RequestDependencies> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
 	const loopDelayGuard = new LoopDelayGuard();
-	const advance = ({line}: CachedService) => {
+	const advance = ({queue: line}: CachedService) => {
 		loopDelayGuard.afterPendingReads(() => {
 			line.advance(performance.now());
 		});
