--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -61,7 +61,7 @@
 /** The fraction of the ratio that instances use: windows slide, and the counts of instances differ for a moment. */
 const ratioShare = 0.75;
 
-function leastUrgentOf(routes: RouteTable): ReadonlyMap<string, number> {
+function leastUrgentPriorities(routes: RouteTable): ReadonlyMap<string, number> {
 	const priorities = new Map<string, number>();
 	for (const {priority, targets} of [...routes.values()].flat()) {
 		for (const {service} of targets) {
@@ -94,7 +94,7 @@
 		if (state.items !== this.#items) {
 			this.#items = state.items;
 			this.routes = createRouteTable(state.items.route);
-			this.#leastUrgent = leastUrgentOf(this.routes);
+			this.#leastUrgent = leastUrgentPriorities(this.routes);
 		}
 
 		this.#updateUpstreams(state.upstreams);
