--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -80,7 +80,7 @@
 	readonly #upstreams = new Map<string, CachedUpstream>();
 	readonly #splits = new Map<string, {readonly key: string; readonly split: Split}>();
 	readonly #random: () => number;
-	#leastUrgent: ReadonlyMap<string, number> = new Map();
+	#leastUrgentPriorities: ReadonlyMap<string, number> = new Map();
 	#items: DirectoryState['items'] | undefined;
 
 	/** `random` returns numbers between 0 and 1. */
@@ -94,7 +94,7 @@
 		if (state.items !== this.#items) {
 			this.#items = state.items;
 			this.routes = createRouteTable(state.items.route);
-			this.#leastUrgent = leastUrgentPriorities(this.routes);
+			this.#leastUrgentPriorities = leastUrgentPriorities(this.routes);
 		}
 
 		this.#updateUpstreams(state.upstreams);
@@ -130,7 +130,7 @@
 
 	/** Returns the priority of the least urgent route to a service, which is the highest number. */
 	leastUrgent(name: string): number {
-		return this.#leastUrgent.get(name) ?? 0;
+		return this.#leastUrgentPriorities.get(name) ?? 0;
 	}
 
 	/** Returns all services. */
