--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -181,7 +181,7 @@
 	#isAdmitted(service: CachedService, target: KeyTarget): boolean {
 		const {table, shareOf, random} = this.#dependencies;
 		const {holder} = target;
-		return holder === undefined || target.isPaced(holder) || this.#route!.priority < table.leastUrgent(service.name) || random() < shareOf(holder.record);
+		return holder === undefined || target.isPaced(holder) || this.#route!.priority < table.leastUrgentPriority(service.name) || random() < shareOf(holder.record);
 	}
 
 	/** Sends the request if there is room, or queues it, or refuses it. */
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -129,7 +129,7 @@
 	}
 
 	/** Returns the priority of the least urgent route to a service, which is the highest number. */
-	leastUrgent(name: string): number {
+	leastUrgentPriority(name: string): number {
 		return this.#leastUrgentPriorities.get(name) ?? 0;
 	}
 
