--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -56,7 +56,7 @@
 const slackShare = 0.5;
 
 /** A new instance starts with this many retries, since it doesn't know the number of instances yet. */
-const leastSavedRetries = 1;
+const minimumSavedRetries = 1;
 
 /** The fraction of the ratio that instances use: windows slide, and the counts of instances differ for a moment. */
 const ratioShare = 0.75;
@@ -107,7 +107,7 @@
 			}
 		}
 
-		const savedRetries = Math.max(leastSavedRetries, this.#settings.retries.slack * slackShare / entryCount);
+		const savedRetries = Math.max(minimumSavedRetries, this.#settings.retries.slack * slackShare / entryCount);
 		for (const service of this.#services.values()) {
 			service.budget = withCapacity(service.budget, savedRetries);
 			service.upstreams = [...this.#upstreams.values()].filter(({record}) => record.service === service.name && record.state === UpstreamState.ready);
@@ -122,7 +122,7 @@
 		}
 
 		const created: CachedService = {
-			name, queue: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
+			name, queue: new WaitingQueue(), pace: new KeyPace(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, minimumSavedRetries),
 		};
 		this.#services.set(name, created);
 		return created;
