--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -53,7 +53,7 @@
 };
 
 /** Records the results of requests and attempts. */
-export type RequestJournal = {
+export type RequestLog = {
 	readonly answered: (told: AnsweredRequest) => void;
 	readonly refused: (told: RefusedRequest) => void;
 	readonly attemptFailed: (told: FailedAttempt) => void;
@@ -71,7 +71,7 @@
 }
 
 /** Creates the request log. `applied` returns the log index of the directory that decisions are based on. */
-export function createRequestJournal(log: Log, measures: Measures, applied: () => number): RequestJournal {
+export function createRequestJournal(log: Log, measures: Measures, applied: () => number): RequestLog {
 	const failures = new LineBudget(failureLinesPerSecond);
 	const answers = new LineBudget(answerLinesPerSecond);
 	const telling = setInterval(() => {
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -23,7 +23,7 @@
 import {BodyProblem, type CallerExchange} from './caller-exchange.js';
 import {KeyTarget} from './key-target.js';
 import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
-import {type RequestJournal} from './request-journal.js';
+import {type RequestLog} from './request-journal.js';
 import {
 	recordFirstAttempt, tryRecordRetry, type CachedService, type CachedUpstream, type ServiceTable,
 } from './service-table.js';
@@ -33,7 +33,7 @@
 export type RequestDependencies = {
 	readonly table: ServiceTable;
 	readonly fields: FieldNames;
-	readonly journal: RequestJournal;
+	readonly journal: RequestLog;
 	/** Whether the directory has routes. Until then, every request is refused as `noDirectory`. */
 	readonly isReady: () => boolean;
 	readonly limits: () => CallerLimits | undefined;
