--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -16,7 +16,7 @@
 import {followDirectory} from './directory-follower.js';
 import {startLoadReporter} from './load-reporter.js';
 import {LoopDelayGuard, turnIntervalMilliseconds} from './hearing.js';
-import {createRequestJournal} from './request-journal.js';
+import {createRequestLog} from './request-journal.js';
 import {RequestRun, type RequestDependencies} from './request-run.js';
 import {type CachedService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
@@ -90,7 +90,7 @@
 	const dependencies: RequestDependencies = {
 		table,
 		fields: settings.fields,
-		journal: createRequestJournal(log, measures, () => follower.state().applied),
+		journal: createRequestLog(log, measures, () => follower.state().applied),
 		isReady: hasRoutes,
 		limits: () => follower.state().items.limits[limitsName]?.value,
 		entryCount: follower.entryCount,
--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -71,7 +71,7 @@
 }
 
 /** Creates the request log. `applied` returns the log index of the directory that decisions are based on. */
-export function createRequestJournal(log: Log, measures: Measures, applied: () => number): RequestLog {
+export function createRequestLog(log: Log, measures: Measures, applied: () => number): RequestLog {
 	const failures = new LineBudget(failureLinesPerSecond);
 	const answers = new LineBudget(answerLinesPerSecond);
 	const telling = setInterval(() => {
