--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -11,11 +11,11 @@
 import {type CachedUpstream} from './service-table.js';
 
 /** The request that a log line is about. */
-export type JournalRun = {readonly identifier: string | undefined; readonly arrivedAt: MonotonicTime};
+export type LoggedRequest = {readonly identifier: string | undefined; readonly arrivedAt: MonotonicTime};
 
 /** A request whose upstream's answer was forwarded to the caller. */
 export type AnsweredRequest = {
-	readonly run: JournalRun;
+	readonly run: LoggedRequest;
 	readonly upstream: CachedUpstream;
 	readonly service: string;
 	readonly route: string;
@@ -26,7 +26,7 @@
 
 /** A request that the instance refused. */
 export type RefusedRequest = {
-	readonly run: JournalRun;
+	readonly run: LoggedRequest;
 	readonly refusal: string;
 	readonly status: number;
 	readonly service: string | undefined;
@@ -42,7 +42,7 @@
 
 /** An attempt that yielded no answer to forward. */
 export type FailedAttempt = {
-	readonly run: JournalRun;
+	readonly run: LoggedRequest;
 	readonly upstream: CachedUpstream;
 	readonly seen: string;
 	/** The status of the upstream's refusal; 0 if it did not refuse. */
