--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -54,7 +54,7 @@
 
 /** Records the results of requests and attempts. */
 export type RequestLog = {
-	readonly answered: (told: AnsweredRequest) => void;
+	readonly answered: (request: AnsweredRequest) => void;
 	readonly refused: (told: RefusedRequest) => void;
 	readonly attemptFailed: (told: FailedAttempt) => void;
 };
