--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -55,7 +55,7 @@
 /** Records the results of requests and attempts. */
 export type RequestLog = {
 	readonly answered: (request: AnsweredRequest) => void;
-	readonly refused: (told: RefusedRequest) => void;
+	readonly refused: (request: RefusedRequest) => void;
 	readonly attemptFailed: (told: FailedAttempt) => void;
 };
 
