--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -56,7 +56,7 @@
 export type RequestLog = {
 	readonly answered: (request: AnsweredRequest) => void;
 	readonly refused: (request: RefusedRequest) => void;
-	readonly attemptFailed: (told: FailedAttempt) => void;
+	readonly attemptFailed: (attempt: FailedAttempt) => void;
 };
 
 /** The maximum numbers of log lines a second for failed and for answered requests: writing them costs processor time. */
