--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -15,7 +15,7 @@
 
 /** A request whose upstream's answer was forwarded to the caller. */
 export type AnsweredRequest = {
-	readonly run: LoggedRequest;
+	readonly request: LoggedRequest;
 	readonly upstream: CachedUpstream;
 	readonly service: string;
 	readonly route: string;
@@ -83,7 +83,7 @@
 	telling.unref();
 
 	return {
-		answered({run, upstream, service, route, status, attempts}) {
+		answered({request: run, upstream, service, route, status, attempts}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.requests, {service, outcome: `answered-${Math.floor(status / 100)}xx`}).value += 1;
 			recordDuration(measures.histogram(MeasureName.latency, {service}), now - run.arrivedAt);
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -351,7 +351,7 @@
 		} else {
 			this.#exchange.answer(result.answer.status, result.answer.headers, result.answer.body);
 			this.#dependencies.journal.answered({
-				run: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#tried.length,
+				request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#tried.length,
 			});
 		}
 	}
@@ -364,7 +364,7 @@
 		}
 
 		this.#dependencies.journal.answered({
-			run: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#tried.length,
+			request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#tried.length,
 		});
 	}
 
