--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -26,7 +26,7 @@
 
 /** A request that the instance refused. */
 export type RefusedRequest = {
-	readonly run: LoggedRequest;
+	readonly request: LoggedRequest;
 	readonly refusal: string;
 	readonly status: number;
 	readonly service: string | undefined;
@@ -104,7 +104,7 @@
 			}
 		},
 		refused({
-			run, refusal, status, service, route, key, attempts, waiting, lineWait, paceWait,
+			request: run, refusal, status, service, route, key, attempts, waiting, lineWait, paceWait,
 		}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.requests, {service: service ?? 'none', outcome: refusal}).value += 1;
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -406,7 +406,7 @@
 		const retry = status === notRunStatus ? ['Retry-After', (pause / 1000).toFixed(3)] : [];
 		this.#exchange.answer(status, ['Content-Type', 'text/plain', ...identified, ...retry], body);
 		this.#dependencies.journal.refused({
-			run: this,
+			request: this,
 			refusal,
 			status,
 			service: this.#service?.name,
