--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -42,7 +42,7 @@
 
 /** An attempt that yielded no answer to forward. */
 export type FailedAttempt = {
-	readonly run: LoggedRequest;
+	readonly request: LoggedRequest;
 	readonly upstream: CachedUpstream;
 	readonly seen: string;
 	/** The status of the upstream's refusal; 0 if it did not refuse. */
@@ -125,7 +125,7 @@
 				});
 			}
 		},
-		attemptFailed({run, upstream, seen, status, milliseconds, left}) {
+		attemptFailed({request: run, upstream, seen, status, milliseconds, left}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.attempts, {service: upstream.record.service, seen}).value += 1;
 			if (failures.take(now)) {
