--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -83,13 +83,13 @@
 	telling.unref();
 
 	return {
-		answered({request: run, upstream, service, route, status, attempts}) {
+		answered({request: request, upstream, service, route, status, attempts}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.requests, {service, outcome: `answered-${Math.floor(status / 100)}xx`}).value += 1;
-			recordDuration(measures.histogram(MeasureName.latency, {service}), now - run.arrivedAt);
+			recordDuration(measures.histogram(MeasureName.latency, {service}), now - request.arrivedAt);
 			if (answers.take(now)) {
 				log.event(EventName.requestAnswered, {
-					request: run.identifier,
+					request: request.identifier,
 					route,
 					service,
 					upstream: upstream.id,
@@ -98,7 +98,7 @@
 					allowance: upstream.load.allowance,
 					status,
 					attempts,
-					took: Math.round(now - run.arrivedAt),
+					took: Math.round(now - request.arrivedAt),
 					applied: applied(),
 				});
 			}
