--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -104,13 +104,13 @@
 			}
 		},
 		refused({
-			request: run, refusal, status, service, route, key, attempts, waiting, lineWait, paceWait,
+			request: request, refusal, status, service, route, key, attempts, waiting, lineWait, paceWait,
 		}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.requests, {service: service ?? 'none', outcome: refusal}).value += 1;
 			if (failures.take(now)) {
 				log.warning(EventName.requestRefused, {
-					request: run.identifier,
+					request: request.identifier,
 					route,
 					service,
 					key,
@@ -120,7 +120,7 @@
 					waiting,
 					lineWait: rounded(lineWait),
 					paceWait: rounded(paceWait),
-					took: Math.round(now - run.arrivedAt),
+					took: Math.round(now - request.arrivedAt),
 					applied: applied(),
 				});
 			}
