--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -125,12 +125,12 @@
 				});
 			}
 		},
-		attemptFailed({request: run, upstream, seen, status, milliseconds, left}) {
+		attemptFailed({request: request, upstream, seen, status, milliseconds, left}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.attempts, {service: upstream.record.service, seen}).value += 1;
 			if (failures.take(now)) {
 				log.warning(EventName.attemptFailed, {
-					request: run.identifier,
+					request: request.identifier,
 					upstream: upstream.id,
 					address: upstream.record.address,
 					seen,
