--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -44,7 +44,7 @@
 export type FailedAttempt = {
 	readonly request: LoggedRequest;
 	readonly upstream: CachedUpstream;
-	readonly seen: string;
+	readonly observation: string;
 	/** The status of the upstream's refusal; 0 if it did not refuse. */
 	readonly status: number;
 	readonly milliseconds: Milliseconds;
@@ -125,7 +125,7 @@
 				});
 			}
 		},
-		attemptFailed({request: request, upstream, seen, status, milliseconds, left}) {
+		attemptFailed({request: request, upstream, observation: seen, status, milliseconds, left}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.attempts, {service: upstream.record.service, seen}).value += 1;
 			if (failures.take(now)) {
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -322,7 +322,7 @@
 		upstream.load.note(signalOf(result.seen, this.#status, result.answer?.status), result.milliseconds, now);
 		if (result.seen !== AttemptObservation.wholeAnswer) {
 			journal.attemptFailed({
-				request: this, upstream, seen: result.seen, status: this.#status, milliseconds: result.milliseconds, left: this.#deadline - now,
+				request: this, upstream, observation: result.seen, status: this.#status, milliseconds: result.milliseconds, left: this.#deadline - now,
 			});
 		}
 
