--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -125,15 +125,15 @@
 				});
 			}
 		},
-		attemptFailed({request: request, upstream, observation: seen, status, milliseconds, left}) {
+		attemptFailed({request: request, upstream, observation: observation, status, milliseconds, left}) {
 			const now = monotonicNow();
-			measures.counter(MeasureName.attempts, {service: upstream.record.service, seen}).value += 1;
+			measures.counter(MeasureName.attempts, {service: upstream.record.service, seen: observation}).value += 1;
 			if (failures.take(now)) {
 				log.warning(EventName.attemptFailed, {
 					request: request.identifier,
 					upstream: upstream.id,
 					address: upstream.record.address,
-					seen,
+					seen: observation,
 					status,
 					took: Math.round(milliseconds),
 					left: Math.round(left),
