--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -64,7 +64,7 @@
 const answerLinesPerSecond = 10;
 
 /** How often the number of omitted lines is logged. */
-const droppedMilliseconds: Milliseconds = 5000;
+const droppedReportMilliseconds: Milliseconds = 5000;
 
 function rounded(milliseconds: Milliseconds | undefined): Milliseconds | undefined {
 	return milliseconds === undefined ? undefined : Math.round(milliseconds);
@@ -79,7 +79,7 @@
 		if (dropped > 0) {
 			log.event(EventName.linesDropped, {count: dropped});
 		}
-	}, droppedMilliseconds);
+	}, droppedReportMilliseconds);
 	telling.unref();
 
 	return {
