--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -74,13 +74,13 @@
 export function createRequestLog(log: Log, measures: Measures, applied: () => number): RequestLog {
 	const failures = new LineBudget(failureLinesPerSecond);
 	const answers = new LineBudget(answerLinesPerSecond);
-	const telling = setInterval(() => {
+	const droppedReportTimer = setInterval(() => {
 		const dropped = failures.takeDropped() + answers.takeDropped();
 		if (dropped > 0) {
 			log.event(EventName.linesDropped, {count: dropped});
 		}
 	}, droppedReportMilliseconds);
-	telling.unref();
+	droppedReportTimer.unref();
 
 	return {
 		answered({request: request, upstream, service, route, status, attempts}) {
