--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -90,7 +90,7 @@
 	const dependencies: RequestDependencies = {
 		table,
 		fields: settings.fields,
-		journal: createRequestLog(log, measures, () => follower.state().applied),
+		requestLog: createRequestLog(log, measures, () => follower.state().applied),
 		isReady: hasRoutes,
 		limits: () => follower.state().items.limits[limitsName]?.value,
 		entryCount: follower.entryCount,
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -33,7 +33,7 @@
 export type RequestDependencies = {
 	readonly table: ServiceTable;
 	readonly fields: FieldNames;
-	readonly journal: RequestLog;
+	readonly requestLog: RequestLog;
 	/** Whether the directory has routes. Until then, every request is refused as `noDirectory`. */
 	readonly isReady: () => boolean;
 	readonly limits: () => CallerLimits | undefined;
@@ -315,7 +315,7 @@
 	}
 
 	#finishAttempt(upstream: CachedUpstream, result: AttemptResult): void {
-		const {journal, advance, countAnswer} = this.#dependencies;
+		const {requestLog: journal, advance, countAnswer} = this.#dependencies;
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
@@ -350,7 +350,7 @@
 			this.#sendAgainOrRefuse(result, now);
 		} else {
 			this.#exchange.answer(result.answer.status, result.answer.headers, result.answer.body);
-			this.#dependencies.journal.answered({
+			this.#dependencies.requestLog.answered({
 				request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#tried.length,
 			});
 		}
@@ -363,7 +363,7 @@
 			this.#exchange.cut();
 		}
 
-		this.#dependencies.journal.answered({
+		this.#dependencies.requestLog.answered({
 			request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#tried.length,
 		});
 	}
@@ -405,7 +405,7 @@
 		const identified = this.identifier === undefined ? [] : [this.#dependencies.fields.requestIdentifier, this.identifier];
 		const retry = status === notRunStatus ? ['Retry-After', (pause / 1000).toFixed(3)] : [];
 		this.#exchange.answer(status, ['Content-Type', 'text/plain', ...identified, ...retry], body);
-		this.#dependencies.journal.refused({
+		this.#dependencies.requestLog.refused({
 			request: this,
 			refusal,
 			status,
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -102,7 +102,7 @@
 	const dependencies: RequestDependencies = {
 		table,
 		fields,
-		journal: {
+		requestLog: {
 			answered: () => undefined, refused: () => undefined, attemptFailed: () => undefined,
 		},
 		isReady: () => table.routes.size > 0,
