--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -17,7 +17,7 @@
 import {startLoadReporter} from './load-reporter.js';
 import {LoopDelayGuard, turnIntervalMilliseconds} from './hearing.js';
 import {createRequestLog} from './request-journal.js';
-import {RequestRun, type RequestDependencies} from './request-run.js';
+import {RequestExecution, type RequestDependencies} from './request-run.js';
 import {type CachedService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
 
@@ -105,7 +105,7 @@
 		random,
 	};
 	const callers: CallerServer = await startCallerServer(settings.callers, (exchange, path) => {
-		new RequestRun(dependencies, exchange, path).start();
+		new RequestExecution(dependencies, exchange, path).start();
 	}, () => !isStopping);
 
 	function isReady(): boolean {
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -88,7 +88,7 @@
 };
 
 /** One request, from its arrival to its answer. */
-export class RequestRun {
+export class RequestExecution {
 	readonly identifier: string | undefined;
 	readonly arrivedAt: MonotonicTime = monotonicNow();
 	readonly #dependencies: RequestDependencies;
--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -10,7 +10,7 @@
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
 import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
 import {LoopDelayGuard, turnIntervalMilliseconds} from '@dogwooddeck/entry/hearing';
-import {RequestRun, type RequestDependencies} from '@dogwooddeck/entry/request-run';
+import {RequestExecution, type RequestDependencies} from '@dogwooddeck/entry/request-run';
 import {type CachedService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
 
@@ -132,7 +132,7 @@
 	probe.close();
 	await once(probe, 'close');
 	const callers = await startCallerServer({host: '127.0.0.1', port}, (exchange, path) => {
-		new RequestRun(dependencies, exchange, path).start();
+		new RequestExecution(dependencies, exchange, path).start();
 	}, () => true);
 	const advancing = setInterval(() => {
 		loopDelayGuard.recordTurn();
