--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -74,7 +74,7 @@
 }
 
 /** What a request waits for, and how long. */
-type Wait = {
+type WaitEstimate = {
 	/** The holder of its key; undefined if the service has no keys or the key has no holder. */
 	readonly holder: CachedUpstream | undefined;
 	readonly key: number | undefined;
@@ -226,7 +226,7 @@
 	}
 
 	/** Returns what the request would wait for, the expected wait and its limit. */
-	#waiting(now: MonotonicTime): Wait {
+	#waiting(now: MonotonicTime): WaitEstimate {
 		const service = this.#service!;
 		const {priority, objectiveMilliseconds} = this.#route!;
 		const key = this.#target?.key;
@@ -397,7 +397,7 @@
 	}
 
 	/** Answers without an upstream. A status that means "not run" is sent only if that is certain. */
-	#refuse(refusal: Refusal, waiting?: Wait): void {
+	#refuse(refusal: Refusal, waiting?: WaitEstimate): void {
 		this.#waiter = undefined;
 		const status = refusalStatus(refusal, this.#mayHaveRun > 0);
 		const pause = returnAfter(this.#route?.objectiveMilliseconds ?? 1000, this.#dependencies.random());
