--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -200,7 +200,7 @@
 		}
 
 		const {queue: line} = this.#service!;
-		const waiting = this.#waiting(now);
+		const waiting = this.#estimateWait(now);
 		if (waiting.until <= now || line.length >= longestLine) {
 			this.#refuse(line.length >= longestLine ? Refusal.lineFull : Refusal.waitedTooLong);
 			return;
@@ -226,7 +226,7 @@
 	}
 
 	/** Returns what the request would wait for, the expected wait and its limit. */
-	#waiting(now: MonotonicTime): WaitEstimate {
+	#estimateWait(now: MonotonicTime): WaitEstimate {
 		const service = this.#service!;
 		const {priority, objectiveMilliseconds} = this.#route!;
 		const key = this.#target?.key;
