--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -55,7 +55,7 @@
 };
 
 /** The maximum number of attempts of a request, including those that upstreams refuse. */
-const tooManyAttempts = 4;
+const maximumAttempts = 4;
 
 /** The largest body that is accepted before limits are declared, in bytes. */
 const mostBodyBytes = 67_108_864;
@@ -377,7 +377,7 @@
 
 		if (!mayRetry(seen, route.idempotent)) {
 			this.#refuse(Refusal.unknownOutcome);
-		} else if (this.#mayHaveRun >= route.maxAttempts || this.#tried.length >= tooManyAttempts) {
+		} else if (this.#mayHaveRun >= route.maxAttempts || this.#tried.length >= maximumAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
 		} else if (tryRecordRetry(this.#service!)) {
 			this.#place();
