--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -58,7 +58,7 @@
 const maximumAttempts = 4;
 
 /** The largest body that is accepted before limits are declared, in bytes. */
-const mostBodyBytes = 67_108_864;
+const maximumBodyBytes = 67_108_864;
 
 /** A request with less time than this left until its deadline is not sent. */
 const leastSendMilliseconds: Milliseconds = 5;
@@ -143,7 +143,7 @@
 		this.#exchange.onGone(() => {
 			this.#leave();
 		});
-		this.#exchange.readBody(limits()?.bodyBytes ?? mostBodyBytes, (body, problem) => {
+		this.#exchange.readBody(limits()?.bodyBytes ?? maximumBodyBytes, (body, problem) => {
 			this.#takeBody(body, problem);
 		});
 	}
