--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -61,7 +61,7 @@
 const maximumBodyBytes = 67_108_864;
 
 /** A request with less time than this left until its deadline is not sent. */
-const leastSendMilliseconds: Milliseconds = 5;
+const minimumSendMilliseconds: Milliseconds = 5;
 
 /** The maximum number of requests that wait for one service; more would only time out. */
 const longestLine = 400;
@@ -258,7 +258,7 @@
 	}
 
 	#tryToSend(now: MonotonicTime): boolean {
-		const chosen = this.#deadline - now < leastSendMilliseconds ? undefined : this.#choose(now);
+		const chosen = this.#deadline - now < minimumSendMilliseconds ? undefined : this.#choose(now);
 		if (chosen === undefined) {
 			return false;
 		}
@@ -370,7 +370,7 @@
 
 	#sendAgainOrRefuse({seen}: AttemptResult, now: MonotonicTime): void {
 		const route = this.#route!;
-		if (seen === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - leastSendMilliseconds) {
+		if (seen === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
 			this.#refuse(Refusal.timeout);
 			return;
 		}
