--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -64,7 +64,7 @@
 const minimumSendMilliseconds: Milliseconds = 5;
 
 /** The maximum number of requests that wait for one service; more would only time out. */
-const longestLine = 400;
+const maximumQueueLength = 400;
 
 const wholeMilliseconds = /^\d{1,9}$/v;
 const keyForm = /^\d{1,5}$/v;
@@ -201,8 +201,8 @@
 
 		const {queue: line} = this.#service!;
 		const waiting = this.#estimateWait(now);
-		if (waiting.until <= now || line.length >= longestLine) {
-			this.#refuse(line.length >= longestLine ? Refusal.lineFull : Refusal.waitedTooLong);
+		if (waiting.until <= now || line.length >= maximumQueueLength) {
+			this.#refuse(line.length >= maximumQueueLength ? Refusal.lineFull : Refusal.waitedTooLong);
 			return;
 		}
 
