--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -66,7 +66,7 @@
 /** The maximum number of requests that wait for one service; more would only time out. */
 const maximumQueueLength = 400;
 
-const wholeMilliseconds = /^\d{1,9}$/v;
+const millisecondsPattern = /^\d{1,9}$/v;
 const keyForm = /^\d{1,5}$/v;
 
 function textOf(value: string | readonly string[] | undefined): string | undefined {
@@ -134,7 +134,7 @@
 
 		const asked = textOf(headers[this.#dependencies.fields.deadline]);
 		const timeout = this.#route.timeoutMilliseconds;
-		this.#deadline = this.arrivedAt + (asked !== undefined && wholeMilliseconds.test(asked) ? Math.min(Number(asked), timeout) : timeout);
+		this.#deadline = this.arrivedAt + (asked !== undefined && millisecondsPattern.test(asked) ? Math.min(Number(asked), timeout) : timeout);
 		if (this.#deadline > this.#dependencies.endsAt()) {
 			this.#refuse(Refusal.stopping);
 			return;
