--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -67,7 +67,7 @@
 const maximumQueueLength = 400;
 
 const millisecondsPattern = /^\d{1,9}$/v;
-const keyForm = /^\d{1,5}$/v;
+const keyPattern = /^\d{1,5}$/v;
 
 function textOf(value: string | readonly string[] | undefined): string | undefined {
 	return typeof value === 'string' ? value : value?.[0];
@@ -161,7 +161,7 @@
 		recordFirstAttempt(this.#service);
 		if (this.#service.keyed) {
 			const key = textOf(this.#exchange.request.headers[fields.key]);
-			if (key === undefined || !keyForm.test(key) || Number(key) >= keyCount) {
+			if (key === undefined || !keyPattern.test(key) || Number(key) >= keyCount) {
 				this.#refuse(Refusal.badKey);
 				return;
 			}
