--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -69,7 +69,7 @@
 const millisecondsPattern = /^\d{1,9}$/v;
 const keyPattern = /^\d{1,5}$/v;
 
-function textOf(value: string | readonly string[] | undefined): string | undefined {
+function firstValue(value: string | readonly string[] | undefined): string | undefined {
 	return typeof value === 'string' ? value : value?.[0];
 }
 
@@ -114,7 +114,7 @@
 		this.#dependencies = dependencies;
 		this.#exchange = exchange;
 		this.#path = path;
-		this.identifier = textOf(exchange.request.headers[dependencies.fields.requestIdentifier]);
+		this.identifier = firstValue(exchange.request.headers[dependencies.fields.requestIdentifier]);
 	}
 
 	/** Finds the route and reads the body. */
@@ -132,7 +132,7 @@
 			return;
 		}
 
-		const asked = textOf(headers[this.#dependencies.fields.deadline]);
+		const asked = firstValue(headers[this.#dependencies.fields.deadline]);
 		const timeout = this.#route.timeoutMilliseconds;
 		this.#deadline = this.arrivedAt + (asked !== undefined && millisecondsPattern.test(asked) ? Math.min(Number(asked), timeout) : timeout);
 		if (this.#deadline > this.#dependencies.endsAt()) {
@@ -160,7 +160,7 @@
 		this.#service = table.service(table.split(route.name, route.targets).next());
 		recordFirstAttempt(this.#service);
 		if (this.#service.keyed) {
-			const key = textOf(this.#exchange.request.headers[fields.key]);
+			const key = firstValue(this.#exchange.request.headers[fields.key]);
 			if (key === undefined || !keyPattern.test(key) || Number(key) >= keyCount) {
 				this.#refuse(Refusal.badKey);
 				return;
