--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -132,9 +132,9 @@
 			return;
 		}
 
-		const asked = firstValue(headers[this.#dependencies.fields.deadline]);
+		const requestedTimeout = firstValue(headers[this.#dependencies.fields.deadline]);
 		const timeout = this.#route.timeoutMilliseconds;
-		this.#deadline = this.arrivedAt + (asked !== undefined && millisecondsPattern.test(asked) ? Math.min(Number(asked), timeout) : timeout);
+		this.#deadline = this.arrivedAt + (requestedTimeout !== undefined && millisecondsPattern.test(requestedTimeout) ? Math.min(Number(requestedTimeout), timeout) : timeout);
 		if (this.#deadline > this.#dependencies.endsAt()) {
 			this.#refuse(Refusal.stopping);
 			return;
