--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -253,8 +253,8 @@
 			return holder?.load.hasRoom(now) === true && holder.pool.hasRoom(connections, this.#refusedOn) && this.#target.waitFor(holder, 0, now) === 0 ? holder : undefined;
 		}
 
-		const free = service.upstreams.filter(({pool}) => pool.hasRoom(connections, this.#refusedOn));
-		return selectUpstream(free, this.#tried, now) ?? (this.#tried.length > 0 ? selectUpstream(free, [], now) : undefined);
+		const available = service.upstreams.filter(({pool}) => pool.hasRoom(connections, this.#refusedOn));
+		return selectUpstream(available, this.#tried, now) ?? (this.#tried.length > 0 ? selectUpstream(available, [], now) : undefined);
 	}
 
 	#tryToSend(now: MonotonicTime): boolean {
