--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -144,11 +144,11 @@
 			this.#leave();
 		});
 		this.#exchange.readBody(limits()?.bodyBytes ?? maximumBodyBytes, (body, problem) => {
-			this.#takeBody(body, problem);
+			this.#handleBody(body, problem);
 		});
 	}
 
-	#takeBody(body: Buffer | undefined, problem: BodyProblem | undefined): void {
+	#handleBody(body: Buffer | undefined, problem: BodyProblem | undefined): void {
 		if (problem !== undefined) {
 			this.#refuse(problem === BodyProblem.tooLarge ? Refusal.bodyTooLarge : Refusal.unknownOutcome);
 			return;
