--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -174,7 +174,7 @@
 			}
 		}
 
-		this.#place();
+		this.#dispatch();
 	}
 
 	/** Admits only a fraction of the least urgent requests for an overloaded holder, unless the pace of keys limits them already. */
@@ -185,7 +185,7 @@
 	}
 
 	/** Sends the request if there is room, or queues it, or refuses it. */
-	#place(): void {
+	#dispatch(): void {
 		this.#dependencies.afterPendingReads(() => {
 			if (!this.#exchange.isGone) {
 				this.#placeNow();
@@ -380,7 +380,7 @@
 		} else if (this.#mayHaveRun >= route.maxAttempts || this.#tried.length >= maximumAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
 		} else if (tryRecordRetry(this.#service!)) {
-			this.#place();
+			this.#dispatch();
 		} else {
 			this.#refuse(Refusal.budgetSpent);
 		}
