--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -188,12 +188,12 @@
 	#dispatch(): void {
 		this.#dependencies.afterPendingReads(() => {
 			if (!this.#exchange.isGone) {
-				this.#placeNow();
+				this.#dispatchNow();
 			}
 		});
 	}
 
-	#placeNow(): void {
+	#dispatchNow(): void {
 		const now = monotonicNow();
 		if (this.#tryToSend(now) || this.#exchange.isGone) {
 			return;
