--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -141,7 +141,7 @@
 		}
 
 		this.#exchange.onGone(() => {
-			this.#leave();
+			this.#cancel();
 		});
 		this.#exchange.readBody(limits()?.bodyBytes ?? maximumBodyBytes, (body, problem) => {
 			this.#handleBody(body, problem);
@@ -387,7 +387,7 @@
 	}
 
 	/** Cancels the request, as the caller has disconnected. */
-	#leave(): void {
+	#cancel(): void {
 		this.#attempt?.cancel();
 		this.#attempt = undefined;
 		if (this.#waiter !== undefined) {
