--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -347,7 +347,7 @@
 		if (this.#exchange.isAnswered) {
 			this.#concludeLong(upstream, result);
 		} else if (result.answer === undefined) {
-			this.#sendAgainOrRefuse(result, now);
+			this.#retryOrRefuse(result, now);
 		} else {
 			this.#exchange.answer(result.answer.status, result.answer.headers, result.answer.body);
 			this.#dependencies.requestLog.answered({
@@ -368,7 +368,7 @@
 		});
 	}
 
-	#sendAgainOrRefuse({seen}: AttemptResult, now: MonotonicTime): void {
+	#retryOrRefuse({seen}: AttemptResult, now: MonotonicTime): void {
 		const route = this.#route!;
 		if (seen === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
 			this.#refuse(Refusal.timeout);
