--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -345,7 +345,7 @@
 		}
 
 		if (this.#exchange.isAnswered) {
-			this.#concludeLong(upstream, result);
+			this.#concludeStreamed(upstream, result);
 		} else if (result.answer === undefined) {
 			this.#retryOrRefuse(result, now);
 		} else {
@@ -356,7 +356,7 @@
 		}
 	}
 
-	#concludeLong(upstream: CachedUpstream, result: AttemptResult): void {
+	#concludeStreamed(upstream: CachedUpstream, result: AttemptResult): void {
 		if (result.seen === AttemptObservation.wholeAnswer) {
 			this.#exchange.end();
 		} else {
