--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -297,7 +297,7 @@
 				begin: (status, answerHeaders) => {
 					this.#exchange.begin(status, answerHeaders);
 				},
-				write: chunk => this.#passOn(chunk),
+				write: chunk => this.#forwardChunk(chunk),
 			},
 			onEnd: result => {
 				this.#finishAttempt(upstream, result);
@@ -305,7 +305,7 @@
 		});
 	}
 
-	#passOn(chunk: Uint8Array): boolean {
+	#forwardChunk(chunk: Uint8Array): boolean {
 		const hasRoom = this.#exchange.write(chunk);
 		if (!hasRoom) {
 			this.#exchange.onDrain(() => this.#attempt?.resume());
