--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -105,7 +105,7 @@
 	/** Connections on which an upstream refused the request. */
 	readonly #refusedOn = new Set<Connection>();
 	/** The upstreams of all attempts, and the number of attempts that may have run the request. */
-	readonly #tried: string[] = [];
+	readonly #attemptedUpstreams: string[] = [];
 	#mayHaveRun = 0;
 	/** The status of the last upstream's refusal; 0 if it did not refuse. */
 	#status = 0;
@@ -254,7 +254,7 @@
 		}
 
 		const available = service.upstreams.filter(({pool}) => pool.hasRoom(connections, this.#refusedOn));
-		return selectUpstream(available, this.#tried, now) ?? (this.#tried.length > 0 ? selectUpstream(available, [], now) : undefined);
+		return selectUpstream(available, this.#attemptedUpstreams, now) ?? (this.#attemptedUpstreams.length > 0 ? selectUpstream(available, [], now) : undefined);
 	}
 
 	#tryToSend(now: MonotonicTime): boolean {
@@ -275,7 +275,7 @@
 		upstream.load.underWay += 1;
 		this.#target?.take(upstream, now);
 		this.#status = 0;
-		this.#tried.push(upstream.id);
+		this.#attemptedUpstreams.push(upstream.id);
 		const headers = requestHeaders(request.rawHeaders, request.headers.connection, new Set([fields.deadline, fields.expectedUpstream]));
 		headers.push(fields.deadline, String(Math.floor(timeoutMilliseconds)), fields.expectedUpstream, upstream.id);
 		this.#attempt = upstream.pool.send({
@@ -351,7 +351,7 @@
 		} else {
 			this.#exchange.answer(result.answer.status, result.answer.headers, result.answer.body);
 			this.#dependencies.requestLog.answered({
-				request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#tried.length,
+				request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#attemptedUpstreams.length,
 			});
 		}
 	}
@@ -364,7 +364,7 @@
 		}
 
 		this.#dependencies.requestLog.answered({
-			request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#tried.length,
+			request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#attemptedUpstreams.length,
 		});
 	}
 
@@ -377,7 +377,7 @@
 
 		if (!mayRetry(seen, route.idempotent)) {
 			this.#refuse(Refusal.unknownOutcome);
-		} else if (this.#mayHaveRun >= route.maxAttempts || this.#tried.length >= maximumAttempts) {
+		} else if (this.#mayHaveRun >= route.maxAttempts || this.#attemptedUpstreams.length >= maximumAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
 		} else if (tryRecordRetry(this.#service!)) {
 			this.#dispatch();
@@ -412,7 +412,7 @@
 			service: this.#service?.name,
 			route: this.#route?.name,
 			key: this.#target?.key,
-			attempts: this.#tried.length,
+			attempts: this.#attemptedUpstreams.length,
 			waiting: this.#service?.queue.length ?? 0,
 			lineWait: waiting?.lineWait,
 			paceWait: waiting?.paceWait,
