--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -106,7 +106,7 @@
 	readonly #refusedOn = new Set<Connection>();
 	/** The upstreams of all attempts, and the number of attempts that may have run the request. */
 	readonly #attemptedUpstreams: string[] = [];
-	#mayHaveRun = 0;
+	#uncertainAttempts = 0;
 	/** The status of the last upstream's refusal; 0 if it did not refuse. */
 	#status = 0;
 
@@ -334,7 +334,7 @@
 			this.#target?.noteMisdirected(now);
 		}
 
-		this.#mayHaveRun += observationRules[result.seen].outcome === Outcome.notRun ? 0 : 1;
+		this.#uncertainAttempts += observationRules[result.seen].outcome === Outcome.notRun ? 0 : 1;
 		this.#conclude(upstream, result, now);
 		advance(this.#service!);
 	}
@@ -377,7 +377,7 @@
 
 		if (!mayRetry(seen, route.idempotent)) {
 			this.#refuse(Refusal.unknownOutcome);
-		} else if (this.#mayHaveRun >= route.maxAttempts || this.#attemptedUpstreams.length >= maximumAttempts) {
+		} else if (this.#uncertainAttempts >= route.maxAttempts || this.#attemptedUpstreams.length >= maximumAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
 		} else if (tryRecordRetry(this.#service!)) {
 			this.#dispatch();
@@ -399,7 +399,7 @@
 	/** Answers without an upstream. A status that means "not run" is sent only if that is certain. */
 	#refuse(refusal: Refusal, waiting?: WaitEstimate): void {
 		this.#waiter = undefined;
-		const status = refusalStatus(refusal, this.#mayHaveRun > 0);
+		const status = refusalStatus(refusal, this.#uncertainAttempts > 0);
 		const pause = returnAfter(this.#route?.objectiveMilliseconds ?? 1000, this.#dependencies.random());
 		const body = Buffer.from(`${refusal}\n`);
 		const identified = this.identifier === undefined ? [] : [this.#dependencies.fields.requestIdentifier, this.identifier];
