--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -108,7 +108,7 @@
 	readonly #attemptedUpstreams: string[] = [];
 	#uncertainAttempts = 0;
 	/** The status of the last upstream's refusal; 0 if it did not refuse. */
-	#status = 0;
+	#upstreamRefusalStatus = 0;
 
 	constructor(dependencies: RequestDependencies, exchange: CallerExchange, path: string) {
 		this.#dependencies = dependencies;
@@ -274,7 +274,7 @@
 		const timeoutMilliseconds = this.#deadline - now;
 		upstream.load.underWay += 1;
 		this.#target?.take(upstream, now);
-		this.#status = 0;
+		this.#upstreamRefusalStatus = 0;
 		this.#attemptedUpstreams.push(upstream.id);
 		const headers = requestHeaders(request.rawHeaders, request.headers.connection, new Set([fields.deadline, fields.expectedUpstream]));
 		headers.push(fields.deadline, String(Math.floor(timeoutMilliseconds)), fields.expectedUpstream, upstream.id);
@@ -287,7 +287,7 @@
 			refusedOn: this.#refusedOn,
 			rules: {
 				isNotRun: (status, head) => {
-					this.#status = status;
+					this.#upstreamRefusalStatus = status;
 					return isNotRun(fields, head);
 				},
 				isForeign: (status, head, isFirst) => isForeign(fields, this.identifier, {status, head, isFirst}),
@@ -319,10 +319,10 @@
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
-		upstream.load.note(signalOf(result.seen, this.#status, result.answer?.status), result.milliseconds, now);
+		upstream.load.note(signalOf(result.seen, this.#upstreamRefusalStatus, result.answer?.status), result.milliseconds, now);
 		if (result.seen !== AttemptObservation.wholeAnswer) {
 			journal.attemptFailed({
-				request: this, upstream, observation: result.seen, status: this.#status, milliseconds: result.milliseconds, left: this.#deadline - now,
+				request: this, upstream, observation: result.seen, status: this.#upstreamRefusalStatus, milliseconds: result.milliseconds, left: this.#deadline - now,
 			});
 		}
 
@@ -330,7 +330,7 @@
 			countAnswer(this.#service!.name, upstream.id, result.milliseconds);
 		}
 
-		if (isMisdirected(result.seen, this.#status)) {
+		if (isMisdirected(result.seen, this.#upstreamRefusalStatus)) {
 			this.#target?.noteMisdirected(now);
 		}
 
