--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -17,7 +17,7 @@
 
 /** How an attempt ended. */
 export type AttemptResult = {
-	readonly seen: AttemptObservation;
+	readonly observation: AttemptObservation;
 	readonly milliseconds: Milliseconds;
 	/** Set with `wholeAnswer`, unless the answer was streamed. */
 	readonly answer?: UpstreamAnswer;
@@ -121,7 +121,7 @@
 			? {status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks)}
 			: undefined;
 		this.#specification.onEnd({
-			seen,
+			observation: seen,
 			milliseconds: monotonicNow() - this.#startedAt,
 			...(answer === undefined ? {} : {answer}),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -319,22 +319,22 @@
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
-		upstream.load.note(signalOf(result.seen, this.#upstreamRefusalStatus, result.answer?.status), result.milliseconds, now);
-		if (result.seen !== AttemptObservation.wholeAnswer) {
+		upstream.load.note(signalOf(result.observation, this.#upstreamRefusalStatus, result.answer?.status), result.milliseconds, now);
+		if (result.observation !== AttemptObservation.wholeAnswer) {
 			journal.attemptFailed({
-				request: this, upstream, observation: result.seen, status: this.#upstreamRefusalStatus, milliseconds: result.milliseconds, left: this.#deadline - now,
+				request: this, upstream, observation: result.observation, status: this.#upstreamRefusalStatus, milliseconds: result.milliseconds, left: this.#deadline - now,
 			});
 		}
 
-		if (result.seen === AttemptObservation.wholeAnswer && this.#target !== undefined) {
+		if (result.observation === AttemptObservation.wholeAnswer && this.#target !== undefined) {
 			countAnswer(this.#service!.name, upstream.id, result.milliseconds);
 		}
 
-		if (isMisdirected(result.seen, this.#upstreamRefusalStatus)) {
+		if (isMisdirected(result.observation, this.#upstreamRefusalStatus)) {
 			this.#target?.noteMisdirected(now);
 		}
 
-		this.#uncertainAttempts += observationRules[result.seen].outcome === Outcome.notRun ? 0 : 1;
+		this.#uncertainAttempts += observationRules[result.observation].outcome === Outcome.notRun ? 0 : 1;
 		this.#conclude(upstream, result, now);
 		advance(this.#service!);
 	}
@@ -357,7 +357,7 @@
 	}
 
 	#concludeStreamed(upstream: CachedUpstream, result: AttemptResult): void {
-		if (result.seen === AttemptObservation.wholeAnswer) {
+		if (result.observation === AttemptObservation.wholeAnswer) {
 			this.#exchange.end();
 		} else {
 			this.#exchange.cut();
@@ -368,7 +368,7 @@
 		});
 	}
 
-	#retryOrRefuse({seen}: AttemptResult, now: MonotonicTime): void {
+	#retryOrRefuse({observation: seen}: AttemptResult, now: MonotonicTime): void {
 		const route = this.#route!;
 		if (seen === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
 			this.#refuse(Refusal.timeout);
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -11,7 +11,7 @@
 /** Ends a request to an upstream whose address is invalid. */
 function unreachable({onEnd}: RequestSpecification): SentAttempt {
 	setImmediate(() => {
-		onEnd({seen: AttemptObservation.refusedConnection, milliseconds: 0});
+		onEnd({observation: AttemptObservation.refusedConnection, milliseconds: 0});
 	});
 	return {cancel: () => undefined, resume: () => undefined};
 }
--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -119,7 +119,7 @@
 		});
 		pool.close();
 		server.close();
-		assert.equal(result.seen, seen);
+		assert.equal(result.observation, seen);
 		assert.equal(result.answer === undefined ? undefined : Buffer.from(result.answer.body).toString(), body);
 	});
 }
--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -154,10 +154,10 @@
 		const startedAt = performance.now();
 		const result = await attempt(pool, timeoutMilliseconds);
 		const took = performance.now() - startedAt;
-		assert.ok(poured.seen.includes(result.seen), result.seen);
+		assert.ok(poured.seen.includes(result.observation), result.observation);
 		assert.ok(took < (poured.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
 		const next = await attempt(pool, timeoutMilliseconds);
-		assert.equal(next.seen, AttemptObservation.wholeAnswer);
+		assert.equal(next.observation, AttemptObservation.wholeAnswer);
 		assert.ok(next.milliseconds < timeoutMilliseconds / 2, `the next request took ${next.milliseconds} ms`);
 		while (counts.open > 1) {
 			assert.ok(performance.now() - startedAt < timeoutMilliseconds + (2 * slackMilliseconds), 'the connection stays open');
