--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -111,17 +111,17 @@
 		return this.#bytes <= gatheredBytes || this.#passOn();
 	}
 
-	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
-		this.#hold.ended(seen);
-		if (seen !== AttemptObservation.shed || this.#isDrained) {
+	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
+		this.#hold.ended(observation);
+		if (observation !== AttemptObservation.shed || this.#isDrained) {
 			this.#hold.release();
 		}
 
-		const answer = seen === AttemptObservation.wholeAnswer && !this.#isLong
+		const answer = observation === AttemptObservation.wholeAnswer && !this.#isLong
 			? {status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks)}
 			: undefined;
 		this.#specification.onEnd({
-			observation: seen,
+			observation: observation,
 			milliseconds: monotonicNow() - this.#startedAt,
 			...(answer === undefined ? {} : {answer}),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
