--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -69,7 +69,7 @@
 	/** The head of the answer was received. */
 	readonly answering: () => void;
 	/** The request has ended; the rest of a refusal may still arrive. */
-	readonly ended: (seen: AttemptObservation) => void;
+	readonly ended: (observation: AttemptObservation) => void;
 	/** No more data of the request's answer will arrive. */
 	readonly release: () => void;
 };
