--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -368,14 +368,14 @@
 		});
 	}
 
-	#retryOrRefuse({observation: seen}: AttemptResult, now: MonotonicTime): void {
+	#retryOrRefuse({observation: observation}: AttemptResult, now: MonotonicTime): void {
 		const route = this.#route!;
-		if (seen === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
+		if (observation === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
 			this.#refuse(Refusal.timeout);
 			return;
 		}
 
-		if (!mayRetry(seen, route.idempotent)) {
+		if (!mayRetry(observation, route.idempotent)) {
 			this.#refuse(Refusal.unknownOutcome);
 		} else if (this.#uncertainAttempts >= route.maxAttempts || this.#attemptedUpstreams.length >= maximumAttempts) {
 			this.#refuse(Refusal.attemptsSpent);
