--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -47,11 +47,11 @@
 			answering() {
 				connection.hasHead = true;
 			},
-			ended: seen => {
-				if (seen === AttemptObservation.shed) {
+			ended: observation => {
+				if (observation === AttemptObservation.shed) {
 					refusedOn.add(connection);
 					connection.isDraining = true;
-				} else if (seen !== AttemptObservation.wholeAnswer) {
+				} else if (observation !== AttemptObservation.wholeAnswer) {
 					this.#end(connection);
 				}
 			},
