--- a/packages/entry/src/answer-rules.ts
+++ b/packages/entry/src/answer-rules.ts
@@ -48,8 +48,8 @@
 }
 
 /** Whether an upstream refused a request that is addressed to another upstream, or whose key it doesn't hold. */
-export function isMisdirected(seen: AttemptObservation, status: number): boolean {
-	return seen === AttemptObservation.shed && status === misdirected;
+export function isMisdirected(observation: AttemptObservation, status: number): boolean {
+	return observation === AttemptObservation.shed && status === misdirected;
 }
 
 /** Returns the signal of an attempt for its upstream's load control. `refusedWith` is the status of a refusal, `answered` that of a whole answer. */
