--- a/packages/entry/src/answer-rules.ts
+++ b/packages/entry/src/answer-rules.ts
@@ -53,10 +53,10 @@
 }
 
 /** Returns the signal of an attempt for its upstream's load control. `refusedWith` is the status of a refusal, `answered` that of a whole answer. */
-export function signalOf(seen: AttemptObservation, refusedWith: number, answered: number | undefined): Signal {
-	if (isMisdirected(seen, refusedWith)) {
+export function signalOf(observation: AttemptObservation, refusedWith: number, answered: number | undefined): Signal {
+	if (isMisdirected(observation, refusedWith)) {
 		return Signal.none;
 	}
 
-	return answered !== undefined && answered >= firstServerFailure ? Signal.failed : signalOfSeen[seen];
+	return answered !== undefined && answered >= firstServerFailure ? Signal.failed : signalOfSeen[observation];
 }
