--- a/packages/entry/src/answer-rules.ts
+++ b/packages/entry/src/answer-rules.ts
@@ -11,7 +11,7 @@
 const firstServerFailure = 500;
 const misdirected = 421;
 
-const signalOfSeen: Readonly<Record<AttemptObservation, Signal>> = {
+const signalOfObservation: Readonly<Record<AttemptObservation, Signal>> = {
 	[AttemptObservation.refusedConnection]: Signal.broken,
 	[AttemptObservation.closedBeforeFirstByte]: Signal.broken,
 	[AttemptObservation.closedAfterFirstByte]: Signal.broken,
@@ -58,5 +58,5 @@
 		return Signal.none;
 	}
 
-	return answered !== undefined && answered >= firstServerFailure ? Signal.failed : signalOfSeen[observation];
+	return answered !== undefined && answered >= firstServerFailure ? Signal.failed : signalOfObservation[observation];
 }
