--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -75,7 +75,7 @@
 };
 
 /** Buffers an answer; one that is longer than `gatheredBytes` is streamed. */
-class Gathering implements AnswerSink {
+class AnswerBuffer implements AnswerSink {
 	readonly #specification: RequestSpecification;
 	readonly #startedAt = monotonicNow();
 	readonly #hold: ConnectionHold;
@@ -148,7 +148,7 @@
 	const {isNotRun, isForeign} = specification.rules;
 	const isFirst = connection.requests === 1;
 	const rules: AnswerRules = {isNotRun, isForeign: (status, head) => isForeign(status, head, isFirst), endedInOrder: () => connection.endedInOrder};
-	const exchange = new Exchange(new Gathering(specification, hold), specification.method, rules, specification.timeoutMilliseconds);
+	const exchange = new Exchange(new AnswerBuffer(specification, hold), specification.method, rules, specification.timeoutMilliseconds);
 	connection.client.dispatch({
 		path: specification.path,
 		method: specification.method,
