--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -62,7 +62,7 @@
 };
 
 /** Answers up to this size are buffered before they are forwarded, so that the request can be retried if the answer is truncated. */
-export const gatheredBytes = 131_072;
+export const maximumBufferedBytes = 131_072;
 
 /** Reports the progress of a request to the owner of its connection. */
 export type ConnectionHold = {
@@ -108,7 +108,7 @@
 
 		this.#chunks.push(chunk);
 		this.#bytes += chunk.length;
-		return this.#bytes <= gatheredBytes || this.#passOn();
+		return this.#bytes <= maximumBufferedBytes || this.#passOn();
 	}
 
 	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
