--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -137,9 +137,9 @@
 		this.#isLong = true;
 		const {onLong} = this.#specification;
 		onLong.begin(this.#status, this.#headers);
-		const gathered = this.#chunks;
+		const buffered = this.#chunks;
 		this.#chunks = [];
-		return gathered.map(chunk => onLong.write(chunk)).every(Boolean);
+		return buffered.map(chunk => onLong.write(chunk)).every(Boolean);
 	}
 }
 
