--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -65,7 +65,7 @@
 export const maximumBufferedBytes = 131_072;
 
 /** Reports the progress of a request to the owner of its connection. */
-export type ConnectionHold = {
+export type ConnectionObserver = {
 	/** The head of the answer was received. */
 	readonly answering: () => void;
 	/** The request has ended; the rest of a refusal may still arrive. */
@@ -78,7 +78,7 @@
 class AnswerBuffer implements AnswerSink {
 	readonly #specification: RequestSpecification;
 	readonly #startedAt = monotonicNow();
-	readonly #hold: ConnectionHold;
+	readonly #hold: ConnectionObserver;
 	#status = 0;
 	#headers: RawHeaders = [];
 	#chunks: Uint8Array[] = [];
@@ -86,7 +86,7 @@
 	#isLong = false;
 	#isDrained = false;
 
-	constructor(specification: RequestSpecification, hold: ConnectionHold) {
+	constructor(specification: RequestSpecification, hold: ConnectionObserver) {
 		this.#specification = specification;
 		this.#hold = hold;
 	}
@@ -144,7 +144,7 @@
 }
 
 /** Sends a request on a connection. */
-export function sendRequest(connection: Connection, specification: RequestSpecification, hold: ConnectionHold): SentAttempt {
+export function sendRequest(connection: Connection, specification: RequestSpecification, hold: ConnectionObserver): SentAttempt {
 	const {isNotRun, isForeign} = specification.rules;
 	const isFirst = connection.requests === 1;
 	const rules: AnswerRules = {isNotRun, isForeign: (status, head) => isForeign(status, head, isFirst), endedInOrder: () => connection.endedInOrder};
