--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -67,7 +67,7 @@
 /** Reports the progress of a request to the owner of its connection. */
 export type ConnectionObserver = {
 	/** The head of the answer was received. */
-	readonly answering: () => void;
+	readonly onHead: () => void;
 	/** The request has ended; the rest of a refusal may still arrive. */
 	readonly ended: (observation: AttemptObservation) => void;
 	/** No more data of the request's answer will arrive. */
@@ -96,7 +96,7 @@
 	}
 
 	onHead(status: number, headers: RawHeaders): void {
-		this.#hold.answering();
+		this.#hold.onHead();
 		this.#status = status;
 		this.#headers = headers;
 	}
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -44,7 +44,7 @@
 
 		connection.begin();
 		return sendRequest(connection, specification, {
-			answering() {
+			onHead() {
 				connection.hasHead = true;
 			},
 			ended: observation => {
