--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -69,7 +69,7 @@
 	/** The head of the answer was received. */
 	readonly onHead: () => void;
 	/** The request has ended; the rest of a refusal may still arrive. */
-	readonly ended: (observation: AttemptObservation) => void;
+	readonly onEnd: (observation: AttemptObservation) => void;
 	/** No more data of the request's answer will arrive. */
 	readonly release: () => void;
 };
@@ -112,7 +112,7 @@
 	}
 
 	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
-		this.#hold.ended(observation);
+		this.#hold.onEnd(observation);
 		if (observation !== AttemptObservation.shed || this.#isDrained) {
 			this.#hold.release();
 		}
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -47,7 +47,7 @@
 			onHead() {
 				connection.hasHead = true;
 			},
-			ended: observation => {
+			onEnd: observation => {
 				if (observation === AttemptObservation.shed) {
 					refusedOn.add(connection);
 					connection.isDraining = true;
