--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -71,7 +71,7 @@
 	/** The request has ended; the rest of a refusal may still arrive. */
 	readonly onEnd: (observation: AttemptObservation) => void;
 	/** No more data of the request's answer will arrive. */
-	readonly release: () => void;
+	readonly onRelease: () => void;
 };
 
 /** Buffers an answer; one that is longer than `gatheredBytes` is streamed. */
@@ -114,7 +114,7 @@
 	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
 		this.#hold.onEnd(observation);
 		if (observation !== AttemptObservation.shed || this.#isDrained) {
-			this.#hold.release();
+			this.#hold.onRelease();
 		}
 
 		const answer = observation === AttemptObservation.wholeAnswer && !this.#isLong
@@ -130,7 +130,7 @@
 
 	onDrained(): void {
 		this.#isDrained = true;
-		this.#hold.release();
+		this.#hold.onRelease();
 	}
 
 	#passOn(): boolean {
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -55,7 +55,7 @@
 					this.#end(connection);
 				}
 			},
-			release: () => {
+			onRelease: () => {
 				connection.isBusy = false;
 				connection.isDraining = false;
 				connection.usedAt = monotonicNow();
