--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -78,7 +78,7 @@
 class AnswerBuffer implements AnswerSink {
 	readonly #specification: RequestSpecification;
 	readonly #startedAt = monotonicNow();
-	readonly #hold: ConnectionObserver;
+	readonly #observer: ConnectionObserver;
 	#status = 0;
 	#headers: RawHeaders = [];
 	#chunks: Uint8Array[] = [];
@@ -88,7 +88,7 @@
 
 	constructor(specification: RequestSpecification, hold: ConnectionObserver) {
 		this.#specification = specification;
-		this.#hold = hold;
+		this.#observer = hold;
 	}
 
 	beforeFirstByte(): boolean {
@@ -96,7 +96,7 @@
 	}
 
 	onHead(status: number, headers: RawHeaders): void {
-		this.#hold.onHead();
+		this.#observer.onHead();
 		this.#status = status;
 		this.#headers = headers;
 	}
@@ -112,9 +112,9 @@
 	}
 
 	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
-		this.#hold.onEnd(observation);
+		this.#observer.onEnd(observation);
 		if (observation !== AttemptObservation.shed || this.#isDrained) {
-			this.#hold.onRelease();
+			this.#observer.onRelease();
 		}
 
 		const answer = observation === AttemptObservation.wholeAnswer && !this.#isLong
@@ -130,7 +130,7 @@
 
 	onDrained(): void {
 		this.#isDrained = true;
-		this.#hold.onRelease();
+		this.#observer.onRelease();
 	}
 
 	#passOn(): boolean {
