--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -86,9 +86,9 @@
 	#isLong = false;
 	#isDrained = false;
 
-	constructor(specification: RequestSpecification, hold: ConnectionObserver) {
+	constructor(specification: RequestSpecification, observer: ConnectionObserver) {
 		this.#specification = specification;
-		this.#observer = hold;
+		this.#observer = observer;
 	}
 
 	beforeFirstByte(): boolean {
