--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -144,11 +144,11 @@
 }
 
 /** Sends a request on a connection. */
-export function sendRequest(connection: Connection, specification: RequestSpecification, hold: ConnectionObserver): SentAttempt {
+export function sendRequest(connection: Connection, specification: RequestSpecification, observer: ConnectionObserver): SentAttempt {
 	const {isNotRun, isForeign} = specification.rules;
 	const isFirst = connection.requests === 1;
 	const rules: AnswerRules = {isNotRun, isForeign: (status, head) => isForeign(status, head, isFirst), endedInOrder: () => connection.endedInOrder};
-	const exchange = new Exchange(new AnswerBuffer(specification, hold), specification.method, rules, specification.timeoutMilliseconds);
+	const exchange = new Exchange(new AnswerBuffer(specification, observer), specification.method, rules, specification.timeoutMilliseconds);
 	connection.client.dispatch({
 		path: specification.path,
 		method: specification.method,
