--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -25,7 +25,7 @@
 };
 
 /** Receives an answer that is too long to buffer. `write` returns false to pause it until `SentAttempt.resume`. */
-export type LongAnswer = {
+export type StreamedAnswerSink = {
 	readonly begin: (status: number, headers: RawHeaders) => void;
 	readonly write: (chunk: Uint8Array) => boolean;
 };
@@ -48,7 +48,7 @@
 	readonly rules: RequestRules;
 	/** Called right before the first byte is written to a socket. If it returns false, nothing is sent. */
 	readonly mayStart: () => boolean;
-	readonly onLong: LongAnswer;
+	readonly onLong: StreamedAnswerSink;
 	/** Called once. */
 	readonly onEnd: (result: AttemptResult) => void;
 };
