--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -48,7 +48,7 @@
 	readonly rules: RequestRules;
 	/** Called right before the first byte is written to a socket. If it returns false, nothing is sent. */
 	readonly mayStart: () => boolean;
-	readonly onLong: StreamedAnswerSink;
+	readonly streamedAnswer: StreamedAnswerSink;
 	/** Called once. */
 	readonly onEnd: (result: AttemptResult) => void;
 };
@@ -103,7 +103,7 @@
 
 	onChunk(chunk: Uint8Array): boolean {
 		if (this.#isLong) {
-			return this.#specification.onLong.write(chunk);
+			return this.#specification.streamedAnswer.write(chunk);
 		}
 
 		this.#chunks.push(chunk);
@@ -135,7 +135,7 @@
 
 	#passOn(): boolean {
 		this.#isLong = true;
-		const {onLong} = this.#specification;
+		const {streamedAnswer: onLong} = this.#specification;
 		onLong.begin(this.#status, this.#headers);
 		const buffered = this.#chunks;
 		this.#chunks = [];
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -293,7 +293,7 @@
 				isForeign: (status, head, isFirst) => isForeign(fields, this.identifier, {status, head, isFirst}),
 			},
 			mayStart: () => !this.#exchange.isGone && table.isCurrent(upstream),
-			onLong: {
+			streamedAnswer: {
 				begin: (status, answerHeaders) => {
 					this.#exchange.begin(status, answerHeaders);
 				},
--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -108,7 +108,7 @@
 					isForeign: (_status, {headers}) => !headers.includes('a'),
 				},
 				mayStart: () => true,
-				onLong: {
+				streamedAnswer: {
 					begin() {
 						assert.fail('the answer is short');
 					},
--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -114,7 +114,7 @@
 				isForeign: (_status, {headers}) => !headers.includes('a'),
 			},
 			mayStart: () => true,
-			onLong: {
+			streamedAnswer: {
 				begin: () => undefined,
 				write: () => true,
 			},
