--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -83,7 +83,7 @@
 	#headers: RawHeaders = [];
 	#chunks: Uint8Array[] = [];
 	#bytes = 0;
-	#isLong = false;
+	#isStreaming = false;
 	#isDrained = false;
 
 	constructor(specification: RequestSpecification, observer: ConnectionObserver) {
@@ -102,7 +102,7 @@
 	}
 
 	onChunk(chunk: Uint8Array): boolean {
-		if (this.#isLong) {
+		if (this.#isStreaming) {
 			return this.#specification.streamedAnswer.write(chunk);
 		}
 
@@ -117,7 +117,7 @@
 			this.#observer.onRelease();
 		}
 
-		const answer = observation === AttemptObservation.wholeAnswer && !this.#isLong
+		const answer = observation === AttemptObservation.wholeAnswer && !this.#isStreaming
 			? {status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks)}
 			: undefined;
 		this.#specification.onEnd({
@@ -134,7 +134,7 @@
 	}
 
 	#passOn(): boolean {
-		this.#isLong = true;
+		this.#isStreaming = true;
 		const {streamedAnswer: onLong} = this.#specification;
 		onLong.begin(this.#status, this.#headers);
 		const buffered = this.#chunks;
