--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -108,7 +108,7 @@
 
 		this.#chunks.push(chunk);
 		this.#bytes += chunk.length;
-		return this.#bytes <= maximumBufferedBytes || this.#passOn();
+		return this.#bytes <= maximumBufferedBytes || this.#startStreaming();
 	}
 
 	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
@@ -133,7 +133,7 @@
 		this.#observer.onRelease();
 	}
 
-	#passOn(): boolean {
+	#startStreaming(): boolean {
 		this.#isStreaming = true;
 		const {streamedAnswer: onLong} = this.#specification;
 		onLong.begin(this.#status, this.#headers);
