--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -30,8 +30,8 @@
 	}
 
 	/** Whether a request can be sent with at most `most` connections, and on none of `refusedOn`. */
-	hasRoom(most: number, refusedOn: ReadonlySet<Connection>): boolean {
-		return this.#connections.length < most || this.#connections.some(connection => !connection.isBusy && !refusedOn.has(connection));
+	hasRoom(maximumConnections: number, refusedOn: ReadonlySet<Connection>): boolean {
+		return this.#connections.length < maximumConnections || this.#connections.some(connection => !connection.isBusy && !refusedOn.has(connection));
 	}
 
 	/** Sends a request on an idle connection or a new one. */
