--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -52,7 +52,7 @@
 					refusedOn.add(connection);
 					connection.isDraining = true;
 				} else if (observation !== AttemptObservation.wholeAnswer) {
-					this.#end(connection);
+					this.#closeConnection(connection);
 				}
 			},
 			onRelease: () => {
@@ -60,7 +60,7 @@
 				connection.isDraining = false;
 				connection.usedAt = monotonicNow();
 				if (this.#isClosed) {
-					this.#end(connection);
+					this.#closeConnection(connection);
 				}
 			},
 		});
@@ -69,7 +69,7 @@
 	/** Closes connections that have received more bytes than an answer's head may have, and no complete head. */
 	closeEndless(): void {
 		for (const connection of this.#connections.filter(({isEndless}) => isEndless)) {
-			this.#end(connection);
+			this.#closeConnection(connection);
 		}
 	}
 
@@ -110,7 +110,7 @@
 	}
 
 	/** Closes a connection whose request ended other than by a whole answer or a refusal: data that still arrives on it belongs to no request. */
-	#end(connection: Connection): void {
+	#closeConnection(connection: Connection): void {
 		this.#forget(connection);
 		connection.destroy();
 	}
