--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -99,7 +99,7 @@
 		}
 
 		const connection = new Connection(this.#address, this.#terms, over => {
-			this.#forget(over);
+			this.#remove(over);
 			if (over.isDraining) {
 				// Otherwise `undici` reconnects for a request that has ended.
 				over.destroy();
@@ -111,11 +111,11 @@
 
 	/** Closes a connection whose request ended other than by a whole answer or a refusal: data that still arrives on it belongs to no request. */
 	#closeConnection(connection: Connection): void {
-		this.#forget(connection);
+		this.#remove(connection);
 		connection.destroy();
 	}
 
-	#forget(connection: Connection): void {
+	#remove(connection: Connection): void {
 		this.#connections = this.#connections.filter(one => one !== connection);
 	}
 }
