--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -37,7 +37,7 @@
 	/** Sends a request on an idle connection or a new one. */
 	send(specification: RequestSpecification): SentAttempt {
 		const {refusedOn} = specification;
-		const connection = this.#idle(refusedOn) ?? this.#open();
+		const connection = this.#findIdle(refusedOn) ?? this.#open();
 		if (connection === undefined) {
 			return unreachable(specification);
 		}
@@ -81,7 +81,7 @@
 		}
 	}
 
-	#idle(refusedOn: ReadonlySet<Connection>): Connection | undefined {
+	#findIdle(refusedOn: ReadonlySet<Connection>): Connection | undefined {
 		let newest: Connection | undefined;
 		for (const connection of this.#connections) {
 			if (!connection.isBusy && !connection.isOver && !refusedOn.has(connection) && (newest === undefined || connection.usedAt > newest.usedAt)) {
