--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -98,11 +98,11 @@
 			return undefined;
 		}
 
-		const connection = new Connection(this.#address, this.#terms, over => {
-			this.#remove(over);
-			if (over.isDraining) {
+		const connection = new Connection(this.#address, this.#terms, closed => {
+			this.#remove(closed);
+			if (closed.isDraining) {
 				// Otherwise `undici` reconnects for a request that has ended.
-				over.destroy();
+				closed.destroy();
 			}
 		});
 		this.#connections.push(connection);
