--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -19,14 +19,14 @@
 /** The connections to one upstream. */
 export class UpstreamPool {
 	readonly #address: string;
-	readonly #terms: ConnectionTerms;
+	readonly #timeouts: ConnectionTerms;
 	#connections: Connection[] = [];
 	#isClosed = false;
 
 	/** Opens no connection until the first request. */
 	constructor(address: string, terms: ConnectionTerms) {
 		this.#address = address;
-		this.#terms = terms;
+		this.#timeouts = terms;
 	}
 
 	/** Whether a request can be sent with at most `most` connections, and on none of `refusedOn`. */
@@ -98,7 +98,7 @@
 			return undefined;
 		}
 
-		const connection = new Connection(this.#address, this.#terms, closed => {
+		const connection = new Connection(this.#address, this.#timeouts, closed => {
 			this.#remove(closed);
 			if (closed.isDraining) {
 				// Otherwise `undici` reconnects for a request that has ended.
