--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -24,9 +24,9 @@
 	#isClosed = false;
 
 	/** Opens no connection until the first request. */
-	constructor(address: string, terms: ConnectionTerms) {
+	constructor(address: string, timeouts: ConnectionTerms) {
 		this.#address = address;
-		this.#timeouts = terms;
+		this.#timeouts = timeouts;
 	}
 
 	/** Whether a request can be sent with at most `most` connections, and on none of `refusedOn`. */
