--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -6,7 +6,7 @@
 import {buildConnector, Client} from 'undici';
 
 /** The timeouts of connections. */
-export type ConnectionTerms = {
+export type ConnectionTimeouts = {
 	/** The connect timeout, in milliseconds. */
 	readonly connectMilliseconds: number;
 	/** The idle timeout, in milliseconds. */
@@ -36,7 +36,7 @@
 	#endedInOrder = false;
 
 	/** Connects when the first request is sent. `onOver` is called once, when the connection closes. */
-	constructor(address: string, terms: ConnectionTerms, onOver: (connection: Connection) => void) {
+	constructor(address: string, terms: ConnectionTimeouts, onOver: (connection: Connection) => void) {
 		const connect = buildConnector({timeout: terms.connectMilliseconds});
 		this.client = new Client(`http://${address}`, {
 			pipelining: 1,
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -14,7 +14,7 @@
 import {
 	allowsRetry, recordAttempt, withCapacity, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
-import {type ConnectionTerms} from './connection.js';
+import {type ConnectionTimeouts} from './connection.js';
 import {type EntrySettings} from './settings.js';
 import {UpstreamPool} from './upstream-pool.js';
 
@@ -50,7 +50,7 @@
 /** One round trip between regions, and the same again for a lost packet. */
 const connectMilliseconds = 350;
 
-const connectionTerms: ConnectionTerms = {connectMilliseconds, idleMilliseconds};
+const connectionTerms: ConnectionTimeouts = {connectMilliseconds, idleMilliseconds};
 
 /** All instances together save up this fraction of a window's slack, as new instances start with full budgets. */
 const slackShare = 0.5;
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -6,7 +6,7 @@
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
 import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type RequestSpecification, sendRequest, type SentAttempt} from './attempt.js';
-import {Connection, type ConnectionTerms} from './connection.js';
+import {Connection, type ConnectionTimeouts} from './connection.js';
 
 /** Ends a request to an upstream whose address is invalid. */
 function unreachable({onEnd}: RequestSpecification): SentAttempt {
@@ -19,12 +19,12 @@
 /** The connections to one upstream. */
 export class UpstreamPool {
 	readonly #address: string;
-	readonly #timeouts: ConnectionTerms;
+	readonly #timeouts: ConnectionTimeouts;
 	#connections: Connection[] = [];
 	#isClosed = false;
 
 	/** Opens no connection until the first request. */
-	constructor(address: string, timeouts: ConnectionTerms) {
+	constructor(address: string, timeouts: ConnectionTimeouts) {
 		this.#address = address;
 		this.#timeouts = timeouts;
 	}
