--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -36,14 +36,14 @@
 	#endedInOrder = false;
 
 	/** Connects when the first request is sent. `onOver` is called once, when the connection closes. */
-	constructor(address: string, terms: ConnectionTimeouts, onOver: (connection: Connection) => void) {
-		const connect = buildConnector({timeout: terms.connectMilliseconds});
+	constructor(address: string, timeouts: ConnectionTimeouts, onOver: (connection: Connection) => void) {
+		const connect = buildConnector({timeout: timeouts.connectMilliseconds});
 		this.client = new Client(`http://${address}`, {
 			pipelining: 1,
 			headersTimeout: 0,
 			bodyTimeout: 0,
-			keepAliveTimeout: terms.idleMilliseconds,
-			keepAliveMaxTimeout: terms.idleMilliseconds,
+			keepAliveTimeout: timeouts.idleMilliseconds,
+			keepAliveMaxTimeout: timeouts.idleMilliseconds,
 			connect: (options, callback) => {
 				connect(options, (...[error, socket]) => {
 					if (error === null) {
