--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -14,7 +14,7 @@
 };
 
 /** The maximum number of bytes received before the head of an answer is complete: `undici` limits its header fields, but neither its status line nor interim heads (1xx) before it. */
-const mostHeadBytes = 65_536;
+const maximumHeadBytes = 65_536;
 
 /** A connection that is managed by `undici`. */
 export class Connection {
@@ -76,7 +76,7 @@
 
 	/** Whether far more bytes than an answer's head has were received since the current request began, without a complete head. */
 	get isEndless(): boolean {
-		return this.isBusy && !this.hasHead && (this.#socket?.bytesRead ?? 0) - this.#bytesBefore > mostHeadBytes;
+		return this.isBusy && !this.hasHead && (this.#socket?.bytesRead ?? 0) - this.#bytesBefore > maximumHeadBytes;
 	}
 
 	/** Marks the connection as used by a new request. */
