--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -36,7 +36,7 @@
 	#endedInOrder = false;
 
 	/** Connects when the first request is sent. `onOver` is called once, when the connection closes. */
-	constructor(address: string, timeouts: ConnectionTimeouts, onOver: (connection: Connection) => void) {
+	constructor(address: string, timeouts: ConnectionTimeouts, onClose: (connection: Connection) => void) {
 		const connect = buildConnector({timeout: timeouts.connectMilliseconds});
 		this.client = new Client(`http://${address}`, {
 			pipelining: 1,
@@ -58,7 +58,7 @@
 		const end = () => {
 			if (!this.isOver) {
 				this.isOver = true;
-				onOver(this);
+				onClose(this);
 			}
 		};
 
