--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -26,7 +26,7 @@
 	/** The number of requests that it has carried, including the current one. */
 	requests = 0;
 	/** Whether the connection has closed or is being closed. */
-	isOver = false;
+	isClosed = false;
 	usedAt: MonotonicTime = 0;
 	/** Whether the head of the current request's answer was received. */
 	hasHead = false;
@@ -56,8 +56,8 @@
 			},
 		});
 		const end = () => {
-			if (!this.isOver) {
-				this.isOver = true;
+			if (!this.isClosed) {
+				this.isClosed = true;
 				onClose(this);
 			}
 		};
@@ -89,7 +89,7 @@
 
 	/** Closes the connection. */
 	destroy(): void {
-		this.isOver = true;
+		this.isClosed = true;
 		void this.client.destroy();
 	}
 
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -84,7 +84,7 @@
 	#findIdle(refusedOn: ReadonlySet<Connection>): Connection | undefined {
 		let newest: Connection | undefined;
 		for (const connection of this.#connections) {
-			if (!connection.isBusy && !connection.isOver && !refusedOn.has(connection) && (newest === undefined || connection.usedAt > newest.usedAt)) {
+			if (!connection.isBusy && !connection.isClosed && !refusedOn.has(connection) && (newest === undefined || connection.usedAt > newest.usedAt)) {
 				newest = connection;
 			}
 		}
