--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -47,7 +47,7 @@
 			connect: (options, callback) => {
 				connect(options, (...[error, socket]) => {
 					if (error === null) {
-						this.#watch(socket);
+						this.#watchSocket(socket);
 						callback(null, socket);
 					} else {
 						callback(error, null);
@@ -93,7 +93,7 @@
 		void this.client.destroy();
 	}
 
-	#watch(socket: Socket): void {
+	#watchSocket(socket: Socket): void {
 		this.#socket = socket;
 		socket.setNoDelay(true);
 		socket.once('end', () => {
