--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -32,7 +32,7 @@
 	hasHead = false;
 	#socket: Socket | undefined;
 	/** The number of bytes received before the current request began. */
-	#bytesBefore = 0;
+	#bytesBeforeRequest = 0;
 	#endedInOrder = false;
 
 	/** Connects when the first request is sent. `onOver` is called once, when the connection closes. */
@@ -76,7 +76,7 @@
 
 	/** Whether far more bytes than an answer's head has were received since the current request began, without a complete head. */
 	get isEndless(): boolean {
-		return this.isBusy && !this.hasHead && (this.#socket?.bytesRead ?? 0) - this.#bytesBefore > maximumHeadBytes;
+		return this.isBusy && !this.hasHead && (this.#socket?.bytesRead ?? 0) - this.#bytesBeforeRequest > maximumHeadBytes;
 	}
 
 	/** Marks the connection as used by a new request. */
@@ -84,7 +84,7 @@
 		this.isBusy = true;
 		this.hasHead = false;
 		this.requests += 1;
-		this.#bytesBefore = this.#socket?.bytesRead ?? 0;
+		this.#bytesBeforeRequest = this.#socket?.bytesRead ?? 0;
 	}
 
 	/** Closes the connection. */
