--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -80,7 +80,7 @@
 	}
 
 	/** Marks the connection as used by a new request. */
-	begin(): void {
+	beginRequest(): void {
 		this.isBusy = true;
 		this.hasHead = false;
 		this.requests += 1;
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -42,7 +42,7 @@
 			return unreachable(specification);
 		}
 
-		connection.begin();
+		connection.beginRequest();
 		return sendRequest(connection, specification, {
 			onHead() {
 				connection.hasHead = true;
