--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -50,7 +50,7 @@
 /** One round trip between regions, and the same again for a lost packet. */
 const connectMilliseconds = 350;
 
-const connectionTerms: ConnectionTimeouts = {connectMilliseconds, idleMilliseconds};
+const connectionTimeouts: ConnectionTimeouts = {connectMilliseconds, idleMilliseconds};
 
 /** All instances together save up this fraction of a window's slack, as new instances start with full budgets. */
 const slackShare = 0.5;
@@ -204,7 +204,7 @@
 			record,
 			distance: distanceOf(this.#settings.zone, record.zone, this.#settings.regions),
 			load: earlier?.load ?? new UpstreamLoad(record.slots),
-			pool: earlier?.pool ?? new UpstreamPool(record.address, connectionTerms),
+			pool: earlier?.pool ?? new UpstreamPool(record.address, connectionTimeouts),
 			cold: record.cold,
 		};
 	}
