--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -33,13 +33,13 @@
 	/** Addresses of control instances, as known when the settings were written. */
 	readonly seeds: readonly string[];
 	readonly fields: FieldNames;
-	readonly retries: RetryTerms;
+	readonly retries: RetryBudgetSettings;
 	/** The time limit of a graceful shutdown, in milliseconds. */
 	readonly graceMilliseconds: number;
 };
 
 /** The retry budget of all instances together. */
-export type RetryTerms = {
+export type RetryBudgetSettings = {
 	/** Retries allowed, as a fraction of a service's requests. */
 	readonly ratio: number;
 	/** Retries allowed in addition to that fraction, within the window that the budget is counted over. */
