--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -10,7 +10,7 @@
 const staleTableMilliseconds: Milliseconds = 60;
 
 /** After this many refusals under one fence number, requests for the key wait until the table has another one. */
-const mostFenceRefusals = 2;
+const maximumFenceRefusals = 2;
 
 /** What a key target reads. */
 export type KeyDependencies = {
@@ -41,7 +41,7 @@
 	/** Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment after this instance is, so one refusal is retried; an upstream that refuses twice under one fence number has lost them. */
 	holderNow(now: MonotonicTime): CachedUpstream | undefined {
 		const held = this.#dependencies.table.holderOf(this.#service, this.key);
-		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= mostFenceRefusals;
+		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= maximumFenceRefusals;
 		return now < this.#notBefore || hasLost ? undefined : held?.upstream;
 	}
 
