--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -46,7 +46,7 @@
 	}
 
 	/** Records that the holder answered that it doesn't hold the key. */
-	noteMisdirected(now: MonotonicTime): void {
+	recordMisdirected(now: MonotonicTime): void {
 		const fence = this.#dependencies.table.holderOf(this.#service, this.key)?.range.fence ?? -1;
 		this.#notBefore = now + staleTableMilliseconds;
 		this.#fenceRefusals = fence === this.#refusedFence ? this.#fenceRefusals + 1 : 1;
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -331,7 +331,7 @@
 		}
 
 		if (isMisdirected(result.observation, this.#upstreamRefusalStatus)) {
-			this.#target?.noteMisdirected(now);
+			this.#target?.recordMisdirected(now);
 		}
 
 		this.#uncertainAttempts += observationRules[result.observation].outcome === Outcome.notRun ? 0 : 1;
