--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -59,7 +59,7 @@
 	}
 
 	/** Records that a request for the key is being sent. */
-	take(holder: CachedUpstream, now: MonotonicTime): void {
+	recordSend(holder: CachedUpstream, now: MonotonicTime): void {
 		this.#service.pace.take(this.key, this.#capacityOf(holder), now);
 	}
 
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -273,7 +273,7 @@
 		const {request} = this.#exchange;
 		const timeoutMilliseconds = this.#deadline - now;
 		upstream.load.underWay += 1;
-		this.#target?.take(upstream, now);
+		this.#target?.recordSend(upstream, now);
 		this.#upstreamRefusalStatus = 0;
 		this.#attemptedUpstreams.push(upstream.id);
 		const headers = requestHeaders(request.rawHeaders, request.headers.connection, new Set([fields.deadline, fields.expectedUpstream]));
