--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -249,7 +249,7 @@
 		const service = this.#service!;
 		const connections = Math.max(1, Math.floor(service.maxConnections / (this.#dependencies.entryCount() + 1)));
 		if (this.#target !== undefined) {
-			const holder = this.#target.holderNow(now);
+			const holder = this.#target.availableHolder(now);
 			return holder?.load.hasRoom(now) === true && holder.pool.hasRoom(connections, this.#refusedOn) && this.#target.waitFor(holder, 0, now) === 0 ? holder : undefined;
 		}
 
