--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -40,9 +40,9 @@
 
 	/** Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment after this instance is, so one refusal is retried; an upstream that refuses twice under one fence number has lost them. */
 	availableHolder(now: MonotonicTime): CachedUpstream | undefined {
-		const held = this.#dependencies.table.holderOf(this.#service, this.key);
-		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= maximumFenceRefusals;
-		return now < this.#notBefore || hasLost ? undefined : held?.upstream;
+		const keyHolder = this.#dependencies.table.holderOf(this.#service, this.key);
+		const hasLost = keyHolder?.range.fence === this.#refusedFence && this.#fenceRefusals >= maximumFenceRefusals;
+		return now < this.#notBefore || hasLost ? undefined : keyHolder?.upstream;
 	}
 
 	/** Records that the holder answered that it doesn't hold the key. */
