--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -10,7 +10,7 @@
 const reportTimeoutMilliseconds: Milliseconds = 450;
 
 type Answers = {count: number; milliseconds: Milliseconds};
-type Counted = {readonly keys: Map<number, number>; readonly answers: Map<string, Answers>};
+type ServiceCounts = {readonly keys: Map<number, number>; readonly answers: Map<string, Answers>};
 
 /** Counts requests and answers, and reports them periodically. */
 export type LoadReporter = {
@@ -22,9 +22,9 @@
 
 /** Starts the reporter. `control` returns the address that reports are sent to; while it returns undefined, counts accumulate. */
 export function startLoadReporter(clients: MeshClients, control: () => string | undefined): LoadReporter {
-	let services = new Map<string, Counted>();
+	let services = new Map<string, ServiceCounts>();
 
-	function counted(service: string): Counted {
+	function counted(service: string): ServiceCounts {
 		const known = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, Answers>()};
 		services.set(service, known);
 		return known;
