--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -24,7 +24,7 @@
 export function startLoadReporter(clients: MeshClients, control: () => string | undefined): LoadReporter {
 	let services = new Map<string, ServiceCounts>();
 
-	function counted(service: string): ServiceCounts {
+	function countsOf(service: string): ServiceCounts {
 		const known = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, Answers>()};
 		services.set(service, known);
 		return known;
@@ -50,11 +50,11 @@
 	const reporting = setInterval(report, reportMilliseconds);
 	return {
 		count(service, key) {
-			const {keys} = counted(service);
+			const {keys} = countsOf(service);
 			keys.set(key, (keys.get(key) ?? 0) + 1);
 		},
 		answered(service, upstream, took) {
-			const {answers} = counted(service);
+			const {answers} = countsOf(service);
 			const known = answers.get(upstream) ?? {count: 0, milliseconds: 0};
 			known.count += 1;
 			known.milliseconds += took;
