--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -25,9 +25,9 @@
 	let services = new Map<string, ServiceCounts>();
 
 	function countsOf(service: string): ServiceCounts {
-		const known = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, Answers>()};
-		services.set(service, known);
-		return known;
+		const counts = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, Answers>()};
+		services.set(service, counts);
+		return counts;
 	}
 
 	function report(): void {
