--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -55,10 +55,10 @@
 		},
 		answered(service, upstream, took) {
 			const {answers} = countsOf(service);
-			const known = answers.get(upstream) ?? {count: 0, milliseconds: 0};
-			known.count += 1;
-			known.milliseconds += took;
-			answers.set(upstream, known);
+			const totals = answers.get(upstream) ?? {count: 0, milliseconds: 0};
+			totals.count += 1;
+			totals.milliseconds += took;
+			answers.set(upstream, totals);
 		},
 		stop() {
 			clearInterval(reporting);
