--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -9,8 +9,8 @@
 const reportMilliseconds: Milliseconds = 300;
 const reportTimeoutMilliseconds: Milliseconds = 450;
 
-type Answers = {count: number; milliseconds: Milliseconds};
-type ServiceCounts = {readonly keys: Map<number, number>; readonly answers: Map<string, Answers>};
+type AnswerTotals = {count: number; milliseconds: Milliseconds};
+type ServiceCounts = {readonly keys: Map<number, number>; readonly answers: Map<string, AnswerTotals>};
 
 /** Counts requests and answers, and reports them periodically. */
 export type LoadReporter = {
@@ -25,7 +25,7 @@
 	let services = new Map<string, ServiceCounts>();
 
 	function countsOf(service: string): ServiceCounts {
-		const counts = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, Answers>()};
+		const counts = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, AnswerTotals>()};
 		services.set(service, counts);
 		return counts;
 	}
