--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -36,7 +36,7 @@
 			return;
 		}
 
-		const told: LoadReport = {
+		const message: LoadReport = {
 			services: [...services].map(([service, {keys, answers}]) => ({
 				service,
 				counts: [...keys],
@@ -44,7 +44,7 @@
 			})),
 		};
 		services = new Map();
-		void clients.call(address, 'reportLoad', told, reportTimeoutMilliseconds);
+		void clients.call(address, 'reportLoad', message, reportTimeoutMilliseconds);
 	}
 
 	const reporting = setInterval(report, reportMilliseconds);
