--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -95,7 +95,7 @@
 		limits: () => follower.state().items.limits[limitsName]?.value,
 		entryCount: follower.entryCount,
 		countKey: reporter.count,
-		countAnswer: reporter.answered,
+		countAnswer: reporter.recordAnswer,
 		advance,
 		afterPendingReads(callback) {
 			loopDelayGuard.afterPendingReads(callback);
--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -16,7 +16,7 @@
 export type LoadReporter = {
 	readonly count: (service: string, key: number) => void;
 	/** Records that an upstream of a keyed service answered, after `took` milliseconds. */
-	readonly answered: (service: string, upstream: string, took: Milliseconds) => void;
+	readonly recordAnswer: (service: string, upstream: string, took: Milliseconds) => void;
 	readonly stop: () => void;
 };
 
@@ -53,7 +53,7 @@
 			const {keys} = countsOf(service);
 			keys.set(key, (keys.get(key) ?? 0) + 1);
 		},
-		answered(service, upstream, took) {
+		recordAnswer(service, upstream, took) {
 			const {answers} = countsOf(service);
 			const totals = answers.get(upstream) ?? {count: 0, milliseconds: 0};
 			totals.count += 1;
