--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -47,7 +47,7 @@
 		void clients.call(address, 'reportLoad', message, reportTimeoutMilliseconds);
 	}
 
-	const reporting = setInterval(report, reportMilliseconds);
+	const reportTimer = setInterval(report, reportMilliseconds);
 	return {
 		count(service, key) {
 			const {keys} = countsOf(service);
@@ -61,7 +61,7 @@
 			answers.set(upstream, totals);
 		},
 		stop() {
-			clearInterval(reporting);
+			clearInterval(reportTimer);
 		},
 	};
 }
