--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -47,7 +47,7 @@
 };
 
 /** A stream that receives no data for this long is closed and reopened: its sender writes each 250 ms. */
-const silentMilliseconds: Milliseconds = 900;
+const contactTimeoutMilliseconds: Milliseconds = 900;
 const checkMilliseconds: Milliseconds = 200;
 /** The longer timeout for the first message of a stream, which includes connecting. */
 const connectMilliseconds: Milliseconds = 1500;
@@ -97,7 +97,7 @@
 	}
 
 	const isServed = all.some(other => other.distance !== undefined && ranks[other.distance] < ranks[distance]
-		&& other.isOpen && other.hasHeard && now - other.heardAt <= silentMilliseconds && now - other.freshAt <= staleMilliseconds);
+		&& other.isOpen && other.hasHeard && now - other.heardAt <= contactTimeoutMilliseconds && now - other.freshAt <= staleMilliseconds);
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
@@ -186,7 +186,7 @@
 		const all = [...streams.values()];
 		lag.note(holder.state().applied, committed, now);
 		for (const [address, stream] of streams) {
-			const isSilent = now - stream.heardAt > (stream.hasHeard ? silentMilliseconds : connectMilliseconds);
+			const isSilent = now - stream.heardAt > (stream.hasHeard ? contactTimeoutMilliseconds : connectMilliseconds);
 			if (stream.isOpen && isSilent) {
 				stream.following?.stop();
 				clients.reopen(address);
