--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -53,7 +53,7 @@
 const connectMilliseconds: Milliseconds = 1500;
 
 /** When a nearer control instance has had no contact with the leader for this long, others are followed too: an election takes as long. */
-const staleMilliseconds: Milliseconds = 700;
+const leaderContactTimeoutMilliseconds: Milliseconds = 700;
 
 /** The state of the stream from one control instance. */
 export type FollowedControl = {
@@ -97,7 +97,7 @@
 	}
 
 	const isServed = all.some(other => other.distance !== undefined && ranks[other.distance] < ranks[distance]
-		&& other.isOpen && other.hasHeard && now - other.heardAt <= contactTimeoutMilliseconds && now - other.freshAt <= staleMilliseconds);
+		&& other.isOpen && other.hasHeard && now - other.heardAt <= contactTimeoutMilliseconds && now - other.freshAt <= leaderContactTimeoutMilliseconds);
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
