--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -67,7 +67,7 @@
 };
 
 /** Reported overloads are valid for this long: a key is hot for seconds. */
-const sharesMilliseconds: Milliseconds = 1500;
+const sharesLifetimeMilliseconds: Milliseconds = 1500;
 
 const ranks: Readonly<Record<Distance, number>> = {
 	[Distance.sameZone]: 0,
@@ -220,7 +220,7 @@
 			return heard.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
-		shareOf: life => monotonicNow() - sharesAt <= sharesMilliseconds ? shares.get(incarnationText(life)) ?? 1 : 1,
+		shareOf: life => monotonicNow() - sharesAt <= sharesLifetimeMilliseconds ? shares.get(incarnationText(life)) ?? 1 : 1,
 		followAlso(addresses) {
 			for (const address of addresses) {
 				open(address);
