--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -101,7 +101,7 @@
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; heardAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
+type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
@@ -121,13 +121,13 @@
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
 
-		stream.heardAt = monotonicNow();
+		stream.lastContactAt = monotonicNow();
 		stream.hasHeard = true;
-		stream.freshAt = message.fresh ? stream.heardAt : stream.freshAt;
+		stream.freshAt = message.fresh ? stream.lastContactAt : stream.freshAt;
 		stream.distance = distanceOf(zone, message.zone, regions);
 		stream.entries = message.entryCount;
 		shares = new Map(message.shares.map(({life, share}) => [incarnationText(life), share]));
-		sharesAt = stream.heardAt;
+		sharesAt = stream.lastContactAt;
 		if (message.catchUp !== undefined) {
 			holder.catchUp(message.catchUp);
 		}
@@ -147,7 +147,7 @@
 		stream.isOpen = false;
 		if (stream.hasHeard && stream.wanted === Wanted.changes) {
 			log.warning(EventName.controlLost, {
-				control: address, silentFor: Math.round(monotonicNow() - stream.heardAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
+				control: address, silentFor: Math.round(monotonicNow() - stream.lastContactAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
 			});
 		}
 	}
@@ -156,11 +156,11 @@
 		stream.isOpen = true;
 		stream.wanted = wanted;
 		stream.hasHeard = false;
-		stream.heardAt = monotonicNow();
-		stream.freshAt = stream.heardAt;
+		stream.lastContactAt = monotonicNow();
+		stream.freshAt = stream.lastContactAt;
 		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: wanted === Wanted.changes}, {
 			onPart() {
-				stream.heardAt = monotonicNow();
+				stream.lastContactAt = monotonicNow();
 			},
 			onMessage(message) {
 				take(address, stream, message);
@@ -174,7 +174,7 @@
 	function open(address: string): void {
 		if (!streams.has(address)) {
 			const stream: Stream = {
-				wanted: Wanted.presence, freshAt: -Infinity, heardAt: monotonicNow(), isOpen: false, hasHeard: false, entries: 1,
+				wanted: Wanted.presence, freshAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasHeard: false, entries: 1,
 			};
 			streams.set(address, stream);
 			start(address, stream, Wanted.presence);
@@ -186,7 +186,7 @@
 		const all = [...streams.values()];
 		lag.note(holder.state().applied, committed, now);
 		for (const [address, stream] of streams) {
-			const isSilent = now - stream.heardAt > (stream.hasHeard ? contactTimeoutMilliseconds : connectMilliseconds);
+			const isSilent = now - stream.lastContactAt > (stream.hasHeard ? contactTimeoutMilliseconds : connectMilliseconds);
 			if (stream.isOpen && isSilent) {
 				stream.following?.stop();
 				clients.reopen(address);
