--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -13,7 +13,7 @@
 
 function control(distance: Distance | undefined, fields: Partial<FollowedControl> = {}): FollowedControl {
 	return {
-		...(distance === undefined ? {} : {distance}), isOpen: true, hasHeard: true, heardAt: now - 100, freshAt: now - 100, ...fields,
+		...(distance === undefined ? {} : {distance}), isOpen: true, hasHeard: true, lastContactAt: now - 100, freshAt: now - 100, ...fields,
 	};
 }
 
@@ -38,7 +38,7 @@
 		name: 'another region beside a near one', control: far, others: [near], wanted: Wanted.nothing,
 	},
 	{
-		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {heardAt: now - 2000})], wanted: Wanted.changes,
+		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {lastContactAt: now - 2000})], wanted: Wanted.changes,
 	},
 	{
 		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {freshAt: now - 800})], wanted: Wanted.changes,
