--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -101,7 +101,7 @@
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
+type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
@@ -117,12 +117,12 @@
 	let committed: LogIndex = 0;
 
 	function take(address: string, stream: Stream, message: FollowMessage): void {
-		if (!stream.hasHeard && stream.wanted === Wanted.changes) {
+		if (!stream.hasReceived && stream.wanted === Wanted.changes) {
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
 
 		stream.lastContactAt = monotonicNow();
-		stream.hasHeard = true;
+		stream.hasReceived = true;
 		stream.freshAt = message.fresh ? stream.lastContactAt : stream.freshAt;
 		stream.distance = distanceOf(zone, message.zone, regions);
 		stream.entries = message.entryCount;
@@ -145,7 +145,7 @@
 
 	function end(address: string, stream: Stream, failed: Failure | undefined): void {
 		stream.isOpen = false;
-		if (stream.hasHeard && stream.wanted === Wanted.changes) {
+		if (stream.hasReceived && stream.wanted === Wanted.changes) {
 			log.warning(EventName.controlLost, {
 				control: address, silentFor: Math.round(monotonicNow() - stream.lastContactAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
 			});
@@ -155,7 +155,7 @@
 	function start(address: string, stream: Stream, wanted: Wanted): void {
 		stream.isOpen = true;
 		stream.wanted = wanted;
-		stream.hasHeard = false;
+		stream.hasReceived = false;
 		stream.lastContactAt = monotonicNow();
 		stream.freshAt = stream.lastContactAt;
 		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: wanted === Wanted.changes}, {
@@ -174,7 +174,7 @@
 	function open(address: string): void {
 		if (!streams.has(address)) {
 			const stream: Stream = {
-				wanted: Wanted.presence, freshAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasHeard: false, entries: 1,
+				wanted: Wanted.presence, freshAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
 			};
 			streams.set(address, stream);
 			start(address, stream, Wanted.presence);
@@ -186,7 +186,7 @@
 		const all = [...streams.values()];
 		lag.note(holder.state().applied, committed, now);
 		for (const [address, stream] of streams) {
-			const isSilent = now - stream.lastContactAt > (stream.hasHeard ? contactTimeoutMilliseconds : connectMilliseconds);
+			const isSilent = now - stream.lastContactAt > (stream.hasReceived ? contactTimeoutMilliseconds : connectMilliseconds);
 			if (stream.isOpen && isSilent) {
 				stream.following?.stop();
 				clients.reopen(address);
@@ -216,7 +216,7 @@
 		listen: holder.listen,
 		isConfirmed: () => isConfirmed,
 		nearest() {
-			const heard = [...streams].filter(([, {isOpen, hasHeard, distance}]) => isOpen && hasHeard && distance !== undefined);
+			const heard = [...streams].filter(([, {isOpen, hasReceived: hasHeard, distance}]) => isOpen && hasHeard && distance !== undefined);
 			return heard.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
