--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -60,7 +60,7 @@
 	/** Undefined until it has reported its zone. */
 	readonly distance?: Distance;
 	readonly isOpen: boolean;
-	readonly hasHeard: boolean;
+	readonly hasReceived: boolean;
 	readonly lastContactAt: MonotonicTime;
 	/** When it last reported contact with the leader, or when its stream began. */
 	readonly freshAt: MonotonicTime;
@@ -97,7 +97,7 @@
 	}
 
 	const isServed = all.some(other => other.distance !== undefined && ranks[other.distance] < ranks[distance]
-		&& other.isOpen && other.hasHeard && now - other.lastContactAt <= contactTimeoutMilliseconds && now - other.freshAt <= leaderContactTimeoutMilliseconds);
+		&& other.isOpen && other.hasReceived && now - other.lastContactAt <= contactTimeoutMilliseconds && now - other.freshAt <= leaderContactTimeoutMilliseconds);
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -13,7 +13,7 @@
 
 function control(distance: Distance | undefined, fields: Partial<FollowedControl> = {}): FollowedControl {
 	return {
-		...(distance === undefined ? {} : {distance}), isOpen: true, hasHeard: true, lastContactAt: now - 100, freshAt: now - 100, ...fields,
+		...(distance === undefined ? {} : {distance}), isOpen: true, hasReceived: true, lastContactAt: now - 100, freshAt: now - 100, ...fields,
 	};
 }
 
