--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -101,7 +101,7 @@
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
+type Stream = {following?: Following; distance?: Distance; wanted: Wanted; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
@@ -123,7 +123,7 @@
 
 		stream.lastContactAt = monotonicNow();
 		stream.hasReceived = true;
-		stream.freshAt = message.fresh ? stream.lastContactAt : stream.freshAt;
+		stream.leaderContactAt = message.fresh ? stream.lastContactAt : stream.leaderContactAt;
 		stream.distance = distanceOf(zone, message.zone, regions);
 		stream.entries = message.entryCount;
 		shares = new Map(message.shares.map(({life, share}) => [incarnationText(life), share]));
@@ -157,7 +157,7 @@
 		stream.wanted = wanted;
 		stream.hasReceived = false;
 		stream.lastContactAt = monotonicNow();
-		stream.freshAt = stream.lastContactAt;
+		stream.leaderContactAt = stream.lastContactAt;
 		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: wanted === Wanted.changes}, {
 			onPart() {
 				stream.lastContactAt = monotonicNow();
@@ -174,7 +174,7 @@
 	function open(address: string): void {
 		if (!streams.has(address)) {
 			const stream: Stream = {
-				wanted: Wanted.presence, freshAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
+				wanted: Wanted.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
 			};
 			streams.set(address, stream);
 			start(address, stream, Wanted.presence);
