--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -63,7 +63,7 @@
 	readonly hasReceived: boolean;
 	readonly lastContactAt: MonotonicTime;
 	/** When it last reported contact with the leader, or when its stream began. */
-	readonly freshAt: MonotonicTime;
+	readonly leaderContactAt: MonotonicTime;
 };
 
 /** Reported overloads are valid for this long: a key is hot for seconds. */
@@ -97,7 +97,7 @@
 	}
 
 	const isServed = all.some(other => other.distance !== undefined && ranks[other.distance] < ranks[distance]
-		&& other.isOpen && other.hasReceived && now - other.lastContactAt <= contactTimeoutMilliseconds && now - other.freshAt <= leaderContactTimeoutMilliseconds);
+		&& other.isOpen && other.hasReceived && now - other.lastContactAt <= contactTimeoutMilliseconds && now - other.leaderContactAt <= leaderContactTimeoutMilliseconds);
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -13,7 +13,7 @@
 
 function control(distance: Distance | undefined, fields: Partial<FollowedControl> = {}): FollowedControl {
 	return {
-		...(distance === undefined ? {} : {distance}), isOpen: true, hasReceived: true, lastContactAt: now - 100, freshAt: now - 100, ...fields,
+		...(distance === undefined ? {} : {distance}), isOpen: true, hasReceived: true, lastContactAt: now - 100, leaderContactAt: now - 100, ...fields,
 	};
 }
 
@@ -41,16 +41,16 @@
 		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {lastContactAt: now - 2000})], wanted: Wanted.changes,
 	},
 	{
-		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {freshAt: now - 800})], wanted: Wanted.changes,
+		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 800})], wanted: Wanted.changes,
 	},
 	{
-		name: 'another region during a short election', control: far, others: [control(Distance.sameRegion, {freshAt: now - 600})], wanted: Wanted.nothing,
+		name: 'another region during a short election', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 600})], wanted: Wanted.nothing,
 	},
 	{
 		name: 'another region while the near one is not connected', control: far, others: [control(Distance.sameRegion, {isOpen: false})], wanted: Wanted.changes,
 	},
 	{
-		name: 'another region while one of two near ones is well', control: far, others: [control(Distance.sameZone, {freshAt: now - 800}), near], wanted: Wanted.nothing,
+		name: 'another region while one of two near ones is well', control: far, others: [control(Distance.sameZone, {leaderContactAt: now - 800}), near], wanted: Wanted.nothing,
 	},
 ];
 
