--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -101,7 +101,7 @@
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; wanted: Wanted; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
+type Stream = {following?: Following; distance?: Distance; mode: Wanted; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
@@ -117,7 +117,7 @@
 	let committed: LogIndex = 0;
 
 	function take(address: string, stream: Stream, message: FollowMessage): void {
-		if (!stream.hasReceived && stream.wanted === Wanted.changes) {
+		if (!stream.hasReceived && stream.mode === Wanted.changes) {
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
 
@@ -133,19 +133,19 @@
 		}
 
 		committed = Math.max(committed, message.committed);
-		isConfirmed ||= message.fresh && stream.wanted === Wanted.changes;
+		isConfirmed ||= message.fresh && stream.mode === Wanted.changes;
 		for (const member of message.members) {
 			open(member);
 		}
 
-		if (stream.wanted === Wanted.presence) {
+		if (stream.mode === Wanted.presence) {
 			check();
 		}
 	}
 
 	function end(address: string, stream: Stream, failed: Failure | undefined): void {
 		stream.isOpen = false;
-		if (stream.hasReceived && stream.wanted === Wanted.changes) {
+		if (stream.hasReceived && stream.mode === Wanted.changes) {
 			log.warning(EventName.controlLost, {
 				control: address, silentFor: Math.round(monotonicNow() - stream.lastContactAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
 			});
@@ -154,7 +154,7 @@
 
 	function start(address: string, stream: Stream, wanted: Wanted): void {
 		stream.isOpen = true;
-		stream.wanted = wanted;
+		stream.mode = wanted;
 		stream.hasReceived = false;
 		stream.lastContactAt = monotonicNow();
 		stream.leaderContactAt = stream.lastContactAt;
@@ -174,7 +174,7 @@
 	function open(address: string): void {
 		if (!streams.has(address)) {
 			const stream: Stream = {
-				wanted: Wanted.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
+				mode: Wanted.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
 			};
 			streams.set(address, stream);
 			start(address, stream, Wanted.presence);
@@ -193,7 +193,7 @@
 			}
 
 			const wanted = wantedOf(stream, all, now);
-			if (stream.isOpen && wanted !== stream.wanted) {
+			if (stream.isOpen && wanted !== stream.mode) {
 				stream.following?.stop();
 				if (wanted === Wanted.nothing) {
 					clients.reopen(address);
