--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -152,13 +152,13 @@
 		}
 	}
 
-	function start(address: string, stream: Stream, wanted: Wanted): void {
+	function start(address: string, stream: Stream, mode: Wanted): void {
 		stream.isOpen = true;
-		stream.mode = wanted;
+		stream.mode = mode;
 		stream.hasReceived = false;
 		stream.lastContactAt = monotonicNow();
 		stream.leaderContactAt = stream.lastContactAt;
-		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: wanted === Wanted.changes}, {
+		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: mode === Wanted.changes}, {
 			onPart() {
 				stream.lastContactAt = monotonicNow();
 			},
