--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -192,16 +192,16 @@
 				clients.reopen(address);
 			}
 
-			const wanted = wantedOf(stream, all, now);
-			if (stream.isOpen && wanted !== stream.mode) {
+			const mode = wantedOf(stream, all, now);
+			if (stream.isOpen && mode !== stream.mode) {
 				stream.following?.stop();
-				if (wanted === Wanted.nothing) {
+				if (mode === Wanted.nothing) {
 					clients.reopen(address);
 				}
 			}
 
-			if (!stream.isOpen && wanted !== Wanted.nothing) {
-				start(address, stream, wanted);
+			if (!stream.isOpen && mode !== Wanted.nothing) {
+				start(address, stream, mode);
 			}
 		}
 	}
