--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -91,7 +91,7 @@
  * an active stream and contact with the leader, since traffic between zones is
  * charged by volume, and each message costs each instance processor time.
  */
-export function wantedOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): Wanted {
+export function followModeOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): Wanted {
 	if (distance === undefined) {
 		return Wanted.presence;
 	}
@@ -192,7 +192,7 @@
 				clients.reopen(address);
 			}
 
-			const mode = wantedOf(stream, all, now);
+			const mode = followModeOf(stream, all, now);
 			if (stream.isOpen && mode !== stream.mode) {
 				stream.following?.stop();
 				if (mode === Wanted.nothing) {
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -6,7 +6,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {err} from 'true-myth/result';
 import {
-	followDirectory, type FollowedControl, Wanted, wantedOf,
+	followDirectory, type FollowedControl, Wanted, followModeOf,
 } from '@dogwooddeck/entry/directory-follower';
 
 const now = 10_000;
@@ -56,7 +56,7 @@
 
 for (const {name, control: asked, others, wanted} of cases) {
 	test(`following: ${name}: ${wanted}`, () => {
-		assert.equal(wantedOf(asked, [asked, ...others], now), wanted);
+		assert.equal(followModeOf(asked, [asked, ...others], now), wanted);
 	});
 }
 
