--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -76,7 +76,7 @@
 };
 
 /** What is requested from a control instance. */
-export const Wanted = {
+export const FollowMode = {
 	/** Its zone, members and contact with the leader, without changes of the directory. */
 	presence: 'presence',
 	changes: 'changes',
@@ -84,24 +84,24 @@
 } as const;
 
 /** One of the values of `Wanted`. */
-export type Wanted = (typeof Wanted)[keyof typeof Wanted];
+export type FollowMode = (typeof FollowMode)[keyof typeof FollowMode];
 
 /**
  * Returns what to request from a control instance: changes, unless a nearer one has
  * an active stream and contact with the leader, since traffic between zones is
  * charged by volume, and each message costs each instance processor time.
  */
-export function followModeOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): Wanted {
+export function followModeOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): FollowMode {
 	if (distance === undefined) {
-		return Wanted.presence;
+		return FollowMode.presence;
 	}
 
 	const isServed = all.some(other => other.distance !== undefined && ranks[other.distance] < ranks[distance]
 		&& other.isOpen && other.hasReceived && now - other.lastContactAt <= contactTimeoutMilliseconds && now - other.leaderContactAt <= leaderContactTimeoutMilliseconds);
-	return isServed ? Wanted.nothing : Wanted.changes;
+	return isServed ? FollowMode.nothing : FollowMode.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; mode: Wanted; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
+type Stream = {following?: Following; distance?: Distance; mode: FollowMode; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
@@ -117,7 +117,7 @@
 	let committed: LogIndex = 0;
 
 	function take(address: string, stream: Stream, message: FollowMessage): void {
-		if (!stream.hasReceived && stream.mode === Wanted.changes) {
+		if (!stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
 
@@ -133,32 +133,32 @@
 		}
 
 		committed = Math.max(committed, message.committed);
-		isConfirmed ||= message.fresh && stream.mode === Wanted.changes;
+		isConfirmed ||= message.fresh && stream.mode === FollowMode.changes;
 		for (const member of message.members) {
 			open(member);
 		}
 
-		if (stream.mode === Wanted.presence) {
+		if (stream.mode === FollowMode.presence) {
 			check();
 		}
 	}
 
 	function end(address: string, stream: Stream, failed: Failure | undefined): void {
 		stream.isOpen = false;
-		if (stream.hasReceived && stream.mode === Wanted.changes) {
+		if (stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.warning(EventName.controlLost, {
 				control: address, silentFor: Math.round(monotonicNow() - stream.lastContactAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
 			});
 		}
 	}
 
-	function start(address: string, stream: Stream, mode: Wanted): void {
+	function start(address: string, stream: Stream, mode: FollowMode): void {
 		stream.isOpen = true;
 		stream.mode = mode;
 		stream.hasReceived = false;
 		stream.lastContactAt = monotonicNow();
 		stream.leaderContactAt = stream.lastContactAt;
-		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: mode === Wanted.changes}, {
+		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: mode === FollowMode.changes}, {
 			onPart() {
 				stream.lastContactAt = monotonicNow();
 			},
@@ -174,10 +174,10 @@
 	function open(address: string): void {
 		if (!streams.has(address)) {
 			const stream: Stream = {
-				mode: Wanted.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
+				mode: FollowMode.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
 			};
 			streams.set(address, stream);
-			start(address, stream, Wanted.presence);
+			start(address, stream, FollowMode.presence);
 		}
 	}
 
@@ -195,12 +195,12 @@
 			const mode = followModeOf(stream, all, now);
 			if (stream.isOpen && mode !== stream.mode) {
 				stream.following?.stop();
-				if (mode === Wanted.nothing) {
+				if (mode === FollowMode.nothing) {
 					clients.reopen(address);
 				}
 			}
 
-			if (!stream.isOpen && mode !== Wanted.nothing) {
+			if (!stream.isOpen && mode !== FollowMode.nothing) {
 				start(address, stream, mode);
 			}
 		}
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -6,7 +6,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {err} from 'true-myth/result';
 import {
-	followDirectory, type FollowedControl, Wanted, followModeOf,
+	followDirectory, type FollowedControl, FollowMode, followModeOf,
 } from '@dogwooddeck/entry/directory-follower';
 
 const now = 10_000;
@@ -21,36 +21,36 @@
 const near = control(Distance.sameRegion);
 const far = control(Distance.otherRegion);
 
-const cases: ReadonlyArray<{readonly name: string; readonly control: FollowedControl; readonly others: readonly FollowedControl[]; readonly wanted: Wanted}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly control: FollowedControl; readonly others: readonly FollowedControl[]; readonly wanted: FollowMode}> = [
 	{
-		name: 'one of the own zone', control: own, others: [near, far], wanted: Wanted.changes,
+		name: 'one of the own zone', control: own, others: [near, far], wanted: FollowMode.changes,
 	},
 	{
-		name: 'one that has not reported its zone', control: control(undefined), others: [own], wanted: Wanted.presence,
+		name: 'one that has not reported its zone', control: control(undefined), others: [own], wanted: FollowMode.presence,
 	},
 	{
-		name: 'one of the region beside one of the own zone', control: near, others: [own], wanted: Wanted.nothing,
+		name: 'one of the region beside one of the own zone', control: near, others: [own], wanted: FollowMode.nothing,
 	},
 	{
-		name: 'one of the region where the own zone has none', control: near, others: [far], wanted: Wanted.changes,
+		name: 'one of the region where the own zone has none', control: near, others: [far], wanted: FollowMode.changes,
 	},
 	{
-		name: 'another region beside a near one', control: far, others: [near], wanted: Wanted.nothing,
+		name: 'another region beside a near one', control: far, others: [near], wanted: FollowMode.nothing,
 	},
 	{
-		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {lastContactAt: now - 2000})], wanted: Wanted.changes,
+		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {lastContactAt: now - 2000})], wanted: FollowMode.changes,
 	},
 	{
-		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 800})], wanted: Wanted.changes,
+		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 800})], wanted: FollowMode.changes,
 	},
 	{
-		name: 'another region during a short election', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 600})], wanted: Wanted.nothing,
+		name: 'another region during a short election', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 600})], wanted: FollowMode.nothing,
 	},
 	{
-		name: 'another region while the near one is not connected', control: far, others: [control(Distance.sameRegion, {isOpen: false})], wanted: Wanted.changes,
+		name: 'another region while the near one is not connected', control: far, others: [control(Distance.sameRegion, {isOpen: false})], wanted: FollowMode.changes,
 	},
 	{
-		name: 'another region while one of two near ones is well', control: far, others: [control(Distance.sameZone, {leaderContactAt: now - 800}), near], wanted: Wanted.nothing,
+		name: 'another region while one of two near ones is well', control: far, others: [control(Distance.sameZone, {leaderContactAt: now - 800}), near], wanted: FollowMode.nothing,
 	},
 ];
 
