--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -56,7 +56,7 @@
 const leaderContactTimeoutMilliseconds: Milliseconds = 700;
 
 /** The state of the stream from one control instance. */
-export type FollowedControl = {
+export type ControlStreamState = {
 	/** Undefined until it has reported its zone. */
 	readonly distance?: Distance;
 	readonly isOpen: boolean;
@@ -91,7 +91,7 @@
  * an active stream and contact with the leader, since traffic between zones is
  * charged by volume, and each message costs each instance processor time.
  */
-export function followModeOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): FollowMode {
+export function followModeOf({distance}: ControlStreamState, all: readonly ControlStreamState[], now: MonotonicTime): FollowMode {
 	if (distance === undefined) {
 		return FollowMode.presence;
 	}
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -6,12 +6,12 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {err} from 'true-myth/result';
 import {
-	followDirectory, type FollowedControl, FollowMode, followModeOf,
+	followDirectory, type ControlStreamState, FollowMode, followModeOf,
 } from '@dogwooddeck/entry/directory-follower';
 
 const now = 10_000;
 
-function control(distance: Distance | undefined, fields: Partial<FollowedControl> = {}): FollowedControl {
+function control(distance: Distance | undefined, fields: Partial<ControlStreamState> = {}): ControlStreamState {
 	return {
 		...(distance === undefined ? {} : {distance}), isOpen: true, hasReceived: true, lastContactAt: now - 100, leaderContactAt: now - 100, ...fields,
 	};
@@ -21,7 +21,7 @@
 const near = control(Distance.sameRegion);
 const far = control(Distance.otherRegion);
 
-const cases: ReadonlyArray<{readonly name: string; readonly control: FollowedControl; readonly others: readonly FollowedControl[]; readonly wanted: FollowMode}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly control: ControlStreamState; readonly others: readonly ControlStreamState[]; readonly wanted: FollowMode}> = [
 	{
 		name: 'one of the own zone', control: own, others: [near, far], wanted: FollowMode.changes,
 	},
