--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -101,14 +101,14 @@
 	return isServed ? FollowMode.nothing : FollowMode.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; mode: FollowMode; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
+type ControlStream = {following?: Following; distance?: Distance; mode: FollowMode; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
 	name, zone, regions, seeds, clients, log,
 }: FollowerDependencies): DirectoryFollower {
 	const holder = createStateHolder(directoryMachine);
-	const streams = new Map<string, Stream>();
+	const streams = new Map<string, ControlStream>();
 	const lag = new LagWatch(log);
 	let isConfirmed = false;
 	let shares: ReadonlyMap<string, number> = new Map();
@@ -116,7 +116,7 @@
 	/** The highest log index that any control instance reported as committed. */
 	let committed: LogIndex = 0;
 
-	function take(address: string, stream: Stream, message: FollowMessage): void {
+	function take(address: string, stream: ControlStream, message: FollowMessage): void {
 		if (!stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
@@ -143,7 +143,7 @@
 		}
 	}
 
-	function end(address: string, stream: Stream, failed: Failure | undefined): void {
+	function end(address: string, stream: ControlStream, failed: Failure | undefined): void {
 		stream.isOpen = false;
 		if (stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.warning(EventName.controlLost, {
@@ -152,7 +152,7 @@
 		}
 	}
 
-	function start(address: string, stream: Stream, mode: FollowMode): void {
+	function start(address: string, stream: ControlStream, mode: FollowMode): void {
 		stream.isOpen = true;
 		stream.mode = mode;
 		stream.hasReceived = false;
@@ -173,7 +173,7 @@
 
 	function open(address: string): void {
 		if (!streams.has(address)) {
-			const stream: Stream = {
+			const stream: ControlStream = {
 				mode: FollowMode.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
 			};
 			streams.set(address, stream);
