--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -116,7 +116,7 @@
 	/** The highest log index that any control instance reported as committed. */
 	let committed: LogIndex = 0;
 
-	function take(address: string, stream: ControlStream, message: FollowMessage): void {
+	function receive(address: string, stream: ControlStream, message: FollowMessage): void {
 		if (!stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
@@ -163,7 +163,7 @@
 				stream.lastContactAt = monotonicNow();
 			},
 			onMessage(message) {
-				take(address, stream, message);
+				receive(address, stream, message);
 			},
 			onEnd(failed) {
 				end(address, stream, failed);
