--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -29,7 +29,7 @@
 	/** Returns the number of entry instances of the deployment, as last reported; at least 1. */
 	readonly entryCount: () => number;
 	/** Returns the fraction of the requests for its keys that an overloaded upstream can process; 1 for other upstreams. */
-	readonly shareOf: (life: UpstreamIncarnation) => number;
+	readonly shareOf: (upstream: UpstreamIncarnation) => number;
 	/** Follows further control instances. */
 	readonly followAlso: (addresses: readonly string[]) => void;
 	readonly stop: () => void;
