--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -220,7 +220,7 @@
 			return heard.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
-		shareOf: life => monotonicNow() - sharesAt <= sharesLifetimeMilliseconds ? shares.get(incarnationText(life)) ?? 1 : 1,
+		shareOf: upstream => monotonicNow() - sharesAt <= sharesLifetimeMilliseconds ? shares.get(incarnationText(upstream)) ?? 1 : 1,
 		followAlso(addresses) {
 			for (const address of addresses) {
 				open(address);
