--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -186,8 +186,8 @@
 		const all = [...streams.values()];
 		lag.note(holder.state().applied, committed, now);
 		for (const [address, stream] of streams) {
-			const isSilent = now - stream.lastContactAt > (stream.hasReceived ? contactTimeoutMilliseconds : connectMilliseconds);
-			if (stream.isOpen && isSilent) {
+			const isTimedOut = now - stream.lastContactAt > (stream.hasReceived ? contactTimeoutMilliseconds : connectMilliseconds);
+			if (stream.isOpen && isTimedOut) {
 				stream.following?.stop();
 				clients.reopen(address);
 			}
