--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -216,8 +216,8 @@
 		listen: holder.listen,
 		isConfirmed: () => isConfirmed,
 		nearest() {
-			const heard = [...streams].filter(([, {isOpen, hasReceived: hasHeard, distance}]) => isOpen && hasHeard && distance !== undefined);
-			return heard.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
+			const active = [...streams].filter(([, {isOpen, hasReceived: hasHeard, distance}]) => isOpen && hasHeard && distance !== undefined);
+			return active.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
 		shareOf: upstream => monotonicNow() - sharesAt <= sharesLifetimeMilliseconds ? shares.get(incarnationText(upstream)) ?? 1 : 1,
