--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -206,7 +206,7 @@
 		}
 	}
 
-	const checking = setInterval(check, checkMilliseconds);
+	const checkTimer = setInterval(check, checkMilliseconds);
 	for (const seed of seeds) {
 		open(seed);
 	}
@@ -227,7 +227,7 @@
 			}
 		},
 		stop() {
-			clearInterval(checking);
+			clearInterval(checkTimer);
 			for (const stream of streams.values()) {
 				stream.following?.stop();
 			}
