--- a/packages/entry/src/refusals.ts
+++ b/packages/entry/src/refusals.ts
@@ -53,6 +53,6 @@
  */
 export function refusalStatus(refusal: Refusal, mayHaveRun: boolean): number {
 	const status = statusOfRefusal[refusal];
-	const doubtful = refusal === Refusal.timeout ? gatewayTimeout : statusOfRefusal[Refusal.unknownOutcome];
-	return mayHaveRun && status >= firstServerFailure ? doubtful : status;
+	const uncertainStatus = refusal === Refusal.timeout ? gatewayTimeout : statusOfRefusal[Refusal.unknownOutcome];
+	return mayHaveRun && status >= firstServerFailure ? uncertainStatus : status;
 }
