--- a/packages/entry/src/refusals.ts
+++ b/packages/entry/src/refusals.ts
@@ -7,7 +7,7 @@
 	noRoute: 'no-route',
 	badKey: 'bad-key',
 	bodyTooLarge: 'body-too-large',
-	lineFull: 'line-full',
+	queueFull: 'line-full',
 	/** The requests that wait already would delay it beyond its time. */
 	noTimeToWait: 'no-time-to-wait',
 	waitedTooLong: 'waited-too-long',
@@ -30,7 +30,7 @@
 	[Refusal.noRoute]: 404,
 	[Refusal.badKey]: 400,
 	[Refusal.bodyTooLarge]: 413,
-	[Refusal.lineFull]: 503,
+	[Refusal.queueFull]: 503,
 	[Refusal.noTimeToWait]: 503,
 	[Refusal.waitedTooLong]: 503,
 	[Refusal.holderOverloaded]: 503,
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -202,7 +202,7 @@
 		const {queue: line} = this.#service!;
 		const waiting = this.#estimateWait(now);
 		if (waiting.until <= now || line.length >= maximumQueueLength) {
-			this.#refuse(line.length >= maximumQueueLength ? Refusal.lineFull : Refusal.waitedTooLong);
+			this.#refuse(line.length >= maximumQueueLength ? Refusal.queueFull : Refusal.waitedTooLong);
 			return;
 		}
 
