--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -112,7 +112,7 @@
 		return hasRoutes() && follower.isConfirmed() && !isStopping;
 	}
 
-	function tellReadiness(): void {
+	function reportReadiness(): void {
 		const ready = isReady();
 		if (ready !== wasReady) {
 			wasReady = ready;
@@ -125,7 +125,7 @@
 		table.update(state, follower.entryCount());
 		callers.setLimits(dependencies.limits());
 		measures.set(MeasureName.applied, state.applied);
-		tellReadiness();
+		reportReadiness();
 		advanceAll();
 	});
 	// Needed beside events: backoffs of upstreams end, and waiting requests time out.
@@ -144,7 +144,7 @@
 		async stop() {
 			endsAt = monotonicNow() + settings.graceMilliseconds - stopMarginMilliseconds;
 			isStopping = true;
-			tellReadiness();
+			reportReadiness();
 			await pause(drainMilliseconds);
 			callers.stopListening();
 			while (callers.connections() > 0 && monotonicNow() < endsAt) {
