--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -129,7 +129,7 @@
 		advanceAll();
 	});
 	// Needed beside events: backoffs of upstreams end, and waiting requests time out.
-	const advancing = setInterval(() => {
+	const advanceTimer = setInterval(() => {
 		loopDelayGuard.recordTurn();
 		advanceAll();
 	}, turnIntervalMilliseconds);
@@ -152,7 +152,7 @@
 				await pause(closeIdleMilliseconds);
 			}
 
-			clearInterval(advancing);
+			clearInterval(advanceTimer);
 			clearInterval(closingEndless);
 			load.stop();
 			follower.stop();
