--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -134,7 +134,7 @@
 		advanceAll();
 	}, turnIntervalMilliseconds);
 	const load = startLoadWatch(log, measures);
-	const closingEndless = setInterval(() => {
+	const closeEndlessTimer = setInterval(() => {
 		table.closeEndless();
 	}, closeEndlessMilliseconds);
 	const readiness = startReadiness(settings, isReady);
@@ -153,7 +153,7 @@
 			}
 
 			clearInterval(advanceTimer);
-			clearInterval(closingEndless);
+			clearInterval(closeEndlessTimer);
 			load.stop();
 			follower.stop();
 			reporter.stop();
