--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -6,17 +6,17 @@
 import {type Socket} from 'node:net';
 import {type RawHeaders} from '@dogwooddeck/upstream-client/headers';
 
-const exchangesOfSocket = new WeakMap<Socket, Set<() => void>>();
+const watchersOfSocket = new WeakMap<Socket, Set<() => void>>();
 
 /**
  * Calls `gone` when a connection closes, until the returned function is called. A
  * half-close by the caller counts: the server then ends the connection, and no answer can be sent any more.
  */
 function watchSocket(socket: Socket, gone: () => void): () => void {
-	let watchers = exchangesOfSocket.get(socket);
+	let watchers = watchersOfSocket.get(socket);
 	if (watchers === undefined) {
 		const made = new Set<() => void>();
-		exchangesOfSocket.set(socket, made);
+		watchersOfSocket.set(socket, made);
 		for (const event of ['end', 'close']) {
 			socket.once(event, () => {
 				for (const watcher of made) {
