--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -12,7 +12,7 @@
  * Calls `gone` when a connection closes, until the returned function is called. A
  * half-close by the caller counts: the server then ends the connection, and no answer can be sent any more.
  */
-function watchSocket(socket: Socket, gone: () => void): () => void {
+function watchSocket(socket: Socket, onClosed: () => void): () => void {
 	let watchers = watchersOfSocket.get(socket);
 	if (watchers === undefined) {
 		const made = new Set<() => void>();
@@ -28,10 +28,10 @@
 		watchers = made;
 	}
 
-	watchers.add(gone);
+	watchers.add(onClosed);
 	const known = watchers;
 	return () => {
-		known.delete(gone);
+		known.delete(onClosed);
 	};
 }
 
