--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -15,17 +15,17 @@
 function watchSocket(socket: Socket, onClosed: () => void): () => void {
 	let watchers = watchersOfSocket.get(socket);
 	if (watchers === undefined) {
-		const made = new Set<() => void>();
-		watchersOfSocket.set(socket, made);
+		const created = new Set<() => void>();
+		watchersOfSocket.set(socket, created);
 		for (const event of ['end', 'close']) {
 			socket.once(event, () => {
-				for (const watcher of made) {
+				for (const watcher of created) {
 					watcher();
 				}
 			});
 		}
 
-		watchers = made;
+		watchers = created;
 	}
 
 	watchers.add(onClosed);
