--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -29,9 +29,9 @@
 	}
 
 	watchers.add(onClosed);
-	const known = watchers;
+	const current = watchers;
 	return () => {
-		known.delete(onClosed);
+		current.delete(onClosed);
 	};
 }
 
