--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -36,7 +36,7 @@
 }
 
 /** Why a body was rejected. */
-export const BodyProblem = {tooLarge: 'too-large', cut: 'cut'} as const;
+export const BodyProblem = {tooLarge: 'too-large', truncated: 'cut'} as const;
 
 /** One of the values of `BodyProblem`. */
 export type BodyProblem = (typeof BodyProblem)[keyof typeof BodyProblem];
@@ -110,7 +110,7 @@
 			finish(Buffer.concat(chunks));
 		});
 		this.request.on('error', () => {
-			finish(undefined, BodyProblem.cut);
+			finish(undefined, BodyProblem.truncated);
 		});
 	}
 
