--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -66,7 +66,7 @@
 	}
 
 	/** Whether the caller has disconnected. */
-	get isGone(): boolean {
+	get hasDisconnected(): boolean {
 		return this.#isGone;
 	}
 
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -187,7 +187,7 @@
 	/** Sends the request if there is room, or queues it, or refuses it. */
 	#dispatch(): void {
 		this.#dependencies.afterPendingReads(() => {
-			if (!this.#exchange.isGone) {
+			if (!this.#exchange.hasDisconnected) {
 				this.#dispatchNow();
 			}
 		});
@@ -195,7 +195,7 @@
 
 	#dispatchNow(): void {
 		const now = monotonicNow();
-		if (this.#tryToSend(now) || this.#exchange.isGone) {
+		if (this.#tryToSend(now) || this.#exchange.hasDisconnected) {
 			return;
 		}
 
@@ -217,7 +217,7 @@
 			key: waiting.key,
 			upstream: waiting.holder?.id,
 			until: waiting.until,
-			tryToStart: at => this.#exchange.isGone || this.#tryToSend(at),
+			tryToStart: at => this.#exchange.hasDisconnected || this.#tryToSend(at),
 			giveUp: () => {
 				this.#refuse(Refusal.waitedTooLong);
 			},
@@ -292,7 +292,7 @@
 				},
 				isForeign: (status, head, isFirst) => isForeign(fields, this.identifier, {status, head, isFirst}),
 			},
-			mayStart: () => !this.#exchange.isGone && table.isCurrent(upstream),
+			mayStart: () => !this.#exchange.hasDisconnected && table.isCurrent(upstream),
 			streamedAnswer: {
 				begin: (status, answerHeaders) => {
 					this.#exchange.begin(status, answerHeaders);
@@ -340,7 +340,7 @@
 	}
 
 	#conclude(upstream: CachedUpstream, result: AttemptResult, now: MonotonicTime): void {
-		if (this.#exchange.isGone) {
+		if (this.#exchange.hasDisconnected) {
 			return;
 		}
 
