--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -48,7 +48,7 @@
 	readonly #response: ServerResponse;
 	readonly #unwatch: () => void;
 	readonly #keepsConnection: boolean;
-	#isGone = false;
+	#hasDisconnected = false;
 	#isAnswered = false;
 	#whenGone: (() => void) | undefined;
 
@@ -57,17 +57,17 @@
 		this.#keepsConnection = keepsConnection;
 		this.#response = response;
 		this.#unwatch = watchSocket(request.socket, () => {
-			this.#isGone = true;
+			this.#hasDisconnected = true;
 			this.#whenGone?.();
 		});
 		response.on('error', () => {
-			this.#isGone = true;
+			this.#hasDisconnected = true;
 		});
 	}
 
 	/** Whether the caller has disconnected. */
 	get hasDisconnected(): boolean {
-		return this.#isGone;
+		return this.#hasDisconnected;
 	}
 
 	/** Whether an answer has been started. */
@@ -136,7 +136,7 @@
 
 	/** Writes a part of a streamed body. Returns false if the next part should wait for `onDrain`. */
 	write(chunk: Uint8Array): boolean {
-		return this.#isGone || this.#response.write(chunk);
+		return this.#hasDisconnected || this.#response.write(chunk);
 	}
 
 	/** Calls back once the connection's write buffer is empty. */
@@ -156,7 +156,7 @@
 	}
 
 	#begin(): boolean {
-		if (this.#isAnswered || this.#isGone) {
+		if (this.#isAnswered || this.#hasDisconnected) {
 			return false;
 		}
 
