--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -50,7 +50,7 @@
 	readonly #keepsConnection: boolean;
 	#hasDisconnected = false;
 	#isAnswered = false;
-	#whenGone: (() => void) | undefined;
+	#disconnectListener: (() => void) | undefined;
 
 	/** `keepsConnection`: whether the connection may carry further requests. */
 	constructor(readonly request: IncomingMessage, response: ServerResponse, keepsConnection: boolean) {
@@ -58,7 +58,7 @@
 		this.#response = response;
 		this.#unwatch = watchSocket(request.socket, () => {
 			this.#hasDisconnected = true;
-			this.#whenGone?.();
+			this.#disconnectListener?.();
 		});
 		response.on('error', () => {
 			this.#hasDisconnected = true;
@@ -77,7 +77,7 @@
 
 	/** Sets the callback for when the caller disconnects before the end of its answer. */
 	onGone(callback: () => void): void {
-		this.#whenGone = callback;
+		this.#disconnectListener = callback;
 	}
 
 	/** Reads the whole body, of at most `mostBytes`. Calls back without a body if the request has none or on a problem. */
