--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -76,7 +76,7 @@
 	}
 
 	/** Sets the callback for when the caller disconnects before the end of its answer. */
-	onGone(callback: () => void): void {
+	onDisconnect(callback: () => void): void {
 		this.#disconnectListener = callback;
 	}
 
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -140,7 +140,7 @@
 			return;
 		}
 
-		this.#exchange.onGone(() => {
+		this.#exchange.onDisconnect(() => {
 			this.#cancel();
 		});
 		this.#exchange.readBody(limits()?.bodyBytes ?? maximumBodyBytes, (body, problem) => {
