--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -116,7 +116,7 @@
 
 	/** Sends an answer with its whole body. */
 	answer(status: number, headers: RawHeaders, body: Buffer): void {
-		if (!this.#begin()) {
+		if (!this.#startAnswer()) {
 			return;
 		}
 
@@ -129,7 +129,7 @@
 
 	/** Starts a streamed answer, whose body follows by `write`. */
 	begin(status: number, headers: RawHeaders): void {
-		if (this.#begin()) {
+		if (this.#startAnswer()) {
 			this.#response.writeHead(status, [...headers]);
 		}
 	}
@@ -155,7 +155,7 @@
 		this.request.socket.destroy();
 	}
 
-	#begin(): boolean {
+	#startAnswer(): boolean {
 		if (this.#isAnswered || this.#hasDisconnected) {
 			return false;
 		}
