--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -128,7 +128,7 @@
 	}
 
 	/** Starts a streamed answer, whose body follows by `write`. */
-	begin(status: number, headers: RawHeaders): void {
+	startStream(status: number, headers: RawHeaders): void {
 		if (this.#startAnswer()) {
 			this.#response.writeHead(status, [...headers]);
 		}
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -295,7 +295,7 @@
 			mayStart: () => !this.#exchange.hasDisconnected && table.isCurrent(upstream),
 			streamedAnswer: {
 				begin: (status, answerHeaders) => {
-					this.#exchange.begin(status, answerHeaders);
+					this.#exchange.startStream(status, answerHeaders);
 				},
 				write: chunk => this.#forwardChunk(chunk),
 			},
