--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -81,7 +81,7 @@
 	}
 
 	/** Reads the whole body, of at most `mostBytes`. Calls back without a body if the request has none or on a problem. */
-	readBody(mostBytes: number, done: (body: Buffer | undefined, problem?: BodyProblem) => void): void {
+	readBody(maximumBytes: number, done: (body: Buffer | undefined, problem?: BodyProblem) => void): void {
 		const {headers} = this.request;
 		if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) {
 			done(undefined);
@@ -100,7 +100,7 @@
 
 		this.request.on('data', (chunk: Buffer) => {
 			bytes += chunk.length;
-			if (bytes > mostBytes) {
+			if (bytes > maximumBytes) {
 				finish(undefined, BodyProblem.tooLarge);
 			} else {
 				chunks.push(chunk);
