--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -41,7 +41,7 @@
 /** One of the values of `BodyProblem`. */
 export type BodyProblem = (typeof BodyProblem)[keyof typeof BodyProblem];
 
-const bodyless = new Set([204, 304]);
+const statusesWithoutBody = new Set([204, 304]);
 
 /** A caller's request, and the operations that answer it. */
 export class CallerExchange {
@@ -121,7 +121,7 @@
 		}
 
 		const hasLength = headers.some((field, position) => position % 2 === 0 && field.toLowerCase() === 'content-length');
-		const length = hasLength || bodyless.has(status) || this.request.method === 'HEAD' ? [] : ['Content-Length', String(body.length)];
+		const length = hasLength || statusesWithoutBody.has(status) || this.request.method === 'HEAD' ? [] : ['Content-Length', String(body.length)];
 		this.#response.writeHead(status, [...headers, ...length]);
 		this.#response.end(body);
 		this.#unwatch();
