--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -21,7 +21,7 @@
 };
 
 /** Handles a request. */
-export type TakeRequest = (exchange: CallerExchange, path: string) => void;
+export type RequestListener = (exchange: CallerExchange, path: string) => void;
 
 /** The largest request head before limits are declared, in bytes. */
 const headerBytes = 16_384;
@@ -42,7 +42,7 @@
 };
 
 /** Starts the server. `keepsConnections` returns whether a connection may carry another request after the current one. */
-export async function startCallerServer({host, port}: ListenAddress, take: TakeRequest, keepsConnections: () => boolean): Promise<CallerServer> {
+export async function startCallerServer({host, port}: ListenAddress, take: RequestListener, keepsConnections: () => boolean): Promise<CallerServer> {
 	const application = fastify({
 		logger: false,
 		http: {maxHeaderSize: Math.max(headerBytes, mostHeaderBytes)},
