--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -42,7 +42,7 @@
 };
 
 /** Starts the server. `keepsConnections` returns whether a connection may carry another request after the current one. */
-export async function startCallerServer({host, port}: ListenAddress, take: RequestListener, keepsConnections: () => boolean): Promise<CallerServer> {
+export async function startCallerServer({host, port}: ListenAddress, onRequest: RequestListener, keepsConnections: () => boolean): Promise<CallerServer> {
 	const application = fastify({
 		logger: false,
 		http: {maxHeaderSize: Math.max(headerBytes, mostHeaderBytes)},
@@ -59,7 +59,7 @@
 	application.all('/', (request, reply) => {
 		reply.hijack();
 		const exchange = new CallerExchange(request.raw, reply.raw, keepsConnections());
-		take(exchange, request.originalUrl);
+		onRequest(exchange, request.originalUrl);
 	});
 	const {server}: {readonly server: Server} = application;
 	const sockets = new Set<Socket>();
