--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -27,7 +27,7 @@
 const headerBytes = 16_384;
 
 /** The largest request head that a declared limit can allow, in bytes: the parser's limit is fixed when the server starts. */
-const mostHeaderBytes = 65_536;
+const maximumHeaderBytes = 65_536;
 
 const defaultIdleMilliseconds = 15_000;
 const defaultHeaderMilliseconds = 3000;
@@ -45,7 +45,7 @@
 export async function startCallerServer({host, port}: ListenAddress, onRequest: RequestListener, keepsConnections: () => boolean): Promise<CallerServer> {
 	const application = fastify({
 		logger: false,
-		http: {maxHeaderSize: Math.max(headerBytes, mostHeaderBytes)},
+		http: {maxHeaderSize: Math.max(headerBytes, maximumHeaderBytes)},
 		keepAliveTimeout: defaultIdleMilliseconds + idleMarginMilliseconds,
 		requestTimeout: 0,
 		exposeHeadRoutes: false,
