--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -29,7 +29,7 @@
 /** The largest request head that a declared limit can allow, in bytes: the parser's limit is fixed when the server starts. */
 const maximumHeaderBytes = 65_536;
 
-const defaultIdleMilliseconds = 15_000;
+const defaultIdleTimeoutMilliseconds = 15_000;
 const defaultHeaderMilliseconds = 3000;
 
 /** Added to the declared idle timeout, for requests that are still on the network when it ends. */
@@ -46,7 +46,7 @@
 	const application = fastify({
 		logger: false,
 		http: {maxHeaderSize: Math.max(headerBytes, maximumHeaderBytes)},
-		keepAliveTimeout: defaultIdleMilliseconds + idleMarginMilliseconds,
+		keepAliveTimeout: defaultIdleTimeoutMilliseconds + idleMarginMilliseconds,
 		requestTimeout: 0,
 		exposeHeadRoutes: false,
 		schemaController: {compilersFactory: noSchemas},
@@ -74,7 +74,7 @@
 	await application.listen({host, port});
 	return {
 		setLimits(limits) {
-			server.keepAliveTimeout = (limits?.idleTimeoutMilliseconds ?? defaultIdleMilliseconds) + idleMarginMilliseconds;
+			server.keepAliveTimeout = (limits?.idleTimeoutMilliseconds ?? defaultIdleTimeoutMilliseconds) + idleMarginMilliseconds;
 			server.headersTimeout = limits?.headerTimeoutMilliseconds ?? defaultHeaderMilliseconds;
 		},
 		connections: () => sockets.size,
