--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -30,7 +30,7 @@
 const maximumHeaderBytes = 65_536;
 
 const defaultIdleTimeoutMilliseconds = 15_000;
-const defaultHeaderMilliseconds = 3000;
+const defaultHeaderTimeoutMilliseconds = 3000;
 
 /** Added to the declared idle timeout, for requests that are still on the network when it ends. */
 const idleMarginMilliseconds = 1000;
@@ -63,7 +63,7 @@
 	});
 	const {server}: {readonly server: Server} = application;
 	const sockets = new Set<Socket>();
-	server.headersTimeout = defaultHeaderMilliseconds;
+	server.headersTimeout = defaultHeaderTimeoutMilliseconds;
 	server.on('connection', socket => {
 		sockets.add(socket);
 		socket.setNoDelay(true);
@@ -75,7 +75,7 @@
 	return {
 		setLimits(limits) {
 			server.keepAliveTimeout = (limits?.idleTimeoutMilliseconds ?? defaultIdleTimeoutMilliseconds) + idleMarginMilliseconds;
-			server.headersTimeout = limits?.headerTimeoutMilliseconds ?? defaultHeaderMilliseconds;
+			server.headersTimeout = limits?.headerTimeoutMilliseconds ?? defaultHeaderTimeoutMilliseconds;
 		},
 		connections: () => sockets.size,
 		stopListening() {
