--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -121,7 +121,7 @@
 			? {status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks)}
 			: undefined;
 		this.#specification.onEnd({
-			observation: observation,
+			observation,
 			milliseconds: monotonicNow() - this.#startedAt,
 			...(answer === undefined ? {} : {answer}),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
--- a/packages/entry/src/request-journal.ts
+++ b/packages/entry/src/request-journal.ts
@@ -83,7 +83,7 @@
 	droppedReportTimer.unref();
 
 	return {
-		answered({request: request, upstream, service, route, status, attempts}) {
+		answered({request, upstream, service, route, status, attempts}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.requests, {service, outcome: `answered-${Math.floor(status / 100)}xx`}).value += 1;
 			recordDuration(measures.histogram(MeasureName.latency, {service}), now - request.arrivedAt);
@@ -104,7 +104,7 @@
 			}
 		},
 		refused({
-			request: request, refusal, status, service, route, key, attempts, waiting, lineWait, paceWait,
+			request, refusal, status, service, route, key, attempts, waiting, lineWait, paceWait,
 		}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.requests, {service: service ?? 'none', outcome: refusal}).value += 1;
@@ -125,7 +125,7 @@
 				});
 			}
 		},
-		attemptFailed({request: request, upstream, observation: observation, status, milliseconds, left}) {
+		attemptFailed({request, upstream, observation, status, milliseconds, left}) {
 			const now = monotonicNow();
 			measures.counter(MeasureName.attempts, {service: upstream.record.service, seen: observation}).value += 1;
 			if (failures.take(now)) {
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -368,7 +368,7 @@
 		});
 	}
 
-	#retryOrRefuse({observation: observation}: AttemptResult, now: MonotonicTime): void {
+	#retryOrRefuse({observation}: AttemptResult, now: MonotonicTime): void {
 		const route = this.#route!;
 		if (observation === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
 			this.#refuse(Refusal.timeout);
