--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -90,7 +90,7 @@
 export type Entry = {readonly port: number; readonly callers: CallerServer; readonly table: ServiceTable; readonly advancing: NodeJS.Timeout};
 
 /** Starts an entry; `isKnown`: whether it has a directory. `told` replaces dependencies of its requests. */
-export async function startEntry(upstreams: readonly Upstream[], isKnown: boolean, overrides: Partial<RequestDependencies> = {}): Promise<Entry> {
+export async function startEntry(upstreams: readonly Upstream[], hasDirectory: boolean, overrides: Partial<RequestDependencies> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
 	const loopDelayGuard = new LoopDelayGuard();
 	const advance = ({queue: line}: CachedService) => {
@@ -119,7 +119,7 @@
 		random: () => 0,
 		...overrides,
 	};
-	if (isKnown) {
+	if (hasDirectory) {
 		table.update(directoryOf(upstreams), 1);
 		for (const service of table.services()) {
 			service.budget = {...service.budget, balance: 10};
