--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -181,9 +181,9 @@
 };
 
 /** Runs a test with an entry and one upstream for each behaviour. */
-export async function withEntry(behaviours: readonly Behaviour[], isKnown: boolean, use: (entry: Entry, upstreams: readonly Upstream[]) => Promise<void>, overrides: Partial<RequestDependencies> = {}): Promise<void> {
+export async function withEntry(behaviours: readonly Behaviour[], hasDirectory: boolean, use: (entry: Entry, upstreams: readonly Upstream[]) => Promise<void>, overrides: Partial<RequestDependencies> = {}): Promise<void> {
 	const upstreams = await Promise.all(behaviours.map(async behaviour => startUpstream(behaviour)));
-	const entry = await startEntry(upstreams, isKnown, overrides);
+	const entry = await startEntry(upstreams, hasDirectory, overrides);
 	try {
 		await use(entry, upstreams);
 	} finally {
