--- a/packages/entry/test/scene.ts
+++ b/packages/entry/test/scene.ts
@@ -17,7 +17,7 @@
 /** A request that an upstream received. */
 export type Request = {readonly head: string; readonly body: string; readonly identifier: string};
 /** How an upstream handles a request; `seen` is the number of requests that it has received. */
-export type Behaviour = (socket: Socket, request: Request, seen: number) => void;
+export type Behaviour = (socket: Socket, request: Request, received: number) => void;
 
 const fields = {
 	requestIdentifier: 'request', deadline: 'deadline', expectedUpstream: 'expected', stamp: 'stamp', notRun: 'not-run', key: 'key',
