--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -51,7 +51,7 @@
 	}
 };
 
-type Case = {readonly name: string; readonly upstreams: readonly Behaviour[]; readonly isKnown?: boolean; readonly text: string; readonly status: number; readonly sent: number; readonly says?: RegExp};
+type Case = {readonly name: string; readonly upstreams: readonly Behaviour[]; readonly hasDirectory?: boolean; readonly text: string; readonly status: number; readonly sent: number; readonly says?: RegExp};
 
 const cases: readonly Case[] = [
 	{
@@ -63,7 +63,7 @@
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 1, says: /booking$/v,
 	},
 	{
-		name: 'before the directory is received the answer is 503', upstreams: [], isKnown: false, text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
+		name: 'before the directory is received the answer is 503', upstreams: [], hasDirectory: false, text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
 	},
 	{
 		name: 'no route', upstreams: [], text: requestText('/other/x', 'a'), status: 404, sent: 0,
@@ -107,7 +107,7 @@
 	},
 ];
 
-for (const {name, upstreams: behaviours, isKnown = true, text, status, sent, says = /./v} of cases) {
+for (const {name, upstreams: behaviours, hasDirectory: isKnown = true, text, status, sent, says = /./v} of cases) {
 	test(`requests: ${name}`, async () => {
 		await withEntry(behaviours, isKnown, async ({port}, upstreams) => {
 			const received = await call(port, text, hasHead);
