--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -107,9 +107,9 @@
 	},
 ];
 
-for (const {name, upstreams: behaviours, hasDirectory: isKnown = true, text, status, sent, says = /./v} of cases) {
+for (const {name, upstreams: behaviours, hasDirectory: hasDirectory = true, text, status, sent, says = /./v} of cases) {
 	test(`requests: ${name}`, async () => {
-		await withEntry(behaviours, isKnown, async ({port}, upstreams) => {
+		await withEntry(behaviours, hasDirectory, async ({port}, upstreams) => {
 			const received = await call(port, text, hasHead);
 			assert.equal(received.slice(9, 12), String(status));
 			assert.match(received, says);
