--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -11,7 +11,7 @@
 	readonly name: string;
 	/** Answers on the connection after the upstream has received the request. */
 	readonly answer: (socket: Socket) => void;
-	readonly seen: AttemptObservation;
+	readonly observation: AttemptObservation;
 	readonly body?: string;
 };
 
@@ -27,13 +27,13 @@
 	{
 		name: 'an answer with a length',
 		answer: socket => socket.write(`${head}Content-Length: 5\r\n\r\nwhole`),
-		seen: AttemptObservation.wholeAnswer,
+		observation: AttemptObservation.wholeAnswer,
 		body: 'whole',
 	},
 	{
 		name: 'an answer without a length whose connection ends',
 		answer: socket => socket.end(`${head}\r\nwhole`),
-		seen: AttemptObservation.wholeAnswer,
+		observation: AttemptObservation.wholeAnswer,
 		body: 'whole',
 	},
 	{
@@ -44,7 +44,7 @@
 				socket.resetAndDestroy();
 			});
 		},
-		seen: AttemptObservation.cutAnswer,
+		observation: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer without a length and with "Connection: close" that is reset',
@@ -54,7 +54,7 @@
 				socket.resetAndDestroy();
 			});
 		},
-		seen: AttemptObservation.cutAnswer,
+		observation: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer without a length that is reset at once',
@@ -63,26 +63,26 @@
 				socket.resetAndDestroy();
 			});
 		},
-		seen: AttemptObservation.cutAnswer,
+		observation: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer that ends before its length',
 		answer: socket => socket.end(`${head}Content-Length: 50\r\n\r\nhalf`),
-		seen: AttemptObservation.cutAnswer,
+		observation: AttemptObservation.cutAnswer,
 	},
 	{
 		name: 'an answer to another request',
 		answer: socket => socket.write('HTTP/1.1 200 OK\r\nIdentifier: b\r\nContent-Length: 5\r\n\r\nother'),
-		seen: AttemptObservation.foreignAnswer,
+		observation: AttemptObservation.foreignAnswer,
 	},
 	{
 		name: 'a refusal',
 		answer: socket => socket.write('HTTP/1.1 503 Full\r\nNot-Run: 1\r\nIdentifier: a\r\nContent-Length: 0\r\n\r\n'),
-		seen: AttemptObservation.shed,
+		observation: AttemptObservation.shed,
 	},
 ];
 
-for (const {name, answer, seen, body} of cases) {
+for (const {name, answer, observation: seen, body} of cases) {
 	test(`attempt: ${name}`, async () => {
 		const server = createServer(socket => {
 			socket.on('error', () => {
