--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -82,7 +82,7 @@
 	},
 ];
 
-for (const {name, answer, observation: seen, body} of cases) {
+for (const {name, answer, observation: observation, body} of cases) {
 	test(`attempt: ${name}`, async () => {
 		const server = createServer(socket => {
 			socket.on('error', () => {
@@ -119,7 +119,7 @@
 		});
 		pool.close();
 		server.close();
-		assert.equal(result.observation, seen);
+		assert.equal(result.observation, observation);
 		assert.equal(result.answer === undefined ? undefined : Buffer.from(result.answer.body).toString(), body);
 	});
 }
