--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -28,50 +28,50 @@
 	readonly more: string;
 	/** How often it is sent a second; if omitted, as fast as it is read. */
 	readonly perSecond?: number;
-	readonly seen: readonly AttemptObservation[];
+	readonly observations: readonly AttemptObservation[];
 	/** Whether the request must end before its deadline, as the data can no longer become an answer. */
 	readonly endsEarly: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'bytes that are not HTTP', begin: '', more: '\u0000\u0001garbage', seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'bytes that are not HTTP', begin: '', more: '\u0000\u0001garbage', observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'one header field', begin: 'HTTP/1.1 200 OK\r\nField: ', more: 'x'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'one header field', begin: 'HTTP/1.1 200 OK\r\nField: ', more: 'x'.repeat(1000), observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'interim heads', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', seen: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'interim heads', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', observations: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'interim heads, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'interim heads, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, observations: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), observations: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'a body in chunks', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'a body in chunks', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', observations: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'the extension of a chunk', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n4;`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte, AttemptObservation.cutAnswer], endsEarly: false,
+		name: 'the extension of a chunk', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n4;`, more: 'x'.repeat(1000), observations: [AttemptObservation.deadlinePassedAfterFirstByte, AttemptObservation.cutAnswer], endsEarly: false,
 	},
 	{
-		name: 'trailers', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n0\r\n`, more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.cutAnswer], endsEarly: true,
+		name: 'trailers', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n0\r\n`, more: 'Field: x\r\n'.repeat(100), observations: [AttemptObservation.cutAnswer], endsEarly: true,
 	},
 	{
-		name: 'the body of a refusal', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [AttemptObservation.shed], endsEarly: true,
+		name: 'the body of a refusal', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', observations: [AttemptObservation.shed], endsEarly: true,
 	},
 	{
-		name: 'the body of a refusal, slowly', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', perSecond: 20, seen: [AttemptObservation.shed], endsEarly: true,
+		name: 'the body of a refusal, slowly', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', perSecond: 20, observations: [AttemptObservation.shed], endsEarly: true,
 	},
 	{
-		name: 'the body of an answer to another request', begin: 'HTTP/1.1 200 OK\r\nIdentifier: b\r\n\r\n', more: 'x'.repeat(1000), seen: [AttemptObservation.foreignAnswer], endsEarly: true,
+		name: 'the body of an answer to another request', begin: 'HTTP/1.1 200 OK\r\nIdentifier: b\r\n\r\n', more: 'x'.repeat(1000), observations: [AttemptObservation.foreignAnswer], endsEarly: true,
 	},
 ];
 
@@ -154,7 +154,7 @@
 		const startedAt = performance.now();
 		const result = await attempt(pool, timeoutMilliseconds);
 		const took = performance.now() - startedAt;
-		assert.ok(poured.seen.includes(result.observation), result.observation);
+		assert.ok(poured.observations.includes(result.observation), result.observation);
 		assert.ok(took < (poured.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
 		const next = await attempt(pool, timeoutMilliseconds);
 		assert.equal(next.observation, AttemptObservation.wholeAnswer);
