--- a/packages/entry/test/test-answers.ts
+++ b/packages/entry/test/test-answers.ts
@@ -57,28 +57,28 @@
 	});
 }
 
-const signals: ReadonlyArray<{readonly name: string; readonly seen: AttemptObservation; readonly refusedWith: number; readonly answered?: number; readonly signal: Signal}> = [
+const signals: ReadonlyArray<{readonly name: string; readonly observation: AttemptObservation; readonly refusedWith: number; readonly answered?: number; readonly signal: Signal}> = [
 	{
-		name: 'a whole answer', seen: AttemptObservation.wholeAnswer, refusedWith: 0, answered: 200, signal: Signal.answered,
+		name: 'a whole answer', observation: AttemptObservation.wholeAnswer, refusedWith: 0, answered: 200, signal: Signal.answered,
 	},
 	{
-		name: 'a failure of its own', seen: AttemptObservation.wholeAnswer, refusedWith: 0, answered: 500, signal: Signal.failed,
+		name: 'a failure of its own', observation: AttemptObservation.wholeAnswer, refusedWith: 0, answered: 500, signal: Signal.failed,
 	},
 	{
-		name: 'full', seen: AttemptObservation.shed, refusedWith: 503, signal: Signal.full,
+		name: 'full', observation: AttemptObservation.shed, refusedWith: 503, signal: Signal.full,
 	},
 	{
-		name: 'not the holder of the key', seen: AttemptObservation.shed, refusedWith: 421, signal: Signal.none,
+		name: 'not the holder of the key', observation: AttemptObservation.shed, refusedWith: 421, signal: Signal.none,
 	},
 	{
-		name: 'a reset', seen: AttemptObservation.closedAfterFirstByte, refusedWith: 0, signal: Signal.broken,
+		name: 'a reset', observation: AttemptObservation.closedAfterFirstByte, refusedWith: 0, signal: Signal.broken,
 	},
 	{
-		name: 'a caller that disconnected', seen: AttemptObservation.cancelledAfterFirstByte, refusedWith: 0, signal: Signal.none,
+		name: 'a caller that disconnected', observation: AttemptObservation.cancelledAfterFirstByte, refusedWith: 0, signal: Signal.none,
 	},
 ];
 
-for (const {name, seen, refusedWith, answered, signal} of signals) {
+for (const {name, observation: seen, refusedWith, answered, signal} of signals) {
 	test(`answers: the signal of ${name} is ${signal}`, () => {
 		assert.equal(signalOf(seen, refusedWith, answered), signal);
 		assert.equal(isMisdirected(seen, refusedWith), refusedWith === 421);
