--- a/packages/entry/test/test-answers.ts
+++ b/packages/entry/test/test-answers.ts
@@ -78,10 +78,10 @@
 	},
 ];
 
-for (const {name, observation: seen, refusedWith, answered, signal} of signals) {
+for (const {name, observation: observation, refusedWith, answered, signal} of signals) {
 	test(`answers: the signal of ${name} is ${signal}`, () => {
-		assert.equal(signalOf(seen, refusedWith, answered), signal);
-		assert.equal(isMisdirected(seen, refusedWith), refusedWith === 421);
+		assert.equal(signalOf(observation, refusedWith, answered), signal);
+		assert.equal(isMisdirected(observation, refusedWith), refusedWith === 421);
 	});
 }
 
