--- a/packages/entry/test/test-retry-budget.ts
+++ b/packages/entry/test/test-retry-budget.ts
@@ -26,7 +26,7 @@
 type Case = {
 	readonly name: string;
 	/** The numbers of entries that each entry is notified of, in order, before requests come. */
-	readonly told: readonly number[];
+	readonly entryCounts: readonly number[];
 	readonly entries: number;
 	/** Requests of each entry before all upstreams begin to fail, and after. */
 	readonly before: number;
@@ -35,20 +35,20 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'entries that know their number', told: [9], entries: 9, before: 400, failing: 100,
+		name: 'entries that know their number', entryCounts: [9], entries: 9, before: 400, failing: 100,
 	},
 	{
-		name: 'entries that were notified of one entry at their start', told: [1, 9], entries: 9, before: 400, failing: 100,
+		name: 'entries that were notified of one entry at their start', entryCounts: [1, 9], entries: 9, before: 400, failing: 100,
 	},
 	{
-		name: 'entries that have just been notified of the others', told: [1, 9], entries: 9, before: 0, failing: 30,
+		name: 'entries that have just been notified of the others', entryCounts: [1, 9], entries: 9, before: 0, failing: 30,
 	},
 	{
-		name: 'many entries with few requests', told: [1, 67], entries: 67, before: 20, failing: 5,
+		name: 'many entries with few requests', entryCounts: [1, 67], entries: 67, before: 20, failing: 5,
 	},
 ];
 
-for (const {name, told, entries, before, failing} of cases) {
+for (const {name, entryCounts: told, entries, before, failing} of cases) {
 	test(`retry budget: ${name} stay within the service's`, () => {
 		let retries = 0;
 		for (let entry = 0; entry < entries; entry += 1) {
