--- a/packages/entry/test/test-retry-budget.ts
+++ b/packages/entry/test/test-retry-budget.ts
@@ -48,13 +48,13 @@
 	},
 ];
 
-for (const {name, entryCounts: told, entries, before, failing} of cases) {
+for (const {name, entryCounts: entryCounts, entries, before, failing} of cases) {
 	test(`retry budget: ${name} stay within the service's`, () => {
 		let retries = 0;
 		for (let entry = 0; entry < entries; entry += 1) {
 			const table = new ServiceTable(settings, () => 0);
 			const service = table.service('s');
-			for (const count of told) {
+			for (const count of entryCounts) {
 				table.update({...emptyDirectory, applied: 1}, count);
 			}
 
