--- a/packages/entry/test/test-planned-stop.ts
+++ b/packages/entry/test/test-planned-stop.ts
@@ -36,9 +36,9 @@
 	setTimeout(answer, 600, socket, request, `for ${request.identifier}`);
 };
 
-type Scene = {readonly entry: Entry; readonly port: number; readonly upstream: Upstream};
+type Scenario = {readonly entry: Entry; readonly port: number; readonly upstream: Upstream};
 
-async function inScene(use: (scene: Scene) => Promise<void>): Promise<void> {
+async function inScene(use: (scene: Scenario) => Promise<void>): Promise<void> {
 	const upstream = await startUpstream(slowly);
 	const [control, callers, readiness] = [await freePort(), await freePort(), await freePort()];
 	const directory = directoryOf([upstream]);
