--- a/packages/entry/test/test-planned-stop.ts
+++ b/packages/entry/test/test-planned-stop.ts
@@ -38,7 +38,7 @@
 
 type Scenario = {readonly entry: Entry; readonly port: number; readonly upstream: Upstream};
 
-async function inScene(use: (scene: Scenario) => Promise<void>): Promise<void> {
+async function withScenario(use: (scene: Scenario) => Promise<void>): Promise<void> {
 	const upstream = await startUpstream(slowly);
 	const [control, callers, readiness] = [await freePort(), await freePort(), await freePort()];
 	const directory = directoryOf([upstream]);
@@ -94,7 +94,7 @@
 const sentAfterMilliseconds = [2000, 3500, 4600, 5000, 5200];
 
 for (const [name, opening] of Object.entries(openings)) {
-	test(`graceful shutdown: a request that arrives late, on ${name}, is answered or refused`, async () => inScene(async ({entry, port, upstream}) => {
+	test(`graceful shutdown: a request that arrives late, on ${name}, is answered or refused`, async () => withScenario(async ({entry, port, upstream}) => {
 		const callers = await Promise.all(sentAfterMilliseconds.map(async sentAfter => {
 			const socket = connect(port, '127.0.0.1');
 			await once(socket, 'connect');
