--- a/packages/entry/test/test-planned-stop.ts
+++ b/packages/entry/test/test-planned-stop.ts
@@ -19,7 +19,7 @@
 } from './scene.js';
 import {type Entry, startEntry} from '@dogwooddeck/entry/entry';
 
-const silent: Log = {event: () => undefined, warning: () => undefined, error: () => undefined};
+const silentLog: Log = {event: () => undefined, warning: () => undefined, error: () => undefined};
 const graceMilliseconds = 6000;
 
 async function freePort(): Promise<number> {
@@ -57,7 +57,7 @@
 			readiness: {host: '127.0.0.1', port: readiness, path: '/'},
 			seeds: [`127.0.0.1:${control}`],
 		},
-		log: silent,
+		log: silentLog,
 		measures: createMeasures(),
 		random: () => 0,
 	});
