--- a/packages/entry/test/test-late-loop.ts
+++ b/packages/entry/test/test-late-loop.ts
@@ -30,7 +30,7 @@
 
 const heldUpMilliseconds = 700;
 
-function holdUp(milliseconds: number): void {
+function blockLoop(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
 		// Blocks the loop, as in a process that gets no processor time.
@@ -62,7 +62,7 @@
 			await pause(50);
 			caller.stdin.write('go\n');
 			await pause(10);
-			holdUp(heldUpMilliseconds);
+			blockLoop(heldUpMilliseconds);
 			await pause(300);
 			caller.kill();
 			assert.deepEqual(upstream!.requests.map(({identifier}) => identifier), ['first', ...Array.from({length: sent}, () => 'late')]);
