--- a/packages/entry/test/test-late-loop.ts
+++ b/packages/entry/test/test-late-loop.ts
@@ -28,7 +28,7 @@
 socket.on('close', () => process.exit());
 `;
 
-const heldUpMilliseconds = 700;
+const blockedMilliseconds = 700;
 
 function blockLoop(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
@@ -62,7 +62,7 @@
 			await pause(50);
 			caller.stdin.write('go\n');
 			await pause(10);
-			blockLoop(heldUpMilliseconds);
+			blockLoop(blockedMilliseconds);
 			await pause(300);
 			caller.kill();
 			assert.deepEqual(upstream!.requests.map(({identifier}) => identifier), ['first', ...Array.from({length: sent}, () => 'late')]);
