--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -76,7 +76,7 @@
 ];
 
 /** Writes the same data repeatedly until the entry closes the connection. */
-function pour(socket: Socket, {begin, more, perSecond}: Case): void {
+function sendRepeatedly(socket: Socket, {begin, more, perSecond}: Case): void {
 	socket.write(begin);
 	if (perSecond !== undefined) {
 		const pouring = setInterval(() => {
@@ -138,7 +138,7 @@
 			});
 			socket.once('data', () => {
 				if (isFirst) {
-					pour(socket, poured);
+					sendRepeatedly(socket, poured);
 				} else {
 					socket.write(`HTTP/1.1 200 OK\r\n${named}Content-Length: 5\r\n\r\nwhole`);
 				}
