--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -79,11 +79,11 @@
 function sendRepeatedly(socket: Socket, {begin, more, perSecond}: Case): void {
 	socket.write(begin);
 	if (perSecond !== undefined) {
-		const pouring = setInterval(() => {
+		const sendTimer = setInterval(() => {
 			socket.write(more);
 		}, 1000 / perSecond);
 		socket.on('close', () => {
-			clearInterval(pouring);
+			clearInterval(sendTimer);
 		});
 		return;
 	}
