--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -123,8 +123,8 @@
 	});
 }
 
-for (const poured of cases) {
-	test(`endless: ${poured.name}`, async () => {
+for (const testCase of cases) {
+	test(`endless: ${testCase.name}`, async () => {
 		const counts = {open: 0, connections: 0};
 		const server = createServer(socket => {
 			counts.connections += 1;
@@ -138,7 +138,7 @@
 			});
 			socket.once('data', () => {
 				if (isFirst) {
-					sendRepeatedly(socket, poured);
+					sendRepeatedly(socket, testCase);
 				} else {
 					socket.write(`HTTP/1.1 200 OK\r\n${named}Content-Length: 5\r\n\r\nwhole`);
 				}
@@ -154,8 +154,8 @@
 		const startedAt = performance.now();
 		const result = await attempt(pool, timeoutMilliseconds);
 		const took = performance.now() - startedAt;
-		assert.ok(poured.observations.includes(result.observation), result.observation);
-		assert.ok(took < (poured.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
+		assert.ok(testCase.observations.includes(result.observation), result.observation);
+		assert.ok(took < (testCase.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
 		const next = await attempt(pool, timeoutMilliseconds);
 		assert.equal(next.observation, AttemptObservation.wholeAnswer);
 		assert.ok(next.milliseconds < timeoutMilliseconds / 2, `the next request took ${next.milliseconds} ms`);
