--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -17,7 +17,7 @@
 /** The interval of an entry's check for endless data. */
 const closeMilliseconds = 100;
 /** What one answer may add to the memory of the process: many times the size of its buffer. */
-const mostMemoryBytes = 67_108_864;
+const maximumMemoryBytes = 67_108_864;
 
 const named = 'Identifier: a\r\n';
 
@@ -166,7 +166,7 @@
 			});
 		}
 
-		assert.ok(process.memoryUsage().rss - memory < mostMemoryBytes, `${process.memoryUsage().rss - memory} bytes`);
+		assert.ok(process.memoryUsage().rss - memory < maximumMemoryBytes, `${process.memoryUsage().rss - memory} bytes`);
 		clearInterval(closing);
 		pool.close();
 		server.close();
