--- a/packages/entry/test/test-cut-heads.ts
+++ b/packages/entry/test/test-cut-heads.ts
@@ -35,7 +35,7 @@
 const positionsApart = 7;
 
 /** Answers the first `after` requests whole, and later ones with the head up to a position. */
-function cutting(head: (identifier: string) => string, position: number, end: End, after: number): Behaviour {
+function truncating(head: (identifier: string) => string, position: number, end: End, after: number): Behaviour {
 	return (socket, request, seen) => {
 		if (seen <= after) {
 			whole(socket, request, seen);
@@ -58,7 +58,7 @@
 	for (const [how, end] of Object.entries(ends)) {
 		for (const after of [0, 1]) {
 			test(`truncated heads: a head ${name} that is truncated and ${how} on a connection that has carried ${after} requests`, async () => {
-				await Promise.all(positionsOf(head).map(async position => withEntry([cutting(head, position, end, after)], true, async ({port}, [upstream]) => {
+				await Promise.all(positionsOf(head).map(async position => withEntry([truncating(head, position, end, after)], true, async ({port}, [upstream]) => {
 					if (after > 0) {
 						await call(port, requestText('/once/x', 'first', 'POST', 'booking'), hasHead);
 					}
