--- a/packages/entry/test/test-cut-heads.ts
+++ b/packages/entry/test/test-cut-heads.ts
@@ -32,7 +32,7 @@
 	{name: 'of a refusal', head: identifier => `HTTP/1.1 503 Full\r\nRequest: ${identifier}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n`},
 ];
 
-const positionsApart = 7;
+const positionStep = 7;
 
 /** Answers the first `after` requests whole, and later ones with the head up to a position. */
 function truncating(head: (identifier: string) => string, position: number, end: End, after: number): Behaviour {
@@ -51,7 +51,7 @@
 /** Returns the positions at which a head is truncated. It is complete only with its empty line. */
 function positionsOf(head: (identifier: string) => string): readonly number[] {
 	const last = head('a').length - 1;
-	return [...Array.from({length: Math.ceil(last / positionsApart)}, (_, step) => step * positionsApart), last - 2, last - 1, last];
+	return [...Array.from({length: Math.ceil(last / positionStep)}, (_, step) => step * positionStep), last - 2, last - 1, last];
 }
 
 for (const {name, head} of heads) {
