--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -60,10 +60,10 @@
 	});
 }
 
-type Heard = {readonly address: string; readonly wantsChanges: boolean; readonly listener: FollowListener};
+type OpenedStream = {readonly address: string; readonly wantsChanges: boolean; readonly listener: FollowListener};
 
 /** Clients that record the streams that are opened, and send nothing. */
-function silentClients(heard: Heard[]): MeshClients {
+function silentClients(heard: OpenedStream[]): MeshClients {
 	return {
 		call: async () => err(failure(FailureKind.unreachable, 'nobody listens')),
 		follow(address, {wantsChanges}, listener) {
@@ -94,7 +94,7 @@
 for (const {name, freshPresence, freshChanges, isConfirmed} of confirmations) {
 	test(`following: ${name} ${isConfirmed ? 'confirms' : 'does not confirm'} the directory`, context => {
 		context.mock.timers.enable({apis: ['setInterval']});
-		const heard: Heard[] = [];
+		const heard: OpenedStream[] = [];
 		const follower = followDirectory({
 			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: silentClients(heard), log: silent,
 		});
