--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -63,7 +63,7 @@
 type OpenedStream = {readonly address: string; readonly wantsChanges: boolean; readonly listener: FollowListener};
 
 /** Clients that record the streams that are opened, and send nothing. */
-function silentClients(heard: OpenedStream[]): MeshClients {
+function recordingClients(heard: OpenedStream[]): MeshClients {
 	return {
 		call: async () => err(failure(FailureKind.unreachable, 'nobody listens')),
 		follow(address, {wantsChanges}, listener) {
@@ -96,7 +96,7 @@
 		context.mock.timers.enable({apis: ['setInterval']});
 		const heard: OpenedStream[] = [];
 		const follower = followDirectory({
-			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: silentClients(heard), log: silent,
+			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: recordingClients(heard), log: silent,
 		});
 		const message = {
 			zone: 'z', members: ['c'], entryCount: 1, shares: [], committed: 0,
