--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -63,11 +63,11 @@
 type OpenedStream = {readonly address: string; readonly wantsChanges: boolean; readonly listener: FollowListener};
 
 /** Clients that record the streams that are opened, and send nothing. */
-function recordingClients(heard: OpenedStream[]): MeshClients {
+function recordingClients(opened: OpenedStream[]): MeshClients {
 	return {
 		call: async () => err(failure(FailureKind.unreachable, 'nobody listens')),
 		follow(address, {wantsChanges}, listener) {
-			heard.push({address, wantsChanges, listener});
+			opened.push({address, wantsChanges, listener});
 			return {stop: listener.onEnd};
 		},
 		reopen: () => undefined,
