--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -94,17 +94,17 @@
 for (const {name, freshPresence, freshChanges, isConfirmed} of confirmations) {
 	test(`following: ${name} ${isConfirmed ? 'confirms' : 'does not confirm'} the directory`, context => {
 		context.mock.timers.enable({apis: ['setInterval']});
-		const heard: OpenedStream[] = [];
+		const opened: OpenedStream[] = [];
 		const follower = followDirectory({
-			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: recordingClients(heard), log: silent,
+			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: recordingClients(opened), log: silent,
 		});
 		const message = {
 			zone: 'z', members: ['c'], entryCount: 1, shares: [], committed: 0,
 		};
-		heard[0]!.listener.onMessage({...message, fresh: freshPresence});
-		assert.deepEqual(heard.map(({wantsChanges}) => wantsChanges), [false, true]);
+		opened[0]!.listener.onMessage({...message, fresh: freshPresence});
+		assert.deepEqual(opened.map(({wantsChanges}) => wantsChanges), [false, true]);
 		if (freshChanges !== undefined) {
-			heard[1]!.listener.onMessage({...message, fresh: freshChanges});
+			opened[1]!.listener.onMessage({...message, fresh: freshChanges});
 		}
 
 		assert.equal(follower.isConfirmed(), isConfirmed);
