--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -75,7 +75,7 @@
 	};
 }
 
-const silent: Log = {
+const silentLog: Log = {
 	event: () => undefined, warning: () => undefined, error: () => undefined,
 };
 
@@ -96,7 +96,7 @@
 		context.mock.timers.enable({apis: ['setInterval']});
 		const opened: OpenedStream[] = [];
 		const follower = followDirectory({
-			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: recordingClients(opened), log: silent,
+			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: ['c'], clients: recordingClients(opened), log: silentLog,
 		});
 		const message = {
 			zone: 'z', members: ['c'], entryCount: 1, shares: [], committed: 0,
