--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -21,40 +21,40 @@
 const near = control(Distance.sameRegion);
 const far = control(Distance.otherRegion);
 
-const cases: ReadonlyArray<{readonly name: string; readonly control: ControlStreamState; readonly others: readonly ControlStreamState[]; readonly wanted: FollowMode}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly control: ControlStreamState; readonly others: readonly ControlStreamState[]; readonly mode: FollowMode}> = [
 	{
-		name: 'one of the own zone', control: own, others: [near, far], wanted: FollowMode.changes,
+		name: 'one of the own zone', control: own, others: [near, far], mode: FollowMode.changes,
 	},
 	{
-		name: 'one that has not reported its zone', control: control(undefined), others: [own], wanted: FollowMode.presence,
+		name: 'one that has not reported its zone', control: control(undefined), others: [own], mode: FollowMode.presence,
 	},
 	{
-		name: 'one of the region beside one of the own zone', control: near, others: [own], wanted: FollowMode.nothing,
+		name: 'one of the region beside one of the own zone', control: near, others: [own], mode: FollowMode.nothing,
 	},
 	{
-		name: 'one of the region where the own zone has none', control: near, others: [far], wanted: FollowMode.changes,
+		name: 'one of the region where the own zone has none', control: near, others: [far], mode: FollowMode.changes,
 	},
 	{
-		name: 'another region beside a near one', control: far, others: [near], wanted: FollowMode.nothing,
+		name: 'another region beside a near one', control: far, others: [near], mode: FollowMode.nothing,
 	},
 	{
-		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {lastContactAt: now - 2000})], wanted: FollowMode.changes,
+		name: 'another region while the near one is unresponsive', control: far, others: [control(Distance.sameRegion, {lastContactAt: now - 2000})], mode: FollowMode.changes,
 	},
 	{
-		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 800})], wanted: FollowMode.changes,
+		name: 'another region while the near one has lost the leader', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 800})], mode: FollowMode.changes,
 	},
 	{
-		name: 'another region during a short election', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 600})], wanted: FollowMode.nothing,
+		name: 'another region during a short election', control: far, others: [control(Distance.sameRegion, {leaderContactAt: now - 600})], mode: FollowMode.nothing,
 	},
 	{
-		name: 'another region while the near one is not connected', control: far, others: [control(Distance.sameRegion, {isOpen: false})], wanted: FollowMode.changes,
+		name: 'another region while the near one is not connected', control: far, others: [control(Distance.sameRegion, {isOpen: false})], mode: FollowMode.changes,
 	},
 	{
-		name: 'another region while one of two near ones is well', control: far, others: [control(Distance.sameZone, {leaderContactAt: now - 800}), near], wanted: FollowMode.nothing,
+		name: 'another region while one of two near ones is well', control: far, others: [control(Distance.sameZone, {leaderContactAt: now - 800}), near], mode: FollowMode.nothing,
 	},
 ];
 
-for (const {name, control: asked, others, wanted} of cases) {
+for (const {name, control: asked, others, mode: wanted} of cases) {
 	test(`following: ${name}: ${wanted}`, () => {
 		assert.equal(followModeOf(asked, [asked, ...others], now), wanted);
 	});
