--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -54,9 +54,9 @@
 	},
 ];
 
-for (const {name, control: asked, others, mode: mode} of cases) {
+for (const {name, control: tested, others, mode: mode} of cases) {
 	test(`following: ${name}: ${mode}`, () => {
-		assert.equal(followModeOf(asked, [asked, ...others], now), mode);
+		assert.equal(followModeOf(tested, [tested, ...others], now), mode);
 	});
 }
 
