--- a/packages/entry/test/test-slow-stream.ts
+++ b/packages/entry/test/test-slow-stream.ts
@@ -20,7 +20,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {followDirectory} from '@dogwooddeck/entry/directory-follower';
 
-const silent: Log = {
+const silentLog: Log = {
 	event: () => undefined, warning: () => undefined, error: () => undefined,
 };
 
@@ -133,7 +133,7 @@
 		const relay = await startRelay(port, bytesPerSecond);
 		const clients = createMeshClients();
 		const follower = followDirectory({
-			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: [`127.0.0.1:${relay.port}`], clients, log: silent,
+			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: [`127.0.0.1:${relay.port}`], clients, log: silentLog,
 		});
 		for (let waited = 0; waited < followedWithinMilliseconds && follower.state().applied === 0; waited += 50) {
 			await pause(50);
