--- a/packages/entry/test/test-slow-stream.ts
+++ b/packages/entry/test/test-slow-stream.ts
@@ -123,7 +123,7 @@
 			});
 		});
 		assert.ok(server.isOk);
-		const pulsing = setInterval(() => {
+		const heartbeatTimer = setInterval(() => {
 			for (const follower of followers) {
 				follower.send(encodeMessage({
 					fresh: true, committed: 1, zone: 'z', members: [], entryCount: 1, shares: [],
@@ -143,7 +143,7 @@
 		follower.stop();
 		clients.close();
 		relay.close();
-		clearInterval(pulsing);
+		clearInterval(heartbeatTimer);
 		server.value.close();
 		assert.equal(applied, 1);
 	});
