--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -124,7 +124,7 @@
 	});
 }
 
-const longestAfterLeavingMilliseconds = 500;
+const maximumAfterDisconnectMilliseconds = 500;
 
 test('requests: a caller that disconnects ends the work at the upstream', async () => {
 	await withEntry([() => undefined], true, async ({port}, [upstream]) => {
@@ -139,7 +139,7 @@
 		const leftAt = performance.now();
 		socket.destroy();
 		while (upstream!.closed === 0) {
-			assert.ok(performance.now() - leftAt < longestAfterLeavingMilliseconds);
+			assert.ok(performance.now() - leftAt < maximumAfterDisconnectMilliseconds);
 			await new Promise(resolve => {
 				setTimeout(resolve, 5);
 			});
