--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -216,7 +216,7 @@
 		listen: holder.listen,
 		isConfirmed: () => isConfirmed,
 		nearest() {
-			const active = [...streams].filter(([, {isOpen, hasReceived: hasReceived, distance}]) => isOpen && hasReceived && distance !== undefined);
+			const active = [...streams].filter(([, {isOpen, hasReceived, distance}]) => isOpen && hasReceived && distance !== undefined);
 			return active.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
--- a/packages/entry/test/test-answers.ts
+++ b/packages/entry/test/test-answers.ts
@@ -78,7 +78,7 @@
 	},
 ];
 
-for (const {name, observation: observation, refusedWith, answered, signal} of signals) {
+for (const {name, observation, refusedWith, answered, signal} of signals) {
 	test(`answers: the signal of ${name} is ${signal}`, () => {
 		assert.equal(signalOf(observation, refusedWith, answered), signal);
 		assert.equal(isMisdirected(observation, refusedWith), refusedWith === 421);
--- a/packages/entry/test/test-attempt.ts
+++ b/packages/entry/test/test-attempt.ts
@@ -82,7 +82,7 @@
 	},
 ];
 
-for (const {name, answer, observation: observation, body} of cases) {
+for (const {name, answer, observation, body} of cases) {
 	test(`attempt: ${name}`, async () => {
 		const server = createServer(socket => {
 			socket.on('error', () => {
--- a/packages/entry/test/test-following.ts
+++ b/packages/entry/test/test-following.ts
@@ -54,7 +54,7 @@
 	},
 ];
 
-for (const {name, control: tested, others, mode: mode} of cases) {
+for (const {name, control: tested, others, mode} of cases) {
 	test(`following: ${name}: ${mode}`, () => {
 		assert.equal(followModeOf(tested, [tested, ...others], now), mode);
 	});
--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -107,7 +107,7 @@
 	},
 ];
 
-for (const {name, upstreams: behaviours, hasDirectory: hasDirectory = true, text, status, sent, says = /./v} of cases) {
+for (const {name, upstreams: behaviours, hasDirectory = true, text, status, sent, says = /./v} of cases) {
 	test(`requests: ${name}`, async () => {
 		await withEntry(behaviours, hasDirectory, async ({port}, upstreams) => {
 			const received = await call(port, text, hasHead);
--- a/packages/entry/test/test-retry-budget.ts
+++ b/packages/entry/test/test-retry-budget.ts
@@ -48,7 +48,7 @@
 	},
 ];
 
-for (const {name, entryCounts: entryCounts, entries, before, failing} of cases) {
+for (const {name, entryCounts, entries, before, failing} of cases) {
 	test(`retry budget: ${name} stay within the service's`, () => {
 		let retries = 0;
 		for (let entry = 0; entry < entries; entry += 1) {
