--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -135,11 +135,11 @@
 
 	#startStreaming(): boolean {
 		this.#isStreaming = true;
-		const {streamedAnswer: onLong} = this.#specification;
-		onLong.begin(this.#status, this.#headers);
+		const {streamedAnswer: streamedAnswer} = this.#specification;
+		streamedAnswer.begin(this.#status, this.#headers);
 		const buffered = this.#chunks;
 		this.#chunks = [];
-		return buffered.map(chunk => onLong.write(chunk)).every(Boolean);
+		return buffered.map(chunk => streamedAnswer.write(chunk)).every(Boolean);
 	}
 }
 
