--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -90,10 +90,10 @@
 
 		const chunks: Buffer[] = [];
 		let bytes = 0;
-		let isOver = false;
+		let isFinished = false;
 		const finish = (body: Buffer | undefined, problem?: BodyProblem) => {
-			if (!isOver) {
-				isOver = true;
+			if (!isFinished) {
+				isFinished = true;
 				done(body, problem);
 			}
 		};
