--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -151,7 +151,7 @@
 	}
 
 	/** Closes the connection in the middle of an answer, so that the caller can't take it for a whole one. */
-	cut(): void {
+	abort(): void {
 		this.request.socket.destroy();
 	}
 
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -360,7 +360,7 @@
 		if (result.observation === AttemptObservation.wholeAnswer) {
 			this.#exchange.end();
 		} else {
-			this.#exchange.cut();
+			this.#exchange.abort();
 		}
 
 		this.#dependencies.requestLog.answered({
