--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -199,10 +199,10 @@
 			return;
 		}
 
-		const {queue: line} = this.#service!;
+		const {queue: queue} = this.#service!;
 		const waiting = this.#estimateWait(now);
-		if (waiting.until <= now || line.length >= maximumQueueLength) {
-			this.#refuse(line.length >= maximumQueueLength ? Refusal.queueFull : Refusal.waitedTooLong);
+		if (waiting.until <= now || queue.length >= maximumQueueLength) {
+			this.#refuse(queue.length >= maximumQueueLength ? Refusal.queueFull : Refusal.waitedTooLong);
 			return;
 		}
 
@@ -222,7 +222,7 @@
 				this.#refuse(Refusal.waitedTooLong);
 			},
 		};
-		line.add(this.#waiter);
+		queue.add(this.#waiter);
 	}
 
 	/** Returns what the request would wait for, the expected wait and its limit. */
