--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -200,23 +200,23 @@
 		}
 
 		const {queue: queue} = this.#service!;
-		const waiting = this.#estimateWait(now);
-		if (waiting.until <= now || queue.length >= maximumQueueLength) {
+		const estimate = this.#estimateWait(now);
+		if (estimate.until <= now || queue.length >= maximumQueueLength) {
 			this.#refuse(queue.length >= maximumQueueLength ? Refusal.queueFull : Refusal.waitedTooLong);
 			return;
 		}
 
-		if (now + Math.max(waiting.lineWait, waiting.paceWait) > waiting.until) {
-			this.#refuse(Refusal.noTimeToWait, waiting);
+		if (now + Math.max(estimate.lineWait, estimate.paceWait) > estimate.until) {
+			this.#refuse(Refusal.noTimeToWait, estimate);
 			return;
 		}
 
 		this.#waiter = {
 			priority: this.#route!.priority,
-			turn: waiting.turn,
-			key: waiting.key,
-			upstream: waiting.holder?.id,
-			until: waiting.until,
+			turn: estimate.turn,
+			key: estimate.key,
+			upstream: estimate.holder?.id,
+			until: estimate.until,
 			tryToStart: at => this.#exchange.hasDisconnected || this.#tryToSend(at),
 			giveUp: () => {
 				this.#refuse(Refusal.waitedTooLong);
