--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -397,7 +397,7 @@
 	}
 
 	/** Answers without an upstream. A status that means "not run" is sent only if that is certain. */
-	#refuse(refusal: Refusal, waiting?: WaitEstimate): void {
+	#refuse(refusal: Refusal, estimate?: WaitEstimate): void {
 		this.#waiter = undefined;
 		const status = refusalStatus(refusal, this.#uncertainAttempts > 0);
 		const pause = returnAfter(this.#route?.objectiveMilliseconds ?? 1000, this.#dependencies.random());
@@ -414,8 +414,8 @@
 			key: this.#target?.key,
 			attempts: this.#attemptedUpstreams.length,
 			waiting: this.#service?.queue.length ?? 0,
-			lineWait: waiting?.lineWait,
-			paceWait: waiting?.paceWait,
+			lineWait: estimate?.lineWait,
+			paceWait: estimate?.paceWait,
 		});
 	}
 }
