--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -15,7 +15,7 @@
 import {type CallerServer, startCallerServer} from './caller-server.js';
 import {followDirectory} from './directory-follower.js';
 import {startLoadReporter} from './load-reporter.js';
-import {LoopDelayGuard, turnIntervalMilliseconds} from './hearing.js';
+import {LoopDelayGuard, turnIntervalMilliseconds} from './loop-delay-guard.js';
 import {createRequestLog} from './request-journal.js';
 import {RequestExecution, type RequestDependencies} from './request-run.js';
 import {type CachedService, ServiceTable} from './service-table.js';
