--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -16,7 +16,7 @@
 import {followDirectory} from './directory-follower.js';
 import {startLoadReporter} from './load-reporter.js';
 import {LoopDelayGuard, turnIntervalMilliseconds} from './loop-delay-guard.js';
-import {createRequestLog} from './request-journal.js';
+import {createRequestLog} from './request-log.js';
 import {RequestExecution, type RequestDependencies} from './request-run.js';
 import {type CachedService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
--- a/packages/entry/src/request-run.ts
+++ b/packages/entry/src/request-run.ts
@@ -23,7 +23,7 @@
 import {BodyProblem, type CallerExchange} from './caller-exchange.js';
 import {KeyTarget} from './key-target.js';
 import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
-import {type RequestLog} from './request-journal.js';
+import {type RequestLog} from './request-log.js';
 import {
 	recordFirstAttempt, tryRecordRetry, type CachedService, type CachedUpstream, type ServiceTable,
 } from './service-table.js';
