--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -17,7 +17,7 @@
 import {startLoadReporter} from './load-reporter.js';
 import {LoopDelayGuard, turnIntervalMilliseconds} from './loop-delay-guard.js';
 import {createRequestLog} from './request-log.js';
-import {RequestExecution, type RequestDependencies} from './request-run.js';
+import {RequestExecution, type RequestDependencies} from './request-execution.js';
 import {type CachedService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
 
