--- a/packages/entry/test/test-cut-heads.ts
+++ b/packages/entry/test/test-cut-heads.ts
@@ -7,7 +7,7 @@
 import {test} from 'node:test';
 import {
 	type Behaviour, call, hasHead, requestText, whole, withEntry,
-} from './scene.js';
+} from './scenario.js';
 
 type End = (socket: Socket) => void;
 
--- a/packages/entry/test/test-late-loop.ts
+++ b/packages/entry/test/test-late-loop.ts
@@ -10,7 +10,7 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {
 	call, hasHead, requestText, whole, withEntry,
-} from './scene.js';
+} from './scenario.js';
 
 /** A caller in its own process: it connects, and after input on stdin sends a request and disconnects after a while. */
 const callerProgram = `
--- a/packages/entry/test/test-planned-stop.ts
+++ b/packages/entry/test/test-planned-stop.ts
@@ -16,7 +16,7 @@
 import {createMeasures} from '@dogwooddeck/telemetry/measure';
 import {
 	answer, type Behaviour, directoryOf, requestText, settings, startUpstream, type Upstream,
-} from './scene.js';
+} from './scenario.js';
 import {type Entry, startEntry} from '@dogwooddeck/entry/entry';
 
 const silentLog: Log = {event: () => undefined, warning: () => undefined, error: () => undefined};
--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import {
 	answer, type Behaviour, call, directoryOf, hasHead, requestText, whole, withEntry,
-} from './scene.js';
+} from './scenario.js';
 
 const resets: Behaviour = socket => {
 	socket.resetAndDestroy();
