--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -135,7 +135,7 @@
 
 	#startStreaming(): boolean {
 		this.#isStreaming = true;
-		const {streamedAnswer: streamedAnswer} = this.#specification;
+		const {streamedAnswer} = this.#specification;
 		streamedAnswer.begin(this.#status, this.#headers);
 		const buffered = this.#chunks;
 		this.#chunks = [];
--- a/packages/entry/src/request-execution.ts
+++ b/packages/entry/src/request-execution.ts
@@ -199,7 +199,7 @@
 			return;
 		}
 
-		const {queue: queue} = this.#service!;
+		const {queue} = this.#service!;
 		const estimate = this.#estimateWait(now);
 		if (estimate.until <= now || queue.length >= maximumQueueLength) {
 			this.#refuse(queue.length >= maximumQueueLength ? Refusal.queueFull : Refusal.waitedTooLong);
--- a/packages/entry/test/scenario.ts
+++ b/packages/entry/test/scenario.ts
@@ -8,9 +8,9 @@
 } from 'node:net';
 import {emptyDirectory, type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState} from '@dogwooddeck/directory/upstream';
-import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
 import {LoopDelayGuard, turnIntervalMilliseconds} from '@dogwooddeck/entry/loop-delay-guard';
 import {RequestExecution, type RequestDependencies} from '@dogwooddeck/entry/request-execution';
+import {type CallerServer, startCallerServer} from '@dogwooddeck/entry/caller-server';
 import {type CachedService, ServiceTable} from '@dogwooddeck/entry/service-table';
 import {type EntrySettings} from '@dogwooddeck/entry/settings';
 
