--- a/packages/entry/src/request-execution.ts
+++ b/packages/entry/src/request-execution.ts
@@ -315,13 +315,13 @@
 	}
 
 	#finishAttempt(upstream: CachedUpstream, result: AttemptResult): void {
-		const {requestLog: journal, advance, countAnswer} = this.#dependencies;
+		const {requestLog: requestLog, advance, countAnswer} = this.#dependencies;
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
 		upstream.load.note(signalOf(result.observation, this.#upstreamRefusalStatus, result.answer?.status), result.milliseconds, now);
 		if (result.observation !== AttemptObservation.wholeAnswer) {
-			journal.attemptFailed({
+			requestLog.attemptFailed({
 				request: this, upstream, observation: result.observation, status: this.#upstreamRefusalStatus, milliseconds: result.milliseconds, left: this.#deadline - now,
 			});
 		}
