--- a/packages/entry/src/request-execution.ts
+++ b/packages/entry/src/request-execution.ts
@@ -49,7 +49,7 @@
 	/** When this instance ends requests in flight; infinite unless it is stopping. */
 	readonly endsAt: () => MonotonicTime;
 	/** The fraction of the requests for its keys that an upstream can process, as reported by control instances. */
-	readonly shareOf: (life: UpstreamIncarnation) => number;
+	readonly shareOf: (upstream: UpstreamIncarnation) => number;
 	/** Returns numbers between 0 and 1. */
 	readonly random: () => number;
 };
