--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -20,8 +20,8 @@
 	socket.write(`HTTP/1.1 421 Misdirected\r\nRequest: ${identifier}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n`);
 };
 
-const firstMisdirects: Behaviour = (socket, request, seen) => {
-	(seen === 1 ? misdirects : whole)(socket, request, seen);
+const firstMisdirects: Behaviour = (socket, request, received) => {
+	(received === 1 ? misdirects : whole)(socket, request, received);
 };
 
 const firstResets: Behaviour = (socket, request, seen) => {
