--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -24,8 +24,8 @@
 	(received === 1 ? misdirects : whole)(socket, request, received);
 };
 
-const firstResets: Behaviour = (socket, request, seen) => {
-	(seen === 1 ? resets : whole)(socket, request, seen);
+const firstResets: Behaviour = (socket, request, received) => {
+	(received === 1 ? resets : whole)(socket, request, received);
 };
 
 const requestsOfSocket = new WeakMap<Socket, number>();
