--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -38,8 +38,8 @@
 }
 
 /** Refuses once, then repeats that refusal on the same connection in answer to the next request. */
-const repeatsRefusal: Behaviour = (socket, request, seen) => {
-	(countOn(socket) > 1 || seen === 1 ? refuses : whole)(socket, request, seen);
+const repeatsRefusal: Behaviour = (socket, request, received) => {
+	(countOn(socket) > 1 || received === 1 ? refuses : whole)(socket, request, received);
 };
 
 /** Answers the first request whole, and later ones with a refusal without a request identifier, as if an earlier one were repeated. */
