--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -43,9 +43,9 @@
 };
 
 /** Answers the first request whole, and later ones with a refusal without a request identifier, as if an earlier one were repeated. */
-const refusesUnnamed: Behaviour = (socket, request, seen) => {
-	if (countOn(socket) === 1 && seen === 1) {
-		whole(socket, request, seen);
+const refusesUnnamed: Behaviour = (socket, request, received) => {
+	if (countOn(socket) === 1 && received === 1) {
+		whole(socket, request, received);
 	} else {
 		socket.write('HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n');
 	}
