--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -87,8 +87,8 @@
 		name: 'a refusal that is repeated on its connection does not count for a later attempt', upstreams: [repeatsRefusal], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
 	},
 	{
-		name: 'a refusal without a request identifier counts on a new connection', upstreams: [(socket, request, seen) => {
-			refusesUnnamed(socket, request, seen + 1);
+		name: 'a refusal without a request identifier counts on a new connection', upstreams: [(socket, request, received) => {
+			refusesUnnamed(socket, request, received + 1);
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4,
 	},
 	{
