--- a/packages/entry/test/test-truncated-heads.ts
+++ b/packages/entry/test/test-truncated-heads.ts
@@ -36,9 +36,9 @@
 
 /** Answers the first `after` requests whole, and later ones with the head up to a position. */
 function truncating(head: (identifier: string) => string, position: number, end: End, after: number): Behaviour {
-	return (socket, request, seen) => {
-		if (seen <= after) {
-			whole(socket, request, seen);
+	return (socket, request, received) => {
+		if (received <= after) {
+			whole(socket, request, received);
 			return;
 		}
 
