--- a/packages/entry/src/request-execution.ts
+++ b/packages/entry/src/request-execution.ts
@@ -315,7 +315,7 @@
 	}
 
 	#finishAttempt(upstream: CachedUpstream, result: AttemptResult): void {
-		const {requestLog: requestLog, advance, countAnswer} = this.#dependencies;
+		const {requestLog, advance, countAnswer} = this.#dependencies;
 		const now = monotonicNow();
 		this.#attempt = undefined;
 		upstream.load.underWay -= 1;
