--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -57,7 +57,7 @@
 export type SentAttempt = {
 	/** Closes the connection to the upstream, as the caller has disconnected. */
 	readonly cancel: () => void;
-	/** Resumes reading after `LongAnswer.write` returned false. */
+	/** Resumes reading after `StreamedAnswerSink.write` returned false. */
 	readonly resume: () => void;
 };
 
@@ -74,7 +74,7 @@
 	readonly onRelease: () => void;
 };
 
-/** Buffers an answer; one that is longer than `gatheredBytes` is streamed. */
+/** Buffers an answer; one that is longer than `maximumBufferedBytes` is streamed. */
 class AnswerBuffer implements AnswerSink {
 	readonly #specification: RequestSpecification;
 	readonly #startedAt = monotonicNow();
--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -9,7 +9,7 @@
 const watchersOfSocket = new WeakMap<Socket, Set<() => void>>();
 
 /**
- * Calls `gone` when a connection closes, until the returned function is called. A
+ * Calls `onClosed` when a connection closes, until the returned function is called. A
  * half-close by the caller counts: the server then ends the connection, and no answer can be sent any more.
  */
 function watchSocket(socket: Socket, onClosed: () => void): () => void {
@@ -80,7 +80,7 @@
 		this.#disconnectListener = callback;
 	}
 
-	/** Reads the whole body, of at most `mostBytes`. Calls back without a body if the request has none or on a problem. */
+	/** Reads the whole body, of at most `maximumBytes`. Calls back without a body if the request has none or on a problem. */
 	readBody(maximumBytes: number, done: (body: Buffer | undefined, problem?: BodyProblem) => void): void {
 		const {headers} = this.request;
 		if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) {
--- a/packages/entry/src/connection.ts
+++ b/packages/entry/src/connection.ts
@@ -35,7 +35,7 @@
 	#bytesBeforeRequest = 0;
 	#endedInOrder = false;
 
-	/** Connects when the first request is sent. `onOver` is called once, when the connection closes. */
+	/** Connects when the first request is sent. `onClose` is called once, when the connection closes. */
 	constructor(address: string, timeouts: ConnectionTimeouts, onClose: (connection: Connection) => void) {
 		const connect = buildConnector({timeout: timeouts.connectMilliseconds});
 		this.client = new Client(`http://${address}`, {
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -83,7 +83,7 @@
 	nothing: 'nothing',
 } as const;
 
-/** One of the values of `Wanted`. */
+/** One of the values of `FollowMode`. */
 export type FollowMode = (typeof FollowMode)[keyof typeof FollowMode];
 
 /**
--- a/packages/entry/src/loop-delay-guard.ts
+++ b/packages/entry/src/loop-delay-guard.ts
@@ -6,7 +6,7 @@
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** The interval at which `turn` is called when the loop isn't delayed. */
+/** The interval at which `recordTurn` is called when the loop isn't delayed. */
 export const turnIntervalMilliseconds: Milliseconds = 10;
 
 /** Shorter delays are ignored: nobody can distinguish callers that disconnect within them from others. */
@@ -17,7 +17,7 @@
 	#lastTurnAt: MonotonicTime = monotonicNow();
 	#delay: Milliseconds = 0;
 
-	/** Records a turn; called each `turnMilliseconds` by a timer. */
+	/** Records a turn; called each `turnIntervalMilliseconds` by a timer. */
 	recordTurn(): void {
 		const now = monotonicNow();
 		this.#delay = now - this.#lastTurnAt - turnIntervalMilliseconds;
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -29,7 +29,7 @@
 		this.#timeouts = timeouts;
 	}
 
-	/** Whether a request can be sent with at most `most` connections, and on none of `refusedOn`. */
+	/** Whether a request can be sent with at most `maximumConnections` connections, and on none of `refusedOn`. */
 	hasRoom(maximumConnections: number, refusedOn: ReadonlySet<Connection>): boolean {
 		return this.#connections.length < maximumConnections || this.#connections.some(connection => !connection.isBusy && !refusedOn.has(connection));
 	}
--- a/packages/entry/test/scenario.ts
+++ b/packages/entry/test/scenario.ts
@@ -16,7 +16,7 @@
 
 /** A request that an upstream received. */
 export type Request = {readonly head: string; readonly body: string; readonly identifier: string};
-/** How an upstream handles a request; `seen` is the number of requests that it has received. */
+/** How an upstream handles a request; `received` is the number of requests that it has received. */
 export type Behaviour = (socket: Socket, request: Request, received: number) => void;
 
 const fields = {
@@ -89,7 +89,7 @@
 /** A running entry. */
 export type Entry = {readonly port: number; readonly callers: CallerServer; readonly table: ServiceTable; readonly advancing: NodeJS.Timeout};
 
-/** Starts an entry; `isKnown`: whether it has a directory. `told` replaces dependencies of its requests. */
+/** Starts an entry; `hasDirectory`: whether it has a directory. `overrides` replaces dependencies of its requests. */
 export async function startEntry(upstreams: readonly Upstream[], hasDirectory: boolean, overrides: Partial<RequestDependencies> = {}): Promise<Entry> {
 	const table = new ServiceTable(settings, () => 0);
 	const loopDelayGuard = new LoopDelayGuard();
