--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -43,7 +43,10 @@
 	readonly headers: RawHeaders;
 	readonly body: Buffer | undefined;
 	readonly timeoutMilliseconds: Milliseconds;
-	/** Connections on which an upstream refused the request; each refusal adds its connection. The request is not sent on them again, since the upstream may repeat the refusal there, with the identifier of the same request. */
+	/**
+	 * Connections on which an upstream refused the request; each refusal adds its connection. The request is
+	 * not sent on them again: the upstream may repeat the refusal there, with the same request's identifier.
+	 */
 	readonly refusedOn: Set<Connection>;
 	readonly rules: RequestRules;
 	/** Called right before the first byte is written to a socket. If it returns false, nothing is sent. */
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP server for callers. Requests are passed on unchanged: the framework
+ * The HTTP server for callers. Requests are handed over unchanged: the framework
  * interprets neither their path nor their body.
  */
 import {type Server} from 'node:http';
--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -38,7 +38,10 @@
 		return this.#dependencies.table.holderOf(this.#service, this.key)?.upstream;
 	}
 
-	/** Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment after this instance is, so one refusal is retried; an upstream that refuses twice under one fence number has lost them. */
+	/**
+	 * Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment
+	 * after this instance is; one that refuses twice under one fence number has lost them.
+	 */
 	availableHolder(now: MonotonicTime): CachedUpstream | undefined {
 		const keyHolder = this.#dependencies.table.holderOf(this.#service, this.key);
 		const hasLost = keyHolder?.range.fence === this.#refusedFence && this.#fenceRefusals >= maximumFenceRefusals;
