--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at one upstream: sends the request and gathers the answer. An
- * answer that is not whole is never told as one.
+ * One attempt to send a request to an upstream: sends it and buffers the answer.
+ * An incomplete answer is never reported as a whole one.
  */
 import {Buffer} from 'node:buffer';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -12,83 +12,86 @@
 import {type AnswerHead, type RawHeaders} from '@dogwooddeck/upstream-client/headers';
 import {type Connection} from './connection.js';
 
-/** A whole answer of an upstream. */
+/** The whole answer of an upstream. */
 export type UpstreamAnswer = {readonly status: number; readonly headers: RawHeaders; readonly body: Buffer};
 
 /** How an attempt ended. */
 export type AttemptResult = {
-	readonly seen: AttemptObservation;
+	readonly observation: AttemptObservation;
 	readonly milliseconds: Milliseconds;
-	/** With `wholeAnswer`, unless its parts were passed on as they came. */
+	/** Set with `wholeAnswer`, unless the answer was streamed. */
 	readonly answer?: UpstreamAnswer;
 	readonly retryAfterMilliseconds?: Milliseconds;
 };
 
-/** Takes an answer that is too long to be gathered. */
-export type LongAnswer = {
+/** Receives an answer that is too long to buffer. `write` returns false to pause it until `SentAttempt.resume`. */
+export type StreamedAnswerSink = {
 	readonly begin: (status: number, headers: RawHeaders) => void;
 	readonly write: (chunk: Uint8Array) => boolean;
 };
 
-/** What an answer is held against. */
+/** The rules by which an answer is classified. */
 export type RequestRules = Pick<AnswerRules, 'isNotRun'> & {
-	/** Whether the answer belongs to another request, or isn't the upstream's own. `isFirst`: its connection has carried no other request. */
+	/** Whether the answer belongs to another request, or isn't the upstream's own. `isFirst`: this is the first request on its connection. */
 	readonly isForeign: (status: number, head: AnswerHead, isFirst: boolean) => boolean;
 };
 
-/** What is sent, and who hears of it. */
+/** The request to send, and the callbacks for its answer. */
 export type RequestSpecification = {
 	readonly method: string;
 	readonly path: string;
 	readonly headers: RawHeaders;
 	readonly body: Buffer | undefined;
 	readonly timeoutMilliseconds: Milliseconds;
-	/** The request is not sent on these again, and the connection is added where the upstream refuses it: the refusal may be written again there, and name the same request. */
+	/**
+	 * Connections on which an upstream refused the request; each refusal adds its connection. The request is
+	 * not sent on them again: the upstream may repeat the refusal there, with the same request's identifier.
+	 */
 	readonly refusedOn: Set<Connection>;
 	readonly rules: RequestRules;
-	/** Called right before the first byte is handed to a socket. `false`: nothing is sent. */
+	/** Called right before the first byte is written to a socket. If it returns false, nothing is sent. */
 	readonly mayStart: () => boolean;
-	readonly onLong: LongAnswer;
+	readonly streamedAnswer: StreamedAnswerSink;
 	/** Called once. */
 	readonly onEnd: (result: AttemptResult) => void;
 };
 
-/** An attempt that is under way. */
+/** An attempt in flight. */
 export type SentAttempt = {
-	/** The caller is gone: the upstream sees its connection end. */
+	/** Closes the connection to the upstream, as the caller has disconnected. */
 	readonly cancel: () => void;
-	/** Goes on after `LongAnswer.write` returned `false`. */
+	/** Resumes reading after `StreamedAnswerSink.write` returned false. */
 	readonly resume: () => void;
 };
 
-/** Answers up to this size are gathered before they are passed on, so that a cut one can be asked for again. */
-export const gatheredBytes = 131_072;
-
-/** What a request does to its connection. */
-export type ConnectionHold = {
-	/** The head of an answer has come. */
-	readonly answering: () => void;
-	/** The request is over; the rest of a refusal may still come. */
-	readonly ended: (seen: AttemptObservation) => void;
-	/** Nothing more comes of the request. */
-	readonly release: () => void;
+/** Answers up to this size are buffered before they are forwarded, so that the request can be retried if the answer is truncated. */
+export const maximumBufferedBytes = 131_072;
+
+/** Reports the progress of a request to the owner of its connection. */
+export type ConnectionObserver = {
+	/** The head of the answer was received. */
+	readonly onHead: () => void;
+	/** The request has ended; the rest of a refusal may still arrive. */
+	readonly onEnd: (observation: AttemptObservation) => void;
+	/** No more data of the request's answer will arrive. */
+	readonly onRelease: () => void;
 };
 
-/** Gathers an answer; what is longer than `gatheredBytes` is passed on as it comes. */
-class Gathering implements AnswerSink {
+/** Buffers an answer; one that is longer than `maximumBufferedBytes` is streamed. */
+class AnswerBuffer implements AnswerSink {
 	readonly #specification: RequestSpecification;
 	readonly #startedAt = monotonicNow();
-	readonly #hold: ConnectionHold;
+	readonly #observer: ConnectionObserver;
 	#status = 0;
 	#headers: RawHeaders = [];
 	#chunks: Uint8Array[] = [];
 	#bytes = 0;
-	#isLong = false;
+	#isStreaming = false;
 	#isDrained = false;
 
-	constructor(specification: RequestSpecification, hold: ConnectionHold) {
+	constructor(specification: RequestSpecification, observer: ConnectionObserver) {
 		this.#specification = specification;
-		this.#hold = hold;
+		this.#observer = observer;
 	}
 
 	beforeFirstByte(): boolean {
@@ -96,32 +99,32 @@
 	}
 
 	onHead(status: number, headers: RawHeaders): void {
-		this.#hold.answering();
+		this.#observer.onHead();
 		this.#status = status;
 		this.#headers = headers;
 	}
 
 	onChunk(chunk: Uint8Array): boolean {
-		if (this.#isLong) {
-			return this.#specification.onLong.write(chunk);
+		if (this.#isStreaming) {
+			return this.#specification.streamedAnswer.write(chunk);
 		}
 
 		this.#chunks.push(chunk);
 		this.#bytes += chunk.length;
-		return this.#bytes <= gatheredBytes || this.#passOn();
+		return this.#bytes <= maximumBufferedBytes || this.#startStreaming();
 	}
 
-	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
-		this.#hold.ended(seen);
-		if (seen !== AttemptObservation.shed || this.#isDrained) {
-			this.#hold.release();
+	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
+		this.#observer.onEnd(observation);
+		if (observation !== AttemptObservation.shed || this.#isDrained) {
+			this.#observer.onRelease();
 		}
 
-		const answer = seen === AttemptObservation.wholeAnswer && !this.#isLong
+		const answer = observation === AttemptObservation.wholeAnswer && !this.#isStreaming
 			? {status: this.#status, headers: this.#headers, body: Buffer.concat(this.#chunks)}
 			: undefined;
 		this.#specification.onEnd({
-			seen,
+			observation,
 			milliseconds: monotonicNow() - this.#startedAt,
 			...(answer === undefined ? {} : {answer}),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
@@ -130,25 +133,25 @@
 
 	onDrained(): void {
 		this.#isDrained = true;
-		this.#hold.release();
+		this.#observer.onRelease();
 	}
 
-	#passOn(): boolean {
-		this.#isLong = true;
-		const {onLong} = this.#specification;
-		onLong.begin(this.#status, this.#headers);
-		const gathered = this.#chunks;
+	#startStreaming(): boolean {
+		this.#isStreaming = true;
+		const {streamedAnswer} = this.#specification;
+		streamedAnswer.begin(this.#status, this.#headers);
+		const buffered = this.#chunks;
 		this.#chunks = [];
-		return gathered.map(chunk => onLong.write(chunk)).every(Boolean);
+		return buffered.map(chunk => streamedAnswer.write(chunk)).every(Boolean);
 	}
 }
 
 /** Sends a request on a connection. */
-export function sendRequest(connection: Connection, specification: RequestSpecification, hold: ConnectionHold): SentAttempt {
+export function sendRequest(connection: Connection, specification: RequestSpecification, observer: ConnectionObserver): SentAttempt {
 	const {isNotRun, isForeign} = specification.rules;
 	const isFirst = connection.requests === 1;
 	const rules: AnswerRules = {isNotRun, isForeign: (status, head) => isForeign(status, head, isFirst), endedInOrder: () => connection.endedInOrder};
-	const exchange = new Exchange(new Gathering(specification, hold), specification.method, rules, specification.timeoutMilliseconds);
+	const exchange = new Exchange(new AnswerBuffer(specification, observer), specification.method, rules, specification.timeoutMilliseconds);
 	connection.client.dispatch({
 		path: specification.path,
 		method: specification.method,
--- a/packages/entry/src/caller-exchange.ts
+++ b/packages/entry/src/caller-exchange.ts
@@ -1,87 +1,87 @@
 /**
- * One caller's request and the answer to it, on the caller's connection.
+ * One request of a caller and its answer, on the caller's connection.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Socket} from 'node:net';
 import {type RawHeaders} from '@dogwooddeck/upstream-client/headers';
 
-const exchangesOfSocket = new WeakMap<Socket, Set<() => void>>();
+const watchersOfSocket = new WeakMap<Socket, Set<() => void>>();
 
 /**
- * Calls back when a connection closes, until the returned function is called. The
- * caller's own end counts: the server ends the connection then, and an answer can't be given any more.
+ * Calls `onClosed` when a connection closes, until the returned function is called. A
+ * half-close by the caller counts: the server then ends the connection, and no answer can be sent any more.
  */
-function watchSocket(socket: Socket, gone: () => void): () => void {
-	let watchers = exchangesOfSocket.get(socket);
+function watchSocket(socket: Socket, onClosed: () => void): () => void {
+	let watchers = watchersOfSocket.get(socket);
 	if (watchers === undefined) {
-		const made = new Set<() => void>();
-		exchangesOfSocket.set(socket, made);
+		const created = new Set<() => void>();
+		watchersOfSocket.set(socket, created);
 		for (const event of ['end', 'close']) {
 			socket.once(event, () => {
-				for (const watcher of made) {
+				for (const watcher of created) {
 					watcher();
 				}
 			});
 		}
 
-		watchers = made;
+		watchers = created;
 	}
 
-	watchers.add(gone);
-	const known = watchers;
+	watchers.add(onClosed);
+	const current = watchers;
 	return () => {
-		known.delete(gone);
+		current.delete(onClosed);
 	};
 }
 
-/** Why a body was not taken. */
-export const BodyProblem = {tooLarge: 'too-large', cut: 'cut'} as const;
+/** Why a body was rejected. */
+export const BodyProblem = {tooLarge: 'too-large', truncated: 'cut'} as const;
 
-/** One of the reasons. */
+/** One of the values of `BodyProblem`. */
 export type BodyProblem = (typeof BodyProblem)[keyof typeof BodyProblem];
 
-const bodyless = new Set([204, 304]);
+const statusesWithoutBody = new Set([204, 304]);
 
-/** The two sides of a caller's connection for one request. */
+/** A caller's request, and the operations that answer it. */
 export class CallerExchange {
 	readonly #response: ServerResponse;
 	readonly #unwatch: () => void;
 	readonly #keepsConnection: boolean;
-	#isGone = false;
+	#hasDisconnected = false;
 	#isAnswered = false;
-	#whenGone: (() => void) | undefined;
+	#disconnectListener: (() => void) | undefined;
 
 	/** `keepsConnection`: whether the connection may carry further requests. */
 	constructor(readonly request: IncomingMessage, response: ServerResponse, keepsConnection: boolean) {
 		this.#keepsConnection = keepsConnection;
 		this.#response = response;
 		this.#unwatch = watchSocket(request.socket, () => {
-			this.#isGone = true;
-			this.#whenGone?.();
+			this.#hasDisconnected = true;
+			this.#disconnectListener?.();
 		});
 		response.on('error', () => {
-			this.#isGone = true;
+			this.#hasDisconnected = true;
 		});
 	}
 
-	/** Whether the caller has closed its connection. */
-	get isGone(): boolean {
-		return this.#isGone;
+	/** Whether the caller has disconnected. */
+	get hasDisconnected(): boolean {
+		return this.#hasDisconnected;
 	}
 
-	/** Whether an answer was begun. */
+	/** Whether an answer has been started. */
 	get isAnswered(): boolean {
 		return this.#isAnswered;
 	}
 
-	/** Called when the caller leaves before the end of its answer. */
-	onGone(callback: () => void): void {
-		this.#whenGone = callback;
+	/** Sets the callback for when the caller disconnects before the end of its answer. */
+	onDisconnect(callback: () => void): void {
+		this.#disconnectListener = callback;
 	}
 
-	/** Reads the whole body, up to a size. */
-	readBody(mostBytes: number, done: (body: Buffer | undefined, problem?: BodyProblem) => void): void {
+	/** Reads the whole body, of at most `maximumBytes`. Calls back without a body if the request has none or on a problem. */
+	readBody(maximumBytes: number, done: (body: Buffer | undefined, problem?: BodyProblem) => void): void {
 		const {headers} = this.request;
 		if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) {
 			done(undefined);
@@ -90,17 +90,17 @@
 
 		const chunks: Buffer[] = [];
 		let bytes = 0;
-		let isOver = false;
+		let isFinished = false;
 		const finish = (body: Buffer | undefined, problem?: BodyProblem) => {
-			if (!isOver) {
-				isOver = true;
+			if (!isFinished) {
+				isFinished = true;
 				done(body, problem);
 			}
 		};
 
 		this.request.on('data', (chunk: Buffer) => {
 			bytes += chunk.length;
-			if (bytes > mostBytes) {
+			if (bytes > maximumBytes) {
 				finish(undefined, BodyProblem.tooLarge);
 			} else {
 				chunks.push(chunk);
@@ -110,53 +110,53 @@
 			finish(Buffer.concat(chunks));
 		});
 		this.request.on('error', () => {
-			finish(undefined, BodyProblem.cut);
+			finish(undefined, BodyProblem.truncated);
 		});
 	}
 
-	/** Answers with a whole body. */
+	/** Sends an answer with its whole body. */
 	answer(status: number, headers: RawHeaders, body: Buffer): void {
-		if (!this.#begin()) {
+		if (!this.#startAnswer()) {
 			return;
 		}
 
 		const hasLength = headers.some((field, position) => position % 2 === 0 && field.toLowerCase() === 'content-length');
-		const length = hasLength || bodyless.has(status) || this.request.method === 'HEAD' ? [] : ['Content-Length', String(body.length)];
+		const length = hasLength || statusesWithoutBody.has(status) || this.request.method === 'HEAD' ? [] : ['Content-Length', String(body.length)];
 		this.#response.writeHead(status, [...headers, ...length]);
 		this.#response.end(body);
 		this.#unwatch();
 	}
 
-	/** Begins an answer whose parts follow. */
-	begin(status: number, headers: RawHeaders): void {
-		if (this.#begin()) {
+	/** Starts a streamed answer, whose body follows by `write`. */
+	startStream(status: number, headers: RawHeaders): void {
+		if (this.#startAnswer()) {
 			this.#response.writeHead(status, [...headers]);
 		}
 	}
 
-	/** Passes a part on. `false`: wait for `onDrain`. */
+	/** Writes a part of a streamed body. Returns false if the next part should wait for `onDrain`. */
 	write(chunk: Uint8Array): boolean {
-		return this.#isGone || this.#response.write(chunk);
+		return this.#hasDisconnected || this.#response.write(chunk);
 	}
 
-	/** Calls back once the caller has read. */
+	/** Calls back once the connection's write buffer is empty. */
 	onDrain(callback: () => void): void {
 		this.#response.once('drain', callback);
 	}
 
-	/** Ends an answer that was begun. */
+	/** Ends a streamed answer. */
 	end(): void {
 		this.#response.end();
 		this.#unwatch();
 	}
 
-	/** Closes the connection in the middle of an answer, so that it can't look whole. */
-	cut(): void {
+	/** Closes the connection in the middle of an answer, so that the caller can't take it for a whole one. */
+	abort(): void {
 		this.request.socket.destroy();
 	}
 
-	#begin(): boolean {
-		if (this.#isAnswered || this.#isGone) {
+	#startAnswer(): boolean {
+		if (this.#isAnswered || this.#hasDisconnected) {
 			return false;
 		}
 
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the directory: changes from the nearest control instance that is in
- * touch with the leader, the newest state wins. A stream that falls silent is
- * opened anew, and others are followed meanwhile.
+ * Replicates the directory: streams changes from the nearest control instance that
+ * is in contact with the leader, and keeps the newest state. A stream that stops
+ * sending is reopened, and other instances are followed in the meantime.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {directoryMachine, type DirectoryState} from '@dogwooddeck/directory/state';
@@ -18,25 +18,25 @@
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type Log} from '@dogwooddeck/telemetry/log';
 
-/** What the follower knows. */
+/** The replicated directory, and what control instances report beside it. */
 export type DirectoryFollower = {
 	readonly state: () => DirectoryState;
 	readonly listen: (listener: (state: DirectoryState) => void) => void;
-	/** Whether the directory was once confirmed by a control instance in touch with the leader. */
+	/** Whether a control instance in contact with the leader has confirmed the directory at least once. */
 	readonly isConfirmed: () => boolean;
-	/** The nearest control instance that is heard. */
+	/** Returns the address of the nearest control instance with an active stream. */
 	readonly nearest: () => string | undefined;
-	/** The number of entries of the deployment, as far as it is known; at least 1. */
+	/** Returns the number of entry instances of the deployment, as last reported; at least 1. */
 	readonly entryCount: () => number;
-	/** The part of the requests for its keys that an upstream with too much work can process; 1 for others. */
-	readonly shareOf: (life: UpstreamIncarnation) => number;
+	/** Returns the fraction of the requests for its keys that an overloaded upstream can process; 1 for other upstreams. */
+	readonly shareOf: (upstream: UpstreamIncarnation) => number;
 	/** Follows further control instances. */
 	readonly followAlso: (addresses: readonly string[]) => void;
 	readonly stop: () => void;
 };
 
-/** What the follower works with. */
-export type FollowerParts = {
+/** What the follower depends on. */
+export type FollowerDependencies = {
 	readonly name: string;
 	readonly zone: ZoneName;
 	/** The region of each zone. */
@@ -46,28 +46,28 @@
 	readonly log: Log;
 };
 
-/** A stream is silent after this long: its sender writes each 250 ms. */
-const silentMilliseconds: Milliseconds = 900;
+/** A stream that receives no data for this long is closed and reopened: its sender writes each 250 ms. */
+const contactTimeoutMilliseconds: Milliseconds = 900;
 const checkMilliseconds: Milliseconds = 200;
-/** Until a stream has brought its first message it gets more time, to connect. */
+/** The longer timeout for the first message of a stream, which includes connecting. */
 const connectMilliseconds: Milliseconds = 1500;
 
-/** While a nearer control instance has not been in touch with the leader for this long, others are followed beside it: an election takes as long. */
-const staleMilliseconds: Milliseconds = 700;
+/** When a nearer control instance has had no contact with the leader for this long, others are followed too: an election takes as long. */
+const leaderContactTimeoutMilliseconds: Milliseconds = 700;
 
-/** One control instance, as a follower knows it. */
-export type FollowedControl = {
-	/** Undefined until it has said where it stands. */
+/** The state of the stream from one control instance. */
+export type ControlStreamState = {
+	/** Undefined until it has reported its zone. */
 	readonly distance?: Distance;
 	readonly isOpen: boolean;
-	readonly hasHeard: boolean;
-	readonly heardAt: MonotonicTime;
-	/** When it last said that it is in touch with the leader, or when its stream began. */
-	readonly freshAt: MonotonicTime;
+	readonly hasReceived: boolean;
+	readonly lastContactAt: MonotonicTime;
+	/** When it last reported contact with the leader, or when its stream began. */
+	readonly leaderContactAt: MonotonicTime;
 };
 
-/** What was told of overloads holds for this long: a key is hot for seconds. */
-const sharesMilliseconds: Milliseconds = 1500;
+/** Reported overloads are valid for this long: a key is hot for seconds. */
+const sharesLifetimeMilliseconds: Milliseconds = 1500;
 
 const ranks: Readonly<Record<Distance, number>> = {
 	[Distance.sameZone]: 0,
@@ -75,95 +75,95 @@
 	[Distance.otherRegion]: 2,
 };
 
-/** Whether an instance is followed, and for what. */
-export const Wanted = {
-	/** To hear where it stands. */
+/** What is requested from a control instance. */
+export const FollowMode = {
+	/** Its zone, members and contact with the leader, without changes of the directory. */
 	presence: 'presence',
 	changes: 'changes',
 	nothing: 'nothing',
 } as const;
 
-/** One of these. */
-export type Wanted = (typeof Wanted)[keyof typeof Wanted];
+/** One of the values of `FollowMode`. */
+export type FollowMode = (typeof FollowMode)[keyof typeof FollowMode];
 
 /**
- * For what a control instance should be followed: for changes while none that is
- * nearer is heard and in touch with the leader, since each message is paid by
- * volume where it crosses zones, and costs each instance processor time.
+ * Returns what to request from a control instance: changes, unless a nearer one has
+ * an active stream and contact with the leader, since traffic between zones is
+ * charged by volume, and each message costs each instance processor time.
  */
-export function wantedOf({distance}: FollowedControl, all: readonly FollowedControl[], now: MonotonicTime): Wanted {
+export function followModeOf({distance}: ControlStreamState, all: readonly ControlStreamState[], now: MonotonicTime): FollowMode {
 	if (distance === undefined) {
-		return Wanted.presence;
+		return FollowMode.presence;
 	}
 
 	const isServed = all.some(other => other.distance !== undefined && ranks[other.distance] < ranks[distance]
-		&& other.isOpen && other.hasHeard && now - other.heardAt <= silentMilliseconds && now - other.freshAt <= staleMilliseconds);
-	return isServed ? Wanted.nothing : Wanted.changes;
+		&& other.isOpen && other.hasReceived && now - other.lastContactAt <= contactTimeoutMilliseconds && now - other.leaderContactAt <= leaderContactTimeoutMilliseconds);
+	return isServed ? FollowMode.nothing : FollowMode.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; heardAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
+type ControlStream = {following?: Following; distance?: Distance; mode: FollowMode; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
-/** Starts to follow. */
+/** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
 	name, zone, regions, seeds, clients, log,
-}: FollowerParts): DirectoryFollower {
+}: FollowerDependencies): DirectoryFollower {
 	const holder = createStateHolder(directoryMachine);
-	const streams = new Map<string, Stream>();
+	const streams = new Map<string, ControlStream>();
 	const lag = new LagMonitor(log);
 	let isConfirmed = false;
 	let shares: ReadonlyMap<string, number> = new Map();
 	let sharesAt: MonotonicTime = -Infinity;
-	/** The highest index that any control instance said was committed. */
+	/** The highest log index that any control instance reported as committed. */
 	let committed: LogIndex = 0;
 
-	function take(address: string, stream: Stream, message: FollowMessage): void {
-		if (!stream.hasHeard && stream.wanted === Wanted.changes) {
+	function receive(address: string, stream: ControlStream, message: FollowMessage): void {
+		if (!stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.event(EventName.controlGained, {control: address, fresh: message.fresh, applied: holder.state().applied});
 		}
 
-		stream.heardAt = monotonicNow();
-		stream.hasHeard = true;
-		stream.freshAt = message.fresh ? stream.heardAt : stream.freshAt;
+		stream.lastContactAt = monotonicNow();
+		stream.hasReceived = true;
+		stream.leaderContactAt = message.fresh ? stream.lastContactAt : stream.leaderContactAt;
 		stream.distance = distanceOf(zone, message.zone, regions);
 		stream.entries = message.entryCount;
 		shares = new Map(message.shares.map(({life, share}) => [incarnationText(life), share]));
-		sharesAt = stream.heardAt;
+		sharesAt = stream.lastContactAt;
 		if (message.catchUp !== undefined) {
 			holder.catchUp(message.catchUp);
 		}
 
 		committed = Math.max(committed, message.committed);
-		isConfirmed ||= message.fresh && stream.wanted === Wanted.changes;
+		isConfirmed ||= message.fresh && stream.mode === FollowMode.changes;
 		for (const member of message.members) {
 			open(member);
 		}
 
-		if (stream.wanted === Wanted.presence) {
+		if (stream.mode === FollowMode.presence) {
 			check();
 		}
 	}
 
-	function end(address: string, stream: Stream, failed: Failure | undefined): void {
+	function end(address: string, stream: ControlStream, failed: Failure | undefined): void {
 		stream.isOpen = false;
-		if (stream.hasHeard && stream.wanted === Wanted.changes) {
+		if (stream.hasReceived && stream.mode === FollowMode.changes) {
 			log.warning(EventName.controlLost, {
-				control: address, silentFor: Math.round(monotonicNow() - stream.heardAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
+				control: address, silentFor: Math.round(monotonicNow() - stream.lastContactAt), applied: holder.state().applied, failure: failed?.kind, detail: failed?.detail,
 			});
 		}
 	}
 
-	function start(address: string, stream: Stream, wanted: Wanted): void {
+	function start(address: string, stream: ControlStream, mode: FollowMode): void {
 		stream.isOpen = true;
-		stream.wanted = wanted;
-		stream.hasHeard = false;
-		stream.heardAt = monotonicNow();
-		stream.freshAt = stream.heardAt;
-		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: wanted === Wanted.changes}, {
+		stream.mode = mode;
+		stream.hasReceived = false;
+		stream.lastContactAt = monotonicNow();
+		stream.leaderContactAt = stream.lastContactAt;
+		stream.following = clients.follow(address, {entry: name, applied: holder.state().applied, wantsChanges: mode === FollowMode.changes}, {
 			onPart() {
-				stream.heardAt = monotonicNow();
+				stream.lastContactAt = monotonicNow();
 			},
 			onMessage(message) {
-				take(address, stream, message);
+				receive(address, stream, message);
 			},
 			onEnd(failed) {
 				end(address, stream, failed);
@@ -173,11 +173,11 @@
 
 	function open(address: string): void {
 		if (!streams.has(address)) {
-			const stream: Stream = {
-				wanted: Wanted.presence, freshAt: -Infinity, heardAt: monotonicNow(), isOpen: false, hasHeard: false, entries: 1,
+			const stream: ControlStream = {
+				mode: FollowMode.presence, leaderContactAt: -Infinity, lastContactAt: monotonicNow(), isOpen: false, hasReceived: false, entries: 1,
 			};
 			streams.set(address, stream);
-			start(address, stream, Wanted.presence);
+			start(address, stream, FollowMode.presence);
 		}
 	}
 
@@ -186,27 +186,27 @@
 		const all = [...streams.values()];
 		lag.record(holder.state().applied, committed, now);
 		for (const [address, stream] of streams) {
-			const isSilent = now - stream.heardAt > (stream.hasHeard ? silentMilliseconds : connectMilliseconds);
-			if (stream.isOpen && isSilent) {
+			const isTimedOut = now - stream.lastContactAt > (stream.hasReceived ? contactTimeoutMilliseconds : connectMilliseconds);
+			if (stream.isOpen && isTimedOut) {
 				stream.following?.stop();
 				clients.reopen(address);
 			}
 
-			const wanted = wantedOf(stream, all, now);
-			if (stream.isOpen && wanted !== stream.wanted) {
+			const mode = followModeOf(stream, all, now);
+			if (stream.isOpen && mode !== stream.mode) {
 				stream.following?.stop();
-				if (wanted === Wanted.nothing) {
+				if (mode === FollowMode.nothing) {
 					clients.reopen(address);
 				}
 			}
 
-			if (!stream.isOpen && wanted !== Wanted.nothing) {
-				start(address, stream, wanted);
+			if (!stream.isOpen && mode !== FollowMode.nothing) {
+				start(address, stream, mode);
 			}
 		}
 	}
 
-	const checking = setInterval(check, checkMilliseconds);
+	const checkTimer = setInterval(check, checkMilliseconds);
 	for (const seed of seeds) {
 		open(seed);
 	}
@@ -216,18 +216,18 @@
 		listen: holder.listen,
 		isConfirmed: () => isConfirmed,
 		nearest() {
-			const heard = [...streams].filter(([, {isOpen, hasHeard, distance}]) => isOpen && hasHeard && distance !== undefined);
-			return heard.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
+			const active = [...streams].filter(([, {isOpen, hasReceived, distance}]) => isOpen && hasReceived && distance !== undefined);
+			return active.sort(([, one], [, other]) => ranks[one.distance!] - ranks[other.distance!])[0]?.[0];
 		},
 		entryCount: () => Math.max(1, ...[...streams.values()].map(({isOpen, entries}) => isOpen ? entries : 1)),
-		shareOf: life => monotonicNow() - sharesAt <= sharesMilliseconds ? shares.get(incarnationText(life)) ?? 1 : 1,
+		shareOf: upstream => monotonicNow() - sharesAt <= sharesLifetimeMilliseconds ? shares.get(incarnationText(upstream)) ?? 1 : 1,
 		followAlso(addresses) {
 			for (const address of addresses) {
 				open(address);
 			}
 		},
 		stop() {
-			clearInterval(checking);
+			clearInterval(checkTimer);
 			for (const stream of streams.values()) {
 				stream.following?.stop();
 			}
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,6 +1,6 @@
 /**
- * An entry instance: takes callers' requests, follows the directory, says
- * whether it is ready, and stops without cutting requests off.
+ * An entry instance: accepts callers' requests, follows the directory, serves a
+ * readiness check, and shuts down gracefully, without aborting requests.
  */
 import {createServer, type Server} from 'node:http';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -15,37 +15,37 @@
 import {type CallerServer, startCallerServer} from './caller-server.js';
 import {followDirectory} from './directory-follower.js';
 import {startLoadReporter} from './load-reporter.js';
-import {Hearing, turnMilliseconds} from './hearing.js';
-import {createRequestJournal} from './request-journal.js';
-import {RequestRun, type RequestSurroundings} from './request-run.js';
-import {type KnownService, ServiceTable} from './service-table.js';
+import {LoopDelayGuard, turnIntervalMilliseconds} from './loop-delay-guard.js';
+import {createRequestLog} from './request-log.js';
+import {RequestExecution, type RequestDependencies} from './request-execution.js';
+import {type CachedService, ServiceTable} from './service-table.js';
 import {type EntrySettings} from './settings.js';
 
-/** An entry instance that runs. */
+/** A running entry instance. */
 export type Entry = {
-	/** The settings name further control instances. */
+	/** Follows further control instances, when the settings add addresses. */
 	readonly followAlso: (addresses: readonly string[]) => void;
-	/** Stops within the grace time. */
+	/** Shuts down within the grace period. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What an entry instance runs on. */
-export type EntryParts = {
+/** What an entry instance depends on. */
+export type EntryDependencies = {
 	readonly settings: EntrySettings;
 	readonly log: Log;
 	readonly measures: Measures;
-	/** Gives numbers between 0 and 1. */
+	/** Returns numbers between 0 and 1. */
 	readonly random: () => number;
 };
 
-/** How often connections are looked at for bytes without end: often enough that they take little of the processor, beside deadlines of a second. */
+/** The interval at which connections are checked for endless data: short enough, against deadlines of a second, that reading such data takes little processor time. */
 const closeEndlessMilliseconds: Milliseconds = 100;
 
-/** After a stop was asked for, kept connections are used on for this long: the balancer asks each second and gives up after two misses. */
+/** How long kept-alive connections stay in use after a stop is requested: the balancer checks readiness each second and removes an instance after two failed checks. */
 const drainMilliseconds: Milliseconds = 2500;
 const closeIdleMilliseconds: Milliseconds = 100;
 
-/** Kept free at the end of the grace time. */
+/** Reserved at the end of the grace period. */
 const stopMarginMilliseconds: Milliseconds = 700;
 
 function startReadiness({readiness}: EntrySettings, isReady: () => boolean): Server {
@@ -59,7 +59,7 @@
 }
 
 /** Starts an entry instance. */
-export async function startEntry({settings, log, measures, random}: EntryParts): Promise<Entry> {
+export async function startEntry({settings, log, measures, random}: EntryDependencies): Promise<Entry> {
 	const clients = createMeshClients();
 	const follower = followDirectory({
 		name: settings.name, zone: settings.zone, regions: settings.regions, seeds: settings.seeds, clients, log,
@@ -70,12 +70,12 @@
 	let endsAt: MonotonicTime = Infinity;
 	let wasReady = false;
 
-	const hearing = new Hearing();
+	const loopDelayGuard = new LoopDelayGuard();
 
-	function advance(service: KnownService): void {
-		if (service.line.length > 0) {
-			hearing.whenHeard(() => {
-				service.line.advance(monotonicNow());
+	function advance(service: CachedService): void {
+		if (service.queue.length > 0) {
+			loopDelayGuard.afterPendingReads(() => {
+				service.queue.advance(monotonicNow());
 			});
 		}
 	}
@@ -87,32 +87,32 @@
 	}
 
 	const hasRoutes = () => table.routes.size > 0;
-	const around: RequestSurroundings = {
+	const dependencies: RequestDependencies = {
 		table,
 		fields: settings.fields,
-		journal: createRequestJournal(log, measures, () => follower.state().applied),
+		requestLog: createRequestLog(log, measures, () => follower.state().applied),
 		isReady: hasRoutes,
 		limits: () => follower.state().items.limits[limitsName]?.value,
 		entryCount: follower.entryCount,
 		countKey: reporter.count,
-		countAnswer: reporter.answered,
+		countAnswer: reporter.recordAnswer,
 		advance,
-		whenHeard(goOn) {
-			hearing.whenHeard(goOn);
+		afterPendingReads(callback) {
+			loopDelayGuard.afterPendingReads(callback);
 		},
 		endsAt: () => endsAt,
 		shareOf: follower.shareOf,
 		random,
 	};
 	const callers: CallerServer = await startCallerServer(settings.callers, (exchange, path) => {
-		new RequestRun(around, exchange, path).start();
+		new RequestExecution(dependencies, exchange, path).start();
 	}, () => !isStopping);
 
 	function isReady(): boolean {
 		return hasRoutes() && follower.isConfirmed() && !isStopping;
 	}
 
-	function tellReadiness(): void {
+	function reportReadiness(): void {
 		const ready = isReady();
 		if (ready !== wasReady) {
 			wasReady = ready;
@@ -123,18 +123,18 @@
 
 	follower.listen(state => {
 		table.update(state, follower.entryCount());
-		callers.setLimits(around.limits());
+		callers.setLimits(dependencies.limits());
 		measures.set(MeasureName.applied, state.applied);
-		tellReadiness();
+		reportReadiness();
 		advanceAll();
 	});
-	// Beside events: pauses of upstreams end, and requests give up.
-	const advancing = setInterval(() => {
-		hearing.turn();
+	// Needed beside events: backoffs of upstreams end, and waiting requests time out.
+	const advanceTimer = setInterval(() => {
+		loopDelayGuard.recordTurn();
 		advanceAll();
-	}, turnMilliseconds);
+	}, turnIntervalMilliseconds);
 	const load = startLoadWatch(log, measures);
-	const closingEndless = setInterval(() => {
+	const closeEndlessTimer = setInterval(() => {
 		table.closeEndless();
 	}, closeEndlessMilliseconds);
 	const readiness = startReadiness(settings, isReady);
@@ -144,7 +144,7 @@
 		async stop() {
 			endsAt = monotonicNow() + settings.graceMilliseconds - stopMarginMilliseconds;
 			isStopping = true;
-			tellReadiness();
+			reportReadiness();
 			await pause(drainMilliseconds);
 			callers.stopListening();
 			while (callers.connections() > 0 && monotonicNow() < endsAt) {
@@ -152,8 +152,8 @@
 				await pause(closeIdleMilliseconds);
 			}
 
-			clearInterval(advancing);
-			clearInterval(closingEndless);
+			clearInterval(advanceTimer);
+			clearInterval(closeEndlessTimer);
 			load.stop();
 			follower.stop();
 			reporter.stop();
--- a/packages/entry/src/key-target.ts
+++ b/packages/entry/src/key-target.ts
@@ -1,74 +1,77 @@
 /**
- * The key of one request: who holds it, whether that upstream has said that it
- * doesn't, and how often it may be sent requests for it.
+ * The key of one request: which upstream holds it, whether that upstream has
+ * refused it as not its own, and at what rate requests for it may be sent.
  */
 import {type HolderCapacity, isPaced} from '@dogwooddeck/gateway/key-pace';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
-import {type KnownService, type KnownUpstream, type ServiceTable} from './service-table.js';
+import {type CachedService, type CachedUpstream, type ServiceTable} from './service-table.js';
 
-/** After an upstream said that it doesn't hold a key, its next table is awaited this long. */
+/** After an upstream answered that it doesn't hold a key, requests for the key wait this long for a newer table. */
 const staleTableMilliseconds: Milliseconds = 60;
 
-/** After so many refusals under one fence a new table is awaited. */
-const mostFenceRefusals = 2;
+/** After this many refusals under one fence number, requests for the key wait until the table has another one. */
+const maximumFenceRefusals = 2;
 
-/** What keys are looked up in. */
-export type KeySurroundings = {
+/** What a key target reads. */
+export type KeyDependencies = {
 	readonly table: ServiceTable;
-	/** The number of entries of the deployment. */
+	/** Returns the number of entry instances of the deployment. */
 	readonly entryCount: () => number;
 };
 
-/** One request's key. */
+/** The key of one request and its holder. */
 export class KeyTarget {
-	readonly #around: KeySurroundings;
-	readonly #service: KnownService;
+	readonly #dependencies: KeyDependencies;
+	readonly #service: CachedService;
 	#notBefore: MonotonicTime = -Infinity;
-	/** The fence under which an upstream said that it doesn't hold the key, and how often it did. */
+	/** The fence number under which an upstream last answered that it doesn't hold the key, and how often it did. */
 	#refusedFence = -1;
 	#fenceRefusals = 0;
 
-	constructor(around: KeySurroundings, service: KnownService, readonly key: number) {
-		this.#around = around;
+	constructor(dependencies: KeyDependencies, service: CachedService, readonly key: number) {
+		this.#dependencies = dependencies;
 		this.#service = service;
 	}
 
-	/** Who holds the key by the table. */
-	get holder(): KnownUpstream | undefined {
-		return this.#around.table.holderOf(this.#service, this.key)?.upstream;
+	/** The holder of the key according to the table. */
+	get holder(): CachedUpstream | undefined {
+		return this.#dependencies.table.holderOf(this.#service, this.key)?.upstream;
 	}
 
-	/** Who may be sent the request now: an upstream may hear of its keys a moment after this instance; one that refuses twice under one fence has lost them. */
-	holderNow(now: MonotonicTime): KnownUpstream | undefined {
-		const held = this.#around.table.holderOf(this.#service, this.key);
-		const hasLost = held?.range.fence === this.#refusedFence && this.#fenceRefusals >= mostFenceRefusals;
-		return now < this.#notBefore || hasLost ? undefined : held?.upstream;
+	/**
+	 * Returns the upstream that may be sent the request now. An upstream may be notified of its keys a moment
+	 * after this instance is; one that refuses twice under one fence number has lost them.
+	 */
+	availableHolder(now: MonotonicTime): CachedUpstream | undefined {
+		const keyHolder = this.#dependencies.table.holderOf(this.#service, this.key);
+		const hasLost = keyHolder?.range.fence === this.#refusedFence && this.#fenceRefusals >= maximumFenceRefusals;
+		return now < this.#notBefore || hasLost ? undefined : keyHolder?.upstream;
 	}
 
-	/** The holder said that it doesn't hold the key. */
-	noteMisdirected(now: MonotonicTime): void {
-		const fence = this.#around.table.holderOf(this.#service, this.key)?.range.fence ?? -1;
+	/** Records that the holder answered that it doesn't hold the key. */
+	recordMisdirected(now: MonotonicTime): void {
+		const fence = this.#dependencies.table.holderOf(this.#service, this.key)?.range.fence ?? -1;
 		this.#notBefore = now + staleTableMilliseconds;
 		this.#fenceRefusals = fence === this.#refusedFence ? this.#fenceRefusals + 1 : 1;
 		this.#refusedFence = fence;
 	}
 
-	/** How long a request for the key waits for its pace, behind others for it. */
-	waitFor(holder: KnownUpstream, ahead: number, now: MonotonicTime): Milliseconds {
+	/** Returns how long a request for the key waits for its pace, behind `ahead` others for the same key. */
+	waitFor(holder: CachedUpstream, ahead: number, now: MonotonicTime): Milliseconds {
 		return this.#service.pace.waitFor(this.key, ahead, this.#capacityOf(holder), now);
 	}
 
-	/** A request for the key is being sent. */
-	take(holder: KnownUpstream, now: MonotonicTime): void {
+	/** Records that a request for the key is being sent. */
+	recordSend(holder: CachedUpstream, now: MonotonicTime): void {
 		this.#service.pace.recordSend(this.key, this.#capacityOf(holder), now);
 	}
 
-	/** Whether this instance's equal part of the holder is enough for its requests to be paced by it. */
-	isPaced(holder: KnownUpstream): boolean {
+	/** Whether this instance's equal share of the holder's capacity is large enough to pace its requests by. */
+	isPaced(holder: CachedUpstream): boolean {
 		return isPaced(this.#capacityOf(holder));
 	}
 
-	#capacityOf({record, load}: KnownUpstream): HolderCapacity {
-		return {slots: record.slots, latency: load.latency, instances: this.#around.entryCount()};
+	#capacityOf({record, load}: CachedUpstream): HolderCapacity {
+		return {slots: record.slots, latency: load.latency, instances: this.#dependencies.entryCount()};
 	}
 }
--- a/packages/entry/src/load-reporter.ts
+++ b/packages/entry/src/load-reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Counts requests by key for the leader, which divides the keys by it, and tells
- * the control instance that is followed, which passes it on.
+ * Counts requests by key and reports the counts to the nearest control instance,
+ * which forwards them to the leader. The leader distributes keys by this load.
  */
 import {type LoadReport} from '@dogwooddeck/mesh/calls';
 import {type MeshClients} from '@dogwooddeck/mesh/client';
@@ -9,25 +9,25 @@
 const reportMilliseconds: Milliseconds = 300;
 const reportTimeoutMilliseconds: Milliseconds = 450;
 
-type Answers = {count: number; milliseconds: Milliseconds};
-type Counted = {readonly keys: Map<number, number>; readonly answers: Map<string, Answers>};
+type AnswerTotals = {count: number; milliseconds: Milliseconds};
+type ServiceCounts = {readonly keys: Map<number, number>; readonly answers: Map<string, AnswerTotals>};
 
-/** Counts requests. */
+/** Counts requests and answers, and reports them periodically. */
 export type LoadReporter = {
 	readonly count: (service: string, key: number) => void;
-	/** An upstream of a keyed service answered. */
-	readonly answered: (service: string, upstream: string, took: Milliseconds) => void;
+	/** Records that an upstream of a keyed service answered, after `took` milliseconds. */
+	readonly recordAnswer: (service: string, upstream: string, took: Milliseconds) => void;
 	readonly stop: () => void;
 };
 
-/** Starts to count and to report. */
+/** Starts the reporter. `control` returns the address that reports are sent to; while it returns undefined, counts accumulate. */
 export function startLoadReporter(clients: MeshClients, control: () => string | undefined): LoadReporter {
-	let services = new Map<string, Counted>();
+	let services = new Map<string, ServiceCounts>();
 
-	function counted(service: string): Counted {
-		const known = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, Answers>()};
-		services.set(service, known);
-		return known;
+	function countsOf(service: string): ServiceCounts {
+		const counts = services.get(service) ?? {keys: new Map<number, number>(), answers: new Map<string, AnswerTotals>()};
+		services.set(service, counts);
+		return counts;
 	}
 
 	function report(): void {
@@ -36,7 +36,7 @@
 			return;
 		}
 
-		const told: LoadReport = {
+		const message: LoadReport = {
 			services: [...services].map(([service, {keys, answers}]) => ({
 				service,
 				counts: [...keys],
@@ -44,24 +44,24 @@
 			})),
 		};
 		services = new Map();
-		void clients.call(address, 'reportLoad', told, reportTimeoutMilliseconds);
+		void clients.call(address, 'reportLoad', message, reportTimeoutMilliseconds);
 	}
 
-	const reporting = setInterval(report, reportMilliseconds);
+	const reportTimer = setInterval(report, reportMilliseconds);
 	return {
 		count(service, key) {
-			const {keys} = counted(service);
+			const {keys} = countsOf(service);
 			keys.set(key, (keys.get(key) ?? 0) + 1);
 		},
-		answered(service, upstream, took) {
-			const {answers} = counted(service);
-			const known = answers.get(upstream) ?? {count: 0, milliseconds: 0};
-			known.count += 1;
-			known.milliseconds += took;
-			answers.set(upstream, known);
+		recordAnswer(service, upstream, took) {
+			const {answers} = countsOf(service);
+			const totals = answers.get(upstream) ?? {count: 0, milliseconds: 0};
+			totals.count += 1;
+			totals.milliseconds += took;
+			answers.set(upstream, totals);
 		},
 		stop() {
-			clearInterval(reporting);
+			clearInterval(reportTimer);
 		},
 	};
 }
--- /dev/null
+++ b/packages/entry/src/request-execution.ts
@@ -0,0 +1,421 @@
+/**
+ * Processes one request: finds its route and upstream, makes attempts and answers.
+ * The tables of `routing` and `gateway` decide what to do next; this file carries
+ * it out.
+ */
+import {Buffer} from 'node:buffer';
+import {monotonicNow} from '@dogwooddeck/clock/monotonic';
+import {type CallerLimits} from '@dogwooddeck/directory/item';
+import {retryDelay} from '@dogwooddeck/gateway/refusal';
+import {findRoute, type NamedRoute} from '@dogwooddeck/gateway/route-table';
+import {selectUpstream} from '@dogwooddeck/gateway/upstream-selection';
+import {type WaitingRequest, waitDeadline} from '@dogwooddeck/gateway/waiting';
+import {keyCount, type UpstreamIncarnation} from '@dogwooddeck/key-lease/range';
+import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
+import {Outcome} from '@dogwooddeck/model/outcome';
+import {mayRetry, AttemptObservation, observationRules} from '@dogwooddeck/routing/outcome';
+import {requestHeaders} from '@dogwooddeck/upstream-client/headers';
+import {
+	isForeign, isMisdirected, isNotRun, signalOf,
+} from './answer-rules.js';
+import {type AttemptResult, type SentAttempt} from './attempt.js';
+import {type Connection} from './connection.js';
+import {BodyProblem, type CallerExchange} from './caller-exchange.js';
+import {KeyTarget} from './key-target.js';
+import {notRunStatus, Refusal, refusalStatus} from './refusals.js';
+import {type RequestLog} from './request-log.js';
+import {
+	recordFirstAttempt, tryRecordRetry, type CachedService, type CachedUpstream, type ServiceTable,
+} from './service-table.js';
+import {type FieldNames} from './settings.js';
+
+/** The dependencies that all requests of an instance share. */
+export type RequestDependencies = {
+	readonly table: ServiceTable;
+	readonly fields: FieldNames;
+	readonly requestLog: RequestLog;
+	/** Whether the directory has routes. Until then, every request is refused as `noDirectory`. */
+	readonly isReady: () => boolean;
+	readonly limits: () => CallerLimits | undefined;
+	readonly entryCount: () => number;
+	/** Counts a request for a key. */
+	readonly countKey: (service: string, key: number) => void;
+	/** Counts an answer of an upstream of a keyed service, and the time it took. */
+	readonly countAnswer: (service: string, upstream: string, took: Milliseconds) => void;
+	/** Starts waiting requests of a service for which there is room now. */
+	readonly advance: (service: CachedService) => void;
+	/** Calls back once closed connections of callers have been noticed. */
+	readonly afterPendingReads: (callback: () => void) => void;
+	/** When this instance ends requests in flight; infinite unless it is stopping. */
+	readonly endsAt: () => MonotonicTime;
+	/** The fraction of the requests for its keys that an upstream can process, as reported by control instances. */
+	readonly shareOf: (upstream: UpstreamIncarnation) => number;
+	/** Returns numbers between 0 and 1. */
+	readonly random: () => number;
+};
+
+/** The maximum number of attempts of a request, including those that upstreams refuse. */
+const maximumAttempts = 4;
+
+/** The largest body that is accepted before limits are declared, in bytes. */
+const maximumBodyBytes = 67_108_864;
+
+/** A request with less time than this left until its deadline is not sent. */
+const minimumSendMilliseconds: Milliseconds = 5;
+
+/** The maximum number of requests that wait for one service; more would only time out. */
+const maximumQueueLength = 400;
+
+const millisecondsPattern = /^\d{1,9}$/v;
+const keyPattern = /^\d{1,5}$/v;
+
+function firstValue(value: string | readonly string[] | undefined): string | undefined {
+	return typeof value === 'string' ? value : value?.[0];
+}
+
+/** What a request waits for, and how long. */
+type WaitEstimate = {
+	/** The holder of its key; undefined if the service has no keys or the key has no holder. */
+	readonly holder: CachedUpstream | undefined;
+	readonly key: number | undefined;
+	/** The number of requests for its key that wait already. */
+	readonly turn: number;
+	/** The expected wait behind other requests, and for its key's pace. */
+	readonly lineWait: Milliseconds;
+	readonly paceWait: Milliseconds;
+	/** When it stops waiting and is refused. */
+	readonly until: MonotonicTime;
+};
+
+/** One request, from its arrival to its answer. */
+export class RequestExecution {
+	readonly identifier: string | undefined;
+	readonly arrivedAt: MonotonicTime = monotonicNow();
+	readonly #dependencies: RequestDependencies;
+	readonly #exchange: CallerExchange;
+	readonly #path: string;
+	#route: NamedRoute | undefined;
+	#service: CachedService | undefined;
+	/** Undefined if the service has no keys. */
+	#target: KeyTarget | undefined;
+	#body: Buffer | undefined;
+	#deadline: MonotonicTime = Infinity;
+	#attempt: SentAttempt | undefined;
+	#waiter: WaitingRequest | undefined;
+	/** Connections on which an upstream refused the request. */
+	readonly #refusedOn = new Set<Connection>();
+	/** The upstreams of all attempts, and the number of attempts that may have run the request. */
+	readonly #attemptedUpstreams: string[] = [];
+	#uncertainAttempts = 0;
+	/** The status of the last upstream's refusal; 0 if it did not refuse. */
+	#upstreamRefusalStatus = 0;
+
+	constructor(dependencies: RequestDependencies, exchange: CallerExchange, path: string) {
+		this.#dependencies = dependencies;
+		this.#exchange = exchange;
+		this.#path = path;
+		this.identifier = firstValue(exchange.request.headers[dependencies.fields.requestIdentifier]);
+	}
+
+	/** Finds the route and reads the body. */
+	start(): void {
+		const {table, isReady, limits} = this.#dependencies;
+		const {headers} = this.#exchange.request;
+		if (!isReady()) {
+			this.#refuse(Refusal.noDirectory);
+			return;
+		}
+
+		this.#route = findRoute(table.routes, headers.host ?? '', this.#path);
+		if (this.#route === undefined) {
+			this.#refuse(Refusal.noRoute);
+			return;
+		}
+
+		const requestedTimeout = firstValue(headers[this.#dependencies.fields.deadline]);
+		const timeout = this.#route.timeoutMilliseconds;
+		this.#deadline = this.arrivedAt + (requestedTimeout !== undefined && millisecondsPattern.test(requestedTimeout) ? Math.min(Number(requestedTimeout), timeout) : timeout);
+		if (this.#deadline > this.#dependencies.endsAt()) {
+			this.#refuse(Refusal.stopping);
+			return;
+		}
+
+		this.#exchange.onDisconnect(() => {
+			this.#cancel();
+		});
+		this.#exchange.readBody(limits()?.bodyBytes ?? maximumBodyBytes, (body, problem) => {
+			this.#handleBody(body, problem);
+		});
+	}
+
+	#handleBody(body: Buffer | undefined, problem: BodyProblem | undefined): void {
+		if (problem !== undefined) {
+			this.#refuse(problem === BodyProblem.tooLarge ? Refusal.bodyTooLarge : Refusal.unknownOutcome);
+			return;
+		}
+
+		const {table, fields, countKey} = this.#dependencies;
+		const route = this.#route!;
+		this.#body = body;
+		this.#service = table.service(table.split(route.name, route.targets).next());
+		recordFirstAttempt(this.#service);
+		if (this.#service.keyed) {
+			const key = firstValue(this.#exchange.request.headers[fields.key]);
+			if (key === undefined || !keyPattern.test(key) || Number(key) >= keyCount) {
+				this.#refuse(Refusal.badKey);
+				return;
+			}
+
+			this.#target = new KeyTarget(this.#dependencies, this.#service, Number(key));
+			countKey(this.#service.name, this.#target.key);
+			if (!this.#isAdmitted(this.#service, this.#target)) {
+				this.#refuse(Refusal.holderOverloaded);
+				return;
+			}
+		}
+
+		this.#dispatch();
+	}
+
+	/** Admits only a fraction of the least urgent requests for an overloaded holder, unless the pace of keys limits them already. */
+	#isAdmitted(service: CachedService, target: KeyTarget): boolean {
+		const {table, shareOf, random} = this.#dependencies;
+		const {holder} = target;
+		return holder === undefined || target.isPaced(holder) || this.#route!.priority < table.leastUrgentPriority(service.name) || random() < shareOf(holder.record);
+	}
+
+	/** Sends the request if there is room, or queues it, or refuses it. */
+	#dispatch(): void {
+		this.#dependencies.afterPendingReads(() => {
+			if (!this.#exchange.hasDisconnected) {
+				this.#dispatchNow();
+			}
+		});
+	}
+
+	#dispatchNow(): void {
+		const now = monotonicNow();
+		if (this.#tryToSend(now) || this.#exchange.hasDisconnected) {
+			return;
+		}
+
+		const {queue} = this.#service!;
+		const estimate = this.#estimateWait(now);
+		if (estimate.until <= now || queue.length >= maximumQueueLength) {
+			this.#refuse(queue.length >= maximumQueueLength ? Refusal.queueFull : Refusal.waitedTooLong);
+			return;
+		}
+
+		if (now + Math.max(estimate.lineWait, estimate.paceWait) > estimate.until) {
+			this.#refuse(Refusal.noTimeToWait, estimate);
+			return;
+		}
+
+		this.#waiter = {
+			priority: this.#route!.priority,
+			turn: estimate.turn,
+			key: estimate.key,
+			upstream: estimate.holder?.id,
+			timesOutAt: estimate.until,
+			tryToStart: at => this.#exchange.hasDisconnected || this.#tryToSend(at),
+			onTimeout: () => {
+				this.#refuse(Refusal.waitedTooLong);
+			},
+		};
+		queue.add(this.#waiter);
+	}
+
+	/** Returns what the request would wait for, the expected wait and its limit. */
+	#estimateWait(now: MonotonicTime): WaitEstimate {
+		const service = this.#service!;
+		const {priority, objectiveMilliseconds} = this.#route!;
+		const key = this.#target?.key;
+		const holder = this.#target?.holder;
+		const turn = service.queue.nextTurn(key);
+		const until = waitDeadline({
+			arrivedAt: this.arrivedAt,
+			objectiveMilliseconds,
+			deadline: this.#deadline,
+			expectedMilliseconds: (holder ?? service.upstreams[0])?.load.latency ?? 0,
+		});
+		const lineWait = holder === undefined ? 0 : holder.load.expectedWait(service.queue.countAhead(holder.id, priority, turn), now);
+		const paceWait = holder === undefined ? 0 : this.#target!.waitFor(holder, turn, now);
+		return {
+			holder, key, turn, lineWait, paceWait, until,
+		};
+	}
+
+	#choose(now: MonotonicTime): CachedUpstream | undefined {
+		const service = this.#service!;
+		const connections = Math.max(1, Math.floor(service.maxConnections / (this.#dependencies.entryCount() + 1)));
+		if (this.#target !== undefined) {
+			const holder = this.#target.availableHolder(now);
+			return holder?.load.hasRoom(now) === true && holder.pool.hasRoom(connections, this.#refusedOn) && this.#target.waitFor(holder, 0, now) === 0 ? holder : undefined;
+		}
+
+		const available = service.upstreams.filter(({pool}) => pool.hasRoom(connections, this.#refusedOn));
+		return selectUpstream(available, this.#attemptedUpstreams, now) ?? (this.#attemptedUpstreams.length > 0 ? selectUpstream(available, [], now) : undefined);
+	}
+
+	#tryToSend(now: MonotonicTime): boolean {
+		const chosen = this.#deadline - now < minimumSendMilliseconds ? undefined : this.#choose(now);
+		if (chosen === undefined) {
+			return false;
+		}
+
+		this.#waiter = undefined;
+		this.#send(chosen, now);
+		return true;
+	}
+
+	#send(upstream: CachedUpstream, now: MonotonicTime): void {
+		const {fields, table} = this.#dependencies;
+		const {request} = this.#exchange;
+		const timeoutMilliseconds = this.#deadline - now;
+		upstream.load.inFlight += 1;
+		this.#target?.recordSend(upstream, now);
+		this.#upstreamRefusalStatus = 0;
+		this.#attemptedUpstreams.push(upstream.id);
+		const headers = requestHeaders(request.rawHeaders, request.headers.connection, new Set([fields.deadline, fields.expectedUpstream]));
+		headers.push(fields.deadline, String(Math.floor(timeoutMilliseconds)), fields.expectedUpstream, upstream.id);
+		this.#attempt = upstream.pool.send({
+			method: request.method ?? 'GET',
+			path: this.#path,
+			headers,
+			body: this.#body,
+			timeoutMilliseconds,
+			refusedOn: this.#refusedOn,
+			rules: {
+				isNotRun: (status, head) => {
+					this.#upstreamRefusalStatus = status;
+					return isNotRun(fields, head);
+				},
+				isForeign: (status, head, isFirst) => isForeign(fields, this.identifier, {status, head, isFirst}),
+			},
+			mayStart: () => !this.#exchange.hasDisconnected && table.isCurrent(upstream),
+			streamedAnswer: {
+				begin: (status, answerHeaders) => {
+					this.#exchange.startStream(status, answerHeaders);
+				},
+				write: chunk => this.#forwardChunk(chunk),
+			},
+			onEnd: result => {
+				this.#finishAttempt(upstream, result);
+			},
+		});
+	}
+
+	#forwardChunk(chunk: Uint8Array): boolean {
+		const hasRoom = this.#exchange.write(chunk);
+		if (!hasRoom) {
+			this.#exchange.onDrain(() => this.#attempt?.resume());
+		}
+
+		return hasRoom;
+	}
+
+	#finishAttempt(upstream: CachedUpstream, result: AttemptResult): void {
+		const {requestLog, advance, countAnswer} = this.#dependencies;
+		const now = monotonicNow();
+		this.#attempt = undefined;
+		upstream.load.inFlight -= 1;
+		upstream.load.record(signalOf(result.observation, this.#upstreamRefusalStatus, result.answer?.status), result.milliseconds, now);
+		if (result.observation !== AttemptObservation.wholeAnswer) {
+			requestLog.attemptFailed({
+				request: this, upstream, observation: result.observation, status: this.#upstreamRefusalStatus, milliseconds: result.milliseconds, left: this.#deadline - now,
+			});
+		}
+
+		if (result.observation === AttemptObservation.wholeAnswer && this.#target !== undefined) {
+			countAnswer(this.#service!.name, upstream.id, result.milliseconds);
+		}
+
+		if (isMisdirected(result.observation, this.#upstreamRefusalStatus)) {
+			this.#target?.recordMisdirected(now);
+		}
+
+		this.#uncertainAttempts += observationRules[result.observation].outcome === Outcome.notRun ? 0 : 1;
+		this.#conclude(upstream, result, now);
+		advance(this.#service!);
+	}
+
+	#conclude(upstream: CachedUpstream, result: AttemptResult, now: MonotonicTime): void {
+		if (this.#exchange.hasDisconnected) {
+			return;
+		}
+
+		if (this.#exchange.isAnswered) {
+			this.#concludeStreamed(upstream, result);
+		} else if (result.answer === undefined) {
+			this.#retryOrRefuse(result, now);
+		} else {
+			this.#exchange.answer(result.answer.status, result.answer.headers, result.answer.body);
+			this.#dependencies.requestLog.answered({
+				request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: result.answer.status, attempts: this.#attemptedUpstreams.length,
+			});
+		}
+	}
+
+	#concludeStreamed(upstream: CachedUpstream, result: AttemptResult): void {
+		if (result.observation === AttemptObservation.wholeAnswer) {
+			this.#exchange.end();
+		} else {
+			this.#exchange.abort();
+		}
+
+		this.#dependencies.requestLog.answered({
+			request: this, upstream, service: this.#service!.name, route: this.#route!.name, status: 0, attempts: this.#attemptedUpstreams.length,
+		});
+	}
+
+	#retryOrRefuse({observation}: AttemptResult, now: MonotonicTime): void {
+		const route = this.#route!;
+		if (observation === AttemptObservation.deadlinePassedAfterFirstByte || now >= this.#deadline - minimumSendMilliseconds) {
+			this.#refuse(Refusal.timeout);
+			return;
+		}
+
+		if (!mayRetry(observation, route.idempotent)) {
+			this.#refuse(Refusal.unknownOutcome);
+		} else if (this.#uncertainAttempts >= route.maxAttempts || this.#attemptedUpstreams.length >= maximumAttempts) {
+			this.#refuse(Refusal.attemptsSpent);
+		} else if (tryRecordRetry(this.#service!)) {
+			this.#dispatch();
+		} else {
+			this.#refuse(Refusal.budgetSpent);
+		}
+	}
+
+	/** Cancels the request, as the caller has disconnected. */
+	#cancel(): void {
+		this.#attempt?.cancel();
+		this.#attempt = undefined;
+		if (this.#waiter !== undefined) {
+			this.#service?.queue.remove(this.#waiter);
+			this.#waiter = undefined;
+		}
+	}
+
+	/** Answers without an upstream. A status that means "not run" is sent only if that is certain. */
+	#refuse(refusal: Refusal, estimate?: WaitEstimate): void {
+		this.#waiter = undefined;
+		const status = refusalStatus(refusal, this.#uncertainAttempts > 0);
+		const pause = retryDelay(this.#route?.objectiveMilliseconds ?? 1000, this.#dependencies.random());
+		const body = Buffer.from(`${refusal}\n`);
+		const identified = this.identifier === undefined ? [] : [this.#dependencies.fields.requestIdentifier, this.identifier];
+		const retry = status === notRunStatus ? ['Retry-After', (pause / 1000).toFixed(3)] : [];
+		this.#exchange.answer(status, ['Content-Type', 'text/plain', ...identified, ...retry], body);
+		this.#dependencies.requestLog.refused({
+			request: this,
+			refusal,
+			status,
+			service: this.#service?.name,
+			route: this.#route?.name,
+			key: this.#target?.key,
+			attempts: this.#attemptedUpstreams.length,
+			waiting: this.#service?.queue.length ?? 0,
+			lineWait: estimate?.lineWait,
+			paceWait: estimate?.paceWait,
+		});
+	}
+}
--- a/packages/entry/src/service-table.ts
+++ b/packages/entry/src/service-table.ts
@@ -1,6 +1,6 @@
 /**
- * What this instance knows of services and their upstreams: the directory's
- * records beside its own experience and connections.
+ * The services and upstreams of this instance: the directory's records, with
+ * the instance's own measurements and connections.
  */
 import {type DirectoryState} from '@dogwooddeck/directory/state';
 import {UpstreamState, type UpstreamRecord} from '@dogwooddeck/directory/upstream';
@@ -14,12 +14,12 @@
 import {
 	allowsRetry, recordAttempt, withCapacity, createRetryBudget, type RetryBudget,
 } from '@dogwooddeck/routing/budget';
-import {type ConnectionTerms} from './connection.js';
+import {type ConnectionTimeouts} from './connection.js';
 import {type EntrySettings} from './settings.js';
 import {UpstreamPool} from './upstream-pool.js';
 
-/** One upstream, as this instance uses it. */
-export type KnownUpstream = {
+/** An upstream with this instance's measurements of its load, and its connections. */
+export type CachedUpstream = {
 	readonly id: string;
 	readonly record: UpstreamRecord;
 	readonly distance: Distance;
@@ -28,40 +28,40 @@
 	readonly cold: boolean;
 };
 
-/** One service, as this instance uses it. It is updated in place: it is on the request path. */
-export type KnownService = {
+/** A service with this instance's queue and retry budget. It is updated in place, as it is on the request path. */
+export type CachedService = {
 	readonly name: string;
-	readonly line: WaitingQueue;
+	readonly queue: WaitingQueue;
 	readonly pace: KeyPacer;
 	keyed: boolean;
 	maxConnections: number;
 	ranges: readonly KeyRange[];
-	/** Those that may be sent to. */
-	upstreams: readonly KnownUpstream[];
+	/** The upstreams that requests may be sent to. */
+	upstreams: readonly CachedUpstream[];
 	budget: RetryBudget;
 };
 
-/** Who a request for a key goes to. */
-export type KeyHolder = {readonly range: KeyRange; readonly upstream: KnownUpstream};
+/** The upstream that requests for a key are sent to, and the range that assigns it. */
+export type KeyHolder = {readonly range: KeyRange; readonly upstream: CachedUpstream};
 
-/** Connections that wait for use are closed after this long, below the 10 s after which upstreams close them. */
+/** The idle timeout of connections, below the 10 s after which upstreams close them. */
 const idleMilliseconds = 8000;
 
-/** A round between regions and its like for a lost packet. */
+/** One round trip between regions, and the same again for a lost packet. */
 const connectMilliseconds = 350;
 
-const connectionTerms: ConnectionTerms = {connectMilliseconds, idleMilliseconds};
+const connectionTimeouts: ConnectionTimeouts = {connectMilliseconds, idleMilliseconds};
 
-/** Of what a window's slack allows, all instances together save up half, as new instances start with full budgets. */
+/** All instances together save up this fraction of a window's slack, as new instances start with full budgets. */
 const slackShare = 0.5;
 
-/** A new instance begins with this many retries, since it can't know yet how many others there are. */
-const leastSavedRetries = 1;
+/** A new instance starts with this many retries, since it doesn't know the number of instances yet. */
+const minimumSavedRetries = 1;
 
-/** The part of the ratio that instances spend: windows slide, and the counts of instances differ for a moment. */
+/** The fraction of the ratio that instances use: windows slide, and the counts of instances differ for a moment. */
 const ratioShare = 0.75;
 
-function leastUrgentOf(routes: RouteTable): ReadonlyMap<string, number> {
+function leastUrgentPriorities(routes: RouteTable): ReadonlyMap<string, number> {
 	const priorities = new Map<string, number>();
 	for (const {priority, targets} of [...routes.values()].flat()) {
 		for (const {service} of targets) {
@@ -72,29 +72,29 @@
 	return priorities;
 }
 
-/** The services and upstreams of this instance. */
+/** The services, upstreams and routes of this instance. */
 export class ServiceTable {
 	routes: RouteTable = new Map();
 	readonly #settings: EntrySettings;
-	readonly #services = new Map<string, KnownService>();
-	readonly #upstreams = new Map<string, KnownUpstream>();
+	readonly #services = new Map<string, CachedService>();
+	readonly #upstreams = new Map<string, CachedUpstream>();
 	readonly #splits = new Map<string, {readonly key: string; readonly split: WeightedRoundRobin}>();
 	readonly #random: () => number;
-	#leastUrgent: ReadonlyMap<string, number> = new Map();
+	#leastUrgentPriorities: ReadonlyMap<string, number> = new Map();
 	#items: DirectoryState['items'] | undefined;
 
-	/** `random` gives numbers between 0 and 1. */
+	/** `random` returns numbers between 0 and 1. */
 	constructor(settings: EntrySettings, random: () => number) {
 		this.#settings = settings;
 		this.#random = random;
 	}
 
-	/** Takes a newer directory. */
+	/** Updates the table to a newer directory. */
 	update(state: DirectoryState, entryCount: number): void {
 		if (state.items !== this.#items) {
 			this.#items = state.items;
 			this.routes = createRouteTable(state.items.route);
-			this.#leastUrgent = leastUrgentOf(this.routes);
+			this.#leastUrgentPriorities = leastUrgentPriorities(this.routes);
 		}
 
 		this.#updateUpstreams(state.upstreams);
@@ -107,43 +107,43 @@
 			}
 		}
 
-		const savedRetries = Math.max(leastSavedRetries, this.#settings.retries.slack * slackShare / entryCount);
+		const savedRetries = Math.max(minimumSavedRetries, this.#settings.retries.slack * slackShare / entryCount);
 		for (const service of this.#services.values()) {
 			service.budget = withCapacity(service.budget, savedRetries);
 			service.upstreams = [...this.#upstreams.values()].filter(({record}) => record.service === service.name && record.state === UpstreamState.ready);
 		}
 	}
 
-	/** A service by its name. */
-	service(name: string): KnownService {
-		const known = this.#services.get(name);
-		if (known !== undefined) {
-			return known;
+	/** Returns a service by its name, and creates it if needed. */
+	service(name: string): CachedService {
+		const cached = this.#services.get(name);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		const made: KnownService = {
-			name, line: new WaitingQueue(), pace: new KeyPacer(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, leastSavedRetries),
+		const created: CachedService = {
+			name, queue: new WaitingQueue(), pace: new KeyPacer(), keyed: false, maxConnections: 1, ranges: [], upstreams: [], budget: createRetryBudget(this.#settings.retries.ratio * ratioShare, minimumSavedRetries),
 		};
-		this.#services.set(name, made);
-		return made;
+		this.#services.set(name, created);
+		return created;
 	}
 
-	/** The priority of the least urgent routes to a service. */
-	leastUrgent(name: string): number {
-		return this.#leastUrgent.get(name) ?? 0;
+	/** Returns the priority of the least urgent route to a service, which is the highest number. */
+	leastUrgentPriority(name: string): number {
+		return this.#leastUrgentPriorities.get(name) ?? 0;
 	}
 
-	/** All services that are known. */
-	services(): Iterable<KnownService> {
+	/** Returns all services. */
+	services(): Iterable<CachedService> {
 		return this.#services.values();
 	}
 
-	/** The division of a route's requests. */
+	/** Returns the traffic split of a route, which is kept until its targets change. */
 	split(name: string, targets: ConstructorParameters<typeof WeightedRoundRobin>[0]): WeightedRoundRobin {
 		const key = JSON.stringify(targets);
-		const known = this.#splits.get(name);
-		if (known?.key === key) {
-			return known.split;
+		const cached = this.#splits.get(name);
+		if (cached?.key === key) {
+			return cached.split;
 		}
 
 		const split = new WeightedRoundRobin(targets, this.#random());
@@ -151,8 +151,8 @@
 		return split;
 	}
 
-	/** The upstream that holds a key and was told so, if requests may be sent to it. */
-	holderOf(service: KnownService, key: number): KeyHolder | undefined {
+	/** Returns the upstream that holds a key and was notified of it, if requests may be sent to it. */
+	holderOf(service: CachedService, key: number): KeyHolder | undefined {
 		const range = rangeOfKey(service.ranges, key);
 		if (range?.holder === undefined || !range.told) {
 			return undefined;
@@ -162,13 +162,13 @@
 		return upstream !== undefined && sameIncarnation(upstream.record, range.holder) && upstream.record.state === UpstreamState.ready ? {range, upstream} : undefined;
 	}
 
-	/** Whether requests may still be sent to a life of an upstream. */
-	isCurrent({id, record}: KnownUpstream): boolean {
-		const known = this.#upstreams.get(id);
-		return known !== undefined && sameIncarnation(known.record, record) && known.record.state === UpstreamState.ready;
+	/** Whether requests may still be sent to this incarnation of an upstream. */
+	isCurrent({id, record}: CachedUpstream): boolean {
+		const cached = this.#upstreams.get(id);
+		return cached !== undefined && sameIncarnation(cached.record, record) && cached.record.state === UpstreamState.ready;
 	}
 
-	/** Closes connections on which bytes come without end in place of an answer. */
+	/** Closes connections that receive endless data in place of an answer. */
 	closeEndless(): void {
 		for (const {pool} of this.#upstreams.values()) {
 			pool.closeEndless();
@@ -183,35 +183,35 @@
 	}
 
 	#updateUpstreams(records: DirectoryState['upstreams']): void {
-		for (const [id, known] of this.#upstreams) {
-			if (!sameIncarnation(records[id], known.record)) {
-				known.pool.close();
+		for (const [id, cached] of this.#upstreams) {
+			if (!sameIncarnation(records[id], cached.record)) {
+				cached.pool.close();
 				this.#upstreams.delete(id);
 			}
 		}
 
 		for (const record of Object.values(records)) {
-			const known = this.#upstreams.get(record.id);
-			if (known?.record !== record) {
-				this.#upstreams.set(record.id, this.#known(record, known));
+			const cached = this.#upstreams.get(record.id);
+			if (cached?.record !== record) {
+				this.#upstreams.set(record.id, this.#createUpstream(record, cached));
 			}
 		}
 	}
 
-	#known(record: UpstreamRecord, earlier: KnownUpstream | undefined): KnownUpstream {
+	#createUpstream(record: UpstreamRecord, earlier: CachedUpstream | undefined): CachedUpstream {
 		return {
 			id: record.id,
 			record,
 			distance: distanceOf(this.#settings.zone, record.zone, this.#settings.regions),
 			load: earlier?.load ?? new UpstreamLoad(record.slots),
-			pool: earlier?.pool ?? new UpstreamPool(record.address, connectionTerms),
+			pool: earlier?.pool ?? new UpstreamPool(record.address, connectionTimeouts),
 			cold: record.cold,
 		};
 	}
 }
 
-/** Books a first attempt, or a retry if there is one left. */
-export function bookRetry(service: KnownService): boolean {
+/** Records a retry and returns true, or returns false if the budget allows none. */
+export function tryRecordRetry(service: CachedService): boolean {
 	if (!allowsRetry(service.budget)) {
 		return false;
 	}
@@ -220,7 +220,7 @@
 	return true;
 }
 
-/** Books the first attempt of a request. */
-export function bookFirst(service: KnownService): void {
+/** Records the first attempt of a request. */
+export function recordFirstAttempt(service: CachedService): void {
 	service.budget = recordAttempt(service.budget, {kind: 'first-attempt'}).state;
 }
--- a/packages/entry/src/upstream-pool.ts
+++ b/packages/entry/src/upstream-pool.ts
@@ -1,17 +1,17 @@
 /**
- * The connections of this instance to one upstream: few, kept, the one that was
- * used last first, so that those that aren't needed are closed by themselves.
+ * A pool of persistent connections to one upstream. The most recently used idle
+ * connection is reused first, so that surplus connections reach their idle timeout.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {isSocketAddress} from '@dogwooddeck/model/socket-address';
 import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {type RequestSpecification, sendRequest, type SentAttempt} from './attempt.js';
-import {Connection, type ConnectionTerms} from './connection.js';
+import {Connection, type ConnectionTimeouts} from './connection.js';
 
-/** Ends a request whose upstream has an address that can't be reached. */
+/** Ends a request to an upstream whose address is invalid. */
 function unreachable({onEnd}: RequestSpecification): SentAttempt {
 	setImmediate(() => {
-		onEnd({seen: AttemptObservation.refusedConnection, milliseconds: 0});
+		onEnd({observation: AttemptObservation.refusedConnection, milliseconds: 0});
 	});
 	return {cancel: () => undefined, resume: () => undefined};
 }
@@ -19,61 +19,61 @@
 /** The connections to one upstream. */
 export class UpstreamPool {
 	readonly #address: string;
-	readonly #terms: ConnectionTerms;
+	readonly #timeouts: ConnectionTimeouts;
 	#connections: Connection[] = [];
 	#isClosed = false;
 
-	/** Opens nothing yet. */
-	constructor(address: string, terms: ConnectionTerms) {
+	/** Opens no connection until the first request. */
+	constructor(address: string, timeouts: ConnectionTimeouts) {
 		this.#address = address;
-		this.#terms = terms;
+		this.#timeouts = timeouts;
 	}
 
-	/** Whether a request can be sent without more than so many connections, and on none of `refusedOn`. */
-	hasRoom(most: number, refusedOn: ReadonlySet<Connection>): boolean {
-		return this.#connections.length < most || this.#connections.some(connection => !connection.isBusy && !refusedOn.has(connection));
+	/** Whether a request can be sent with at most `maximumConnections` connections, and on none of `refusedOn`. */
+	hasRoom(maximumConnections: number, refusedOn: ReadonlySet<Connection>): boolean {
+		return this.#connections.length < maximumConnections || this.#connections.some(connection => !connection.isBusy && !refusedOn.has(connection));
 	}
 
 	/** Sends a request on an idle connection or a new one. */
 	send(specification: RequestSpecification): SentAttempt {
 		const {refusedOn} = specification;
-		const connection = this.#idle(refusedOn) ?? this.#open();
+		const connection = this.#findIdle(refusedOn) ?? this.#open();
 		if (connection === undefined) {
 			return unreachable(specification);
 		}
 
-		connection.begin();
+		connection.beginRequest();
 		return sendRequest(connection, specification, {
-			answering() {
+			onHead() {
 				connection.hasHead = true;
 			},
-			ended: seen => {
-				if (seen === AttemptObservation.shed) {
+			onEnd: observation => {
+				if (observation === AttemptObservation.shed) {
 					refusedOn.add(connection);
 					connection.isDraining = true;
-				} else if (seen !== AttemptObservation.wholeAnswer) {
-					this.#end(connection);
+				} else if (observation !== AttemptObservation.wholeAnswer) {
+					this.#closeConnection(connection);
 				}
 			},
-			release: () => {
+			onRelease: () => {
 				connection.isBusy = false;
 				connection.isDraining = false;
 				connection.usedAt = monotonicNow();
 				if (this.#isClosed) {
-					this.#end(connection);
+					this.#closeConnection(connection);
 				}
 			},
 		});
 	}
 
-	/** Closes connections on which more has come than the head of an answer may take, and no head. */
+	/** Closes connections that have received more bytes than an answer's head may have, and no complete head. */
 	closeEndless(): void {
 		for (const connection of this.#connections.filter(({isEndless}) => isEndless)) {
-			this.#end(connection);
+			this.#closeConnection(connection);
 		}
 	}
 
-	/** Closes idle connections at once, and the others when their requests are over. */
+	/** Closes idle connections at once, and the others when their requests have ended. */
 	close(): void {
 		this.#isClosed = true;
 		for (const connection of this.#connections.filter(({isBusy}) => !isBusy)) {
@@ -81,10 +81,10 @@
 		}
 	}
 
-	#idle(refusedOn: ReadonlySet<Connection>): Connection | undefined {
+	#findIdle(refusedOn: ReadonlySet<Connection>): Connection | undefined {
 		let newest: Connection | undefined;
 		for (const connection of this.#connections) {
-			if (!connection.isBusy && !connection.isOver && !refusedOn.has(connection) && (newest === undefined || connection.usedAt > newest.usedAt)) {
+			if (!connection.isBusy && !connection.isClosed && !refusedOn.has(connection) && (newest === undefined || connection.usedAt > newest.usedAt)) {
 				newest = connection;
 			}
 		}
@@ -92,30 +92,30 @@
 		return newest;
 	}
 
-	/** Undefined where no connection can ever be made to the address. */
+	/** Returns undefined if the address is invalid, so that no connection can ever be made to it. */
 	#open(): Connection | undefined {
 		if (!isSocketAddress(this.#address)) {
 			return undefined;
 		}
 
-		const connection = new Connection(this.#address, this.#terms, over => {
-			this.#forget(over);
-			if (over.isDraining) {
-				// Otherwise the client connects again for a request that is over.
-				over.destroy();
+		const connection = new Connection(this.#address, this.#timeouts, closed => {
+			this.#remove(closed);
+			if (closed.isDraining) {
+				// Otherwise `undici` reconnects for a request that has ended.
+				closed.destroy();
 			}
 		});
 		this.#connections.push(connection);
 		return connection;
 	}
 
-	/** After any end but a whole answer or a refusal, what a connection still brings belongs to nobody. */
-	#end(connection: Connection): void {
-		this.#forget(connection);
+	/** Closes a connection whose request ended other than by a whole answer or a refusal: data that still arrives on it belongs to no request. */
+	#closeConnection(connection: Connection): void {
+		this.#remove(connection);
 		connection.destroy();
 	}
 
-	#forget(connection: Connection): void {
+	#remove(connection: Connection): void {
 		this.#connections = this.#connections.filter(one => one !== connection);
 	}
 }
--- a/packages/entry/test/test-endless.ts
+++ b/packages/entry/test/test-endless.ts
@@ -1,6 +1,6 @@
 /**
- * Upstreams that send bytes without end: a request ends by its deadline at the
- * latest, the connection is closed, and what was read is not kept.
+ * Upstreams that send endless data: a request ends by its deadline at the latest,
+ * the connection is closed, and the data is not kept in memory.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -14,76 +14,76 @@
 
 const timeoutMilliseconds = 400;
 const slackMilliseconds = 500;
-/** As an entry does. */
+/** The interval of an entry's check for endless data. */
 const closeMilliseconds = 100;
-/** What one answer may add to the memory of the process: many times what is gathered of it. */
-const mostMemoryBytes = 67_108_864;
+/** What one answer may add to the memory of the process: many times the size of its buffer. */
+const maximumMemoryBytes = 67_108_864;
 
 const named = 'Identifier: a\r\n';
 
 type Case = {
 	readonly name: string;
 	readonly begin: string;
-	/** What follows again and again. */
+	/** Sent repeatedly after `begin`. */
 	readonly more: string;
-	/** How often a second it is sent; as fast as it is read where left out. */
+	/** How often it is sent a second; if omitted, as fast as it is read. */
 	readonly perSecond?: number;
-	readonly seen: readonly AttemptObservation[];
-	/** Whether it has to end well before the deadline, as no answer can come of it any more. */
+	readonly observations: readonly AttemptObservation[];
+	/** Whether the request must end before its deadline, as the data can no longer become an answer. */
 	readonly endsEarly: boolean;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'bytes that are no answer', begin: '', more: '\u0000\u0001garbage', seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'bytes that are not HTTP', begin: '', more: '\u0000\u0001garbage', observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'a status line', begin: 'HTTP/1.1 200 O', more: 'K'.repeat(1000), observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'one header field', begin: 'HTTP/1.1 200 OK\r\nField: ', more: 'x'.repeat(1000), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'one header field', begin: 'HTTP/1.1 200 OK\r\nField: ', more: 'x'.repeat(1000), observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'header fields', begin: 'HTTP/1.1 200 OK\r\n', more: 'Field: x\r\n'.repeat(100), observations: [AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'heads that announce another', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', seen: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
+		name: 'interim heads', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', observations: [AttemptObservation.foreignAnswer, AttemptObservation.closedAfterFirstByte], endsEarly: true,
 	},
 	{
-		name: 'heads that announce another, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'interim heads, slowly', begin: '', more: 'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n', perSecond: 100, observations: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'a body that ends with the connection', begin: `HTTP/1.1 200 OK\r\n${named}\r\n`, more: 'x'.repeat(1000), observations: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'a body in chunks', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
+		name: 'a body in chunks', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', observations: [AttemptObservation.deadlinePassedAfterFirstByte], endsEarly: false,
 	},
 	{
-		name: 'the extension of a chunk', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n4;`, more: 'x'.repeat(1000), seen: [AttemptObservation.deadlinePassedAfterFirstByte, AttemptObservation.cutAnswer], endsEarly: false,
+		name: 'the extension of a chunk', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n4;`, more: 'x'.repeat(1000), observations: [AttemptObservation.deadlinePassedAfterFirstByte, AttemptObservation.cutAnswer], endsEarly: false,
 	},
 	{
-		name: 'trailers', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n0\r\n`, more: 'Field: x\r\n'.repeat(100), seen: [AttemptObservation.cutAnswer], endsEarly: true,
+		name: 'trailers', begin: `HTTP/1.1 200 OK\r\n${named}Transfer-Encoding: chunked\r\n\r\n0\r\n`, more: 'Field: x\r\n'.repeat(100), observations: [AttemptObservation.cutAnswer], endsEarly: true,
 	},
 	{
-		name: 'the body of a refusal', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', seen: [AttemptObservation.shed], endsEarly: true,
+		name: 'the body of a refusal', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', observations: [AttemptObservation.shed], endsEarly: true,
 	},
 	{
-		name: 'the body of a refusal, slowly', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', perSecond: 20, seen: [AttemptObservation.shed], endsEarly: true,
+		name: 'the body of a refusal, slowly', begin: `HTTP/1.1 503 Full\r\n${named}Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n`, more: '4\r\nmore\r\n', perSecond: 20, observations: [AttemptObservation.shed], endsEarly: true,
 	},
 	{
-		name: 'the body of an answer to another request', begin: 'HTTP/1.1 200 OK\r\nIdentifier: b\r\n\r\n', more: 'x'.repeat(1000), seen: [AttemptObservation.foreignAnswer], endsEarly: true,
+		name: 'the body of an answer to another request', begin: 'HTTP/1.1 200 OK\r\nIdentifier: b\r\n\r\n', more: 'x'.repeat(1000), observations: [AttemptObservation.foreignAnswer], endsEarly: true,
 	},
 ];
 
-/** Writes the same again and again until the connection is closed by the other side. */
-function pour(socket: Socket, {begin, more, perSecond}: Case): void {
+/** Writes the same data repeatedly until the entry closes the connection. */
+function sendRepeatedly(socket: Socket, {begin, more, perSecond}: Case): void {
 	socket.write(begin);
 	if (perSecond !== undefined) {
-		const pouring = setInterval(() => {
+		const sendTimer = setInterval(() => {
 			socket.write(more);
 		}, 1000 / perSecond);
 		socket.on('close', () => {
-			clearInterval(pouring);
+			clearInterval(sendTimer);
 		});
 		return;
 	}
@@ -99,7 +99,7 @@
 	write();
 }
 
-/** A request to a pool, by its deadline. */
+/** Sends a request through a pool, with a timeout. */
 async function attempt(pool: UpstreamPool, milliseconds: number): Promise<AttemptResult> {
 	return new Promise(resolve => {
 		pool.send({
@@ -114,7 +114,7 @@
 				isForeign: (_status, {headers}) => !headers.includes('a'),
 			},
 			mayStart: () => true,
-			onLong: {
+			streamedAnswer: {
 				begin: () => undefined,
 				write: () => true,
 			},
@@ -123,8 +123,8 @@
 	});
 }
 
-for (const poured of cases) {
-	test(`endless: ${poured.name}`, async () => {
+for (const testCase of cases) {
+	test(`endless: ${testCase.name}`, async () => {
 		const counts = {open: 0, connections: 0};
 		const server = createServer(socket => {
 			counts.connections += 1;
@@ -138,7 +138,7 @@
 			});
 			socket.once('data', () => {
 				if (isFirst) {
-					pour(socket, poured);
+					sendRepeatedly(socket, testCase);
 				} else {
 					socket.write(`HTTP/1.1 200 OK\r\n${named}Content-Length: 5\r\n\r\nwhole`);
 				}
@@ -154,10 +154,10 @@
 		const startedAt = performance.now();
 		const result = await attempt(pool, timeoutMilliseconds);
 		const took = performance.now() - startedAt;
-		assert.ok(poured.seen.includes(result.seen), result.seen);
-		assert.ok(took < (poured.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
+		assert.ok(testCase.observations.includes(result.observation), result.observation);
+		assert.ok(took < (testCase.endsEarly ? timeoutMilliseconds : timeoutMilliseconds + slackMilliseconds), `${took} ms`);
 		const next = await attempt(pool, timeoutMilliseconds);
-		assert.equal(next.seen, AttemptObservation.wholeAnswer);
+		assert.equal(next.observation, AttemptObservation.wholeAnswer);
 		assert.ok(next.milliseconds < timeoutMilliseconds / 2, `the next request took ${next.milliseconds} ms`);
 		while (counts.open > 1) {
 			assert.ok(performance.now() - startedAt < timeoutMilliseconds + (2 * slackMilliseconds), 'the connection stays open');
@@ -166,7 +166,7 @@
 			});
 		}
 
-		assert.ok(process.memoryUsage().rss - memory < mostMemoryBytes, `${process.memoryUsage().rss - memory} bytes`);
+		assert.ok(process.memoryUsage().rss - memory < maximumMemoryBytes, `${process.memoryUsage().rss - memory} bytes`);
 		clearInterval(closing);
 		pool.close();
 		server.close();
--- a/packages/entry/test/test-planned-stop.ts
+++ b/packages/entry/test/test-graceful-shutdown.ts
@@ -1,6 +1,6 @@
 /**
- * A planned stop of an entry: a request that comes late in the grace time is
- * answered whole, or refused as not run; it is never cut off (LOST).
+ * Graceful shutdown of an entry: a request that arrives late in the grace period is
+ * answered whole or refused as not run; it is never aborted (LOST).
  */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
@@ -16,10 +16,10 @@
 import {createMeasures} from '@dogwooddeck/telemetry/measure';
 import {
 	answer, type Behaviour, directoryOf, requestText, settings, startUpstream, type Upstream,
-} from './scene.js';
+} from './scenario.js';
 import {type Entry, startEntry} from '@dogwooddeck/entry/entry';
 
-const silent: Log = {event: () => undefined, warning: () => undefined, error: () => undefined};
+const silentLog: Log = {event: () => undefined, warning: () => undefined, error: () => undefined};
 const graceMilliseconds = 6000;
 
 async function freePort(): Promise<number> {
@@ -31,14 +31,14 @@
 	return port;
 }
 
-/** Answers after most of the callers' time of 800 ms. */
+/** Answers after most of the callers' deadline of 800 ms. */
 const slowly: Behaviour = (socket, request) => {
 	setTimeout(answer, 600, socket, request, `for ${request.identifier}`);
 };
 
-type Scene = {readonly entry: Entry; readonly port: number; readonly upstream: Upstream};
+type Scenario = {readonly entry: Entry; readonly port: number; readonly upstream: Upstream};
 
-async function inScene(use: (scene: Scene) => Promise<void>): Promise<void> {
+async function withScenario(use: (scene: Scenario) => Promise<void>): Promise<void> {
 	const upstream = await startUpstream(slowly);
 	const [control, callers, readiness] = [await freePort(), await freePort(), await freePort()];
 	const directory = directoryOf([upstream]);
@@ -57,7 +57,7 @@
 			readiness: {host: '127.0.0.1', port: readiness, path: '/'},
 			seeds: [`127.0.0.1:${control}`],
 		},
-		log: silent,
+		log: silentLog,
 		measures: createMeasures(),
 		random: () => 0,
 	});
@@ -84,7 +84,7 @@
 	return received;
 }
 
-/** What the caller has sent when the stop begins. */
+/** What the caller has sent when the shutdown begins, by what is sent later. */
 const openings: Readonly<Record<string, string>> = {
 	'a connection that has carried nothing': '',
 	'the rest of a head': 'POST /once/x HTTP/1.1\r\nHost: a.example\r\n',
@@ -94,7 +94,7 @@
 const sentAfterMilliseconds = [2000, 3500, 4600, 5000, 5200];
 
 for (const [name, opening] of Object.entries(openings)) {
-	test(`planned stop: a request that comes late, on ${name}, is answered or refused`, async () => inScene(async ({entry, port, upstream}) => {
+	test(`graceful shutdown: a request that arrives late, on ${name}, is answered or refused`, async () => withScenario(async ({entry, port, upstream}) => {
 		const callers = await Promise.all(sentAfterMilliseconds.map(async sentAfter => {
 			const socket = connect(port, '127.0.0.1');
 			await once(socket, 'connect');
@@ -117,6 +117,6 @@
 		}
 
 		const answered = callers.filter(({received}) => received.text.includes(' 200 ')).length;
-		assert.equal(upstream.requests.length, answered, 'what is passed on is answered');
+		assert.equal(upstream.requests.length, answered, 'every forwarded request is answered');
 	}));
 }
--- a/packages/entry/test/test-requests.ts
+++ b/packages/entry/test/test-requests.ts
@@ -1,12 +1,12 @@
 /**
- * Whole requests through an entry.
+ * Requests of callers through an entry to upstreams, end to end.
  */
 import assert from 'node:assert/strict';
 import {connect, type Socket} from 'node:net';
 import {test} from 'node:test';
 import {
 	answer, type Behaviour, call, directoryOf, hasHead, requestText, whole, withEntry,
-} from './scene.js';
+} from './scenario.js';
 
 const resets: Behaviour = socket => {
 	socket.resetAndDestroy();
@@ -20,50 +20,50 @@
 	socket.write(`HTTP/1.1 421 Misdirected\r\nRequest: ${identifier}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n`);
 };
 
-const firstMisdirects: Behaviour = (socket, request, seen) => {
-	(seen === 1 ? misdirects : whole)(socket, request, seen);
+const firstMisdirects: Behaviour = (socket, request, received) => {
+	(received === 1 ? misdirects : whole)(socket, request, received);
 };
 
-const firstResets: Behaviour = (socket, request, seen) => {
-	(seen === 1 ? resets : whole)(socket, request, seen);
+const firstResets: Behaviour = (socket, request, received) => {
+	(received === 1 ? resets : whole)(socket, request, received);
 };
 
 const requestsOfSocket = new WeakMap<Socket, number>();
 
-/** How many requests a connection has carried, this one among them. */
+/** Returns how many requests a connection has carried, including this one. */
 function countOn(socket: Socket): number {
 	const count = (requestsOfSocket.get(socket) ?? 0) + 1;
 	requestsOfSocket.set(socket, count);
 	return count;
 }
 
-/** Refuses once, then writes the same refusal again on that connection while it works on the next request. */
-const repeatsRefusal: Behaviour = (socket, request, seen) => {
-	(countOn(socket) > 1 || seen === 1 ? refuses : whole)(socket, request, seen);
+/** Refuses once, then repeats that refusal on the same connection in answer to the next request. */
+const repeatsRefusal: Behaviour = (socket, request, received) => {
+	(countOn(socket) > 1 || received === 1 ? refuses : whole)(socket, request, received);
 };
 
-/** Answers what comes first on a connection, and writes an earlier refusal, which names no request, in place of the next answer. */
-const refusesUnnamed: Behaviour = (socket, request, seen) => {
-	if (countOn(socket) === 1 && seen === 1) {
-		whole(socket, request, seen);
+/** Answers the first request whole, and later ones with a refusal without a request identifier, as if an earlier one were repeated. */
+const refusesUnnamed: Behaviour = (socket, request, received) => {
+	if (countOn(socket) === 1 && received === 1) {
+		whole(socket, request, received);
 	} else {
 		socket.write('HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n');
 	}
 };
 
-type Case = {readonly name: string; readonly upstreams: readonly Behaviour[]; readonly isKnown?: boolean; readonly text: string; readonly status: number; readonly sent: number; readonly says?: RegExp};
+type Case = {readonly name: string; readonly upstreams: readonly Behaviour[]; readonly hasDirectory?: boolean; readonly text: string; readonly status: number; readonly sent: number; readonly says?: RegExp};
 
 const cases: readonly Case[] = [
 	{
-		name: 'an answer is passed on', upstreams: [whole], text: requestText('/safe/x?q=1', 'a'), status: 200, sent: 1, says: /for a$/v,
+		name: 'an answer is forwarded', upstreams: [whole], text: requestText('/safe/x?q=1', 'a'), status: 200, sent: 1, says: /for a$/v,
 	},
 	{
-		name: 'a body goes along', upstreams: [(socket, request) => {
+		name: 'a body is forwarded', upstreams: [(socket, request) => {
 			answer(socket, request, request.body);
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 1, says: /booking$/v,
 	},
 	{
-		name: 'before anything is known the answer is 503', upstreams: [], isKnown: false, text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
+		name: 'before the directory is received the answer is 503', upstreams: [], hasDirectory: false, text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
 	},
 	{
 		name: 'no route', upstreams: [], text: requestText('/other/x', 'a'), status: 404, sent: 0,
@@ -72,44 +72,44 @@
 		name: 'no upstream', upstreams: [], text: requestText('/safe/x', 'a'), status: 503, sent: 0, says: /retry-after: 0\.\d+/iv,
 	},
 	{
-		name: 'an idempotent request is sent again after a reset', upstreams: [firstResets], text: requestText('/safe/x', 'a'), status: 200, sent: 2,
+		name: 'an idempotent request is retried after a reset', upstreams: [firstResets], text: requestText('/safe/x', 'a'), status: 200, sent: 2,
 	},
 	{
-		name: 'any other is not, and is not called "not run"', upstreams: [firstResets], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 502, sent: 1,
+		name: 'any other request is not, and is not reported as "not run"', upstreams: [firstResets], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 502, sent: 1,
 	},
 	{
-		name: 'a refused one goes to another upstream', upstreams: [refuses, whole], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
+		name: 'a refused request is sent to another upstream', upstreams: [refuses, whole], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
 	},
 	{
-		name: 'one that all refuse did not run', upstreams: [refuses], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4, says: /retry-after: 0\.\d+/iv,
+		name: 'a request that all upstreams refuse did not run', upstreams: [refuses], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4, says: /retry-after: 0\.\d+/iv,
 	},
 	{
-		name: 'a refusal that is written again on its connection does not stand for a later attempt', upstreams: [repeatsRefusal], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
+		name: 'a refusal that is repeated on its connection does not count for a later attempt', upstreams: [repeatsRefusal], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 200, sent: 2,
 	},
 	{
-		name: 'a refusal that names no request counts on a new connection', upstreams: [(socket, request, seen) => {
-			refusesUnnamed(socket, request, seen + 1);
+		name: 'a refusal without a request identifier counts on a new connection', upstreams: [(socket, request, received) => {
+			refusesUnnamed(socket, request, received + 1);
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 503, sent: 4,
 	},
 	{
-		name: 'a holder that hears of its keys a moment later gets the request again', upstreams: [firstMisdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 200, sent: 2,
+		name: 'a holder that is notified of its keys a moment later gets the request again', upstreams: [firstMisdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 200, sent: 2,
 	},
 	{
-		name: 'a holder that has lost its keys is not asked again and again', upstreams: [misdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 503, sent: 2,
+		name: 'a holder that has lost its keys is not tried repeatedly', upstreams: [misdirects], text: requestText('/keyed/x', 'a').replace('Deadline', 'Key: 7\r\nDeadline'), status: 503, sent: 2,
 	},
 	{
-		name: 'an answer to another request is not passed on', upstreams: [socket => {
+		name: 'an answer to another request is not forwarded', upstreams: [socket => {
 			socket.write('HTTP/1.1 200 OK\r\nRequest: other\r\nStamp: s\r\nContent-Length: 5\r\n\r\nother');
 		}], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 502, sent: 1,
 	},
 	{
-		name: 'a silent upstream ends with the deadline', upstreams: [() => undefined], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 504, sent: 1,
+		name: 'a request to an unresponsive upstream ends with its deadline', upstreams: [() => undefined], text: requestText('/once/x', 'a', 'POST', 'booking'), status: 504, sent: 1,
 	},
 ];
 
-for (const {name, upstreams: behaviours, isKnown = true, text, status, sent, says = /./v} of cases) {
+for (const {name, upstreams: behaviours, hasDirectory = true, text, status, sent, says = /./v} of cases) {
 	test(`requests: ${name}`, async () => {
-		await withEntry(behaviours, isKnown, async ({port}, upstreams) => {
+		await withEntry(behaviours, hasDirectory, async ({port}, upstreams) => {
 			const received = await call(port, text, hasHead);
 			assert.equal(received.slice(9, 12), String(status));
 			assert.match(received, says);
@@ -124,9 +124,9 @@
 	});
 }
 
-const longestAfterLeavingMilliseconds = 500;
+const maximumAfterDisconnectMilliseconds = 500;
 
-test('requests: a caller that leaves ends the work at the upstream', async () => {
+test('requests: a caller that disconnects ends the work at the upstream', async () => {
 	await withEntry([() => undefined], true, async ({port}, [upstream]) => {
 		const socket = connect(port, '127.0.0.1');
 		socket.write(requestText('/safe/x', 'a'));
@@ -139,7 +139,7 @@
 		const leftAt = performance.now();
 		socket.destroy();
 		while (upstream!.closed === 0) {
-			assert.ok(performance.now() - leftAt < longestAfterLeavingMilliseconds);
+			assert.ok(performance.now() - leftAt < maximumAfterDisconnectMilliseconds);
 			await new Promise(resolve => {
 				setTimeout(resolve, 5);
 			});
@@ -158,7 +158,7 @@
 	});
 });
 
-test('requests: a refusal that names no request says nothing on a connection that had others', async () => {
+test('requests: a refusal without a request identifier does not count on a connection that has carried others', async () => {
 	await withEntry([refusesUnnamed], true, async ({port}, [upstream]) => {
 		assert.match(await call(port, requestText('/once/x', 'a', 'POST', 'booking'), text => text.endsWith('for a')), /^HTTP\/1\.1 200/v);
 		assert.match(await call(port, requestText('/once/x', 'b', 'POST', 'booking'), hasHead), /^HTTP\/1\.1 502/v);
@@ -166,7 +166,7 @@
 	});
 });
 
-test('requests: a record with an address that can\'t be reached ends nothing', async () => {
+test('requests: an upstream record with an invalid address does not stop the entry', async () => {
 	await withEntry([whole], true, async ({port, table}, upstreams) => {
 		const directory = directoryOf(upstreams);
 		const odd = {...directory.upstreams.u0!, id: 'odd', address: '127.0.0.1:99999'};
@@ -181,16 +181,16 @@
 
 const overloads: ReadonlyArray<{readonly name: string; readonly entries: number; readonly share: number; readonly draw: number; readonly status: number}> = [
 	{
-		name: 'beyond the part that its holder can process is refused at once', entries: 86, share: 0.3, draw: 0.4, status: 503,
+		name: 'beyond the fraction that its holder can process is refused at once', entries: 86, share: 0.3, draw: 0.4, status: 503,
 	},
 	{
-		name: 'within that part is sent', entries: 86, share: 0.3, draw: 0.2, status: 200,
+		name: 'within that fraction is sent', entries: 86, share: 0.3, draw: 0.2, status: 200,
 	},
 	{
 		name: 'for a holder with room is sent', entries: 86, share: 1, draw: 0.99, status: 200,
 	},
 	{
-		name: 'is paced and not drawn for where few entries share the holder', entries: 9, share: 0.3, draw: 0.4, status: 200,
+		name: 'is paced and not drawn for when few entries share the holder', entries: 9, share: 0.3, draw: 0.4, status: 200,
 	},
 ];
 
--- a/packages/entry/test/test-slow-stream.ts
+++ b/packages/entry/test/test-slow-stream.ts
@@ -1,6 +1,6 @@
 /**
- * An entry behind a slow link follows a control instance: real connections
- * through a relay that passes on so many bytes a second.
+ * An entry follows a control instance over a slow link: real connections through a
+ * relay that limits the bytes a second.
  */
 import assert from 'node:assert/strict';
 import {randomBytes} from 'node:crypto';
@@ -20,7 +20,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {followDirectory} from '@dogwooddeck/entry/directory-follower';
 
-const silent: Log = {
+const silentLog: Log = {
 	event: () => undefined, warning: () => undefined, error: () => undefined,
 };
 
@@ -29,7 +29,7 @@
 
 type Relay = {readonly port: number; readonly close: () => void};
 
-/** Passes the bytes of one socket on to another, so many a tick. */
+/** Forwards data from one socket to another, at most `bytesPerTick` each tick. */
 function throttle(from: Socket, to: Socket, bytesPerTick: number): NodeJS.Timeout {
 	from.on('error', () => {
 		to.destroy();
@@ -81,7 +81,7 @@
 	return port;
 }
 
-/** A change whose text can't be made much shorter. */
+/** Returns changes whose text hardly compresses. */
 function routes(count: number): readonly ItemChange[] {
 	return [
 		{kind: 'service', name: 's', item: {version: 1, value: {keyed: false, maxConnections: 10}, document: '{}'}},
@@ -107,7 +107,7 @@
 ];
 
 for (const {name, bytesPerSecond, routes: count} of cases) {
-	test(`slow stream: ${name} reach an entry though they take longer than a stream may be silent`, async () => {
+	test(`slow stream: ${name} reach an entry though they take longer than the timeout of a stream`, async () => {
 		const source = createStateHolder(directoryMachine);
 		source.apply(1, encodeCommands([{kind: 'itemsChanged', changes: routes(count)}]));
 		const port = await freePort();
@@ -123,7 +123,7 @@
 			});
 		});
 		assert.ok(server.isOk);
-		const pulsing = setInterval(() => {
+		const heartbeatTimer = setInterval(() => {
 			for (const follower of followers) {
 				follower.send(encodeMessage({
 					fresh: true, committed: 1, zone: 'z', members: [], entryCount: 1, shares: [],
@@ -133,7 +133,7 @@
 		const relay = await startRelay(port, bytesPerSecond);
 		const clients = createMeshClients();
 		const follower = followDirectory({
-			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: [`127.0.0.1:${relay.port}`], clients, log: silent,
+			name: 'e', zone: 'z', regions: {z: 'r'}, seeds: [`127.0.0.1:${relay.port}`], clients, log: silentLog,
 		});
 		for (let waited = 0; waited < followedWithinMilliseconds && follower.state().applied === 0; waited += 50) {
 			await pause(50);
@@ -143,7 +143,7 @@
 		follower.stop();
 		clients.close();
 		relay.close();
-		clearInterval(pulsing);
+		clearInterval(heartbeatTimer);
 		server.value.close();
 		assert.equal(applied, 1);
 	});
