--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -1,27 +1,26 @@
 /**
- * An instance's own view of the upstreams it sends requests to: counts that
- * are cheap to keep for each request, and are read out for each report.
+ * Counts how the attempts of one instance ended, by upstream. Counting is cheap
+ * enough for every request; the counts are collected for each report.
  */
 import {type UpstreamEvidence} from '@dogwooddeck/model/evidence';
 import {
 	type Milliseconds, sameUpstream, type ServiceName, type UpstreamIdentity, type UpstreamName,
 } from '@dogwooddeck/model/identifiers';
 
-/** How an attempt at an upstream ended, as health evidence. */
+/** The outcome of an attempt at an upstream, as health evidence. */
 export const AttemptEnd = {
-	/** A whole answer came, errors of the upstream's own application among them. */
+	/** A complete response arrived; application errors of the upstream count too. */
 	answered: 'answered',
-	/** The connection was refused or cut, or the answer was cut short. */
+	/** The connection was refused or lost, or the response was truncated. */
 	failed: 'failed',
 	/** The deadline passed. */
 	timedOut: 'timedOut',
-	/** The upstream refused because it had too much to do. */
+	/** The upstream rejected the request because it was overloaded. */
 	shed: 'shed',
-	/** The caller went away: says nothing about the upstream. */
+	/** The caller disconnected, which is no evidence about the upstream. */
 	cancelled: 'cancelled',
 } as const;
 
-/** One of the ends of an attempt. */
 export type AttemptEnd = (typeof AttemptEnd)[keyof typeof AttemptEnd];
 
 type Counts = {
@@ -35,15 +34,15 @@
 	latencySum: Milliseconds;
 };
 
-/** Counts for all upstreams. It belongs to the request path, and is updated in place. */
+/** Counts for all upstreams. Owned by the request path and updated in place. */
 export type EvidenceRecorder = {
-	/** An attempt was handed to the upstream. */
+	/** Records that an attempt was sent to the upstream. */
 	readonly started: (upstream: UpstreamIdentity) => void;
-	/** An attempt ended after `latency`. Each `started` has one `ended`. */
+	/** Records that an attempt ended after `latency`. Each `started` is followed by one `ended`. */
 	readonly ended: (upstream: UpstreamIdentity, end: AttemptEnd, latency: Milliseconds) => void;
-	/** The attempts that are in flight now. */
+	/** The number of attempts in flight. */
 	readonly inFlight: (upstream: UpstreamIdentity) => number;
-	/** What was seen since the last call. Upstreams without any count are left out. */
+	/** Returns the counts since the last call and resets them. Upstreams whose counts are all zero are omitted. */
 	readonly take: () => readonly UpstreamEvidence[];
 };
 
@@ -64,7 +63,7 @@
 	return evidence.answered + evidence.failed + evidence.timedOut + evidence.shed + evidence.inFlight === 0;
 }
 
-/** Makes a recorder without counts. */
+/** Creates an empty recorder. */
 export function createEvidenceRecorder(): EvidenceRecorder {
 	const services = new Map<ServiceName, Map<UpstreamName, Counts[]>>();
 
--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -1,30 +1,31 @@
 /**
- * Upstreams that come and go several times in a short while are held back
- * with a growing delay, so that keys don't move to and fro with them.
+ * Flap damping: an upstream that restarts several times in a short time joins
+ * after an exponentially growing delay, so that keys don't move back and forth
+ * with it.
  */
 import {type Incarnation, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** Lives that began longer ago than this no longer count. */
+/** Incarnations that started longer ago than this are not counted. */
 export const flapWindowMilliseconds: Milliseconds = 120_000;
-/** Lives within the window that are taken for ordinary restarts. */
+/** The number of incarnations within the window that count as ordinary restarts. */
 export const ordinaryLives = 2;
-/** The delay of the first life beyond the ordinary ones; it doubles with each more. */
+/** The join delay of the first incarnation beyond the ordinary ones; doubles with each further one. */
 export const firstHoldMilliseconds: Milliseconds = 5000;
-/** The longest delay. */
+/** The maximum join delay. */
 export const longestHoldMilliseconds: Milliseconds = 60_000;
 
-/** The recent lives of an upstream, oldest first. */
+/** The recent incarnations of an upstream, oldest first. */
 export type FlapHistory = {
 	readonly lives: ReadonlyArray<{readonly incarnation: Incarnation; readonly beganAt: MonotonicTime}>;
 };
 
-/** Adds a life that began now. */
+/** Adds an incarnation that starts now, and drops those outside the window. */
 export function noteLife(history: FlapHistory, incarnation: Incarnation, now: MonotonicTime): FlapHistory {
 	const recent = history.lives.filter(life => now - life.beganAt <= flapWindowMilliseconds);
 	return {lives: [...recent, {incarnation, beganAt: now}]};
 }
 
-/** When the latest life may join. In the past for one that isn't held back. */
+/** Returns when the latest incarnation may join: in the past when it isn't delayed. */
 export function heldUntil(history: FlapHistory): MonotonicTime {
 	const latest = history.lives.at(-1);
 	const excess = history.lives.length - ordinaryLives;
@@ -35,7 +36,7 @@
 	return latest.beganAt + Math.min(longestHoldMilliseconds, firstHoldMilliseconds * (2 ** (excess - 1)));
 }
 
-/** How many of the histories show more than ordinary restarts. */
+/** Counts the histories that show more than ordinary restarts. */
 export function flappingUpstreams(histories: readonly FlapHistory[], now: MonotonicTime): number {
 	return histories.filter(({lives}) => lives.filter(life => now - life.beganAt <= flapWindowMilliseconds).length > ordinaryLives).length;
 }
--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -1,6 +1,7 @@
 /**
- * The replicated registry of upstreams: who announced itself, in which life,
- * and what was decided about it. The state is JSON and never changed in place.
+ * The replicated registry of upstreams: which upstreams announced themselves,
+ * with which incarnation, and which phase they are in. The state is JSON and is
+ * never mutated.
  */
 import {
 	type Failure, FailureKind, failure,
@@ -12,13 +13,13 @@
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** The incarnations of forgotten upstreams that are kept for each service, so that none of them returns. */
+/** The number of tombstones kept for each service. A tombstone keeps a removed incarnation from joining again. */
 export const tombstonesPerService = 4096;
 
-/** The last life of an upstream whose record was dropped. */
+/** The last incarnation of an upstream whose record was removed. */
 export type Tombstone = {
 	readonly incarnation: Incarnation;
-	/** The log entry that dropped the record. */
+	/** The index of the log entry that removed the record. */
 	readonly forgottenAt: LogIndex;
 };
 
@@ -33,26 +34,26 @@
 	readonly services: Readonly<Record<ServiceName, ServiceMembership>>;
 };
 
-/** A log entry that changes the registry. */
+/** A command of the replicated log that changes the registry. */
 export type MembershipCommand =
-	/** An upstream announced itself in an incarnation that the registry doesn't hold. */
+	/** An upstream announced itself with an incarnation that isn't in the registry. */
 	| {readonly kind: 'upstreamJoined'; readonly record: UpstreamRecord}
 	| {
 		readonly kind: 'upstreamPhaseChanged';
 		readonly upstream: UpstreamIdentity;
 		readonly phase: UpstreamPhase;
-		/** With `lost`: how long nothing had been heard of it. */
+		/** Set with `lost`: the time without contact before the verdict. */
 		readonly silentMilliseconds?: Milliseconds;
 	}
-	/** The record of an upstream that no longer serves is dropped. */
+	/** Removes the record of an upstream that no longer serves. */
 	| {readonly kind: 'upstreamForgotten'; readonly upstream: UpstreamIdentity};
 
-/** The registry before the first entry. */
+/** The registry before the first log entry. */
 export const emptyMembership: MembershipState = {services: {}};
 
 const emptyService: ServiceMembership = {upstreams: {}, tombstones: {}};
 
-/** Within one incarnation, phases only go forward. */
+/** Within one incarnation, the phase only advances. */
 const phaseOrder: Readonly<Record<UpstreamPhase, number>> = {
 	[UpstreamPhase.serving]: 0,
 	[UpstreamPhase.leaving]: 1,
@@ -90,27 +91,27 @@
 	);
 }
 
-/** The records of a service's upstreams in all phases, ordered by name. */
+/** Returns the records of a service's upstreams in all phases, sorted by name. */
 export function upstreamsOf(state: MembershipState, service: ServiceName): readonly UpstreamRecord[] {
 	const {upstreams} = serviceOf(state, service);
 	return Object.keys(upstreams).sort().map(name => upstreams[name]!);
 }
 
-/** The record of exactly this life of an upstream, if the registry holds it. */
+/** Returns the record of an upstream if its incarnation is the given one. */
 export function upstreamOf(state: MembershipState, identity: UpstreamIdentity): UpstreamRecord | undefined {
 	const record = own(serviceOf(state, identity.service).upstreams, identity.name);
 	return record?.incarnation === identity.incarnation ? record : undefined;
 }
 
-/** The latest incarnation under which a name was ever admitted, as far as the registry remembers. */
+/** Returns the latest incarnation admitted under a name, from its record or its tombstone. */
 export function latestIncarnation(state: MembershipState, service: ServiceName, name: UpstreamName): Incarnation | undefined {
 	const membership = serviceOf(state, service);
 	return own(membership.upstreams, name)?.incarnation ?? own(membership.tombstones, name)?.incarnation;
 }
 
 /**
- * Whether an announcement may be taken up. Fails with `superseded` when the
- * upstream has a later life, or when this life was judged to be gone: the
+ * Checks whether an announcement may be accepted. Fails with `superseded` when
+ * the upstream has a later incarnation or this one was declared lost: the
  * upstream must then announce itself with a later incarnation.
  */
 export function checkAnnouncement(state: MembershipState, announcement: Announcement): Result<Announcement, Failure> {
@@ -186,9 +187,9 @@
 };
 
 /**
- * Applies the log entry at `index`. Commands may come twice: the second
- * changes nothing. Fails with `superseded` for an older or lost incarnation,
- * `notFound`, `malformed`, and `conflict` for forgetting one that serves.
+ * Applies a command of the log entry at `index`. Commands are idempotent. Fails
+ * with `superseded` for an older or lost incarnation, `notFound`, `malformed`,
+ * and `conflict` for forgetting an upstream that is serving.
  */
 export function applyMembership(state: MembershipState, command: MembershipCommand, index: LogIndex): Result<MembershipState, Failure> {
 	return dispatch(handlers, command, state, index);
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -1,6 +1,7 @@
 /**
- * Which upstreams are judged to be gone: by silence, by what instances saw, or
- * because a later life of theirs announced itself.
+ * Decides which upstreams are lost: because their announcements timed out,
+ * because instances report failed attempts, or because a later incarnation
+ * announced itself.
  */
 import {type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type Milliseconds, type MonotonicTime, type ZoneName} from '@dogwooddeck/model/identifiers';
@@ -11,22 +12,23 @@
 } from './view.js';
 import {evidenceSaysLost} from './witness.js';
 
-/** A zone must have sent this many reports without an upstream before its silence counts. */
+/** The number of reports of its zone that must lack an upstream's announcement before the upstream counts as unresponsive. */
 export const silentReportsForVerdict = 2;
 /**
- * A zone's reports must also have left an upstream out for this long. It is the
- * announcements' timeout less one renewal, so that a zone that is cut off just
- * after two reports without an announcement isn't taken for one that misses it.
+ * The zone's reports must also have lacked the announcement for this long: the
+ * announcement timeout less one renewal interval. A zone that is partitioned just
+ * after two reports without the announcement is thereby not mistaken for a zone
+ * that lost contact with the upstream.
  */
 export const missedMilliseconds: Milliseconds = 750;
-/** When a large part of a service's upstreams in a zone goes silent at once, the verdict waits for this much more silence. */
+/** The extra time without contact required when a large share of a service's upstreams in a zone becomes unresponsive at once. */
 export const stormConfirmationMilliseconds: Milliseconds = 500;
-/** Silence of more than this share of a service's upstreams in a zone looks like a cut, not like deaths. */
+/** When more than this share of a service's upstreams in a zone is unresponsive, a network partition is more likely than crashes. */
 export const stormShare = 0.5;
-/** Evidence alone, against announcements that still come, condemns at most this share of a service's upstreams. */
+/** The maximum share of a service's upstreams that evidence alone may declare lost while they still announce themselves. */
 export const evidenceVerdictShare = 0.34;
 
-/** What is judged by. */
+/** What verdicts are based on, next to the watch state. */
 export type Judgement = {
 	readonly now: MonotonicTime;
 	readonly registry: MembershipState;
@@ -51,7 +53,10 @@
 	return tick.now - silentSince(state, tick, record);
 }
 
-/** Whether the upstream's zone had its chance to tell of it. A zone out of reach is judged by the contract. */
+/**
+ * Whether the upstream's zone has had the opportunity to report it. True for an
+ * unreachable zone, where the contract's partition policy decides.
+ */
 function isMissedByZone(state: WatchState, tick: Judgement, record: UpstreamRecord): boolean {
 	const zone = state.zones[record.zone];
 	const isWatched = (tick.rosterSizes[record.zone] ?? 0) > 0;
@@ -63,19 +68,22 @@
 	return zone.reports - heardInReport >= silentReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missedMilliseconds;
 }
 
-/** A later life that announces itself ends the earlier, also while it is held back itself. */
+/** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
 function isOver(state: WatchState, record: UpstreamRecord): boolean {
 	const {announcement} = watchOf(state, record.service, record.name);
 	return announcement !== undefined && announcement.incarnation > record.incarnation;
 }
 
-/** The last sign of a life. Absent: this leader never heard of it. */
+/** Returns the last contact with an incarnation; undefined if this leader never had any. */
 function lastHeard({announcement, heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
 	const lives = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, heardAt}, earlier];
 	return lives.find(life => life?.incarnation === incarnation)?.heardAt;
 }
 
-/** How long nothing was heard of a life. Where this leader never heard of it, the time is not less than what is given. */
+/**
+ * Returns the time without contact with an incarnation. If this leader never had
+ * contact with it, the result is a lower bound.
+ */
 function unheardTime(state: WatchState, tick: Judgement, record: UpstreamRecord): Milliseconds {
 	const heardAt = lastHeard(watchOf(state, record.service, record.name), record);
 	const leastSince = isOver(state, record) ? tick.now : state.startedAt;
@@ -121,7 +129,7 @@
 	return new Set(condemned.length <= allowed ? condemned : []);
 }
 
-/** The commands for upstreams of a service that are judged to be gone. */
+/** Returns the commands that declare upstreams of a service lost. */
 export function lostCommands(state: WatchState, tick: Judgement, contract: ServiceContract): MembershipCommand[] {
 	const records = upstreamsOf(tick.registry, contract.name);
 	const condemned = condemnedByEvidence(state, tick, records);
--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -1,6 +1,6 @@
 /**
- * What a leader has heard of upstreams and availability zones, and what can be
- * asked of it.
+ * The leader's volatile state about upstreams and availability zones, built
+ * from reports, and queries on it.
  */
 import {
 	type Incarnation, type Milliseconds, type MonotonicTime, type ServiceName, type UpstreamIdentity, type ZoneName,
@@ -9,75 +9,75 @@
 import {flappingUpstreams, type FlapHistory} from './flapping.js';
 import {type Witnesses} from './witness.js';
 
-/** An upstream from which no instance hears an announcement for this long is judged to be gone. */
+/** An upstream from which no instance receives an announcement for this long is declared lost. */
 export const announcementTimeoutMilliseconds: Milliseconds = 1000;
-/** A zone that sends no report for this long can't be reached: what isn't heard of its upstreams says nothing. */
+/** A zone that sends no report for this long is unreachable: missing announcements of its upstreams are then no evidence. */
 export const zoneTimeoutMilliseconds: Milliseconds = 1000;
 
-/** What the leader heard of one upstream. */
+/** The leader's view of one upstream. */
 export type UpstreamWatch = {
 	/** The latest announcement. */
 	readonly announcement?: Announcement;
 	readonly heardAt: MonotonicTime;
-	/** The life before the announced one, and when it was last heard. */
+	/** The incarnation before the announced one, and its last contact. */
 	readonly earlier?: {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
-	/** The number of reports of the upstream's zone when it was heard. */
+	/** The number of reports received from the upstream's zone at its last contact. */
 	readonly heardInReport: number;
-	/** When this leader proposed that the incarnation joins. Absent: it was in the registry before. */
+	/** When this leader proposed that the incarnation joins. Absent if it joined before this leader's term. */
 	readonly joinedAt?: MonotonicTime;
-	/** When the record was first seen as lost. */
+	/** When this leader first found the record lost. */
 	readonly lostAt?: MonotonicTime;
 	readonly proposedAt?: MonotonicTime;
 	readonly witnesses: Witnesses;
 	readonly flaps: FlapHistory;
 };
 
-/** What the leader heard of one availability zone. */
+/** The leader's view of one availability zone. */
 export type ZoneWatch = {
 	readonly reportedAt: MonotonicTime;
-	/** The start of the present run of reports without a long gap. */
+	/** When the current run of reports without a gap beyond the zone timeout started. */
 	readonly reachableSince: MonotonicTime;
-	/** The number of reports that this leader had from the zone. */
+	/** The number of reports that this leader received from the zone. */
 	readonly reports: number;
 };
 
-/** The leader's view. */
+/** The leader's view of all upstreams and zones. */
 export type WatchState = {
 	readonly startedAt: MonotonicTime;
 	readonly zones: Readonly<Record<ZoneName, ZoneWatch>>;
-	/** By service and name, joined as `upstreamKey` says. */
+	/** By `upstreamKey`. */
 	readonly upstreams: ReadonlyMap<string, UpstreamWatch>;
 };
 
-/** The key of an upstream in the view. */
+/** Returns the key of an upstream in the view. */
 export function upstreamKey(service: ServiceName, name: string): string {
 	return `${service}\n${name}`;
 }
 
-/** The view of a leader that begins now. */
+/** Creates the empty view of a leader whose term starts now. */
 export function createWatch(now: MonotonicTime): WatchState {
 	return {startedAt: now, zones: {}, upstreams: new Map()};
 }
 
-/** What is known of an upstream that was never heard. */
+/** Returns the view of an upstream that this leader never had contact with. */
 export function noContact(state: WatchState): UpstreamWatch {
 	return {
 		heardAt: state.startedAt, heardInReport: 0, witnesses: {}, flaps: {lives: []},
 	};
 }
 
-/** What is known of an upstream. */
+/** Returns the view of an upstream. */
 export function watchOf(state: WatchState, service: ServiceName, name: string): UpstreamWatch {
 	return state.upstreams.get(upstreamKey(service, name)) ?? noContact(state);
 }
 
-/** When this leader let the incarnation join. Absent: it joined before this leader's time. */
+/** Returns when this leader proposed that the incarnation joins; undefined if it joined before this leader's term. */
 export function joinedAt(state: WatchState, upstream: UpstreamIdentity): MonotonicTime | undefined {
 	const watch = watchOf(state, upstream.service, upstream.name);
 	return watch.announcement?.incarnation === upstream.incarnation ? watch.joinedAt : undefined;
 }
 
-/** How many of a service's upstreams changed lives several times in a short while. */
+/** Counts the upstreams of a service that restarted several times in a short time. */
 export function flappingCount(state: WatchState, service: ServiceName, now: MonotonicTime): number {
 	const prefix = upstreamKey(service, '');
 	const histories = [...state.upstreams].filter(([key]) => key.startsWith(prefix)).map(([, watch]) => watch.flaps);
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's volatile view of the upstreams. It hears reports and, at each
- * tick, says which changes of the registry to propose. A new leader starts
- * with an empty view, which gives every upstream a full grace period.
+ * The leader's volatile state machine for upstreams. It receives reports and, at
+ * each tick, returns the registry changes to propose. A new leader starts with
+ * an empty view, which gives every upstream a full grace period.
  */
 import {type ServiceContract} from '@dogwooddeck/model/contract';
 import {
@@ -26,14 +26,14 @@
 	createWatch, flappingCount, joinedAt, type WatchState,
 } from './view.js';
 
-/** A proposal that did not take effect is made again after this long. */
+/** A proposal that took no effect is repeated after this long. */
 export const proposalRepeatMilliseconds: Milliseconds = 500;
-/** The record of a lost upstream is dropped after this long. */
+/** The record of a lost upstream is removed after this long. */
 export const forgetAfterMilliseconds: Milliseconds = 3_600_000;
 
-/** What the watch is fed with. */
+/** An input of the watch. */
 export type WatchEvent =
-	/** A zone's steward, or a single instance, passed on what its zone saw. */
+	/** A report arrived from a zone's steward (its elected lease distributor) or from a single instance. */
 	| {
 		readonly kind: 'reportReceived';
 		readonly now: MonotonicTime;
@@ -49,7 +49,7 @@
 		readonly rosterSizes: Readonly<Record<ZoneName, number>>;
 	};
 
-/** Changes of the registry to propose. */
+/** A registry change to propose. */
 export type WatchEffect = {readonly kind: 'propose'; readonly command: MembershipCommand};
 
 type Tick = Extract<WatchEvent, {readonly kind: 'ticked'}>;
@@ -182,7 +182,7 @@
 	return {...state, upstreams: new Map([...state.upstreams, ...noted])};
 }
 
-/** Drops what is known of upstreams that are silent for long and have no record. */
+/** Drops the view of upstreams that are without contact for `forgetAfterMilliseconds` and have no record. */
 function dropForgotten(state: WatchState, tick: Tick): WatchState {
 	const kept = [...state.upstreams].filter(([, {announcement, heardAt}]) => tick.now - heardAt <= forgetAfterMilliseconds
 		|| (announcement !== undefined && upstreamOf(tick.registry, announcement) !== undefined));
@@ -213,7 +213,7 @@
 	ticked: judge,
 };
 
-/** Takes in a report, or judges at a tick. */
+/** Processes a report, or decides on verdicts and joins at a tick. */
 export function advanceWatch(state: WatchState, event: WatchEvent): Transition<WatchState, WatchEffect> {
 	return dispatch(handlers, event, state);
 }
--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -1,37 +1,38 @@
 /**
- * What instances saw of an upstream by their own requests, and whether enough
- * of them agree that it is gone. The word of one instance is never enough in
- * a zone that has several.
+ * Health evidence from the requests of several instances: records the
+ * consecutive failures that each instance observed at an upstream, and decides
+ * whether enough instances agree that the upstream is lost. In a zone with
+ * several instances, the evidence of one is never enough.
  */
 import {type UpstreamEvidence} from '@dogwooddeck/model/evidence';
 import {
 	type InstanceIdentity, type InstanceName, type Milliseconds, type MonotonicTime, sameUpstream, type UpstreamIdentity, type ZoneName,
 } from '@dogwooddeck/model/identifiers';
 
-/** Evidence older than this no longer counts. */
+/** Evidence older than this is ignored. */
 export const evidenceWindowMilliseconds: Milliseconds = 1500;
-/** Attempts in a row without any answer after which an instance finds the upstream gone. */
+/** The number of consecutive attempts without a response after which an instance counts as a witness of the loss. */
 export const failuresForVerdict = 3;
-/** Instances that must agree where the zone has at least as many. */
+/** The number of instances that must agree, in a zone that has at least as many. */
 export const leastWitnesses = 2;
 
-/** What one instance saw lately. */
+/** The recent evidence of one instance. */
 export type Witness = {
 	readonly upstream: UpstreamIdentity;
 	readonly zone: ZoneName;
 	readonly seenAt: MonotonicTime;
-	/** Failures and timeouts since the last whole answer. */
+	/** Failures and timeouts since the last complete response. */
 	readonly failuresInRow: number;
 };
 
-/** What each instance saw lately, by its name. */
+/** The recent evidence by instance name. */
 export type Witnesses = Readonly<Record<InstanceName, Witness>>;
 
-/** The question whether an upstream is gone. */
+/** The inputs for the decision whether an upstream is lost. */
 export type EvidenceQuestion = {
 	readonly witnesses: Witnesses;
 	readonly upstream: UpstreamIdentity;
-	/** The upstream's zone, whose instances are asked. */
+	/** The upstream's zone; only evidence of its instances counts. */
 	readonly zone: ZoneName;
 	/** The number of instances in the zone's roster. */
 	readonly rosterSize: number;
@@ -51,8 +52,8 @@
 }
 
 /**
- * Takes in what instances of `zone` saw of one upstream, in the order in which
- * they saw it. Evidence without any ended attempt says nothing. The witnesses
+ * Records the evidence of instances of `zone` about one upstream, in the order
+ * of observation. Evidence without any ended attempt is ignored. The witnesses
  * are copied once for all of the evidence, as a zone may have hundreds.
  */
 export function noteEvidence(witnesses: Witnesses, evidence: readonly SeenEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
@@ -76,8 +77,8 @@
 }
 
 /**
- * Whether a majority of the zone's instances that had traffic find the
- * upstream gone: at least two of them, but where the zone has just one.
+ * Whether a majority of the zone's instances with recent traffic observe the
+ * upstream as lost: at least two of them, or one in a zone with a single instance.
  */
 export function evidenceSaysLost({witnesses, upstream, zone, rosterSize, now}: EvidenceQuestion): boolean {
 	const recent = Object.values(witnesses).filter(witness => witness.zone === zone
--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -1,6 +1,6 @@
 /**
- * A service's upstreams in two availability zones and the instances that hear
- * them, by small fakes, against the real watch and registry.
+ * Simulates the upstreams of a service in two availability zones and the
+ * instances that report them, against the real watch and registry.
  */
 import {defaultContract, type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {emptyReport, type Report} from '@dogwooddeck/model/lease';
@@ -14,35 +14,35 @@
 export const reportMilliseconds = 250;
 export const tickMilliseconds = 50;
 
-/** What stands for a zone's instances and a service's upstreams: each field says what goes wrong, and from when. */
+/** A simulated scenario: each field is a fault or a change and when it starts, in milliseconds. */
 export type Scene = {
 	readonly whenCut?: PartitionPolicy;
 	/** Upstreams in each of the zones `n-1` and `n-2`. */
 	readonly upstreams?: number;
 	readonly rosterSize?: number;
-	/** From when an upstream no longer announces itself, by its name. */
+	/** When an upstream stops announcing itself, by its name. */
 	readonly silentFrom?: Readonly<Record<string, number>>;
 	readonly leavingFrom?: Readonly<Record<string, number>>;
-	/** When an upstream begins its next life, by its name. */
+	/** When an upstream starts its next incarnation, by its name. */
 	readonly restartsAt?: Readonly<Record<string, readonly number[]>>;
-	/** From when these instances of zone `n-1` fail at an upstream, by the upstream's name. */
+	/** When attempts of these instances of the upstream's zone start to fail, by the upstream's name. */
 	readonly failingFrom?: Readonly<Record<string, {readonly at: number; readonly instances: readonly string[]}>>;
-	/** The only instances that send any requests. Absent: all. */
+	/** The only instances that send requests. Absent: all. */
 	readonly busyInstances?: readonly string[];
-	/** Only one report of so many passes announcements on. */
+	/** Only every n-th report contains announcements. */
 	readonly announcedEvery?: number;
-	/** The time in which no report of a zone comes through, by the zone. */
+	/** The time in which no report of a zone arrives, by the zone. */
 	readonly cut?: Readonly<Record<string, readonly [from: number, until: number]>>;
-	/** When another leader begins with an empty view. */
+	/** When a new leader starts with an empty view. */
 	readonly newLeaderAt?: number;
 	readonly untilMilliseconds: number;
 };
 
-/** What became of a scene. */
+/** The result of a scenario. */
 export type Run = {
 	readonly registry: MembershipState;
 	readonly log: ReadonlyArray<{readonly at: number; readonly name: string; readonly change: string}>;
-	/** What the verdicts told of the times in which nothing was heard, in milliseconds. */
+	/** The times without contact that the verdicts report, in milliseconds. */
 	readonly silences: readonly number[];
 	readonly flapping: number;
 };
--- a/packages/membership/test/test-registry.ts
+++ b/packages/membership/test/test-registry.ts
@@ -22,84 +22,84 @@
 type RegistryCase = {
 	readonly name: string;
 	readonly commands: readonly MembershipCommand[];
-	/** The failure of the last command. */
+	/** The expected failure of the last command. */
 	readonly fails?: FailureKind;
 	readonly expected: ReadonlyArray<readonly [incarnation: number, phase: UpstreamPhase]>;
 };
 
 const cases: readonly RegistryCase[] = [
-	{name: 'a first life joins', commands: [joined(1)], expected: [[1, UpstreamPhase.serving]]},
-	{name: 'a command may come twice', commands: [joined(1), joined(1)], expected: [[1, UpstreamPhase.serving]]},
+	{name: 'a first incarnation joins', commands: [joined(1)], expected: [[1, UpstreamPhase.serving]]},
+	{name: 'a repeated command changes nothing', commands: [joined(1), joined(1)], expected: [[1, UpstreamPhase.serving]]},
 	{
-		name: 'the same life from another address',
+		name: 'the same incarnation from another address is refused',
 		commands: [joined(1), joined(1, {address: '127.0.0.1:2'})],
 		fails: FailureKind.superseded,
 		expected: [[1, UpstreamPhase.serving]],
 	},
-	{name: 'a later life takes the place of an earlier', commands: [joined(1), joined(3)], expected: [[3, UpstreamPhase.serving]]},
+	{name: 'a later incarnation replaces an earlier one', commands: [joined(1), joined(3)], expected: [[3, UpstreamPhase.serving]]},
 	{
-		name: 'an earlier life is refused',
+		name: 'an earlier incarnation is refused',
 		commands: [joined(3), joined(2)],
 		fails: FailureKind.superseded,
 		expected: [[3, UpstreamPhase.serving]],
 	},
 	{
-		name: 'a lost life never joins again',
+		name: 'a lost incarnation never joins again',
 		commands: [joined(3), phase(3, UpstreamPhase.lost), joined(3)],
 		fails: FailureKind.superseded,
 		expected: [[3, UpstreamPhase.lost]],
 	},
 	{
-		name: 'a lost life never serves again',
+		name: 'a lost incarnation never serves again',
 		commands: [joined(3), phase(3, UpstreamPhase.lost), phase(3, UpstreamPhase.serving)],
 		fails: FailureKind.superseded,
 		expected: [[3, UpstreamPhase.lost]],
 	},
-	{name: 'a lost name returns in a later life', commands: [joined(3), phase(3, UpstreamPhase.lost), joined(4)], expected: [[4, UpstreamPhase.serving]]},
+	{name: 'a lost upstream joins again with a later incarnation', commands: [joined(3), phase(3, UpstreamPhase.lost), joined(4)], expected: [[4, UpstreamPhase.serving]]},
 	{
-		name: 'a leaving life does not serve again',
+		name: 'a leaving incarnation does not serve again',
 		commands: [joined(3), phase(3, UpstreamPhase.leaving), phase(3, UpstreamPhase.serving)],
 		fails: FailureKind.superseded,
 		expected: [[3, UpstreamPhase.leaving]],
 	},
-	{name: 'one can join as leaving', commands: [joined(1, {phase: UpstreamPhase.leaving})], expected: [[1, UpstreamPhase.leaving]]},
+	{name: 'an upstream can join as leaving', commands: [joined(1, {phase: UpstreamPhase.leaving})], expected: [[1, UpstreamPhase.leaving]]},
 	{
-		name: 'nobody joins as lost',
+		name: 'no upstream joins as lost',
 		commands: [joined(1, {phase: UpstreamPhase.lost})],
 		fails: FailureKind.malformed,
 		expected: [],
 	},
 	{
-		name: 'the phase of an earlier life',
+		name: 'a phase change of an earlier incarnation is refused',
 		commands: [joined(3), phase(2, UpstreamPhase.lost)],
 		fails: FailureKind.superseded,
 		expected: [[3, UpstreamPhase.serving]],
 	},
 	{
-		name: 'the phase of a name that never joined',
+		name: 'a phase change of an upstream that never joined is refused',
 		commands: [phase(1, UpstreamPhase.lost, 'constructor')],
 		fails: FailureKind.notFound,
 		expected: [],
 	},
 	{
-		name: 'one that serves is not forgotten',
+		name: 'a serving upstream is not forgotten',
 		commands: [joined(1), forgotten(1)],
 		fails: FailureKind.conflict,
 		expected: [[1, UpstreamPhase.serving]],
 	},
 	{
-		name: 'a forgotten life does not join again',
+		name: 'a forgotten incarnation does not join again',
 		commands: [joined(2), phase(2, UpstreamPhase.lost), forgotten(2), joined(2)],
 		fails: FailureKind.superseded,
 		expected: [],
 	},
 	{
-		name: 'a forgotten name returns in a later life',
+		name: 'a forgotten upstream joins again with a later incarnation',
 		commands: [joined(2), phase(2, UpstreamPhase.lost), forgotten(2), joined(3)],
 		expected: [[3, UpstreamPhase.serving]],
 	},
 	{
-		name: 'names of the language itself are ordinary names',
+		name: 'names of built-in object properties are ordinary names',
 		commands: [joined(1, {name: '__proto__'}), joined(1, {name: 'constructor'})],
 		expected: [[1, UpstreamPhase.serving], [1, UpstreamPhase.serving]],
 	},
@@ -129,22 +129,22 @@
 
 const announcements: ReadonlyArray<{readonly name: string; readonly commands: readonly MembershipCommand[]; readonly incarnation: number; readonly isTaken: boolean}> = [
 	{
-		name: 'an unknown one', commands: [], incarnation: 1, isTaken: true,
+		name: 'an unknown upstream', commands: [], incarnation: 1, isTaken: true,
 	},
 	{
-		name: 'the present life', commands: [joined(2)], incarnation: 2, isTaken: true,
+		name: 'the current incarnation', commands: [joined(2)], incarnation: 2, isTaken: true,
 	},
 	{
-		name: 'a later life', commands: [joined(2)], incarnation: 3, isTaken: true,
+		name: 'a later incarnation', commands: [joined(2)], incarnation: 3, isTaken: true,
 	},
 	{
-		name: 'an earlier life', commands: [joined(2)], incarnation: 1, isTaken: false,
+		name: 'an earlier incarnation', commands: [joined(2)], incarnation: 1, isTaken: false,
 	},
 	{
-		name: 'a life that was lost', commands: [joined(2), phase(2, UpstreamPhase.lost)], incarnation: 2, isTaken: false,
+		name: 'a lost incarnation', commands: [joined(2), phase(2, UpstreamPhase.lost)], incarnation: 2, isTaken: false,
 	},
 	{
-		name: 'a life that was forgotten', commands: [joined(2), phase(2, UpstreamPhase.lost), forgotten(2)], incarnation: 2, isTaken: false,
+		name: 'a forgotten incarnation', commands: [joined(2), phase(2, UpstreamPhase.lost), forgotten(2)], incarnation: 2, isTaken: false,
 	},
 ];
 
--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -7,7 +7,7 @@
 const service = 'bermrand/schedule';
 const zone = 'n-1';
 
-/** What one instance saw: answers, failures, and which life of the upstream. */
+/** The attempts of one instance at an incarnation of the upstream. */
 type Sight = {readonly instance: string; readonly incarnation?: number; readonly answered?: number; readonly failed?: number};
 
 function evidenceOf(name: string, {instance, incarnation = 1, answered = 0, failed = 0}: Sight): Report['evidence'][number] {
@@ -31,12 +31,12 @@
 
 const sightCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Sight[]; readonly failures: Readonly<Record<string, number>>}> = [
 	{name: 'failures add up', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
-	{name: 'an answer ends the row', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
-	{name: 'a row begins after an answer', sights: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
-	{name: 'each instance has its own row', sights: [{instance: 'i1', failed: 2}, {instance: 'i2', failed: 1}], failures: {i1: 2, i2: 1}},
-	{name: 'no attempt that ended says nothing', sights: [{instance: 'i1', failed: 2}, {instance: 'i1'}, {instance: 'i2'}], failures: {i1: 2}},
-	{name: 'an earlier life is left out', sights: [{instance: 'i1', incarnation: 2, failed: 1}, {instance: 'i1', failed: 5}], failures: {i1: 1}},
-	{name: 'a later life begins anew', sights: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
+	{name: 'a response resets the count', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
+	{name: 'the count starts after a response', sights: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
+	{name: 'each instance has its own count', sights: [{instance: 'i1', failed: 2}, {instance: 'i2', failed: 1}], failures: {i1: 2, i2: 1}},
+	{name: 'evidence without an ended attempt is ignored', sights: [{instance: 'i1', failed: 2}, {instance: 'i1'}, {instance: 'i2'}], failures: {i1: 2}},
+	{name: 'evidence about an earlier incarnation is ignored', sights: [{instance: 'i1', incarnation: 2, failed: 1}, {instance: 'i1', failed: 5}], failures: {i1: 1}},
+	{name: 'a later incarnation starts at zero', sights: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
 ];
 
 for (const {name, sights, failures} of sightCases) {
@@ -56,7 +56,7 @@
 ];
 
 for (const {instances, upstreams, processorMilliseconds} of costCases) {
-	test(`a report of ${instances} witnesses of ${upstreams} upstreams costs less than ${processorMilliseconds} ms of processor time`, () => {
+	test(`a report of ${instances} witnesses of ${upstreams} upstreams takes less than ${processorMilliseconds} ms of CPU time`, () => {
 		const evidence = Array.from({length: instances}, (_, instance) =>
 			Array.from({length: upstreams}, (_, upstream) => evidenceOf(`u${upstream}`, {instance: `i${instance}`, answered: 5}))).flat();
 		const before = process.cpuUsage();
