--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -1,6 +1,7 @@
 /**
- * How commands change the control state. Every instance applies the same
- * entries in the same order and comes to the same state.
+ * Applies commands of the replicated log to the control state. Application is
+ * deterministic: every instance applies the same entries in the same order and
+ * reaches the same state.
  */
 import {applyConfiguration} from '@dogwooddeck/configuration/apply';
 import {contractOf, contractsOf, type ConfigurationCommand} from '@dogwooddeck/configuration/tree';
@@ -25,19 +26,19 @@
 	type ControlAccepted, type ControlState, type KeptAnswer, keptSeatings,
 } from './state.js';
 
-/** The next state and the answer to one command. */
+/** The state after one command, and its result. */
 export type CommandApplied = {
 	readonly state: ControlState;
 	readonly answer: Result<ControlAccepted, Failure>;
 };
 
-/** The next state and the answers to an entry's commands, in their order. */
+/** The state after an entry, and the results of its commands in order. */
 export type EntryApplied = {
 	readonly state: ControlState;
 	readonly answers: ReadonlyArray<Result<ControlAccepted, Failure>>;
 };
 
-/** How many answers to operators' commands are kept. */
+/** The number of results of operators' commands that are kept. */
 const keptOperatorAnswers = 1024;
 
 function policyTerms({whenCut, longestDeadlineMilliseconds}: ServiceContract) {
@@ -133,7 +134,7 @@
 
 function answerAgain(kept: KeptAnswer, command: string): CommandApplied['answer'] {
 	if (kept.command !== command) {
-		return err(failure(FailureKind.conflict, `the operation ${kept.operation} stands for another change`));
+		return err(failure(FailureKind.conflict, `the operation ${kept.operation} was used for another change`));
 	}
 
 	return 'accepted' in kept.answer ? ok(kept.answer.accepted) : err(kept.answer.failure);
@@ -176,14 +177,14 @@
 	operatorAsked: onceOnly,
 };
 
-/** Applies one command of the entry at an index. A refused command changes nothing but the kept answers. */
+/** Applies one command of the entry at an index. A rejected command changes nothing but the kept results. */
 export function applyCommand(command: ControlCommand, state: ControlState, index: LogIndex): CommandApplied {
 	return Object.hasOwn(handlers, command.kind)
 		? dispatch(handlers, command, state, index)
 		: {state, answer: err(failure(FailureKind.malformed, `there is no command of kind ${JSON.stringify(command.kind)}`))};
 }
 
-/** A command that lacks its parts changes nothing: every instance meets the same fault in it. */
+/** A command with missing fields changes nothing: it fails in the same way at every instance. */
 function applyWhole(command: ControlCommand, state: ControlState, index: LogIndex): CommandApplied {
 	try {
 		return applyCommand(command, state, index);
@@ -192,7 +193,7 @@
 	}
 }
 
-/** Applies the entry at an index. A payload that can't be read changes nothing but the index. */
+/** Applies the entry at an index. A payload that can't be decoded changes nothing but the index. */
 export function applyEntry(state: ControlState, payload: string, index: LogIndex): EntryApplied {
 	const commands = decodeCommands(payload);
 	if (commands.isErr) {
--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -1,6 +1,6 @@
 /**
- * The commands in the replicated log, and their encoding as an entry's payload.
- * One entry carries one or more commands, which are applied in their order.
+ * The commands of the replicated log, and their encoding as the payload of a
+ * log entry. An entry holds one or more commands, which are applied in order.
  */
 import {type ConfigurationCommand} from '@dogwooddeck/configuration/tree';
 import {type MembershipCommand} from '@dogwooddeck/membership/registry';
@@ -13,7 +13,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {groupSlots, ungroupSlots} from './slot-group.js';
 
-/** An operator wants a slot to have another owner. */
+/** An operator requests that a slot moves to another owner. */
 export type MoveWished = {
 	readonly kind: 'moveWished';
 	readonly service: ServiceName;
@@ -21,14 +21,14 @@
 	readonly upstream: UpstreamName;
 };
 
-/** An operator wants an upstream, in its present life, to give its keys away. */
+/** An operator requests that an upstream is drained: its current incarnation leaves and its keys move to others. */
 export type DrainAsked = {
 	readonly kind: 'drainAsked';
 	readonly service: ServiceName;
 	readonly upstream: UpstreamName;
 };
 
-/** An operator's command, which takes effect once however often it is sent. */
+/** An operator's command. Idempotent: it takes effect once however often it is sent. */
 export type OperatorAsked = {
 	readonly kind: 'operatorAsked';
 	readonly operation: OperationIdentifier;
@@ -38,7 +38,7 @@
 /** Any command of the replicated log. */
 export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveWished | DrainAsked | OperatorAsked;
 
-/** The fields that stand once for each slot, by the kind of their command. They are encoded as groups of slots. */
+/** The fields that hold one item for each slot, by the kind of command. They are encoded as groups of slots. */
 const slottedFields: Readonly<Record<string, string>> = {
 	assignmentsGranted: 'grants',
 	assignmentsReleased: 'releases',
@@ -58,7 +58,7 @@
 	return {...command, [field]: groupSlots(fields[field] as ReadonlyArray<{readonly slot: Slot}>)};
 }
 
-/** A command whose groups can't be read stays without its items, so that it is refused when it is applied. */
+/** If the groups can't be decoded, the field becomes undefined, so that the command is rejected when it is applied. */
 function ungrouped(command: ControlCommand): ControlCommand {
 	const field = slottedField(command);
 	if (field === undefined) {
@@ -70,7 +70,7 @@
 	return read;
 }
 
-/** The payload of an entry. */
+/** Encodes commands as the payload of an entry. */
 export function encodeCommands(commands: readonly ControlCommand[]): string {
 	return JSON.stringify(commands.map(command => grouped(command)));
 }
@@ -79,7 +79,7 @@
 	return typeof value === 'object' && value !== null && typeof (value as {readonly kind?: unknown}).kind === 'string';
 }
 
-/** The commands of a payload. Fails with `malformed`. */
+/** Decodes the commands of a payload. Fails with `malformed`. */
 export function decodeCommands(payload: string): Result<readonly ControlCommand[], Failure> {
 	try {
 		const commands: unknown = JSON.parse(payload);
@@ -87,13 +87,13 @@
 			return ok(commands.map(command => ungrouped(command)));
 		}
 	} catch {
-		// What can't be parsed is refused below.
+		// Invalid JSON is rejected below.
 	}
 
-	return err(failure(FailureKind.malformed, 'the entry holds no list of commands'));
+	return err(failure(FailureKind.malformed, 'the entry is not a list of commands'));
 }
 
-/** What an instance may pass on to the leader: what operators ask for. All else is the leader's own decision. */
+/** The commands that an instance may forward to the leader: operators' requests. The leader alone proposes all others. */
 const passedOn: ReadonlySet<string> = new Set<ControlCommand['kind']>(['subtreeApplied', 'tokenSet', 'operatorAsked']);
 const asked: ReadonlySet<string> = new Set<OperatorAsked['command']['kind']>(['moveWished', 'drainAsked', 'zoneReleased']);
 
@@ -102,18 +102,18 @@
 }
 
 /**
- * The command of a payload that another instance passes on for an operator.
- * Fails with `malformed`, and with `forbidden` for a command that no operator may ask for.
+ * Decodes the command that another instance forwards for an operator. Fails with
+ * `malformed`, and with `forbidden` for a command that operators may not request.
  */
 export function decodePassedOn(payload: string): Result<ControlCommand, Failure> {
 	return decodeCommands(payload).andThen(commands => {
 		const [command] = commands;
 		if (command === undefined || commands.length > 1 || (command.kind === 'operatorAsked' && !isCommand(command.command))) {
-			return err(failure(FailureKind.malformed, 'the proposal is not one whole command'));
+			return err(failure(FailureKind.malformed, 'the proposal is not a single complete command'));
 		}
 
 		return isPassedOn(command)
 			? ok(command)
-			: err(failure(FailureKind.forbidden, `only the leader decides on ${command.kind}`));
+			: err(failure(FailureKind.forbidden, `only the leader may propose ${command.kind}`));
 	});
 }
--- a/packages/control/src/leader-state.ts
+++ b/packages/control/src/leader-state.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader of control knows beside the log, and what it proposes. The
- * state is volatile: the next leader begins anew.
+ * The volatile state of the leader of control, which isn't in the log. The next
+ * leader starts with an empty one.
  */
 import {type SharingState} from '@dogwooddeck/limits/sharing';
 import {type WatchState} from '@dogwooddeck/membership/watch';
@@ -15,27 +15,27 @@
 import {type ControlCommand} from './command.js';
 import {type ServiceLook} from './plan-due.js';
 
-/** What the leader knows beside the log. */
+/** The leader's state that isn't in the log. */
 export type LeaderState = {
 	readonly hash: SlotHash;
 	readonly watch: WatchState;
 	readonly grantor: GrantorState;
 	readonly loads: Readonly<Record<ServiceName, LoadState>>;
 	readonly placements: Readonly<Record<ServiceName, PlacementState>>;
-	/** The last look at each service. */
+	/** The inputs and the due time of the last planning of each service. */
 	readonly looks: Readonly<Record<ServiceName, ServiceLook>>;
-	/** The next owner that a slot under revocation is meant for, by `targetKey`. */
+	/** The intended next owner of each slot under revocation, by `targetKey`. */
 	readonly targets: Readonly<Record<string, UpstreamIdentity>>;
-	/** The instances that ask for a seat. */
+	/** The latest request for a seat (membership in a zone's roster) of each instance. */
 	readonly seats: Readonly<Record<InstanceName, SeatRequest>>;
-	/** When each instance was last heard of. */
+	/** The last contact with each instance. */
 	readonly heard: Readonly<Record<InstanceName, MonotonicTime>>;
 	readonly sharing: SharingState;
-	/** Since when a proposal is under way. Absent: none is. */
+	/** When the pending proposal was made. Absent: none is pending. */
 	readonly proposedAt?: MonotonicTime;
 };
 
-/** Commands and the state that remembers having proposed them. */
+/** Commands to propose, and the leader's state after proposing them. */
 export type Proposals = {
 	readonly state: LeaderState;
 	readonly commands: readonly ControlCommand[];
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -1,7 +1,8 @@
 /**
- * What the leader of control decides: it hears the zones' stewards, and at each
- * tick proposes the commands that the state of the world asks for. Its own
- * state is volatile: the next leader begins anew.
+ * The state machine of the leader of control: it receives the reports of the
+ * zones' stewards (their elected lease distributors) and at each tick proposes
+ * the commands that the control state requires. Its own state is volatile: the
+ * next leader starts with an empty one.
  */
 import {contractsOf} from '@dogwooddeck/configuration/tree';
 import {controlPart} from '@dogwooddeck/limits/reserve';
@@ -26,7 +27,7 @@
 import {proposals} from './proposals.js';
 import {type ControlState} from './state.js';
 
-/** What happens to the leader. `control` is its own state with every committed entry applied. */
+/** An input of the leader. `control` is the leader's control state with every committed entry applied. */
 export type LeaderEvent =
 	| {readonly kind: 'ticked'; readonly now: MonotonicTime; readonly control: ControlState}
 	| {
@@ -37,21 +38,21 @@
 		readonly request: DelegationRequest;
 	}
 	| {readonly kind: 'seatRequested'; readonly now: MonotonicTime; readonly control: ControlState; readonly request: SeatRequest}
-	/** The proposal that was under way was applied or refused. */
+	/** The pending proposal was applied or rejected. */
 	| {readonly kind: 'proposalEnded'; readonly now: MonotonicTime; readonly control: ControlState};
 
-/** What the leader asks the edge to do. */
+/** An effect for the caller of `stepLeader` to carry out. */
 export type LeaderEffect =
 	| {readonly kind: 'propose'; readonly commands: readonly ControlCommand[]}
 	| {readonly kind: 'answerDelegation'; readonly answer: DelegationAnswer};
 
-/** A step of the leader. */
+/** The next state of the leader and its effects. */
 export type LeaderTransition = Transition<LeaderState, LeaderEffect>;
 
-/** A proposal of which nothing is heard for this long is no longer waited for. Commands that come twice are refused when they are applied. */
+/** The timeout of a pending proposal. It is safe to propose again: duplicate commands are rejected when they are applied. */
 export const proposalMilliseconds: Milliseconds = 3000;
 
-/** A leader that was elected now, and has applied its whole log. */
+/** Creates the state of a leader that was elected now and has applied its whole log. */
 export function createLeader(now: MonotonicTime, control: ControlState, terms: LeaseTerms, hash: SlotHash): LeaderState {
 	return {
 		hash,
@@ -73,7 +74,7 @@
 	return new Set([...slotLoads, ...keyLoads, ...evidence.map(({upstream}) => upstream)].map(({service}) => service));
 }
 
-/** Loads decay with the time since they were last received, so a service that a report doesn't name costs nothing. */
+/** Loads decay with the time since their last update, so a service that a report doesn't name needs no update. */
 function takeLoads(state: LeaderState, {now, control, request}: EventOf<'delegationRequested'>): LeaderState['loads'] {
 	const region = control.ownership.rosters[request.zone]?.region;
 	if (region === undefined) {
@@ -152,7 +153,7 @@
 	proposalEnded,
 };
 
-/** The next state of the leader, and what to do. */
+/** Returns the leader's next state and the effects of an event. */
 export function stepLeader(state: LeaderState, event: LeaderEvent): LeaderTransition {
 	return dispatch(handlers, event, state);
 }
--- a/packages/control/src/limit-part.ts
+++ b/packages/control/src/limit-part.ts
@@ -1,4 +1,4 @@
-/** Finds what a demand is about in the contracts that an instance has applied. */
+/** Looks up limits in the contracts that an instance has applied, and the part of each that a divider distributes. */
 import {contractOf, contractsOf} from '@dogwooddeck/configuration/tree';
 import {type LimitPart} from '@dogwooddeck/limits/reserve';
 import {type NamedPart} from '@dogwooddeck/limits/sharing';
@@ -7,10 +7,10 @@
 import {type LimitDemand} from '@dogwooddeck/model/share';
 import {type ControlState} from './state.js';
 
-/** The part of a limit that belongs to a divider. */
+/** Returns the part of a limit that belongs to a divider. */
 export type PartOfLimit = (contract: ServiceContract, contracted: ContractedLimit, limit: EffectiveLimit) => LimitPart;
 
-/** The divider's parts of all limits. */
+/** Returns the divider's parts of all limits. */
 export function allParts({configuration}: ControlState, partOf: PartOfLimit): readonly NamedPart[] {
 	return contractsOf(configuration).flatMap(contract => contract.limits.flatMap(contracted =>
 		effectiveLimit(contracted, contract.units)
@@ -18,7 +18,7 @@
 			.unwrapOr([])));
 }
 
-/** The divider's part of the demanded limit; none where the contract has no such limit. */
+/** Returns the divider's part of the demanded limit; undefined if the contract has no such limit. */
 export function demandedPart({configuration}: ControlState, demand: LimitDemand, partOf: PartOfLimit): LimitPart | undefined {
 	const contract = contractOf(configuration, demand.service);
 	const contracted = contract?.limits.find(({name}) => name === demand.limit);
--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -1,9 +1,9 @@
 /**
- * When a service is planned again. A plan looks at every slot, so it follows
- * changes of what it is made from, and not the leader's ticks: at once when the
- * contract, the assignments, the upstreams or the zones in reach changed, or
- * when the last plan had something to propose; and at a pace for loads, budgets,
- * cooldowns and warm-ups, which change with time.
+ * Decides when the placement of a service is planned again. Planning visits every
+ * slot, so it isn't repeated at each of the leader's ticks. It is due at once when
+ * the contract, the assignments, the upstreams or the reachable zones changed, or
+ * when the last plan proposed anything; and at a fixed interval for loads,
+ * budgets, cooldowns and warm-ups, which change with time.
  */
 import {type ServiceMembership} from '@dogwooddeck/membership/registry';
 import {type ServiceAssignments} from '@dogwooddeck/model/assignment';
@@ -12,10 +12,10 @@
 import {type LoadState} from '@dogwooddeck/placement/load';
 import {type PlacementPlan} from '@dogwooddeck/placement/proposal';
 
-/** The pause between two plans of a service of which nothing but loads and the time changed. The bench replays the same. */
+/** The interval between plans of a service when only loads and time changed. The benchmark replays with the same interval. */
 export const planPaceMilliseconds: Milliseconds = 5000;
 
-/** What a plan of one service is made from, but for loads and the time. */
+/** The inputs of a service's plan other than loads and time. */
 export type PlanBasis = {
 	readonly contract: ServiceContract;
 	readonly assignments: ServiceAssignments | undefined;
@@ -23,12 +23,12 @@
 	readonly unreachableZones: readonly ZoneName[];
 };
 
-/** The last look at one service. */
+/** The inputs of a service's last planning, and when the next is due. */
 export type ServiceLook = {
 	readonly basis: PlanBasis;
-	/** The service is planned again from then on. */
+	/** When the service is planned again with unchanged inputs. */
 	readonly dueAt: MonotonicTime;
-	/** Time alone changes nothing: while no load is reported, the service isn't planned at `dueAt` either. */
+	/** Whether time alone changes nothing: without reported load, the service isn't planned at `dueAt` either. */
 	readonly isAtRest: boolean;
 };
 
@@ -39,7 +39,7 @@
 		&& one.unreachableZones.join('\n') === other.unreachableZones.join('\n');
 }
 
-/** Loads that were last reported so many time constants ago have decayed to nothing. */
+/** Loads last reported this many time constants ago have decayed to a negligible amount. */
 const quietTimeConstants = 20;
 
 function isQuiet(load: LoadState | undefined, now: MonotonicTime): boolean {
@@ -48,7 +48,7 @@
 		|| now - load.updatedAt >= quietTimeConstants * load.timeConstantMilliseconds;
 }
 
-/** Whether to plan a service now. */
+/** Whether planning a service is due. */
 export function isPlanDue(last: ServiceLook | undefined, basis: PlanBasis, load: LoadState | undefined, now: MonotonicTime): boolean {
 	if (last === undefined || !sameBasis(last.basis, basis)) {
 		return true;
@@ -57,12 +57,12 @@
 	return now >= last.dueAt && !(last.isAtRest && isQuiet(load, now));
 }
 
-/** The look at a service that waits for its first keys to be divided, until `formsAt`. */
+/** Records that a service waits until `formsAt` for its keys to be assigned for the first time. */
 export function formingLook(basis: PlanBasis, formsAt: MonotonicTime): ServiceLook {
 	return {basis, dueAt: formsAt, isAtRest: false};
 }
 
-/** The look that gave a plan. What it proposes may be refused or lost, so that it is planned again at once. */
+/** Records the inputs of a plan. A plan that proposes anything is due again at once, as its proposals may be rejected or lost. */
 export function plannedLook(basis: PlanBasis, plan: PlacementPlan, flapping: number, now: MonotonicTime): ServiceLook {
 	const isSettled = plan.grants.length + plan.moves.length + plan.pins.length + plan.unpins.length === 0;
 	const isAtRest = isSettled && flapping === 0 && !plan.state.isBalancing && Object.keys(plan.state.movedAt).length === 0;
--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -1,6 +1,7 @@
 /**
- * The commands that a leader proposes at one moment: verdicts on upstreams,
- * seats of instances, and for each service grants, revocations and pins.
+ * Computes the commands that a leader proposes at one time: verdicts on
+ * upstreams, seats (memberships of instances in zone rosters), and for each
+ * service grants, revocations and pins.
  */
 import {contractsOf} from '@dogwooddeck/configuration/tree';
 import {type MembershipCommand} from '@dogwooddeck/membership/registry';
@@ -22,10 +23,10 @@
 
 const commandsAtMost = 512;
 
-/** A member of a roster that isn't heard of for this long loses its seat, where another member of its zone is heard of. */
+/** A roster member without contact for this long loses its seat, if there is contact with another member of its zone. */
 export const silentInstanceMilliseconds: Milliseconds = 3000;
 
-/** A member counts as there if it was heard of within this time: in a cut, all of a zone fall silent together. */
+/** A member with contact within this time counts as present. In a partition, contact with all members of a zone ends together. */
 const presentMilliseconds: Milliseconds = 1000;
 
 function ownsSlots(control: ControlState, upstream: UpstreamIdentity): boolean {
@@ -64,9 +65,9 @@
 }
 
 /**
- * Takes the seat of a member that leaves, or that is silent while another is
- * heard. Majorities of the rosters before and after meet, so this is safe
- * whether the silent one is gone or not.
+ * Removes the seat of a member that leaves, or that is without contact while
+ * another member is present. Majorities of the rosters before and after overlap,
+ * so this is safe whether or not the removed member still runs.
  */
 function proposeUnseat(state: LeaderState, roster: ZoneRoster, now: MonotonicTime): OwnershipCommand | undefined {
 	const {zone, members} = roster;
@@ -84,7 +85,10 @@
 		: undefined;
 }
 
-/** A process that still keeps silent would only take the zone's steward its majority. */
+/**
+ * Whether a new process would still wait before it supports a steward. Seating it
+ * that early could only deprive the zone's steward of its majority.
+ */
 function isTooEarly(state: LeaderState, control: ControlState, command: OwnershipCommand, now: MonotonicTime): boolean {
 	if (command.kind !== 'instanceSeated' || (control.ownership.rosters[command.record.zone]?.members.length ?? 0) === 0) {
 		return false;
@@ -121,7 +125,7 @@
 	return {state: {...state, grantor}, commands: [...settleRosters(state.grantor, control.ownership), ...commands]};
 }
 
-/** What to propose now, as one entry. */
+/** Returns the commands to propose now, as one log entry. */
 export function proposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
 	const commands: ControlCommand[] = [];
 	let next = state;
--- a/packages/control/src/served-again.ts
+++ b/packages/control/src/served-again.ts
@@ -1,8 +1,9 @@
 /**
- * How long a key may be without an owner after the loss of an upstream, as the
- * contract's deadline and the defaults of leases and verdicts bound it. It is
- * checked before a change is proposed, never where entries are applied: the
- * replicated state must not depend on the terms of one release.
+ * Bounds how long a key may be without an owner after the loss of an upstream,
+ * from the contract's deadline and the default durations of leases and verdicts.
+ * Contracts are checked against the bound before a change is proposed, never
+ * when entries are applied: the replicated state must not depend on the defaults
+ * of one release.
  */
 import {type ContractCheck} from '@dogwooddeck/configuration/contract-check';
 import {problemsFailure} from '@dogwooddeck/configuration/strict-schema';
@@ -13,22 +14,22 @@
 import {defaultLeaseTerms, timeToServeAgain, type TimeToServeAgain} from '@dogwooddeck/ownership/terms';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** The time within which keys should be served again where the contract states none. */
+/** The time within which keys should be served again if the contract states none. */
 export const defaultServedAgainMilliseconds: Milliseconds = 4000;
 
 /** The bound for one service. */
 export type ServedAgainBound = TimeToServeAgain & {
 	readonly service: ServiceName;
-	/** What the contract states, if it does. */
+	/** The time that the contract states, if any. */
 	readonly withinMilliseconds?: Milliseconds;
 	/** Whether the bound is more than the default. */
 	readonly exceedsDefault: boolean;
 };
 
 /**
- * Bounds the time from the loss of one upstream until its keys are served
- * again, where every zone is in touch with control. Detection is the silence
- * after which an upstream is judged lost.
+ * Returns the bound on the time from the loss of one upstream until its keys are
+ * served again, provided that every zone has contact with control. Detection is
+ * the time without announcements after which an upstream is declared lost.
  */
 export function servedAgainBound(contract: ServiceContract): ServedAgainBound {
 	const bound = timeToServeAgain(contract, defaultLeaseTerms, announcementTimeoutMilliseconds);
@@ -51,7 +52,7 @@
 	].join(', ');
 }
 
-/** The problem of a contract that states a shorter time than the bound. */
+/** Reports a contract that states a shorter time than its bound. */
 export const servedAgainProblems: ContractCheck = (contract, file) => {
 	const bound = servedAgainBound(contract);
 	return bound.withinMilliseconds === undefined || bound.totalMilliseconds <= bound.withinMilliseconds
@@ -63,7 +64,7 @@
 		}];
 };
 
-/** Refuses contracts that state a shorter time than their bound, with `settingsInvalid`. */
+/** Rejects contracts that state a shorter time than their bound, with `settingsInvalid`. */
 export function requireServedAgain(services: readonly ServiceContract[]): Result<readonly ServiceContract[], Failure> {
 	const problems = services.flatMap(contract => servedAgainProblems(contract, contract.name));
 	return problems.length === 0 ? ok(services) : err(problemsFailure(problems));
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -1,6 +1,7 @@
 /**
- * The commands that a leader proposes for one service: the ends of revocations
- * whose evidence is complete, grants of vacant slots, moves, and pinned keys.
+ * Computes the commands that a leader proposes for one service: grants or
+ * releases that end revocations whose evidence is complete, grants of vacant
+ * slots, moves, and pinned keys.
  */
 import {contractOf} from '@dogwooddeck/configuration/tree';
 import {upstreamOf, upstreamsOf} from '@dogwooddeck/membership/registry';
@@ -41,7 +42,7 @@
 	return control.ownership.services[service] ?? {service, assignments: [], pinned: []};
 }
 
-/** Ticks ask for them 20 times a second; most services have none. */
+/** Memoized, as it is evaluated at each of 20 ticks a second and most services have no revocation. */
 const revocationsOf = memoize(({assignments}: ServiceAssignments): readonly Revoking[] => assignments.filter(assignment => isRevoking(assignment)));
 
 function unreachableZones(state: LeaderState, control: ControlState, now: MonotonicTime): readonly ZoneName[] {
@@ -58,7 +59,7 @@
 	return upstreamOf(control.membership, owner)?.zone;
 }
 
-/** The cut zones that keep the slots of their upstreams. */
+/** Returns the unreachable zones whose upstreams keep their slots. */
 function heldZones(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): ReadonlySet<ZoneName | undefined> {
 	const policy = control.ownership.policies[service];
 	const holds = policy !== undefined && someMayHold(policy);
@@ -66,15 +67,15 @@
 }
 
 /**
- * Revocations that a cut zone holds up: its instances may go on sending to the
- * owner, so no other may be granted the slot. The owner itself may: a grant to
- * the same owner needs no evidence.
+ * Returns the revocations that a partitioned zone blocks: its instances may
+ * continue to send to the owner, so the slot can't be granted to another
+ * upstream. It can be granted to the same owner again, which needs no evidence.
  */
 function heldUp(revoking: readonly Revoking[], control: ControlState, held: ReadonlySet<ZoneName | undefined>): readonly Revoking[] {
 	return revoking.filter(({owner}) => mayOwn(control, owner) && held.has(ownerZone(control, owner)));
 }
 
-/** The record of an owner that started anew is that of its later life, which may stand in another zone. */
+/** The registry holds no zone for an owner that restarted: its record is that of the later incarnation, which may be in another zone. */
 function revocationOf(control: ControlState, {owner, slot}: Revoking): Revocation {
 	const zone = ownerZone(control, owner);
 	return {service: owner.service, slot, ...(zone !== undefined && {ownerZone: zone})};
@@ -82,7 +83,7 @@
 
 type Cleared = {readonly grantor: LeaderState['grantor']; readonly cleared: ReadonlySet<Revoking>};
 
-/** Which revocations of a service have their evidence. It is the same for all slots that one entry took from owners of one zone. */
+/** Finds the revocations of a service whose evidence is complete. It is checked once for all slots that one log entry revoked from owners in one zone. */
 function clearRevocations(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): Cleared {
 	let {grantor} = state;
 	const cleared = new Set<Revoking>();
@@ -106,7 +107,8 @@
 
 /**
  * Ends the revocations of a service whose evidence is complete, by a grant to the
- * slot's target or by a release, and takes back those that a cut zone holds up.
+ * slot's target or by a release, and cancels those that a partitioned zone blocks,
+ * by a grant to the same owner.
  */
 function endRevocations(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): Proposals {
 	const assignments = assignmentsOf(control, service);
@@ -186,10 +188,10 @@
 	return added.length === 0 ? state : {...state, targets: {...state.targets, ...Object.fromEntries(added)}};
 }
 
-/** A service without any owner waits until the first of its upstreams has been there for this long, so that its keys are divided over all that come together. */
+/** A service without any owner waits until its first upstream joined this long ago, so that its keys are divided over all upstreams that start together. */
 export const formationMilliseconds: Milliseconds = 1500;
 
-/** When a service without any owner stops waiting. In the past where it doesn't wait. */
+/** Returns when a service without any owner stops waiting; `-Infinity` for a service that doesn't wait. */
 function formsAt(input: PlacementInput, startedAt: MonotonicTime): MonotonicTime {
 	const joined = input.upstreams.map(upstream => upstream.joinedAt ?? startedAt);
 	const isVacant = input.assignments.assignments.every(({phase}) => phase === AssignmentPhase.vacant);
@@ -236,7 +238,7 @@
 	return {state: withTargets(next, service, [...planned, ...wished]), commands: planCommands(service, plan, revoked)};
 }
 
-/** What to propose for a service that has a contract. */
+/** Returns the proposals for a service that has a contract. */
 export function serviceProposals(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Proposals {
 	const ended = endRevocations(state, control, contract.name, now);
 	const planned = plannedProposals(ended.state, control, contract, now);
@@ -257,7 +259,7 @@
 	};
 }
 
-/** What to propose for services whose contract was removed: their slots become vacant, then they are closed. */
+/** Returns the proposals for services whose contract was removed: their slots become vacant, then they are closed. */
 export function closingProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
 	const commands: ControlCommand[] = [];
 	let next = state;
--- a/packages/control/src/slot-group.ts
+++ b/packages/control/src/slot-group.ts
@@ -1,13 +1,13 @@
 /**
- * The encoding of what stands once for each slot: slots that differ in nothing
- * else form a group, which holds the common fields once and the slots as the
- * steps from each to the next. An owner is therefore written once and not for
- * each of its slots, and after decoding its slots share one object.
+ * Delta encoding of lists with one item for each slot. Items that are equal but
+ * for the slot form a group, which holds the common fields once and the slots as
+ * differences from one to the next. An owner is therefore written once instead of
+ * for each of its slots, and after decoding its slots share one object.
  */
 import {type Slot} from '@dogwooddeck/model/identifiers';
 import {type JsonRecord, isRecord} from '@dogwooddeck/model/json-record';
 
-/** The slots that share all other fields. */
+/** The slots of items that share all other fields. */
 export type SlotGroup<Common> = {
 	readonly common: Common;
 	/** The first slot, then the difference of each slot from the one before it. */
@@ -17,7 +17,7 @@
 type Slotted = {readonly slot: Slot};
 type Open<Common> = {readonly common: Common; readonly steps: number[]; last: Slot};
 
-/** Groups the items. The groups stand in the order of their smallest slots. */
+/** Groups items. The groups are sorted by their smallest slot. */
 export function groupSlots<Item extends Slotted>(items: readonly Item[]): ReadonlyArray<SlotGroup<Omit<Item, 'slot'>>> {
 	const groups = new Map<string, Open<Omit<Item, 'slot'>>>();
 	for (const {slot, ...common} of items.toSorted((one, other) => one.slot - other.slot)) {
@@ -46,7 +46,7 @@
 	});
 }
 
-/** The items of groups in the order of their slots; undefined where the value holds no groups. */
+/** Returns the items of groups, sorted by slot; undefined if the value isn't a list of groups. */
 export function ungroupSlots(value: unknown): ReadonlyArray<JsonRecord & Slotted> | undefined {
 	return Array.isArray(value) && value.every(group => isGroup(group))
 		? value.flatMap(group => itemsOf(group)).toSorted((one, other) => one.slot - other.slot)
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated control state: configuration, membership and ownership as one.
- * It is plain JSON, so that a snapshot is its text.
+ * The replicated control state of configuration, membership and ownership, and
+ * the encoding of its snapshots. The state is plain JSON data.
  */
 import {type ConfigurationAccepted, type ConfigurationState, initialConfiguration} from '@dogwooddeck/configuration/tree';
 import {emptyMembership, type MembershipState} from '@dogwooddeck/membership/registry';
@@ -14,47 +14,47 @@
 import {type MoveWished} from './command.js';
 import {groupSlots, ungroupSlots} from './slot-group.js';
 
-/** What whoever sent a command learns of it. */
+/** The result of an accepted command for its sender. */
 export type ControlAccepted = {
-	/** The index of the entry that the command took effect with. */
+	/** The index of the log entry in which the command took effect. */
 	readonly index: LogIndex;
-	/** With a command to the configuration. */
+	/** Set for commands to the configuration. */
 	readonly configuration?: ConfigurationAccepted;
 };
 
-/** The answer to an operator's command, kept for when it is sent again. */
+/** The result of an operator's command, kept to answer a repetition of the command. */
 export type KeptAnswer = {
 	readonly operation: OperationIdentifier;
-	/** The command as text. */
+	/** The command as JSON. */
 	readonly command: string;
 	readonly answer: {readonly accepted: ControlAccepted} | {readonly failure: Failure};
 };
 
-/** All that the log says. */
+/** The state that results from the log. */
 export type ControlState = {
-	/** The newest entry that is applied. */
+	/** The index of the last applied entry. */
 	readonly applied: LogIndex;
 	readonly configuration: ConfigurationState;
 	readonly membership: MembershipState;
 	readonly ownership: OwnershipState;
-	/** Operators' wishes that are not yet met. */
+	/** Operators' requested moves that aren't completed yet. */
 	readonly wishes: readonly MoveWished[];
-	/** Oldest first. */
+	/** The kept results of operators' commands, oldest first. */
 	readonly answers: readonly KeptAnswer[];
-	/** The seated instances as they stood lately, newest first. */
+	/** The recent sets of seated instances (members of a zone's roster), newest first. */
 	readonly seatings: readonly Seating[];
 };
 
-/** The seated instances of all zones, from a log entry on. */
+/** The seated instances of all zones from a log index on. */
 export type Seating = {
 	readonly index: LogIndex;
 	readonly seats: ReadonlyArray<InstanceIdentity & {readonly zone: ZoneName}>;
 };
 
-/** How many seatings are kept. An instance that missed more asks another one which earlier ones still matter. */
+/** The number of seatings kept. An instance that missed more requests from another one those that still matter. */
 export const keptSeatings = 8;
 
-/** The state before the first entry. */
+/** The state before the first log entry. */
 export const emptyControl: ControlState = {
 	applied: 0,
 	configuration: initialConfiguration,
@@ -65,26 +65,26 @@
 	seatings: [],
 };
 
-/** The text of a snapshot. Assignments are encoded as groups of slots. */
+/** Encodes the state as a snapshot. Assignments are encoded as groups of slots. */
 export function encodeControl(state: ControlState): string {
 	const services = Object.entries(state.ownership.services).map(([name, service]) => [name, {...service, assignments: groupSlots(service.assignments)}] as const);
 	return JSON.stringify({...state, ownership: {...state.ownership, services: Object.fromEntries(services)}});
 }
 
-/** The assignments of groups, where each slot from 0 on has one. */
+/** Returns the assignments of groups; undefined unless each slot from 0 on has exactly one. */
 function assignmentsOf(groups: unknown): readonly Assignment[] | undefined {
 	const items = ungroupSlots(groups);
 	return items?.every(({slot}, position) => slot === position) === true ? items as unknown as readonly Assignment[] : undefined;
 }
 
-/** The state with its assignments slot by slot; undefined where the groups of a service can't be read. */
+/** Decodes the assignments of a state; undefined if the groups of a service can't be decoded. */
 function withAssignments(state: ControlState): ControlState | undefined {
 	const read = Object.entries(state.ownership.services).map(([name, service]) => [name, {...service, assignments: assignmentsOf(service.assignments)}] as const);
 	const services = Object.fromEntries(read) as Readonly<Record<string, ServiceAssignments>>;
 	return read.every(([, {assignments}]) => assignments !== undefined) ? {...state, ownership: {...state.ownership, services}} : undefined;
 }
 
-/** Whether a value has the parts of a pattern, each a list, an object or a plain value where the pattern has one. */
+/** Whether a value has all fields of a pattern, each with the same type as in the pattern: list, object or primitive. */
 function hasForm(value: unknown, pattern: unknown): boolean {
 	if (typeof pattern !== 'object' || pattern === null || typeof value !== 'object' || value === null) {
 		return typeof value === typeof pattern && value !== null;
@@ -94,7 +94,7 @@
 		&& Object.entries(pattern).every(([name, part]) => hasForm((value as Readonly<Record<string, unknown>>)[name], part));
 }
 
-/** The state of a snapshot's text. Fails with `malformed`. */
+/** Decodes a snapshot. Fails with `malformed`. */
 export function decodeControl(data: string): Result<ControlState, Failure> {
 	try {
 		const read = JSON.parse(data) as ControlState;
@@ -104,7 +104,7 @@
 			return ok(whole);
 		}
 	} catch {
-		// What can't be parsed is refused below.
+		// Invalid JSON is rejected below.
 	}
 
 	return err(failure(FailureKind.malformed, 'the snapshot holds no control state'));
--- a/packages/control/test/test-apply.ts
+++ b/packages/control/test/test-apply.ts
@@ -40,26 +40,26 @@
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly payloads: readonly string[]; readonly last: readonly string[]}> = [
-	{name: 'an entry of several commands answers each', payloads: [encodeCommands([subtree, joined])], last: ['ok 1', 'ok 1']},
-	{name: 'a payload that is no JSON moves the index alone', payloads: ['{'], last: [FailureKind.malformed]},
-	{name: 'a command that lacks its parts is refused', payloads: ['[{"kind":"instanceSeated"}]'], last: [FailureKind.malformed]},
-	{name: 'a wish that lacks its parts is refused', payloads: ['[{"kind":"operatorAsked","operation":"operation-1"}]'], last: [FailureKind.malformed]},
-	{name: 'no zone has a name that every object has', payloads: ['[{"kind":"zoneReleased","zone":"constructor","reason":"declared-lost"}]'], last: [FailureKind.notFound]},
-	{name: 'a command of an unknown kind is refused', payloads: ['[{"kind":"constructor"}]'], last: [FailureKind.malformed]},
+	{name: 'an entry of several commands has a result for each', payloads: [encodeCommands([subtree, joined])], last: ['ok 1', 'ok 1']},
+	{name: 'a payload of invalid JSON advances only the index', payloads: ['{'], last: [FailureKind.malformed]},
+	{name: 'a command without its fields is rejected', payloads: ['[{"kind":"instanceSeated"}]'], last: [FailureKind.malformed]},
+	{name: 'an operator\'s command without its fields is rejected', payloads: ['[{"kind":"operatorAsked","operation":"operation-1"}]'], last: [FailureKind.malformed]},
+	{name: 'a zone named like a built-in object property is not found', payloads: ['[{"kind":"zoneReleased","zone":"constructor","reason":"declared-lost"}]'], last: [FailureKind.notFound]},
+	{name: 'a command of an unknown kind is rejected', payloads: ['[{"kind":"constructor"}]'], last: [FailureKind.malformed]},
 	{
-		name: 'an operator\'s command that is sent again gets its first answer, through snapshots',
+		name: 'an operator\'s repeated command returns its first result, also after a snapshot',
 		payloads: [encodeCommands([subtree, joined]), encodeCommands([drain]), encodeCommands([drain])],
 		last: ['ok 2'],
 	},
 	{
-		name: 'an operation that stands for another command is a conflict',
+		name: 'an operation identifier used for another command is a conflict',
 		payloads: [encodeCommands([subtree, joined]), encodeCommands([drain]), encodeCommands([{
 			kind: 'operatorAsked', operation: 'drain-0001', command: {kind: 'drainAsked', service: contract.name, upstream: 'two'},
 		}])],
 		last: [FailureKind.conflict],
 	},
 	{
-		name: 'a move to an upstream that isn\'t there is refused',
+		name: 'a move to an unknown upstream is rejected',
 		payloads: [encodeCommands([subtree]), encodeCommands([{
 			kind: 'moveWished', service: contract.name, slot: 0, upstream: 'one',
 		}])],
@@ -69,14 +69,14 @@
 
 const snapshots: ReadonlyArray<readonly [name: string, data: string, isState: boolean]> = [
 	['the empty state', encodeControl(emptyControl), true],
-	['a state that lacks a part of later versions', '{"applied":7}', true],
-	['no JSON', '{', false],
+	['a state without the fields of later versions', '{"applied":7}', true],
+	['invalid JSON', '{', false],
 	['a number', '7', false],
 	['null', 'null', false],
 	['a list', '[]', false],
-	['a part that is null', '{"wishes":null}', false],
+	['a field that is null', '{"wishes":null}', false],
 	['a list in place of an object', '{"ownership":[]}', false],
-	['an object that lacks its parts', '{"ownership":{}}', false],
+	['an object without its fields', '{"ownership":{}}', false],
 ];
 
 for (const [name, data, isState] of snapshots) {
--- a/packages/control/test/test-encoding.ts
+++ b/packages/control/test/test-encoding.ts
@@ -1,6 +1,6 @@
 /**
- * What entries and snapshots hold once for each slot comes back whole, and is
- * written once for each owner.
+ * Tests the encoding of lists with one item for each slot, in log entries and
+ * snapshots: decoding restores them, and each owner is written once.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -39,15 +39,15 @@
 });
 
 const broken: ReadonlyArray<readonly [name: string, grants: unknown]> = [
-	['no list', 7],
+	['not a list', 7],
 	['absent', undefined],
-	['slots one by one', [{slot: 0, owner: one}]],
-	['steps that are no numbers', [{common: {owner: one}, steps: ['0']}]],
-	['fields that are a list', [{common: [], steps: [0]}]],
+	['ungrouped slots', [{slot: 0, owner: one}]],
+	['steps that aren\'t numbers', [{common: {owner: one}, steps: ['0']}]],
+	['common fields that are a list', [{common: [], steps: [0]}]],
 ];
 
 for (const [name, grants] of broken) {
-	test(`entry: groups that can't be read refuse their command alone: ${name}`, () => {
+	test(`entry: groups that can't be decoded reject only their own command: ${name}`, () => {
 		const payload = JSON.stringify([{kind: 'assignmentsGranted', service, grants}, {
 			kind: 'serviceOpened', service, slots: 1, policy: {},
 		}]);
@@ -85,13 +85,13 @@
 
 const gaps: ReadonlyArray<readonly [name: string, groups: unknown]> = [
 	['a slot is missing', [{common: {phase: 'vacant'}, steps: [0, 2]}]],
-	['a slot stands twice', [{common: {phase: 'vacant'}, steps: [0, 0]}]],
-	['assignments one by one', [{phase: 'vacant', slot: 0}]],
+	['a duplicate slot', [{common: {phase: 'vacant'}, steps: [0, 0]}]],
+	['ungrouped assignments', [{phase: 'vacant', slot: 0}]],
 	['absent', undefined],
 ];
 
 for (const [name, groups] of gaps) {
-	test(`snapshot: refused: ${name}`, () => {
+	test(`snapshot: rejected: ${name}`, () => {
 		const {ownership} = emptyControl;
 		const text = JSON.stringify({...emptyControl, ownership: {...ownership, services: {[service]: {service, assignments: groups, pinned: []}}}});
 		assert.equal(decodeControl(text).isErr, true);
--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -1,6 +1,6 @@
 /**
- * Which revocations of one service end together: the evidence is looked at once
- * for all slots with the same revocation and zone, and for no others.
+ * Tests which revocations of a service end together: the evidence is checked once
+ * for all slots with the same revocation index and zone, and for no others.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -75,7 +75,7 @@
 	{name: 'no zone is drained', known: {'noord-a': {drained: 4, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: []},
 	{name: 'a zone is drained to the earlier revocation', known: {'noord-a': {drained: 5, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 2, 3]},
 	{name: 'all are drained', known: {'noord-a': {drained: 7, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 1, 2, 3]},
-	{name: 'a cut zone holds the slots of its own owners alone', known: {'noord-a': {drained: 0, isCut: true}, 'noord-b': {drained: 9, isCut: false}}, ended: [2]},
+	{name: 'a partitioned zone blocks only the slots of its own owners', known: {'noord-a': {drained: 0, isCut: true}, 'noord-b': {drained: 9, isCut: false}}, ended: [2]},
 ];
 
 for (const {name, known, ended} of cases) {
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -34,12 +34,12 @@
 	};
 }
 
-/** A leader whose proposals are all accepted at once. */
+/** A simulated leader whose proposals are all committed at once. */
 class World {
 	control: ControlState = emptyControl;
 	leader: LeaderState = createLeader(0, emptyControl, defaultLeaseTerms, (key, slots) => key.length % slots);
 	now = 0;
-	/** Whether the zone ends the work that revocations wait for. */
+	/** Whether the zone completes the requests that revocations wait for. */
 	drains = true;
 	readonly proposed: ControlCommand[] = [];
 
@@ -76,7 +76,7 @@
 		});
 	}
 
-	/** Lets time pass in ticks of 100 ms; the zone's steward reports at each. */
+	/** Advances time in ticks of 100 ms. The zone's steward reports at each, if there are holders. */
 	pass(duration: number, announcements: readonly Announcement[], holders: readonly string[]): void {
 		for (const end = this.now + duration; this.now < end;) {
 			this.now += 100;
@@ -131,7 +131,7 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly run: () => void}> = [
 	{
-		name: 'a service\'s first keys are divided over the upstreams that come together',
+		name: 'the keys of a new service are divided over the upstreams that join together',
 		run() {
 			const world = begun('entry-1');
 			world.pass(200, [announcement('one')], ['entry-1']);
@@ -142,7 +142,7 @@
 		},
 	},
 	{
-		name: 'a silent member loses its seat while another of its zone is heard',
+		name: 'a member without contact loses its seat while there is contact with another of its zone',
 		run() {
 			const world = begun('entry-1', 'entry-2');
 			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
@@ -151,7 +151,7 @@
 		},
 	},
 	{
-		name: 'nobody loses a seat in a zone of which nothing is heard',
+		name: 'no member loses its seat in a zone without any contact',
 		run() {
 			const world = begun('entry-1', 'entry-2');
 			world.pass(500, [], ['entry-1', 'entry-2']);
@@ -174,7 +174,7 @@
 		},
 	},
 	{
-		name: 'a leaving member gives its seat up at once',
+		name: 'a leaving member loses its seat at once',
 		run() {
 			const world = begun('entry-1', 'entry-2');
 			world.seat(instance('entry-2'), true);
@@ -192,7 +192,7 @@
 		},
 	},
 	{
-		name: 'a restarted member gives its earlier life\'s seat up at once and is seated when its silence is over',
+		name: 'a restarted member loses the seat of its earlier incarnation at once and is seated again after a waiting period',
 		run() {
 			const world = begun('entry-1', 'entry-2');
 			const later = instance('entry-2', 2);
@@ -208,7 +208,7 @@
 		},
 	},
 	{
-		name: 'a wished move is made, and the wish is met',
+		name: 'a move that an operator requests is made, and the request is removed',
 		run() {
 			const world = begun('entry-1');
 			const both = [announcement('one'), announcement('two')];
@@ -225,7 +225,7 @@
 		},
 	},
 	{
-		name: 'a move that a cut zone holds up is taken back, and made when the zone is heard again',
+		name: 'a move that a partitioned zone blocks is cancelled, and made when contact with the zone returns',
 		run() {
 			const world = begun('entry-1');
 			const both = [announcement('one'), announcement('two')];
@@ -248,7 +248,7 @@
 		},
 	},
 	{
-		name: 'the keys of an upstream that starts anew have owners again once its zone has drained',
+		name: 'the keys of a restarted upstream have owners again once its zone has drained',
 		run() {
 			const world = begun('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
@@ -261,7 +261,7 @@
 		},
 	},
 	{
-		name: 'the keys of an upstream that starts anew at once have owners again',
+		name: 'the keys of an upstream that restarts at once have owners again',
 		run() {
 			const world = begun('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
@@ -270,7 +270,7 @@
 		},
 	},
 	{
-		name: 'a proposal without an end holds the leader up for a bounded time',
+		name: 'a proposal that never ends blocks the leader for a bounded time',
 		run() {
 			const world = begun('entry-1');
 			world.leader = {...world.leader, proposedAt: world.now};
@@ -281,7 +281,7 @@
 		},
 	},
 	{
-		name: 'loads of a service that a report does not name are left as they are',
+		name: 'loads of a service that a report does not name are unchanged',
 		run() {
 			const world = begun('entry-1');
 			const slotLoads = [{service: contract.name, slot: 1, requests: 30}];
@@ -296,7 +296,7 @@
 		},
 	},
 	{
-		name: 'a service at rest is not planned again at the ticks',
+		name: 'an idle service is not planned again at each tick',
 		run() {
 			const world = begun('entry-1');
 			const both = [announcement('one'), announcement('two')];
@@ -309,7 +309,7 @@
 		},
 	},
 	{
-		name: 'the keys of an upstream that falls silent go to the others',
+		name: 'the keys of an unresponsive upstream move to the others',
 		run() {
 			const world = begun('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two'), announcement('three')], ['entry-1']);
@@ -325,9 +325,9 @@
 }
 
 const smoothingCases = [
-	{name: 'of a contract that weighs availability', weighs: [MovePreference.availability], expected: placementPolicies.availability.smoothingMilliseconds},
-	{name: 'of a contract that weighs churn', weighs: [MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
-	{name: 'after the weight was changed', weighs: [MovePreference.availability, MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
+	{name: 'of a contract that prefers availability', weighs: [MovePreference.availability], expected: placementPolicies.availability.smoothingMilliseconds},
+	{name: 'of a contract that prefers low churn', weighs: [MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
+	{name: 'after the preference was changed', weighs: [MovePreference.availability, MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
 ];
 
 for (const {name, weighs, expected} of smoothingCases) {
--- a/packages/control/test/test-plan-due.ts
+++ b/packages/control/test/test-plan-due.ts
@@ -37,8 +37,8 @@
 	{name: 'the contract', changed: {contract: {...contract}}, expected: true},
 	{name: 'the assignments', changed: {assignments: {...basis.assignments!}}, expected: true},
 	{name: 'the upstreams', changed: {membership: {...basis.membership!}}, expected: true},
-	{name: 'the zones out of reach', changed: {unreachableZones: ['noord-a', 'noord-b']}, expected: true},
-	{name: 'the list of the same zones out of reach', changed: {unreachableZones: ['noord-a']}, expected: false},
+	{name: 'the unreachable zones', changed: {unreachableZones: ['noord-a', 'noord-b']}, expected: true},
+	{name: 'an equal list of unreachable zones', changed: {unreachableZones: ['noord-a']}, expected: false},
 ];
 
 for (const {name, changed, expected} of changeCases) {
@@ -48,18 +48,18 @@
 }
 
 const timeCases: ReadonlyArray<{readonly name: string; readonly plan?: Partial<PlacementPlan>; readonly flapping?: number; readonly dueAt: number}> = [
-	{name: 'nothing was proposed, and nothing is reported', dueAt: Infinity},
+	{name: 'nothing was proposed, and no load is reported', dueAt: Infinity},
 	{name: 'a grant was proposed', plan: {grants: [{slot: 0, owner}]}, dueAt: plannedAt},
 	{name: 'a move was proposed', plan: {moves: [{slot: 0, from: owner, reason: 'lost'}]}, dueAt: plannedAt},
 	{name: 'a pin was proposed', plan: {pins: [{key: 'key', home: 0}]}, dueAt: plannedAt},
-	{name: 'a way back was proposed', plan: {unpins: [{key: 'key', slot: 0}]}, dueAt: plannedAt},
-	{name: 'balancing waits for its budget', plan: {state: {...nothing.state, isBalancing: true}}, dueAt: pace},
-	{name: 'a moved slot cools down', plan: {state: {...nothing.state, movedAt: {0: 500}}}, dueAt: pace},
+	{name: 'an unpin was proposed', plan: {unpins: [{key: 'key', slot: 0}]}, dueAt: plannedAt},
+	{name: 'balancing waits for its move budget', plan: {state: {...nothing.state, isBalancing: true}}, dueAt: pace},
+	{name: 'a moved slot is in its cooldown', plan: {state: {...nothing.state, movedAt: {0: 500}}}, dueAt: pace},
 	{name: 'upstreams flap', flapping: 1, dueAt: pace},
 ];
 
 for (const {name, plan, flapping, dueAt} of timeCases) {
-	test(`plan due with time: ${name}`, () => {
+	test(`plan due after a time: ${name}`, () => {
 		for (const now of [plannedAt, soon, pace - 1, pace, 3_600_000]) {
 			assert.equal(isDue(now, plan, flapping), now >= dueAt, `at ${now}`);
 		}
@@ -67,10 +67,10 @@
 }
 
 const loadCases: ReadonlyArray<{readonly name: string; readonly load: LoadState; readonly dueAt: readonly number[]}> = [
-	{name: 'none was ever reported', load: noLoad, dueAt: []},
-	{name: 'of slots', load: someLoad, dueAt: [pace, decayed - 1]},
-	{name: 'of a hot key', load: {...noLoad, keys: {key: 0.5}}, dueAt: [pace, decayed - 1]},
-	{name: 'reported long ago', load: {...someLoad, updatedAt: -decayed}, dueAt: []},
+	{name: 'no load was ever reported', load: noLoad, dueAt: []},
+	{name: 'load of slots', load: someLoad, dueAt: [pace, decayed - 1]},
+	{name: 'load of a hot key', load: {...noLoad, keys: {key: 0.5}}, dueAt: [pace, decayed - 1]},
+	{name: 'load reported long ago', load: {...someLoad, updatedAt: -decayed}, dueAt: []},
 ];
 
 for (const {name, load, dueAt} of loadCases) {
@@ -79,7 +79,7 @@
 	});
 }
 
-test('plan due: a service that forms, when its time is over, and one that was never looked at', () => {
+test('plan due: a forming service at the end of its wait, and a service that was never planned', () => {
 	assert.deepEqual([1999, 2000].map(now => isPlanDue(formingLook(basis, 2000), basis, undefined, now)), [false, true]);
 	assert.equal(isPlanDue(undefined, basis, undefined, 0), true);
 });
