--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -67,7 +67,7 @@
 export function createEvidenceRecorder(): EvidenceRecorder {
 	const services = new Map<ServiceName, Map<UpstreamName, Counts[]>>();
 
-	function livesOf(upstream: UpstreamIdentity): Counts[] {
+	function incarnationsOf(upstream: UpstreamIdentity): Counts[] {
 		const names = services.get(upstream.service) ?? new Map<UpstreamName, Counts[]>();
 		services.set(upstream.service, names);
 		const lives = names.get(upstream.name) ?? [];
@@ -81,7 +81,7 @@
 
 	function create(upstream: UpstreamIdentity): Counts {
 		const counts = newCounts(upstream);
-		livesOf(upstream).push(counts);
+		incarnationsOf(upstream).push(counts);
 		return counts;
 	}
 
