--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -70,9 +70,9 @@
 	function incarnationsOf(upstream: UpstreamIdentity): Counts[] {
 		const names = services.get(upstream.service) ?? new Map<UpstreamName, Counts[]>();
 		services.set(upstream.service, names);
-		const lives = names.get(upstream.name) ?? [];
-		names.set(upstream.name, lives);
-		return lives;
+		const incarnations = names.get(upstream.name) ?? [];
+		names.set(upstream.name, incarnations);
+		return incarnations;
 	}
 
 	function find(upstream: UpstreamIdentity): Counts | undefined {
