--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -86,9 +86,9 @@
 	}
 
 	function takeFrom(names: Map<UpstreamName, Counts[]>, name: UpstreamName): UpstreamEvidence[] {
-		const lives = names.get(name) ?? [];
-		const evidence = lives.map(counts => toEvidence(counts)).filter(entry => !isSilent(entry));
-		const kept = lives.filter(counts => counts.inFlight > 0).map(counts => ({...newCounts(counts.upstream), inFlight: counts.inFlight}));
+		const incarnations = names.get(name) ?? [];
+		const evidence = incarnations.map(counts => toEvidence(counts)).filter(entry => !isSilent(entry));
+		const kept = incarnations.filter(counts => counts.inFlight > 0).map(counts => ({...newCounts(counts.upstream), inFlight: counts.inFlight}));
 		if (kept.length === 0) {
 			names.delete(name);
 		} else {
