--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -59,7 +59,7 @@
 	};
 }
 
-function isSilent(evidence: UpstreamEvidence): boolean {
+function isEmpty(evidence: UpstreamEvidence): boolean {
 	return evidence.answered + evidence.failed + evidence.timedOut + evidence.shed + evidence.inFlight === 0;
 }
 
@@ -87,7 +87,7 @@
 
 	function takeFrom(names: Map<UpstreamName, Counts[]>, name: UpstreamName): UpstreamEvidence[] {
 		const incarnations = names.get(name) ?? [];
-		const evidence = incarnations.map(counts => toEvidence(counts)).filter(entry => !isSilent(entry));
+		const evidence = incarnations.map(counts => toEvidence(counts)).filter(entry => !isEmpty(entry));
 		const kept = incarnations.filter(counts => counts.inFlight > 0).map(counts => ({...newCounts(counts.upstream), inFlight: counts.inFlight}));
 		if (kept.length === 0) {
 			names.delete(name);
