--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -85,7 +85,7 @@
 		return counts;
 	}
 
-	function takeFrom(names: Map<UpstreamName, Counts[]>, name: UpstreamName): UpstreamEvidence[] {
+	function collectFrom(names: Map<UpstreamName, Counts[]>, name: UpstreamName): UpstreamEvidence[] {
 		const incarnations = names.get(name) ?? [];
 		const evidence = incarnations.map(counts => toEvidence(counts)).filter(entry => !isEmpty(entry));
 		const kept = incarnations.filter(counts => counts.inFlight > 0).map(counts => ({...newCounts(counts.upstream), inFlight: counts.inFlight}));
@@ -109,6 +109,6 @@
 			counts.latencySum += end === AttemptEnd.answered ? latency : 0;
 		},
 		inFlight: upstream => find(upstream)?.inFlight ?? 0,
-		take: () => [...services.values()].flatMap(names => [...names.keys()].flatMap(name => takeFrom(names, name))),
+		take: () => [...services.values()].flatMap(names => [...names.keys()].flatMap(name => collectFrom(names, name))),
 	};
 }
