--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -16,19 +16,19 @@
 
 /** The recent incarnations of an upstream, oldest first. */
 export type FlapHistory = {
-	readonly lives: ReadonlyArray<{readonly incarnation: Incarnation; readonly beganAt: MonotonicTime}>;
+	readonly incarnations: ReadonlyArray<{readonly incarnation: Incarnation; readonly beganAt: MonotonicTime}>;
 };
 
 /** Adds an incarnation that starts now, and drops those outside the window. */
 export function noteLife(history: FlapHistory, incarnation: Incarnation, now: MonotonicTime): FlapHistory {
-	const recent = history.lives.filter(life => now - life.beganAt <= flapWindowMilliseconds);
-	return {lives: [...recent, {incarnation, beganAt: now}]};
+	const recent = history.incarnations.filter(life => now - life.beganAt <= flapWindowMilliseconds);
+	return {incarnations: [...recent, {incarnation, beganAt: now}]};
 }
 
 /** Returns when the latest incarnation may join: in the past when it isn't delayed. */
 export function heldUntil(history: FlapHistory): MonotonicTime {
-	const latest = history.lives.at(-1);
-	const excess = history.lives.length - ordinaryLives;
+	const latest = history.incarnations.at(-1);
+	const excess = history.incarnations.length - ordinaryLives;
 	if (latest === undefined || excess <= 0) {
 		return Number.NEGATIVE_INFINITY;
 	}
@@ -38,5 +38,5 @@
 
 /** Counts the histories that show more than ordinary restarts. */
 export function flappingUpstreams(histories: readonly FlapHistory[], now: MonotonicTime): number {
-	return histories.filter(({lives}) => lives.filter(life => now - life.beganAt <= flapWindowMilliseconds).length > ordinaryLives).length;
+	return histories.filter(({incarnations: lives}) => lives.filter(life => now - life.beganAt <= flapWindowMilliseconds).length > ordinaryLives).length;
 }
--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -62,7 +62,7 @@
 /** Returns the view of an upstream that this leader never had contact with. */
 export function noContact(state: WatchState): UpstreamWatch {
 	return {
-		heardAt: state.startedAt, heardInReport: 0, witnesses: {}, flaps: {lives: []},
+		heardAt: state.startedAt, heardInReport: 0, witnesses: {}, flaps: {incarnations: []},
 	};
 }
 
