--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -16,13 +16,13 @@
 
 /** The recent incarnations of an upstream, oldest first. */
 export type FlapHistory = {
-	readonly incarnations: ReadonlyArray<{readonly incarnation: Incarnation; readonly beganAt: MonotonicTime}>;
+	readonly incarnations: ReadonlyArray<{readonly incarnation: Incarnation; readonly startedAt: MonotonicTime}>;
 };
 
 /** Adds an incarnation that starts now, and drops those outside the window. */
 export function noteLife(history: FlapHistory, incarnation: Incarnation, now: MonotonicTime): FlapHistory {
-	const recent = history.incarnations.filter(life => now - life.beganAt <= flapWindowMilliseconds);
-	return {incarnations: [...recent, {incarnation, beganAt: now}]};
+	const recent = history.incarnations.filter(life => now - life.startedAt <= flapWindowMilliseconds);
+	return {incarnations: [...recent, {incarnation, startedAt: now}]};
 }
 
 /** Returns when the latest incarnation may join: in the past when it isn't delayed. */
@@ -33,10 +33,10 @@
 		return Number.NEGATIVE_INFINITY;
 	}
 
-	return latest.beganAt + Math.min(longestHoldMilliseconds, firstHoldMilliseconds * (2 ** (excess - 1)));
+	return latest.startedAt + Math.min(longestHoldMilliseconds, firstHoldMilliseconds * (2 ** (excess - 1)));
 }
 
 /** Counts the histories that show more than ordinary restarts. */
 export function flappingUpstreams(histories: readonly FlapHistory[], now: MonotonicTime): number {
-	return histories.filter(({incarnations: lives}) => lives.filter(life => now - life.beganAt <= flapWindowMilliseconds).length > ordinaryLives).length;
+	return histories.filter(({incarnations: lives}) => lives.filter(life => now - life.startedAt <= flapWindowMilliseconds).length > ordinaryLives).length;
 }
