--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -8,7 +8,7 @@
 /** Incarnations that started longer ago than this are not counted. */
 export const flapWindowMilliseconds: Milliseconds = 120_000;
 /** The number of incarnations within the window that count as ordinary restarts. */
-export const ordinaryLives = 2;
+export const ordinaryIncarnations = 2;
 /** The join delay of the first incarnation beyond the ordinary ones; doubles with each further one. */
 export const firstHoldMilliseconds: Milliseconds = 5000;
 /** The maximum join delay. */
@@ -28,7 +28,7 @@
 /** Returns when the latest incarnation may join: in the past when it isn't delayed. */
 export function heldUntil(history: FlapHistory): MonotonicTime {
 	const latest = history.incarnations.at(-1);
-	const excess = history.incarnations.length - ordinaryLives;
+	const excess = history.incarnations.length - ordinaryIncarnations;
 	if (latest === undefined || excess <= 0) {
 		return Number.NEGATIVE_INFINITY;
 	}
@@ -38,5 +38,5 @@
 
 /** Counts the histories that show more than ordinary restarts. */
 export function flappingUpstreams(histories: readonly FlapHistory[], now: MonotonicTime): number {
-	return histories.filter(({incarnations: lives}) => lives.filter(life => now - life.startedAt <= flapWindowMilliseconds).length > ordinaryLives).length;
+	return histories.filter(({incarnations: lives}) => lives.filter(life => now - life.startedAt <= flapWindowMilliseconds).length > ordinaryIncarnations).length;
 }
