--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -10,7 +10,7 @@
 /** The number of incarnations within the window that count as ordinary restarts. */
 export const ordinaryIncarnations = 2;
 /** The join delay of the first incarnation beyond the ordinary ones; doubles with each further one. */
-export const firstHoldMilliseconds: Milliseconds = 5000;
+export const initialJoinDelayMilliseconds: Milliseconds = 5000;
 /** The maximum join delay. */
 export const longestHoldMilliseconds: Milliseconds = 60_000;
 
@@ -33,7 +33,7 @@
 		return Number.NEGATIVE_INFINITY;
 	}
 
-	return latest.startedAt + Math.min(longestHoldMilliseconds, firstHoldMilliseconds * (2 ** (excess - 1)));
+	return latest.startedAt + Math.min(longestHoldMilliseconds, initialJoinDelayMilliseconds * (2 ** (excess - 1)));
 }
 
 /** Counts the histories that show more than ordinary restarts. */
