--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -12,7 +12,7 @@
 /** The join delay of the first incarnation beyond the ordinary ones; doubles with each further one. */
 export const initialJoinDelayMilliseconds: Milliseconds = 5000;
 /** The maximum join delay. */
-export const longestHoldMilliseconds: Milliseconds = 60_000;
+export const maximumJoinDelayMilliseconds: Milliseconds = 60_000;
 
 /** The recent incarnations of an upstream, oldest first. */
 export type FlapHistory = {
@@ -33,7 +33,7 @@
 		return Number.NEGATIVE_INFINITY;
 	}
 
-	return latest.startedAt + Math.min(longestHoldMilliseconds, initialJoinDelayMilliseconds * (2 ** (excess - 1)));
+	return latest.startedAt + Math.min(maximumJoinDelayMilliseconds, initialJoinDelayMilliseconds * (2 ** (excess - 1)));
 }
 
 /** Counts the histories that show more than ordinary restarts. */
