--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -26,7 +26,7 @@
 }
 
 /** Returns when the latest incarnation may join: in the past when it isn't delayed. */
-export function heldUntil(history: FlapHistory): MonotonicTime {
+export function joinAllowedAt(history: FlapHistory): MonotonicTime {
 	const latest = history.incarnations.at(-1);
 	const excess = history.incarnations.length - ordinaryIncarnations;
 	if (latest === undefined || excess <= 0) {
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -12,7 +12,7 @@
 	type Announcement, identityOf, UpstreamPhase, type UpstreamRecord,
 } from '@dogwooddeck/model/registry';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
-import {heldUntil, noteLife} from './flapping.js';
+import {joinAllowedAt, noteLife} from './flapping.js';
 import {
 	latestIncarnation, type MembershipCommand, type MembershipState, upstreamOf, upstreamsOf,
 } from './registry.js';
@@ -144,7 +144,7 @@
 		const isDue = announcement !== undefined
 			&& services.has(announcement.service)
 			&& tick.now - heardAt <= announcementTimeoutMilliseconds
-			&& tick.now >= heldUntil(flaps)
+			&& tick.now >= joinAllowedAt(flaps)
 			&& isNews(tick, announcement);
 		return isDue ? [{kind: 'upstreamJoined', record: toRecord(announcement)}] : [];
 	});
