--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -20,7 +20,7 @@
 };
 
 /** Adds an incarnation that starts now, and drops those outside the window. */
-export function noteLife(history: FlapHistory, incarnation: Incarnation, now: MonotonicTime): FlapHistory {
+export function recordIncarnation(history: FlapHistory, incarnation: Incarnation, now: MonotonicTime): FlapHistory {
 	const recent = history.incarnations.filter(life => now - life.startedAt <= flapWindowMilliseconds);
 	return {incarnations: [...recent, {incarnation, startedAt: now}]};
 }
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -12,7 +12,7 @@
 	type Announcement, identityOf, UpstreamPhase, type UpstreamRecord,
 } from '@dogwooddeck/model/registry';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
-import {joinAllowedAt, noteLife} from './flapping.js';
+import {joinAllowedAt, recordIncarnation} from './flapping.js';
 import {
 	latestIncarnation, type MembershipCommand, type MembershipState, upstreamOf, upstreamsOf,
 } from './registry.js';
@@ -69,7 +69,7 @@
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
 	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.heardAt}};
 	return {
-		...kept, ...earlier, announcement, heardAt: now, heardInReport, witnesses: {}, flaps: noteLife(watch.flaps, announcement.incarnation, now),
+		...kept, ...earlier, announcement, heardAt: now, heardInReport, witnesses: {}, flaps: recordIncarnation(watch.flaps, announcement.incarnation, now),
 	};
 }
 
