--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -21,7 +21,7 @@
 
 /** Adds an incarnation that starts now, and drops those outside the window. */
 export function recordIncarnation(history: FlapHistory, incarnation: Incarnation, now: MonotonicTime): FlapHistory {
-	const recent = history.incarnations.filter(life => now - life.startedAt <= flapWindowMilliseconds);
+	const recent = history.incarnations.filter(entry => now - entry.startedAt <= flapWindowMilliseconds);
 	return {incarnations: [...recent, {incarnation, startedAt: now}]};
 }
 
