--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -60,7 +60,7 @@
 	[UpstreamPhase.lost]: 2,
 };
 
-function own<Value>(record: Readonly<Record<string, Value>>, name: string): Value | undefined {
+function ownProperty<Value>(record: Readonly<Record<string, Value>>, name: string): Value | undefined {
 	return Object.hasOwn(record, name) ? record[name] : undefined;
 }
 
@@ -69,7 +69,7 @@
 }
 
 function serviceOf(state: MembershipState, service: ServiceName): ServiceMembership {
-	return own(state.services, service) ?? emptyService;
+	return ownProperty(state.services, service) ?? emptyService;
 }
 
 function withService(state: MembershipState, service: ServiceName, membership: ServiceMembership): MembershipState {
@@ -99,14 +99,14 @@
 
 /** Returns the record of an upstream if its incarnation is the given one. */
 export function upstreamOf(state: MembershipState, identity: UpstreamIdentity): UpstreamRecord | undefined {
-	const record = own(serviceOf(state, identity.service).upstreams, identity.name);
+	const record = ownProperty(serviceOf(state, identity.service).upstreams, identity.name);
 	return record?.incarnation === identity.incarnation ? record : undefined;
 }
 
 /** Returns the latest incarnation admitted under a name, from its record or its tombstone. */
 export function latestIncarnation(state: MembershipState, service: ServiceName, name: UpstreamName): Incarnation | undefined {
 	const membership = serviceOf(state, service);
-	return own(membership.upstreams, name)?.incarnation ?? own(membership.tombstones, name)?.incarnation;
+	return ownProperty(membership.upstreams, name)?.incarnation ?? ownProperty(membership.tombstones, name)?.incarnation;
 }
 
 /**
