--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -132,8 +132,8 @@
 		return ok(withRecord(state, record));
 	}
 
-	const standing = upstreamOf(state, record);
-	const isSameLife = standing !== undefined && standing.phase !== UpstreamPhase.lost && standing.address === record.address;
+	const current = upstreamOf(state, record);
+	const isSameLife = current !== undefined && current.phase !== UpstreamPhase.lost && current.address === record.address;
 	return isSameLife ? ok(state) : err(superseded({service: record.service, name: record.name, incarnation: latest}));
 }
 
