--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -137,7 +137,7 @@
 	return isSameLife ? ok(state) : err(superseded({service: record.service, name: record.name, incarnation: latest}));
 }
 
-function findStanding(state: MembershipState, upstream: UpstreamIdentity): Result<UpstreamRecord, Failure> {
+function findRecord(state: MembershipState, upstream: UpstreamIdentity): Result<UpstreamRecord, Failure> {
 	const record = upstreamOf(state, upstream);
 	if (record !== undefined) {
 		return ok(record);
@@ -182,8 +182,8 @@
 
 const handlers: HandlerTable<MembershipCommand, [MembershipState, LogIndex], Result<MembershipState, Failure>> = {
 	upstreamJoined: ({record}, state) => join(state, record),
-	upstreamPhaseChanged: (change, state) => findStanding(state, change.upstream).andThen(record => changePhase(state, record, change)),
-	upstreamForgotten: ({upstream}, state, index) => findStanding(state, upstream).andThen(record => forget(state, record, index)),
+	upstreamPhaseChanged: (change, state) => findRecord(state, change.upstream).andThen(record => changePhase(state, record, change)),
+	upstreamForgotten: ({upstream}, state, index) => findRecord(state, upstream).andThen(record => forget(state, record, index)),
 };
 
 /**
