--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -118,8 +118,8 @@
 	const {service, name, incarnation} = announcement;
 	const latest = latestIncarnation(state, service, name);
 	const record = upstreamOf(state, {service, name, incarnation});
-	const isKnown = record !== undefined && record.phase !== UpstreamPhase.lost;
-	return latest === undefined || incarnation > latest || isKnown ? ok(announcement) : err(superseded({service, name, incarnation: latest}));
+	const isRegistered = record !== undefined && record.phase !== UpstreamPhase.lost;
+	return latest === undefined || incarnation > latest || isRegistered ? ok(announcement) : err(superseded({service, name, incarnation: latest}));
 }
 
 function join(state: MembershipState, record: UpstreamRecord): Result<MembershipState, Failure> {
