--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -133,8 +133,8 @@
 	}
 
 	const current = upstreamOf(state, record);
-	const isSameLife = current !== undefined && current.phase !== UpstreamPhase.lost && current.address === record.address;
-	return isSameLife ? ok(state) : err(superseded({service: record.service, name: record.name, incarnation: latest}));
+	const isSameIncarnation = current !== undefined && current.phase !== UpstreamPhase.lost && current.address === record.address;
+	return isSameIncarnation ? ok(state) : err(superseded({service: record.service, name: record.name, incarnation: latest}));
 }
 
 function findRecord(state: MembershipState, upstream: UpstreamIdentity): Result<UpstreamRecord, Failure> {
