--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -156,8 +156,8 @@
 		return err(superseded(record));
 	}
 
-	const silence = silentMilliseconds === undefined ? {} : {silentMilliseconds};
-	return ok(phase === record.phase ? state : withRecord(state, {...record, phase, ...silence}));
+	const timeWithoutContact = silentMilliseconds === undefined ? {} : {silentMilliseconds};
+	return ok(phase === record.phase ? state : withRecord(state, {...record, phase, ...timeWithoutContact}));
 }
 
 function boundTombstones(tombstones: Readonly<Record<UpstreamName, Tombstone>>): Readonly<Record<UpstreamName, Tombstone>> {
