--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -13,7 +13,7 @@
 import {evidenceSaysLost} from './witness.js';
 
 /** The number of reports of its zone that must lack an upstream's announcement before the upstream counts as unresponsive. */
-export const silentReportsForVerdict = 2;
+export const missingReportsForVerdict = 2;
 /**
  * The zone's reports must also have lacked the announcement for this long: the
  * announcement timeout less one renewal interval. A zone that is partitioned just
@@ -65,7 +65,7 @@
 	}
 
 	const {heardInReport} = watchOf(state, record.service, record.name);
-	return zone.reports - heardInReport >= silentReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missedMilliseconds;
+	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missedMilliseconds;
 }
 
 /** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
