--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -20,7 +20,7 @@
  * after two reports without the announcement is thereby not mistaken for a zone
  * that lost contact with the upstream.
  */
-export const missedMilliseconds: Milliseconds = 750;
+export const missingAnnouncementMilliseconds: Milliseconds = 750;
 /** The extra time without contact required when a large share of a service's upstreams in a zone becomes unresponsive at once. */
 export const stormConfirmationMilliseconds: Milliseconds = 500;
 /** When more than this share of a service's upstreams in a zone is unresponsive, a network partition is more likely than crashes. */
@@ -65,7 +65,7 @@
 	}
 
 	const {heardInReport} = watchOf(state, record.service, record.name);
-	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missedMilliseconds;
+	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missingAnnouncementMilliseconds;
 }
 
 /** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
