--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -22,7 +22,7 @@
  */
 export const missingAnnouncementMilliseconds: Milliseconds = 750;
 /** The extra time without contact required when a large share of a service's upstreams in a zone becomes unresponsive at once. */
-export const stormConfirmationMilliseconds: Milliseconds = 500;
+export const failureBurstConfirmationMilliseconds: Milliseconds = 500;
 /** When more than this share of a service's upstreams in a zone is unresponsive, a network partition is more likely than crashes. */
 export const stormShare = 0.5;
 /** The maximum share of a service's upstreams that evidence alone may declare lost while they still announce themselves. */
@@ -112,7 +112,7 @@
 }
 
 function silenceSaysLost(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
-	const confirmation = zone.isStorm ? stormConfirmationMilliseconds : 0;
+	const confirmation = zone.isStorm ? failureBurstConfirmationMilliseconds : 0;
 	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
 	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
 }
