--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -24,7 +24,7 @@
 /** The extra time without contact required when a large share of a service's upstreams in a zone becomes unresponsive at once. */
 export const failureBurstConfirmationMilliseconds: Milliseconds = 500;
 /** When more than this share of a service's upstreams in a zone is unresponsive, a network partition is more likely than crashes. */
-export const stormShare = 0.5;
+export const failureBurstShare = 0.5;
 /** The maximum share of a service's upstreams that evidence alone may declare lost while they still announce themselves. */
 export const evidenceVerdictShare = 0.34;
 
@@ -107,7 +107,7 @@
 	const silent = inZone.filter(record => silenceOf(state, tick, record) > announcementTimeoutMilliseconds);
 	return {
 		isReachable: isZoneReachable(state, tick, zone),
-		isStorm: silent.length > 1 && silent.length > inZone.length * stormShare,
+		isStorm: silent.length > 1 && silent.length > inZone.length * failureBurstShare,
 	};
 }
 
