--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -99,7 +99,7 @@
 
 type ZoneView = {
 	readonly isReachable: boolean;
-	readonly isStorm: boolean;
+	readonly isFailureBurst: boolean;
 };
 
 function viewZone(state: WatchState, tick: Judgement, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
@@ -107,12 +107,12 @@
 	const silent = inZone.filter(record => silenceOf(state, tick, record) > announcementTimeoutMilliseconds);
 	return {
 		isReachable: isZoneReachable(state, tick, zone),
-		isStorm: silent.length > 1 && silent.length > inZone.length * failureBurstShare,
+		isFailureBurst: silent.length > 1 && silent.length > inZone.length * failureBurstShare,
 	};
 }
 
 function silenceSaysLost(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
-	const confirmation = zone.isStorm ? failureBurstConfirmationMilliseconds : 0;
+	const confirmation = zone.isFailureBurst ? failureBurstConfirmationMilliseconds : 0;
 	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
 	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
 }
