--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -29,27 +29,27 @@
 export const evidenceVerdictShare = 0.34;
 
 /** What verdicts are based on, next to the watch state. */
-export type Judgement = {
+export type VerdictInputs = {
 	readonly now: MonotonicTime;
 	readonly registry: MembershipState;
 	/** The number of instances in each zone's roster. */
 	readonly rosterSizes: Readonly<Record<ZoneName, number>>;
 };
 
-function isZoneReachable(state: WatchState, tick: Judgement, zone: ZoneName): boolean {
+function isZoneReachable(state: WatchState, tick: VerdictInputs, zone: ZoneName): boolean {
 	const isWatched = (tick.rosterSizes[zone] ?? 0) > 0;
 	const reportedAt = state.zones[zone]?.reportedAt;
 	return !isWatched || (reportedAt !== undefined && tick.now - reportedAt <= zoneTimeoutMilliseconds);
 }
 
-function silentSince(state: WatchState, tick: Judgement, record: UpstreamRecord): MonotonicTime {
+function silentSince(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MonotonicTime {
 	const watch = watchOf(state, record.service, record.name);
 	const heardAt = watch.announcement?.incarnation === record.incarnation ? watch.heardAt : state.startedAt;
 	const reachableSince = isZoneReachable(state, tick, record.zone) ? state.zones[record.zone]?.reachableSince ?? state.startedAt : state.startedAt;
 	return Math.max(heardAt, reachableSince);
 }
 
-function silenceOf(state: WatchState, tick: Judgement, record: UpstreamRecord): Milliseconds {
+function silenceOf(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
 	return tick.now - silentSince(state, tick, record);
 }
 
@@ -57,7 +57,7 @@
  * Whether the upstream's zone has had the opportunity to report it. True for an
  * unreachable zone, where the contract's partition policy decides.
  */
-function isMissedByZone(state: WatchState, tick: Judgement, record: UpstreamRecord): boolean {
+function isMissedByZone(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): boolean {
 	const zone = state.zones[record.zone];
 	const isWatched = (tick.rosterSizes[record.zone] ?? 0) > 0;
 	if (!isWatched || zone === undefined || !isZoneReachable(state, tick, record.zone)) {
@@ -84,13 +84,13 @@
  * Returns the time without contact with an incarnation. If this leader never had
  * contact with it, the result is a lower bound.
  */
-function unheardTime(state: WatchState, tick: Judgement, record: UpstreamRecord): Milliseconds {
+function unheardTime(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
 	const heardAt = lastHeard(watchOf(state, record.service, record.name), record);
 	const leastSince = isOver(state, record) ? tick.now : state.startedAt;
 	return tick.now - (heardAt ?? leastSince);
 }
 
-function lostCommand(state: WatchState, tick: Judgement, record: UpstreamRecord): MembershipCommand {
+function lostCommand(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MembershipCommand {
 	const silentMilliseconds = Math.round(unheardTime(state, tick, record));
 	return {
 		kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.lost, silentMilliseconds,
@@ -102,7 +102,7 @@
 	readonly isFailureBurst: boolean;
 };
 
-function viewZone(state: WatchState, tick: Judgement, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
+function viewZone(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
 	const inZone = records.filter(record => record.zone === zone && record.phase !== UpstreamPhase.lost);
 	const silent = inZone.filter(record => silenceOf(state, tick, record) > announcementTimeoutMilliseconds);
 	return {
@@ -117,7 +117,7 @@
 	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
 }
 
-function condemnedByEvidence(state: WatchState, tick: Judgement, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
+function condemnedByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
 	const alive = records.filter(record => record.phase !== UpstreamPhase.lost);
 	const condemned = alive.filter(record => {
 		const {witnesses} = watchOf(state, record.service, record.name);
@@ -130,7 +130,7 @@
 }
 
 /** Returns the commands that declare upstreams of a service lost. */
-export function lostCommands(state: WatchState, tick: Judgement, contract: ServiceContract): MembershipCommand[] {
+export function lostCommands(state: WatchState, tick: VerdictInputs, contract: ServiceContract): MembershipCommand[] {
 	const records = upstreamsOf(tick.registry, contract.name);
 	const condemned = condemnedByEvidence(state, tick, records);
 	const zones = new Map([...new Set(records.map(record => record.zone))].map(zone => [zone, viewZone(state, tick, records, zone)]));
