--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -42,7 +42,7 @@
 	return !isWatched || (reportedAt !== undefined && tick.now - reportedAt <= zoneTimeoutMilliseconds);
 }
 
-function silentSince(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MonotonicTime {
+function noContactSince(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MonotonicTime {
 	const watch = watchOf(state, record.service, record.name);
 	const heardAt = watch.announcement?.incarnation === record.incarnation ? watch.heardAt : state.startedAt;
 	const reachableSince = isZoneReachable(state, tick, record.zone) ? state.zones[record.zone]?.reachableSince ?? state.startedAt : state.startedAt;
@@ -50,7 +50,7 @@
 }
 
 function silenceOf(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
-	return tick.now - silentSince(state, tick, record);
+	return tick.now - noContactSince(state, tick, record);
 }
 
 /**
@@ -65,7 +65,7 @@
 	}
 
 	const {heardInReport} = watchOf(state, record.service, record.name);
-	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missingAnnouncementMilliseconds;
+	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - noContactSince(state, tick, record) >= missingAnnouncementMilliseconds;
 }
 
 /** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
