--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -49,7 +49,7 @@
 	return Math.max(heardAt, reachableSince);
 }
 
-function silenceOf(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
+function timeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
 	return tick.now - noContactSince(state, tick, record);
 }
 
@@ -104,7 +104,7 @@
 
 function viewZone(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
 	const inZone = records.filter(record => record.zone === zone && record.phase !== UpstreamPhase.lost);
-	const silent = inZone.filter(record => silenceOf(state, tick, record) > announcementTimeoutMilliseconds);
+	const silent = inZone.filter(record => timeWithoutContact(state, tick, record) > announcementTimeoutMilliseconds);
 	return {
 		isReachable: isZoneReachable(state, tick, zone),
 		isFailureBurst: silent.length > 1 && silent.length > inZone.length * failureBurstShare,
@@ -138,6 +138,6 @@
 		.filter(record => record.phase !== UpstreamPhase.lost)
 		.filter(record => condemned.has(record)
 			|| isOver(state, record)
-			|| (isMissedByZone(state, tick, record) && silenceSaysLost(silenceOf(state, tick, record), contract, zones.get(record.zone)!)))
+			|| (isMissedByZone(state, tick, record) && silenceSaysLost(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
 		.map(record => lostCommand(state, tick, record));
 }
