--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -84,14 +84,14 @@
  * Returns the time without contact with an incarnation. If this leader never had
  * contact with it, the result is a lower bound.
  */
-function unheardTime(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
+function reportedTimeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
 	const heardAt = lastHeard(watchOf(state, record.service, record.name), record);
 	const leastSince = isOver(state, record) ? tick.now : state.startedAt;
 	return tick.now - (heardAt ?? leastSince);
 }
 
 function lostCommand(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MembershipCommand {
-	const silentMilliseconds = Math.round(unheardTime(state, tick, record));
+	const silentMilliseconds = Math.round(reportedTimeWithoutContact(state, tick, record));
 	return {
 		kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.lost, silentMilliseconds,
 	};
