--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -75,7 +75,7 @@
 }
 
 /** Returns the last contact with an incarnation; undefined if this leader never had any. */
-function lastHeard({announcement, heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
+function lastContactOf({announcement, heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
 	const lives = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, heardAt}, earlier];
 	return lives.find(life => life?.incarnation === incarnation)?.heardAt;
 }
@@ -85,7 +85,7 @@
  * contact with it, the result is a lower bound.
  */
 function reportedTimeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
-	const heardAt = lastHeard(watchOf(state, record.service, record.name), record);
+	const heardAt = lastContactOf(watchOf(state, record.service, record.name), record);
 	const leastSince = isOver(state, record) ? tick.now : state.startedAt;
 	return tick.now - (heardAt ?? leastSince);
 }
