--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -69,7 +69,7 @@
 }
 
 /** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
-function isOver(state: WatchState, record: UpstreamRecord): boolean {
+function isSuperseded(state: WatchState, record: UpstreamRecord): boolean {
 	const {announcement} = watchOf(state, record.service, record.name);
 	return announcement !== undefined && announcement.incarnation > record.incarnation;
 }
@@ -86,7 +86,7 @@
  */
 function reportedTimeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
 	const heardAt = lastContactOf(watchOf(state, record.service, record.name), record);
-	const leastSince = isOver(state, record) ? tick.now : state.startedAt;
+	const leastSince = isSuperseded(state, record) ? tick.now : state.startedAt;
 	return tick.now - (heardAt ?? leastSince);
 }
 
@@ -137,7 +137,7 @@
 	return records
 		.filter(record => record.phase !== UpstreamPhase.lost)
 		.filter(record => condemned.has(record)
-			|| isOver(state, record)
+			|| isSuperseded(state, record)
 			|| (isMissedByZone(state, tick, record) && silenceSaysLost(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
 		.map(record => lostCommand(state, tick, record));
 }
