--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -57,7 +57,7 @@
  * Whether the upstream's zone has had the opportunity to report it. True for an
  * unreachable zone, where the contract's partition policy decides.
  */
-function isMissedByZone(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): boolean {
+function isMissingFromReports(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): boolean {
 	const zone = state.zones[record.zone];
 	const isWatched = (tick.rosterSizes[record.zone] ?? 0) > 0;
 	if (!isWatched || zone === undefined || !isZoneReachable(state, tick, record.zone)) {
@@ -138,6 +138,6 @@
 		.filter(record => record.phase !== UpstreamPhase.lost)
 		.filter(record => condemned.has(record)
 			|| isSuperseded(state, record)
-			|| (isMissedByZone(state, tick, record) && silenceSaysLost(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
+			|| (isMissingFromReports(state, tick, record) && silenceSaysLost(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
 		.map(record => lostCommand(state, tick, record));
 }
