--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -111,7 +111,7 @@
 	};
 }
 
-function silenceSaysLost(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
+function isTimedOut(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
 	const confirmation = zone.isFailureBurst ? failureBurstConfirmationMilliseconds : 0;
 	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
 	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
@@ -138,6 +138,6 @@
 		.filter(record => record.phase !== UpstreamPhase.lost)
 		.filter(record => condemned.has(record)
 			|| isSuperseded(state, record)
-			|| (isMissingFromReports(state, tick, record) && silenceSaysLost(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
+			|| (isMissingFromReports(state, tick, record) && isTimedOut(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
 		.map(record => lostCommand(state, tick, record));
 }
