--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -111,10 +111,10 @@
 	};
 }
 
-function isTimedOut(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
+function isTimedOut(noContactTime: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
 	const confirmation = zone.isFailureBurst ? failureBurstConfirmationMilliseconds : 0;
 	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
-	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
+	return mayJudge && noContactTime > announcementTimeoutMilliseconds + confirmation;
 }
 
 function condemnedByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
