--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -104,10 +104,10 @@
 
 function viewZone(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
 	const inZone = records.filter(record => record.zone === zone && record.phase !== UpstreamPhase.lost);
-	const silent = inZone.filter(record => timeWithoutContact(state, tick, record) > announcementTimeoutMilliseconds);
+	const unresponsive = inZone.filter(record => timeWithoutContact(state, tick, record) > announcementTimeoutMilliseconds);
 	return {
 		isReachable: isZoneReachable(state, tick, zone),
-		isFailureBurst: silent.length > 1 && silent.length > inZone.length * failureBurstShare,
+		isFailureBurst: unresponsive.length > 1 && unresponsive.length > inZone.length * failureBurstShare,
 	};
 }
 
