--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -113,8 +113,8 @@
 
 function isTimedOut(noContactTime: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
 	const confirmation = zone.isFailureBurst ? failureBurstConfirmationMilliseconds : 0;
-	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
-	return mayJudge && noContactTime > announcementTimeoutMilliseconds + confirmation;
+	const mayDecide = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
+	return mayDecide && noContactTime > announcementTimeoutMilliseconds + confirmation;
 }
 
 function condemnedByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
