--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -86,8 +86,8 @@
  */
 function reportedTimeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
 	const heardAt = lastContactOf(watchOf(state, record.service, record.name), record);
-	const leastSince = isSuperseded(state, record) ? tick.now : state.startedAt;
-	return tick.now - (heardAt ?? leastSince);
+	const latestStart = isSuperseded(state, record) ? tick.now : state.startedAt;
+	return tick.now - (heardAt ?? latestStart);
 }
 
 function lostCommand(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MembershipCommand {
