--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -117,7 +117,7 @@
 	return mayDecide && noContactTime > announcementTimeoutMilliseconds + confirmation;
 }
 
-function condemnedByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
+function lostByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
 	const alive = records.filter(record => record.phase !== UpstreamPhase.lost);
 	const condemned = alive.filter(record => {
 		const {witnesses} = watchOf(state, record.service, record.name);
@@ -132,7 +132,7 @@
 /** Returns the commands that declare upstreams of a service lost. */
 export function lostCommands(state: WatchState, tick: VerdictInputs, contract: ServiceContract): MembershipCommand[] {
 	const records = upstreamsOf(tick.registry, contract.name);
-	const condemned = condemnedByEvidence(state, tick, records);
+	const condemned = lostByEvidence(state, tick, records);
 	const zones = new Map([...new Set(records.map(record => record.zone))].map(zone => [zone, viewZone(state, tick, records, zone)]));
 	return records
 		.filter(record => record.phase !== UpstreamPhase.lost)
