--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -119,14 +119,14 @@
 
 function lostByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
 	const alive = records.filter(record => record.phase !== UpstreamPhase.lost);
-	const condemned = alive.filter(record => {
+	const lost = alive.filter(record => {
 		const {witnesses} = watchOf(state, record.service, record.name);
 		return evidenceSaysLost({
 			witnesses, upstream: identityOf(record), zone: record.zone, rosterSize: tick.rosterSizes[record.zone] ?? 0, now: tick.now,
 		});
 	});
 	const allowed = Math.max(1, Math.floor(alive.length * evidenceVerdictShare));
-	return new Set(condemned.length <= allowed ? condemned : []);
+	return new Set(lost.length <= allowed ? lost : []);
 }
 
 /** Returns the commands that declare upstreams of a service lost. */
