--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -132,11 +132,11 @@
 /** Returns the commands that declare upstreams of a service lost. */
 export function lostCommands(state: WatchState, tick: VerdictInputs, contract: ServiceContract): MembershipCommand[] {
 	const records = upstreamsOf(tick.registry, contract.name);
-	const condemned = lostByEvidence(state, tick, records);
+	const lost = lostByEvidence(state, tick, records);
 	const zones = new Map([...new Set(records.map(record => record.zone))].map(zone => [zone, viewZone(state, tick, records, zone)]));
 	return records
 		.filter(record => record.phase !== UpstreamPhase.lost)
-		.filter(record => condemned.has(record)
+		.filter(record => lost.has(record)
 			|| isSuperseded(state, record)
 			|| (isMissingFromReports(state, tick, record) && isTimedOut(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
 		.map(record => lostCommand(state, tick, record));
