--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -64,7 +64,7 @@
 		return true;
 	}
 
-	const {heardInReport} = watchOf(state, record.service, record.name);
+	const {reportsAtContact: heardInReport} = watchOf(state, record.service, record.name);
 	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - noContactSince(state, tick, record) >= missingAnnouncementMilliseconds;
 }
 
--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -22,7 +22,7 @@
 	/** The incarnation before the announced one, and its last contact. */
 	readonly earlier?: {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
 	/** The number of reports received from the upstream's zone at its last contact. */
-	readonly heardInReport: number;
+	readonly reportsAtContact: number;
 	/** When this leader proposed that the incarnation joins. Absent if it joined before this leader's term. */
 	readonly joinedAt?: MonotonicTime;
 	/** When this leader first found the record lost. */
@@ -62,7 +62,7 @@
 /** Returns the view of an upstream that this leader never had contact with. */
 export function noContact(state: WatchState): UpstreamWatch {
 	return {
-		heardAt: state.startedAt, heardInReport: 0, witnesses: {}, flaps: {incarnations: []},
+		heardAt: state.startedAt, reportsAtContact: 0, witnesses: {}, flaps: {incarnations: []},
 	};
 }
 
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -62,14 +62,14 @@
 
 	if (known?.incarnation === announcement.incarnation) {
 		return {
-			...watch, announcement, heardAt: now, heardInReport,
+			...watch, announcement, heardAt: now, reportsAtContact: heardInReport,
 		};
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
 	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.heardAt}};
 	return {
-		...kept, ...earlier, announcement, heardAt: now, heardInReport, witnesses: {}, flaps: recordIncarnation(watch.flaps, announcement.incarnation, now),
+		...kept, ...earlier, announcement, heardAt: now, reportsAtContact: heardInReport, witnesses: {}, flaps: recordIncarnation(watch.flaps, announcement.incarnation, now),
 	};
 }
 
