--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -44,7 +44,7 @@
 
 function noContactSince(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MonotonicTime {
 	const watch = watchOf(state, record.service, record.name);
-	const heardAt = watch.announcement?.incarnation === record.incarnation ? watch.heardAt : state.startedAt;
+	const heardAt = watch.announcement?.incarnation === record.incarnation ? watch.lastContactAt : state.startedAt;
 	const reachableSince = isZoneReachable(state, tick, record.zone) ? state.zones[record.zone]?.reachableSince ?? state.startedAt : state.startedAt;
 	return Math.max(heardAt, reachableSince);
 }
@@ -75,7 +75,7 @@
 }
 
 /** Returns the last contact with an incarnation; undefined if this leader never had any. */
-function lastContactOf({announcement, heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
+function lastContactOf({announcement, lastContactAt: heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
 	const contacts = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, heardAt}, earlier];
 	return contacts.find(contact => contact?.incarnation === incarnation)?.heardAt;
 }
--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -18,7 +18,7 @@
 export type UpstreamWatch = {
 	/** The latest announcement. */
 	readonly announcement?: Announcement;
-	readonly heardAt: MonotonicTime;
+	readonly lastContactAt: MonotonicTime;
 	/** The incarnation before the announced one, and its last contact. */
 	readonly earlier?: {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
 	/** The number of reports received from the upstream's zone at its last contact. */
@@ -62,7 +62,7 @@
 /** Returns the view of an upstream that this leader never had contact with. */
 export function noContact(state: WatchState): UpstreamWatch {
 	return {
-		heardAt: state.startedAt, reportsAtContact: 0, witnesses: {}, flaps: {incarnations: []},
+		lastContactAt: state.startedAt, reportsAtContact: 0, witnesses: {}, flaps: {incarnations: []},
 	};
 }
 
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -62,14 +62,14 @@
 
 	if (known?.incarnation === announcement.incarnation) {
 		return {
-			...watch, announcement, heardAt: now, reportsAtContact: heardInReport,
+			...watch, announcement, lastContactAt: now, reportsAtContact: heardInReport,
 		};
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
-	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.heardAt}};
+	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.lastContactAt}};
 	return {
-		...kept, ...earlier, announcement, heardAt: now, reportsAtContact: heardInReport, witnesses: {}, flaps: recordIncarnation(watch.flaps, announcement.incarnation, now),
+		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: heardInReport, witnesses: {}, flaps: recordIncarnation(watch.flaps, announcement.incarnation, now),
 	};
 }
 
@@ -140,7 +140,7 @@
 function joinCommands(state: WatchState, tick: Tick): MembershipCommand[] {
 	const services = new Set(tick.contracts.map(contract => contract.name));
 	return [...state.upstreams.values()].flatMap(watch => {
-		const {announcement, heardAt, flaps} = watch;
+		const {announcement, lastContactAt: heardAt, flaps} = watch;
 		const isDue = announcement !== undefined
 			&& services.has(announcement.service)
 			&& tick.now - heardAt <= announcementTimeoutMilliseconds
@@ -184,7 +184,7 @@
 
 /** Drops the view of upstreams that are without contact for `forgetAfterMilliseconds` and have no record. */
 function dropForgotten(state: WatchState, tick: Tick): WatchState {
-	const kept = [...state.upstreams].filter(([, {announcement, heardAt}]) => tick.now - heardAt <= forgetAfterMilliseconds
+	const kept = [...state.upstreams].filter(([, {announcement, lastContactAt: heardAt}]) => tick.now - heardAt <= forgetAfterMilliseconds
 		|| (announcement !== undefined && upstreamOf(tick.registry, announcement) !== undefined));
 	return kept.length === state.upstreams.size ? state : {...state, upstreams: new Map(kept)};
 }
