--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -77,7 +77,7 @@
 /** Returns the last contact with an incarnation; undefined if this leader never had any. */
 function lastContactOf({announcement, lastContactAt: heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
 	const contacts = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, heardAt}, earlier];
-	return contacts.find(contact => contact?.incarnation === incarnation)?.heardAt;
+	return contacts.find(contact => contact?.incarnation === incarnation)?.lastContactAt;
 }
 
 /**
--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -20,7 +20,7 @@
 	readonly announcement?: Announcement;
 	readonly lastContactAt: MonotonicTime;
 	/** The incarnation before the announced one, and its last contact. */
-	readonly earlier?: {readonly incarnation: Incarnation; readonly heardAt: MonotonicTime};
+	readonly earlier?: {readonly incarnation: Incarnation; readonly lastContactAt: MonotonicTime};
 	/** The number of reports received from the upstream's zone at its last contact. */
 	readonly reportsAtContact: number;
 	/** When this leader proposed that the incarnation joins. Absent if it joined before this leader's term. */
