--- a/packages/membership/src/view.ts
+++ b/packages/membership/src/view.ts
@@ -29,7 +29,7 @@
 	readonly lostAt?: MonotonicTime;
 	readonly proposedAt?: MonotonicTime;
 	readonly witnesses: Witnesses;
-	readonly flaps: FlapHistory;
+	readonly flapHistory: FlapHistory;
 };
 
 /** The leader's view of one availability zone. */
@@ -62,7 +62,7 @@
 /** Returns the view of an upstream that this leader never had contact with. */
 export function noContact(state: WatchState): UpstreamWatch {
 	return {
-		lastContactAt: state.startedAt, reportsAtContact: 0, witnesses: {}, flaps: {incarnations: []},
+		lastContactAt: state.startedAt, reportsAtContact: 0, witnesses: {}, flapHistory: {incarnations: []},
 	};
 }
 
@@ -80,6 +80,6 @@
 /** Counts the upstreams of a service that restarted several times in a short time. */
 export function flappingCount(state: WatchState, service: ServiceName, now: MonotonicTime): number {
 	const prefix = upstreamKey(service, '');
-	const histories = [...state.upstreams].filter(([key]) => key.startsWith(prefix)).map(([, watch]) => watch.flaps);
+	const histories = [...state.upstreams].filter(([key]) => key.startsWith(prefix)).map(([, watch]) => watch.flapHistory);
 	return flappingUpstreams(histories, now);
 }
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -69,7 +69,7 @@
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
 	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.lastContactAt}};
 	return {
-		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: heardInReport, witnesses: {}, flaps: recordIncarnation(watch.flaps, announcement.incarnation, now),
+		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: heardInReport, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
 	};
 }
 
@@ -140,7 +140,7 @@
 function joinCommands(state: WatchState, tick: Tick): MembershipCommand[] {
 	const services = new Set(tick.contracts.map(contract => contract.name));
 	return [...state.upstreams.values()].flatMap(watch => {
-		const {announcement, lastContactAt: heardAt, flaps} = watch;
+		const {announcement, lastContactAt: heardAt, flapHistory: flaps} = watch;
 		const isDue = announcement !== undefined
 			&& services.has(announcement.service)
 			&& tick.now - heardAt <= announcementTimeoutMilliseconds
