--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -54,7 +54,7 @@
 
 type Tick = Extract<WatchEvent, {readonly kind: 'ticked'}>;
 
-function hearAnnouncement(watch: UpstreamWatch, announcement: Announcement, heardInReport: number, now: MonotonicTime): UpstreamWatch {
+function receiveAnnouncement(watch: UpstreamWatch, announcement: Announcement, heardInReport: number, now: MonotonicTime): UpstreamWatch {
 	const known = watch.announcement;
 	if (known !== undefined && known.incarnation > announcement.incarnation) {
 		return watch;
@@ -97,7 +97,7 @@
 	for (const announcement of report.announcements) {
 		const {service, name, zone} = announcement;
 		const key = upstreamKey(service, name);
-		upstreams.set(key, hearAnnouncement(upstreams.get(key) ?? noContact(state), announcement, zones[zone]?.reports ?? 0, now));
+		upstreams.set(key, receiveAnnouncement(upstreams.get(key) ?? noContact(state), announcement, zones[zone]?.reports ?? 0, now));
 	}
 
 	for (const [key, evidence] of byUpstream(report.evidence)) {
