--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -73,7 +73,7 @@
 	};
 }
 
-function hearZone(zone: ZoneWatch | undefined, now: MonotonicTime): ZoneWatch {
+function recordZoneReport(zone: ZoneWatch | undefined, now: MonotonicTime): ZoneWatch {
 	const isContinuous = zone !== undefined && now - zone.reportedAt <= zoneTimeoutMilliseconds;
 	return {reportedAt: now, reachableSince: isContinuous ? zone.reachableSince : now, reports: (zone?.reports ?? 0) + 1};
 }
@@ -92,7 +92,7 @@
 
 function receive(event: Extract<WatchEvent, {readonly kind: 'reportReceived'}>, state: WatchState): Transition<WatchState, WatchEffect> {
 	const {now, report, reporter} = event;
-	const zones = {...state.zones, [reporter.zone]: hearZone(state.zones[reporter.zone], now)};
+	const zones = {...state.zones, [reporter.zone]: recordZoneReport(state.zones[reporter.zone], now)};
 	const upstreams = new Map(state.upstreams);
 	for (const announcement of report.announcements) {
 		const {service, name, zone} = announcement;
