--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -55,19 +55,19 @@
 type Tick = Extract<WatchEvent, {readonly kind: 'ticked'}>;
 
 function receiveAnnouncement(watch: UpstreamWatch, announcement: Announcement, heardInReport: number, now: MonotonicTime): UpstreamWatch {
-	const known = watch.announcement;
-	if (known !== undefined && known.incarnation > announcement.incarnation) {
+	const previous = watch.announcement;
+	if (previous !== undefined && previous.incarnation > announcement.incarnation) {
 		return watch;
 	}
 
-	if (known?.incarnation === announcement.incarnation) {
+	if (previous?.incarnation === announcement.incarnation) {
 		return {
 			...watch, announcement, lastContactAt: now, reportsAtContact: heardInReport,
 		};
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
-	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.lastContactAt}};
+	const earlier = previous === undefined ? {} : {earlier: {incarnation: previous.incarnation, heardAt: watch.lastContactAt}};
 	return {
 		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: heardInReport, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
 	};
