--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -127,7 +127,7 @@
 		.map(record => ({kind: 'upstreamForgotten', upstream: identityOf(record)}));
 }
 
-function isNews(tick: Tick, announcement: Announcement): boolean {
+function isNewIncarnation(tick: Tick, announcement: Announcement): boolean {
 	const latest = latestIncarnation(tick.registry, announcement.service, announcement.name);
 	return latest === undefined || announcement.incarnation > latest;
 }
@@ -145,7 +145,7 @@
 			&& services.has(announcement.service)
 			&& tick.now - heardAt <= announcementTimeoutMilliseconds
 			&& tick.now >= joinAllowedAt(flaps)
-			&& isNews(tick, announcement);
+			&& isNewIncarnation(tick, announcement);
 		return isDue ? [{kind: 'upstreamJoined', record: toRecord(announcement)}] : [];
 	});
 }
