--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -197,7 +197,7 @@
 	};
 }
 
-function judge(tick: Tick, previous: WatchState): Transition<WatchState, WatchEffect> {
+function decide(tick: Tick, previous: WatchState): Transition<WatchState, WatchEffect> {
 	const state = dropForgotten(noteLosses(previous, tick), tick);
 	const lost = tick.contracts.flatMap(contract => lostCommands(state, tick, contract));
 	const lostKeys = new Set(lost.map(command => upstreamKey(targetOf(command).service, targetOf(command).name)));
@@ -210,7 +210,7 @@
 
 const handlers: HandlerTable<WatchEvent, [WatchState], Transition<WatchState, WatchEffect>> = {
 	reportReceived: receive,
-	ticked: judge,
+	ticked: decide,
 };
 
 /** Processes a report, or decides on verdicts and joins at a tick. */
