--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -90,7 +90,7 @@
 	return groups;
 }
 
-function receive(event: Extract<WatchEvent, {readonly kind: 'reportReceived'}>, state: WatchState): Transition<WatchState, WatchEffect> {
+function receiveReport(event: Extract<WatchEvent, {readonly kind: 'reportReceived'}>, state: WatchState): Transition<WatchState, WatchEffect> {
 	const {now, report, reporter} = event;
 	const zones = {...state.zones, [reporter.zone]: recordZoneReport(state.zones[reporter.zone], now)};
 	const upstreams = new Map(state.upstreams);
@@ -209,7 +209,7 @@
 }
 
 const handlers: HandlerTable<WatchEvent, [WatchState], Transition<WatchState, WatchEffect>> = {
-	reportReceived: receive,
+	reportReceived: receiveReport,
 	ticked: decide,
 };
 
