--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -154,7 +154,7 @@
 	return command.kind === 'upstreamJoined' ? identityOf(command.record) : command.upstream;
 }
 
-function noteProposals(state: WatchState, commands: readonly MembershipCommand[], now: MonotonicTime): WatchState {
+function recordProposals(state: WatchState, commands: readonly MembershipCommand[], now: MonotonicTime): WatchState {
 	if (commands.length === 0) {
 		return state;
 	}
@@ -205,7 +205,7 @@
 		.filter(command => !lostKeys.has(upstreamKey(targetOf(command).service, targetOf(command).name)));
 	const forgotten = tick.contracts.flatMap(contract => forgetCommands(state, tick, contract));
 	const commands = [...lost, ...leaving, ...joinCommands(state, tick), ...forgotten].filter(isUnproposed(state, tick.now));
-	return {state: noteProposals(state, commands, tick.now), effects: commands.map(command => ({kind: 'propose', command}))};
+	return {state: recordProposals(state, commands, tick.now), effects: commands.map(command => ({kind: 'propose', command}))};
 }
 
 const handlers: HandlerTable<WatchEvent, [WatchState], Transition<WatchState, WatchEffect>> = {
