--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -170,7 +170,7 @@
 	return {...state, upstreams};
 }
 
-function noteLosses(state: WatchState, tick: Tick): WatchState {
+function recordLosses(state: WatchState, tick: Tick): WatchState {
 	const lost = tick.contracts
 		.flatMap(contract => upstreamsOf(tick.registry, contract.name))
 		.filter(({service, name, phase}) => phase === UpstreamPhase.lost && watchOf(state, service, name).lostAt === undefined);
@@ -198,7 +198,7 @@
 }
 
 function decide(tick: Tick, previous: WatchState): Transition<WatchState, WatchEffect> {
-	const state = dropForgotten(noteLosses(previous, tick), tick);
+	const state = dropForgotten(recordLosses(previous, tick), tick);
 	const lost = tick.contracts.flatMap(contract => lostCommands(state, tick, contract));
 	const lostKeys = new Set(lost.map(command => upstreamKey(targetOf(command).service, targetOf(command).name)));
 	const leaving = tick.contracts.flatMap(contract => leavingCommands(state, tick, contract))
