--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -178,8 +178,8 @@
 		return state;
 	}
 
-	const noted = lost.map(({service, name}) => [upstreamKey(service, name), {...watchOf(state, service, name), lostAt: tick.now}] as const);
-	return {...state, upstreams: new Map([...state.upstreams, ...noted])};
+	const recorded = lost.map(({service, name}) => [upstreamKey(service, name), {...watchOf(state, service, name), lostAt: tick.now}] as const);
+	return {...state, upstreams: new Map([...state.upstreams, ...recorded])};
 }
 
 /** Drops the view of upstreams that are without contact for `forgetAfterMilliseconds` and have no record. */
