--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -54,7 +54,7 @@
 
 type Tick = Extract<WatchEvent, {readonly kind: 'ticked'}>;
 
-function receiveAnnouncement(watch: UpstreamWatch, announcement: Announcement, heardInReport: number, now: MonotonicTime): UpstreamWatch {
+function receiveAnnouncement(watch: UpstreamWatch, announcement: Announcement, reportsAtContact: number, now: MonotonicTime): UpstreamWatch {
 	const previous = watch.announcement;
 	if (previous !== undefined && previous.incarnation > announcement.incarnation) {
 		return watch;
@@ -62,14 +62,14 @@
 
 	if (previous?.incarnation === announcement.incarnation) {
 		return {
-			...watch, announcement, lastContactAt: now, reportsAtContact: heardInReport,
+			...watch, announcement, lastContactAt: now, reportsAtContact: reportsAtContact,
 		};
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
 	const earlier = previous === undefined ? {} : {earlier: {incarnation: previous.incarnation, heardAt: watch.lastContactAt}};
 	return {
-		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: heardInReport, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
+		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: reportsAtContact, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
 	};
 }
 
