--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -14,7 +14,7 @@
 /** The number of consecutive attempts without a response after which an instance counts as a witness of the loss. */
 export const failuresForVerdict = 3;
 /** The number of instances that must agree, in a zone that has at least as many. */
-export const leastWitnesses = 2;
+export const minimumWitnesses = 2;
 
 /** The recent evidence of one instance. */
 export type Witness = {
@@ -85,6 +85,6 @@
 		&& now - witness.seenAt <= evidenceWindowMilliseconds
 		&& sameUpstream(witness.upstream, upstream));
 	const against = recent.filter(witness => witness.failuresInRow >= failuresForVerdict);
-	const needed = Math.min(leastWitnesses, Math.max(1, rosterSize));
+	const needed = Math.min(minimumWitnesses, Math.max(1, rosterSize));
 	return against.length >= needed && against.length > recent.length / 2;
 }
