--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -22,7 +22,7 @@
 	readonly zone: ZoneName;
 	readonly seenAt: MonotonicTime;
 	/** Failures and timeouts since the last complete response. */
-	readonly failuresInRow: number;
+	readonly consecutiveFailures: number;
 };
 
 /** The recent evidence by instance name. */
@@ -41,7 +41,7 @@
 
 function failuresAfter(previous: Witness | undefined, evidence: UpstreamEvidence): number {
 	const isAlive = evidence.answered + evidence.shed > 0;
-	const before = previous !== undefined && sameUpstream(previous.upstream, evidence.upstream) ? previous.failuresInRow : 0;
+	const before = previous !== undefined && sameUpstream(previous.upstream, evidence.upstream) ? previous.consecutiveFailures : 0;
 	return isAlive ? 0 : before + evidence.failed + evidence.timedOut;
 }
 
@@ -68,7 +68,7 @@
 		const previous = next.get(seenBy.name);
 		if (previous === undefined || previous.upstream.incarnation <= upstream.incarnation) {
 			next.set(seenBy.name, {
-				upstream, zone, seenAt: now, failuresInRow: failuresAfter(previous, one),
+				upstream, zone, seenAt: now, consecutiveFailures: failuresAfter(previous, one),
 			});
 		}
 	}
@@ -84,7 +84,7 @@
 	const recent = Object.values(witnesses).filter(witness => witness.zone === zone
 		&& now - witness.seenAt <= evidenceWindowMilliseconds
 		&& sameUpstream(witness.upstream, upstream));
-	const against = recent.filter(witness => witness.failuresInRow >= failuresForVerdict);
+	const against = recent.filter(witness => witness.consecutiveFailures >= failuresForVerdict);
 	const needed = Math.min(minimumWitnesses, Math.max(1, rosterSize));
 	return against.length >= needed && against.length > recent.length / 2;
 }
