--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -20,7 +20,7 @@
 export type Witness = {
 	readonly upstream: UpstreamIdentity;
 	readonly zone: ZoneName;
-	readonly seenAt: MonotonicTime;
+	readonly observedAt: MonotonicTime;
 	/** Failures and timeouts since the last complete response. */
 	readonly consecutiveFailures: number;
 };
@@ -68,7 +68,7 @@
 		const previous = next.get(seenBy.name);
 		if (previous === undefined || previous.upstream.incarnation <= upstream.incarnation) {
 			next.set(seenBy.name, {
-				upstream, zone, seenAt: now, consecutiveFailures: failuresAfter(previous, one),
+				upstream, zone, observedAt: now, consecutiveFailures: failuresAfter(previous, one),
 			});
 		}
 	}
@@ -82,7 +82,7 @@
  */
 export function evidenceSaysLost({witnesses, upstream, zone, rosterSize, now}: EvidenceQuestion): boolean {
 	const recent = Object.values(witnesses).filter(witness => witness.zone === zone
-		&& now - witness.seenAt <= evidenceWindowMilliseconds
+		&& now - witness.observedAt <= evidenceWindowMilliseconds
 		&& sameUpstream(witness.upstream, upstream));
 	const against = recent.filter(witness => witness.consecutiveFailures >= failuresForVerdict);
 	const needed = Math.min(minimumWitnesses, Math.max(1, rosterSize));
