--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -47,7 +47,7 @@
 
 type SeenEvidence = UpstreamEvidence & {readonly seenBy: InstanceIdentity};
 
-function tellsOfAnEnd({answered, shed, failed, timedOut}: UpstreamEvidence): boolean {
+function hasEndedAttempt({answered, shed, failed, timedOut}: UpstreamEvidence): boolean {
 	return answered + shed + failed + timedOut > 0;
 }
 
@@ -57,7 +57,7 @@
  * are copied once for all of the evidence, as a zone may have hundreds.
  */
 export function noteEvidence(witnesses: Witnesses, evidence: readonly SeenEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
-	const telling = evidence.filter(one => tellsOfAnEnd(one));
+	const telling = evidence.filter(one => hasEndedAttempt(one));
 	if (telling.length === 0) {
 		return witnesses;
 	}
