--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -20,7 +20,7 @@
 import {
 	announcementTimeoutMilliseconds, noContact, upstreamKey, type UpstreamWatch, watchOf, type WatchState, zoneTimeoutMilliseconds, type ZoneWatch,
 } from './view.js';
-import {noteEvidence} from './witness.js';
+import {recordEvidence} from './witness.js';
 
 export {
 	createWatch, flappingCount, joinedAt, type WatchState,
@@ -102,7 +102,7 @@
 
 	for (const [key, evidence] of byUpstream(report.evidence)) {
 		const watch = upstreams.get(key) ?? noContact(state);
-		upstreams.set(key, {...watch, witnesses: noteEvidence(watch.witnesses, evidence, reporter.zone, now)});
+		upstreams.set(key, {...watch, witnesses: recordEvidence(watch.witnesses, evidence, reporter.zone, now)});
 	}
 
 	return {state: {...state, zones, upstreams}, effects: []};
--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -56,7 +56,7 @@
  * of observation. Evidence without any ended attempt is ignored. The witnesses
  * are copied once for all of the evidence, as a zone may have hundreds.
  */
-export function noteEvidence(witnesses: Witnesses, evidence: readonly SeenEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
+export function recordEvidence(witnesses: Witnesses, evidence: readonly SeenEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
 	const telling = evidence.filter(one => hasEndedAttempt(one));
 	if (telling.length === 0) {
 		return witnesses;
