--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -57,13 +57,13 @@
  * are copied once for all of the evidence, as a zone may have hundreds.
  */
 export function recordEvidence(witnesses: Witnesses, evidence: readonly SeenEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
-	const telling = evidence.filter(one => hasEndedAttempt(one));
-	if (telling.length === 0) {
+	const conclusive = evidence.filter(one => hasEndedAttempt(one));
+	if (conclusive.length === 0) {
 		return witnesses;
 	}
 
 	const next = new Map(Object.entries(witnesses));
-	for (const one of telling) {
+	for (const one of conclusive) {
 		const {upstream, seenBy} = one;
 		const previous = next.get(seenBy.name);
 		if (previous === undefined || previous.upstream.incarnation <= upstream.incarnation) {
