--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -10,7 +10,7 @@
 import {
 	announcementTimeoutMilliseconds, type UpstreamWatch, watchOf, type WatchState, zoneTimeoutMilliseconds,
 } from './view.js';
-import {evidenceSaysLost} from './witness.js';
+import {isLostByEvidence} from './witness.js';
 
 /** The number of reports of its zone that must lack an upstream's announcement before the upstream counts as unresponsive. */
 export const missingReportsForVerdict = 2;
@@ -121,7 +121,7 @@
 	const alive = records.filter(record => record.phase !== UpstreamPhase.lost);
 	const lost = alive.filter(record => {
 		const {witnesses} = watchOf(state, record.service, record.name);
-		return evidenceSaysLost({
+		return isLostByEvidence({
 			witnesses, upstream: identityOf(record), zone: record.zone, rosterSize: tick.rosterSizes[record.zone] ?? 0, now: tick.now,
 		});
 	});
