--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -29,7 +29,7 @@
 export type Witnesses = Readonly<Record<InstanceName, Witness>>;
 
 /** The inputs for the decision whether an upstream is lost. */
-export type EvidenceQuestion = {
+export type EvidenceInputs = {
 	readonly witnesses: Witnesses;
 	readonly upstream: UpstreamIdentity;
 	/** The upstream's zone; only evidence of its instances counts. */
@@ -80,7 +80,7 @@
  * Whether a majority of the zone's instances with recent traffic observe the
  * upstream as lost: at least two of them, or one in a zone with a single instance.
  */
-export function isLostByEvidence({witnesses, upstream, zone, rosterSize, now}: EvidenceQuestion): boolean {
+export function isLostByEvidence({witnesses, upstream, zone, rosterSize, now}: EvidenceInputs): boolean {
 	const recent = Object.values(witnesses).filter(witness => witness.zone === zone
 		&& now - witness.observedAt <= evidenceWindowMilliseconds
 		&& sameUpstream(witness.upstream, upstream));
