--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -45,7 +45,7 @@
 	return isAlive ? 0 : before + evidence.failed + evidence.timedOut;
 }
 
-type SeenEvidence = UpstreamEvidence & {readonly seenBy: InstanceIdentity};
+type ReportedEvidence = UpstreamEvidence & {readonly seenBy: InstanceIdentity};
 
 function hasEndedAttempt({answered, shed, failed, timedOut}: UpstreamEvidence): boolean {
 	return answered + shed + failed + timedOut > 0;
@@ -56,7 +56,7 @@
  * of observation. Evidence without any ended attempt is ignored. The witnesses
  * are copied once for all of the evidence, as a zone may have hundreds.
  */
-export function recordEvidence(witnesses: Witnesses, evidence: readonly SeenEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
+export function recordEvidence(witnesses: Witnesses, evidence: readonly ReportedEvidence[], zone: ZoneName, now: MonotonicTime): Witnesses {
 	const conclusive = evidence.filter(one => hasEndedAttempt(one));
 	if (conclusive.length === 0) {
 		return witnesses;
