--- a/packages/membership/src/witness.ts
+++ b/packages/membership/src/witness.ts
@@ -41,8 +41,8 @@
 
 function failuresAfter(previous: Witness | undefined, evidence: UpstreamEvidence): number {
 	const isAlive = evidence.answered + evidence.shed > 0;
-	const before = previous !== undefined && sameUpstream(previous.upstream, evidence.upstream) ? previous.consecutiveFailures : 0;
-	return isAlive ? 0 : before + evidence.failed + evidence.timedOut;
+	const previousFailures = previous !== undefined && sameUpstream(previous.upstream, evidence.upstream) ? previous.consecutiveFailures : 0;
+	return isAlive ? 0 : previousFailures + evidence.failed + evidence.timedOut;
 }
 
 type ReportedEvidence = UpstreamEvidence & {readonly seenBy: InstanceIdentity};
