--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -15,7 +15,7 @@
 export const tickMilliseconds = 50;
 
 /** A simulated scenario: each field is a fault or a change and when it starts, in milliseconds. */
-export type Scene = {
+export type Scenario = {
 	readonly whenCut?: PartitionPolicy;
 	/** Upstreams in each of the zones `n-1` and `n-2`. */
 	readonly upstreams?: number;
@@ -49,17 +49,17 @@
 
 export const instances = ['i1', 'i2', 'i3'];
 
-export function contractOf(scene: Scene): ServiceContract {
+export function contractOf(scene: Scenario): ServiceContract {
 	return {
 		...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, whenCut: scene.whenCut ?? PartitionPolicy.hold,
 	};
 }
 
-export function namesIn(scene: Scene, zone: string): readonly string[] {
+export function namesIn(scene: Scenario, zone: string): readonly string[] {
 	return Array.from({length: scene.upstreams ?? 4}, (_, number) => `${zone}/u${number}`);
 }
 
-export function announcementsOf(scene: Scene, zone: string, now: number): readonly Announcement[] {
+export function announcementsOf(scene: Scenario, zone: string, now: number): readonly Announcement[] {
 	const isPassedOn = now % (reportMilliseconds * (scene.announcedEvery ?? 1)) === 0;
 	return namesIn(scene, zone)
 		.filter(() => isPassedOn)
@@ -76,7 +76,7 @@
 		}));
 }
 
-function evidenceOf(scene: Scene, zone: string, now: number): Report['evidence'] {
+function evidenceOf(scene: Scenario, zone: string, now: number): Report['evidence'] {
 	return Object.entries(scene.failingFrom ?? {})
 		.filter(([name]) => name.startsWith(zone))
 		.flatMap(([name, {at, instances: failing}]) => (scene.busyInstances ?? instances.slice(0, scene.rosterSize ?? 3)).map(instance => {
@@ -94,12 +94,12 @@
 		}));
 }
 
-export function isCut(scene: Scene, zone: string, now: number): boolean {
+export function isCut(scene: Scenario, zone: string, now: number): boolean {
 	const [from, until] = scene.cut?.[zone] ?? [Number.POSITIVE_INFINITY, 0];
 	return now >= from && now < until;
 }
 
-export function play(scene: Scene): Run {
+export function play(scene: Scenario): Run {
 	let watch = createWatch(0);
 	let registry = emptyMembership;
 	let index = 0;
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -6,7 +6,7 @@
 import {UpstreamPhase} from '@dogwooddeck/model/registry';
 import fc from 'fast-check';
 import {
-	announcementsOf, contractOf, instances, isCut, namesIn, play, reportMilliseconds, type Run, type Scene, service, tickMilliseconds,
+	announcementsOf, contractOf, instances, isCut, namesIn, play, reportMilliseconds, type Run, type Scenario, service, tickMilliseconds,
 } from './scene.js';
 import {applyMembership, emptyMembership, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {advanceWatch, createWatch, joinedAt} from '@dogwooddeck/membership/watch';
@@ -19,7 +19,7 @@
 
 const allOfZone = (at: number): Readonly<Record<string, number>> => Object.fromEntries(namesIn({untilMilliseconds: 0}, 'n-1').map(name => [name, at]));
 
-const lossCases: ReadonlyArray<{readonly name: string; readonly scene: Scene; readonly lost: readonly string[]; readonly within?: readonly [from: number, until: number]}> = [
+const lossCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly lost: readonly string[]; readonly within?: readonly [from: number, until: number]}> = [
 	{name: 'no fault', scene: {untilMilliseconds: 5000}, lost: []},
 	{
 		name: 'an upstream stops announcing itself',
@@ -107,7 +107,7 @@
 }
 
 /** The time from the last contact to the verdict. Announcements are reported every 250 ms. */
-const silenceCases: ReadonlyArray<{readonly name: string; readonly scene: Scene; readonly from: number; readonly until: number}> = [
+const silenceCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly from: number; readonly until: number}> = [
 	{
 		name: 'an upstream stops announcing itself', scene: {silentFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000}, from: 1000, until: 1300,
 	},
@@ -145,7 +145,7 @@
 	});
 }
 
-const lifeCases: ReadonlyArray<{readonly name: string; readonly scene: Scene; readonly expected: ReadonlyArray<readonly [at: number, change: string]>; readonly flapping: number}> = [
+const lifeCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly expected: ReadonlyArray<readonly [at: number, change: string]>; readonly flapping: number}> = [
 	{
 		name: 'joins at its first announcement', scene: {untilMilliseconds: 2000}, expected: [[0, 'upstreamJoined']], flapping: 0,
 	},
@@ -218,7 +218,7 @@
 	});
 }
 
-const randomScene: fc.Arbitrary<Scene> = fc.record({
+const randomScene: fc.Arbitrary<Scenario> = fc.record({
 	whenCut: fc.constantFrom(PartitionPolicy.hold, PartitionPolicy.takeOver),
 	upstreams: fc.integer({min: 2, max: 6}),
 	silentFrom: fc.dictionary(fc.constantFrom('n-1/u0', 'n-1/u1', 'n-2/u0'), fc.integer({min: 500, max: 8000})),
@@ -230,7 +230,7 @@
 	untilMilliseconds: fc.constant(12_000),
 });
 
-function isExplained(scene: Scene, name: string, at: number): boolean {
+function isExplained(scene: Scenario, name: string, at: number): boolean {
 	const zone = name.slice(0, 3);
 	const failing = scene.failingFrom?.[name];
 	const isSilent = at - (scene.silentFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
