--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -39,7 +39,7 @@
 };
 
 /** The result of a scenario. */
-export type Run = {
+export type SimulationResult = {
 	readonly registry: MembershipState;
 	readonly log: ReadonlyArray<{readonly at: number; readonly name: string; readonly change: string}>;
 	/** The times without contact that the verdicts report, in milliseconds. */
@@ -99,7 +99,7 @@
 	return now >= from && now < until;
 }
 
-export function play(scene: Scenario): Run {
+export function play(scene: Scenario): SimulationResult {
 	let watch = createWatch(0);
 	let registry = emptyMembership;
 	let index = 0;
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -6,14 +6,14 @@
 import {UpstreamPhase} from '@dogwooddeck/model/registry';
 import fc from 'fast-check';
 import {
-	announcementsOf, contractOf, instances, isCut, namesIn, play, reportMilliseconds, type Run, type Scenario, service, tickMilliseconds,
+	announcementsOf, contractOf, instances, isCut, namesIn, play, reportMilliseconds, type SimulationResult, type Scenario, service, tickMilliseconds,
 } from './scene.js';
 import {applyMembership, emptyMembership, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {advanceWatch, createWatch, joinedAt} from '@dogwooddeck/membership/watch';
 
 const seed = Number(process.env.SEED ?? 5);
 
-function lostNames(run: Run): readonly string[] {
+function lostNames(run: SimulationResult): readonly string[] {
 	return upstreamsOf(run.registry, service).filter(record => record.phase === UpstreamPhase.lost).map(record => record.name);
 }
 
