--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -99,7 +99,7 @@
 	return now >= from && now < until;
 }
 
-export function play(scene: Scenario): SimulationResult {
+export function simulate(scene: Scenario): SimulationResult {
 	let watch = createWatch(0);
 	let registry = emptyMembership;
 	let index = 0;
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -6,7 +6,7 @@
 import {UpstreamPhase} from '@dogwooddeck/model/registry';
 import fc from 'fast-check';
 import {
-	announcementsOf, contractOf, instances, isCut, namesIn, play, reportMilliseconds, type SimulationResult, type Scenario, service, tickMilliseconds,
+	announcementsOf, contractOf, instances, isCut, namesIn, simulate, reportMilliseconds, type SimulationResult, type Scenario, service, tickMilliseconds,
 } from './scene.js';
 import {applyMembership, emptyMembership, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {advanceWatch, createWatch, joinedAt} from '@dogwooddeck/membership/watch';
@@ -98,7 +98,7 @@
 
 for (const {name, scene, lost, within} of lossCases) {
 	test(`loss: ${name}`, () => {
-		const run = play(scene);
+		const run = simulate(scene);
 		assert.deepEqual(lostNames(run), lost);
 		for (const entry of run.log.filter(({change}) => within !== undefined && change === UpstreamPhase.lost)) {
 			assert.ok(entry.at >= within![0] && entry.at <= within![1], `verdict at ${entry.at}`);
@@ -140,7 +140,7 @@
 	name, scene, from, until,
 } of silenceCases) {
 	test(`time without contact: ${name}`, () => {
-		const [silence] = play(scene).silences;
+		const [silence] = simulate(scene).silences;
 		assert.ok(silence !== undefined && silence >= from && silence <= until, `${silence} ms`);
 	});
 }
@@ -185,7 +185,7 @@
 
 for (const {name, scene, expected, flapping} of lifeCases) {
 	test(`lifecycle: ${name}`, () => {
-		const run = play(scene);
+		const run = simulate(scene);
 		assert.deepEqual(run.log.filter(entry => entry.name === 'n-1/u1').map(({at, change}) => [at, change]), expected);
 		assert.equal(run.flapping, flapping);
 	});
@@ -242,7 +242,7 @@
 
 test(`no verdict without a timeout, agreed evidence, or a partition of a service that is taken over (seed ${seed})`, () => {
 	fc.assert(fc.property(randomScene, scene => {
-		for (const {at, name} of play(scene).log.filter(({change}) => change === UpstreamPhase.lost)) {
+		for (const {at, name} of simulate(scene).log.filter(({change}) => change === UpstreamPhase.lost)) {
 			assert.ok(isExplained(scene, name, at), `verdict on ${name} at ${at}`);
 		}
 	}), {seed, numRuns: 100});
@@ -250,7 +250,7 @@
 
 test(`no verdict on upstreams of an unreachable zone while the service holds (seed ${seed})`, () => {
 	fc.assert(fc.property(randomScene, scene => {
-		const run = play({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
+		const run = simulate({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
 		for (const {at, name} of run.log.filter(({change}) => change === UpstreamPhase.lost)) {
 			const from = scene.cut?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
 			assert.ok(!isCut(scene, name.slice(0, 3), at) || at <= from + 1000, `verdict on ${name} at ${at}`);
@@ -260,7 +260,7 @@
 
 test(`every unresponsive upstream of a reachable zone is declared lost within 3 s (seed ${seed})`, () => {
 	fc.assert(fc.property(randomScene, scene => {
-		const run = play({...scene, cut: {}, newLeaderAt: -1});
+		const run = simulate({...scene, cut: {}, newLeaderAt: -1});
 		const lost = lostNames(run);
 		for (const [name, from] of Object.entries(scene.silentFrom ?? {})) {
 			assert.ok(lost.includes(name) || from > 9000, `${name} without contact from ${from}`);
