--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -32,7 +32,7 @@
 	/** Only every n-th report contains announcements. */
 	readonly announcedEvery?: number;
 	/** The time in which no report of a zone arrives, by the zone. */
-	readonly cut?: Readonly<Record<string, readonly [from: number, until: number]>>;
+	readonly partitioned?: Readonly<Record<string, readonly [from: number, until: number]>>;
 	/** When a new leader starts with an empty view. */
 	readonly newLeaderAt?: number;
 	readonly untilMilliseconds: number;
@@ -95,7 +95,7 @@
 }
 
 export function isCut(scene: Scenario, zone: string, now: number): boolean {
-	const [from, until] = scene.cut?.[zone] ?? [Number.POSITIVE_INFINITY, 0];
+	const [from, until] = scene.partitioned?.[zone] ?? [Number.POSITIVE_INFINITY, 0];
 	return now >= from && now < until;
 }
 
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -55,17 +55,17 @@
 		scene: {failingFrom: Object.fromEntries(namesIn({untilMilliseconds: 0}, 'n-1').map(name => [name, {at: 2000, instances}])), untilMilliseconds: 9000},
 		lost: [],
 	},
-	{name: 'a zone is partitioned, and its service holds', scene: {cut: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000}, lost: []},
+	{name: 'a zone is partitioned, and its service holds', scene: {partitioned: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000}, lost: []},
 	{
 		name: 'a zone whose last two reports lack its only upstream is partitioned, and its service holds',
 		scene: {
-			upstreams: 1, announcedEvery: 3, cut: {'n-1': [2001, 60_000]}, untilMilliseconds: 20_000,
+			upstreams: 1, announcedEvery: 3, partitioned: {'n-1': [2001, 60_000]}, untilMilliseconds: 20_000,
 		},
 		lost: [],
 	},
 	{
 		name: 'a zone is partitioned, and its service is taken over',
-		scene: {whenCut: PartitionPolicy.takeOver, cut: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000},
+		scene: {whenCut: PartitionPolicy.takeOver, partitioned: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000},
 		lost: namesIn({untilMilliseconds: 0}, 'n-1'),
 		within: [3250, 3400],
 	},
@@ -75,16 +75,16 @@
 		lost: namesIn({untilMilliseconds: 0}, 'n-1'),
 		within: [3250, 3400],
 	},
-	{name: 'a partition heals: every upstream has a full grace period', scene: {cut: {'n-1': [2000, 9000]}, untilMilliseconds: 20_000}, lost: []},
+	{name: 'a partition heals: every upstream has a full grace period', scene: {partitioned: {'n-1': [2000, 9000]}, untilMilliseconds: 20_000}, lost: []},
 	{
 		name: 'an upstream fails during a partition',
-		scene: {cut: {'n-1': [2000, 9000]}, silentFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
+		scene: {partitioned: {'n-1': [2000, 9000]}, silentFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
 		lost: ['n-1/u1'],
 		within: [10_000, 10_100],
 	},
 	{
 		name: 'a gap in reports just under the zone timeout is not counted as time without contact',
-		scene: {cut: {'n-1': [2001, 3000]}, silentFrom: {'n-1/u1': 2600}, untilMilliseconds: 6000},
+		scene: {partitioned: {'n-1': [2001, 3000]}, silentFrom: {'n-1/u1': 2600}, untilMilliseconds: 6000},
 		lost: ['n-1/u1'],
 		within: [3250, 3400],
 	},
@@ -113,7 +113,7 @@
 	},
 	{
 		name: 'an upstream fails during a partition',
-		scene: {cut: {'n-1': [2000, 9000]}, silentFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
+		scene: {partitioned: {'n-1': [2000, 9000]}, silentFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
 		from: 8000,
 		until: 8300,
 	},
@@ -129,7 +129,7 @@
 	{
 		name: 'an upstream restarts under a leader that never had contact with its earlier incarnation',
 		scene: {
-			restartsAt: {'n-1/u1': [3000]}, cut: {'n-1': [2000, 3000]}, newLeaderAt: 2500, untilMilliseconds: 3050,
+			restartsAt: {'n-1/u1': [3000]}, partitioned: {'n-1': [2000, 3000]}, newLeaderAt: 2500, untilMilliseconds: 3050,
 		},
 		from: 0,
 		until: 0,
@@ -252,7 +252,7 @@
 	fc.assert(fc.property(randomScene, scene => {
 		const run = simulate({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
 		for (const {at, name} of run.log.filter(({change}) => change === UpstreamPhase.lost)) {
-			const from = scene.cut?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
+			const from = scene.partitioned?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
 			assert.ok(!isCut(scene, name.slice(0, 3), at) || at <= from + 1000, `verdict on ${name} at ${at}`);
 		}
 	}), {seed, numRuns: 100});
@@ -260,7 +260,7 @@
 
 test(`every unresponsive upstream of a reachable zone is declared lost within 3 s (seed ${seed})`, () => {
 	fc.assert(fc.property(randomScene, scene => {
-		const run = simulate({...scene, cut: {}, newLeaderAt: -1});
+		const run = simulate({...scene, partitioned: {}, newLeaderAt: -1});
 		const lost = lostNames(run);
 		for (const [name, from] of Object.entries(scene.silentFrom ?? {})) {
 			assert.ok(lost.includes(name) || from > 9000, `${name} without contact from ${from}`);
