--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -94,7 +94,7 @@
 		}));
 }
 
-export function isCut(scene: Scenario, zone: string, now: number): boolean {
+export function isPartitioned(scene: Scenario, zone: string, now: number): boolean {
 	const [from, until] = scene.partitioned?.[zone] ?? [Number.POSITIVE_INFINITY, 0];
 	return now >= from && now < until;
 }
@@ -127,7 +127,7 @@
 			watch = createWatch(now);
 		}
 
-		for (const zone of ['n-1', 'n-2'].filter(zone => now % reportMilliseconds === 0 && !isCut(scene, zone, now))) {
+		for (const zone of ['n-1', 'n-2'].filter(zone => now % reportMilliseconds === 0 && !isPartitioned(scene, zone, now))) {
 			const report = {...emptyReport, announcements: announcementsOf(scene, zone, now), evidence: evidenceOf(scene, zone, now)};
 			feed({
 				kind: 'reportReceived', now, report, reporter: {zone, instance: 'i1'},
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -6,7 +6,7 @@
 import {UpstreamPhase} from '@dogwooddeck/model/registry';
 import fc from 'fast-check';
 import {
-	announcementsOf, contractOf, instances, isCut, namesIn, simulate, reportMilliseconds, type SimulationResult, type Scenario, service, tickMilliseconds,
+	announcementsOf, contractOf, instances, isPartitioned, namesIn, simulate, reportMilliseconds, type SimulationResult, type Scenario, service, tickMilliseconds,
 } from './scene.js';
 import {applyMembership, emptyMembership, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {advanceWatch, createWatch, joinedAt} from '@dogwooddeck/membership/watch';
@@ -236,7 +236,7 @@
 	const isSilent = at - (scene.silentFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
 	const isFailing = failing !== undefined && at >= failing.at && failing.instances.length >= 2;
 	// The zone counts as unreachable until its first report after the partition.
-	const isUnheard = isCut(scene, zone, at) || isCut(scene, zone, at - reportMilliseconds);
+	const isUnheard = isPartitioned(scene, zone, at) || isPartitioned(scene, zone, at - reportMilliseconds);
 	return isSilent || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isUnheard);
 }
 
@@ -253,7 +253,7 @@
 		const run = simulate({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
 		for (const {at, name} of run.log.filter(({change}) => change === UpstreamPhase.lost)) {
 			const from = scene.partitioned?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
-			assert.ok(!isCut(scene, name.slice(0, 3), at) || at <= from + 1000, `verdict on ${name} at ${at}`);
+			assert.ok(!isPartitioned(scene, name.slice(0, 3), at) || at <= from + 1000, `verdict on ${name} at ${at}`);
 		}
 	}), {seed, numRuns: 100});
 });
