--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -21,7 +21,7 @@
 	readonly upstreams?: number;
 	readonly rosterSize?: number;
 	/** When an upstream stops announcing itself, by its name. */
-	readonly silentFrom?: Readonly<Record<string, number>>;
+	readonly unresponsiveFrom?: Readonly<Record<string, number>>;
 	readonly leavingFrom?: Readonly<Record<string, number>>;
 	/** When an upstream starts its next incarnation, by its name. */
 	readonly restartsAt?: Readonly<Record<string, readonly number[]>>;
@@ -63,7 +63,7 @@
 	const isPassedOn = now % (reportMilliseconds * (scene.announcedEvery ?? 1)) === 0;
 	return namesIn(scene, zone)
 		.filter(() => isPassedOn)
-		.filter(name => now < (scene.silentFrom?.[name] ?? Number.POSITIVE_INFINITY))
+		.filter(name => now < (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY))
 		.map(name => ({
 			service,
 			name,
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -23,11 +23,11 @@
 	{name: 'no fault', scene: {untilMilliseconds: 5000}, lost: []},
 	{
 		name: 'an upstream stops announcing itself',
-		scene: {silentFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000},
+		scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000},
 		lost: ['n-1/u1'],
 		within: [2750, 3100],
 	},
-	{name: 'a time without contact below the timeout', scene: {silentFrom: {'n-1/u1': 2000}, untilMilliseconds: 2700}, lost: []},
+	{name: 'a time without contact below the timeout', scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 2700}, lost: []},
 	{
 		name: 'an upstream announces itself but answers no instance',
 		scene: {failingFrom: {'n-1/u1': {at: 2000, instances}}, untilMilliseconds: 4000},
@@ -71,26 +71,26 @@
 	},
 	{
 		name: 'most upstreams of a reachable zone become unresponsive: the verdict comes later than for one alone',
-		scene: {silentFrom: allOfZone(2000), untilMilliseconds: 9000},
+		scene: {unresponsiveFrom: allOfZone(2000), untilMilliseconds: 9000},
 		lost: namesIn({untilMilliseconds: 0}, 'n-1'),
 		within: [3250, 3400],
 	},
 	{name: 'a partition heals: every upstream has a full grace period', scene: {partitioned: {'n-1': [2000, 9000]}, untilMilliseconds: 20_000}, lost: []},
 	{
 		name: 'an upstream fails during a partition',
-		scene: {partitioned: {'n-1': [2000, 9000]}, silentFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
+		scene: {partitioned: {'n-1': [2000, 9000]}, unresponsiveFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
 		lost: ['n-1/u1'],
 		within: [10_000, 10_100],
 	},
 	{
 		name: 'a gap in reports just under the zone timeout is not counted as time without contact',
-		scene: {partitioned: {'n-1': [2001, 3000]}, silentFrom: {'n-1/u1': 2600}, untilMilliseconds: 6000},
+		scene: {partitioned: {'n-1': [2001, 3000]}, unresponsiveFrom: {'n-1/u1': 2600}, untilMilliseconds: 6000},
 		lost: ['n-1/u1'],
 		within: [3250, 3400],
 	},
 	{
 		name: 'a new leader grants a full grace period',
-		scene: {silentFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
+		scene: {unresponsiveFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
 		lost: ['n-1/u1'],
 		within: [3500, 3600],
 	},
@@ -109,17 +109,17 @@
 /** The time from the last contact to the verdict. Announcements are reported every 250 ms. */
 const silenceCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly from: number; readonly until: number}> = [
 	{
-		name: 'an upstream stops announcing itself', scene: {silentFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000}, from: 1000, until: 1300,
+		name: 'an upstream stops announcing itself', scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000}, from: 1000, until: 1300,
 	},
 	{
 		name: 'an upstream fails during a partition',
-		scene: {partitioned: {'n-1': [2000, 9000]}, silentFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
+		scene: {partitioned: {'n-1': [2000, 9000]}, unresponsiveFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
 		from: 8000,
 		until: 8300,
 	},
 	{
 		name: 'an upstream is lost under a leader that never had contact with it',
-		scene: {silentFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
+		scene: {unresponsiveFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
 		from: 1000,
 		until: 1100,
 	},
@@ -157,7 +157,7 @@
 	},
 	{
 		name: 'an upstream that leaves and stops announcing itself is lost',
-		scene: {leavingFrom: {'n-1/u1': 2000}, silentFrom: {'n-1/u1': 2100}, untilMilliseconds: 4000},
+		scene: {leavingFrom: {'n-1/u1': 2000}, unresponsiveFrom: {'n-1/u1': 2100}, untilMilliseconds: 4000},
 		expected: [[0, 'upstreamJoined'], [2000, UpstreamPhase.leaving], [3050, UpstreamPhase.lost]],
 		flapping: 0,
 	},
@@ -233,7 +233,7 @@
 function isExplained(scene: Scenario, name: string, at: number): boolean {
 	const zone = name.slice(0, 3);
 	const failing = scene.failingFrom?.[name];
-	const isSilent = at - (scene.silentFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
+	const isSilent = at - (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
 	const isFailing = failing !== undefined && at >= failing.at && failing.instances.length >= 2;
 	// The zone counts as unreachable until its first report after the partition.
 	const isUnheard = isPartitioned(scene, zone, at) || isPartitioned(scene, zone, at - reportMilliseconds);
@@ -262,7 +262,7 @@
 	fc.assert(fc.property(randomScene, scene => {
 		const run = simulate({...scene, partitioned: {}, newLeaderAt: -1});
 		const lost = lostNames(run);
-		for (const [name, from] of Object.entries(scene.silentFrom ?? {})) {
+		for (const [name, from] of Object.entries(scene.unresponsiveFrom ?? {})) {
 			assert.ok(lost.includes(name) || from > 9000, `${name} without contact from ${from}`);
 		}
 	}), {seed, numRuns: 100});
