--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -43,7 +43,7 @@
 	readonly registry: MembershipState;
 	readonly log: ReadonlyArray<{readonly at: number; readonly name: string; readonly change: string}>;
 	/** The times without contact that the verdicts report, in milliseconds. */
-	readonly silences: readonly number[];
+	readonly timesWithoutContact: readonly number[];
 	readonly flapping: number;
 };
 
@@ -140,6 +140,6 @@
 	}
 
 	return {
-		registry, log, silences, flapping: flappingCount(watch, service, scene.untilMilliseconds),
+		registry, log, timesWithoutContact: silences, flapping: flappingCount(watch, service, scene.untilMilliseconds),
 	};
 }
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -140,7 +140,7 @@
 	name, scene, from, until,
 } of silenceCases) {
 	test(`time without contact: ${name}`, () => {
-		const [silence] = simulate(scene).silences;
+		const [silence] = simulate(scene).timesWithoutContact;
 		assert.ok(silence !== undefined && silence >= from && silence <= until, `${silence} ms`);
 	});
 }
