--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -104,12 +104,12 @@
 	let registry = emptyMembership;
 	let index = 0;
 	const log: Array<{at: number; name: string; change: string}> = [];
-	const silences: number[] = [];
+	const timesWithoutContact: number[] = [];
 	const carryOut = (effect: WatchEffect, at: number) => {
 		const {command} = effect;
 		const name = command.kind === 'upstreamJoined' ? command.record.name : command.upstream.name;
 		log.push({at, name, change: command.kind === 'upstreamPhaseChanged' ? command.phase : command.kind});
-		silences.push(...('silentMilliseconds' in command ? [command.silentMilliseconds] : []));
+		timesWithoutContact.push(...('silentMilliseconds' in command ? [command.silentMilliseconds] : []));
 		registry = applyMembership(registry, command, ++index).unwrapOr(registry);
 	};
 
@@ -140,6 +140,6 @@
 	}
 
 	return {
-		registry, log, timesWithoutContact: silences, flapping: flappingCount(watch, service, scene.untilMilliseconds),
+		registry, log, timesWithoutContact: timesWithoutContact, flapping: flappingCount(watch, service, scene.untilMilliseconds),
 	};
 }
