--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -30,7 +30,7 @@
 	/** The only instances that send requests. Absent: all. */
 	readonly busyInstances?: readonly string[];
 	/** Only every n-th report contains announcements. */
-	readonly announcedEvery?: number;
+	readonly reportsPerAnnouncement?: number;
 	/** The time in which no report of a zone arrives, by the zone. */
 	readonly partitioned?: Readonly<Record<string, readonly [from: number, until: number]>>;
 	/** When a new leader starts with an empty view. */
@@ -60,7 +60,7 @@
 }
 
 export function announcementsOf(scene: Scenario, zone: string, now: number): readonly Announcement[] {
-	const isPassedOn = now % (reportMilliseconds * (scene.announcedEvery ?? 1)) === 0;
+	const isPassedOn = now % (reportMilliseconds * (scene.reportsPerAnnouncement ?? 1)) === 0;
 	return namesIn(scene, zone)
 		.filter(() => isPassedOn)
 		.filter(name => now < (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY))
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -59,7 +59,7 @@
 	{
 		name: 'a zone whose last two reports lack its only upstream is partitioned, and its service holds',
 		scene: {
-			upstreams: 1, announcedEvery: 3, partitioned: {'n-1': [2001, 60_000]}, untilMilliseconds: 20_000,
+			upstreams: 1, reportsPerAnnouncement: 3, partitioned: {'n-1': [2001, 60_000]}, untilMilliseconds: 20_000,
 		},
 		lost: [],
 	},
