--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -60,9 +60,9 @@
 }
 
 export function announcementsOf(scene: Scenario, zone: string, now: number): readonly Announcement[] {
-	const isPassedOn = now % (reportMilliseconds * (scene.reportsPerAnnouncement ?? 1)) === 0;
+	const isReported = now % (reportMilliseconds * (scene.reportsPerAnnouncement ?? 1)) === 0;
 	return namesIn(scene, zone)
-		.filter(() => isPassedOn)
+		.filter(() => isReported)
 		.filter(name => now < (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY))
 		.map(name => ({
 			service,
