--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -49,9 +49,9 @@
 
 export const instances = ['i1', 'i2', 'i3'];
 
-export function contractOf(scene: Scenario): ServiceContract {
+export function contractOf(scenario: Scenario): ServiceContract {
 	return {
-		...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, whenCut: scene.whenCut ?? PartitionPolicy.hold,
+		...defaultContract, name: service, prefix: '/schedule', key: {place: 'path', segment: 0}, whenCut: scenario.whenCut ?? PartitionPolicy.hold,
 	};
 }
 
