--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -55,8 +55,8 @@
 	};
 }
 
-export function namesIn(scene: Scenario, zone: string): readonly string[] {
-	return Array.from({length: scene.upstreams ?? 4}, (_, number) => `${zone}/u${number}`);
+export function namesIn(scenario: Scenario, zone: string): readonly string[] {
+	return Array.from({length: scenario.upstreams ?? 4}, (_, number) => `${zone}/u${number}`);
 }
 
 export function announcementsOf(scene: Scenario, zone: string, now: number): readonly Announcement[] {
