--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -59,19 +59,19 @@
 	return Array.from({length: scenario.upstreams ?? 4}, (_, number) => `${zone}/u${number}`);
 }
 
-export function announcementsOf(scene: Scenario, zone: string, now: number): readonly Announcement[] {
-	const isReported = now % (reportMilliseconds * (scene.reportsPerAnnouncement ?? 1)) === 0;
-	return namesIn(scene, zone)
+export function announcementsOf(scenario: Scenario, zone: string, now: number): readonly Announcement[] {
+	const isReported = now % (reportMilliseconds * (scenario.reportsPerAnnouncement ?? 1)) === 0;
+	return namesIn(scenario, zone)
 		.filter(() => isReported)
-		.filter(name => now < (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY))
+		.filter(name => now < (scenario.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY))
 		.map(name => ({
 			service,
 			name,
-			incarnation: 1 + (scene.restartsAt?.[name] ?? []).filter(at => at <= now).length,
+			incarnation: 1 + (scenario.restartsAt?.[name] ?? []).filter(at => at <= now).length,
 			region: 'noord',
 			zone,
 			address: '127.0.0.1:1',
-			leaving: now >= (scene.leavingFrom?.[name] ?? Number.POSITIVE_INFINITY),
+			leaving: now >= (scenario.leavingFrom?.[name] ?? Number.POSITIVE_INFINITY),
 			load: 0,
 		}));
 }
