--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -76,10 +76,10 @@
 		}));
 }
 
-function evidenceOf(scene: Scenario, zone: string, now: number): Report['evidence'] {
-	return Object.entries(scene.failingFrom ?? {})
+function evidenceOf(scenario: Scenario, zone: string, now: number): Report['evidence'] {
+	return Object.entries(scenario.failingFrom ?? {})
 		.filter(([name]) => name.startsWith(zone))
-		.flatMap(([name, {at, instances: failing}]) => (scene.busyInstances ?? instances.slice(0, scene.rosterSize ?? 3)).map(instance => {
+		.flatMap(([name, {at, instances: failing}]) => (scenario.busyInstances ?? instances.slice(0, scenario.rosterSize ?? 3)).map(instance => {
 			const isFailing = now >= at && failing.includes(instance);
 			return {
 				upstream: {service, name, incarnation: 1},
