--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -94,8 +94,8 @@
 		}));
 }
 
-export function isPartitioned(scene: Scenario, zone: string, now: number): boolean {
-	const [from, until] = scene.partitioned?.[zone] ?? [Number.POSITIVE_INFINITY, 0];
+export function isPartitioned(scenario: Scenario, zone: string, now: number): boolean {
+	const [from, until] = scenario.partitioned?.[zone] ?? [Number.POSITIVE_INFINITY, 0];
 	return now >= from && now < until;
 }
 
