--- a/packages/membership/test/scene.ts
+++ b/packages/membership/test/scene.ts
@@ -99,7 +99,7 @@
 	return now >= from && now < until;
 }
 
-export function simulate(scene: Scenario): SimulationResult {
+export function simulate(scenario: Scenario): SimulationResult {
 	let watch = createWatch(0);
 	let registry = emptyMembership;
 	let index = 0;
@@ -121,25 +121,25 @@
 		}
 	};
 
-	const rosterSizes = {'n-1': scene.rosterSize ?? 3, 'n-2': scene.rosterSize ?? 3};
-	for (let now = 0; now <= scene.untilMilliseconds; now += tickMilliseconds) {
-		if (now === scene.newLeaderAt) {
+	const rosterSizes = {'n-1': scenario.rosterSize ?? 3, 'n-2': scenario.rosterSize ?? 3};
+	for (let now = 0; now <= scenario.untilMilliseconds; now += tickMilliseconds) {
+		if (now === scenario.newLeaderAt) {
 			watch = createWatch(now);
 		}
 
-		for (const zone of ['n-1', 'n-2'].filter(zone => now % reportMilliseconds === 0 && !isPartitioned(scene, zone, now))) {
-			const report = {...emptyReport, announcements: announcementsOf(scene, zone, now), evidence: evidenceOf(scene, zone, now)};
+		for (const zone of ['n-1', 'n-2'].filter(zone => now % reportMilliseconds === 0 && !isPartitioned(scenario, zone, now))) {
+			const report = {...emptyReport, announcements: announcementsOf(scenario, zone, now), evidence: evidenceOf(scenario, zone, now)};
 			feed({
 				kind: 'reportReceived', now, report, reporter: {zone, instance: 'i1'},
 			});
 		}
 
 		feed({
-			kind: 'ticked', now, registry, contracts: [contractOf(scene)], rosterSizes,
+			kind: 'ticked', now, registry, contracts: [contractOf(scenario)], rosterSizes,
 		});
 	}
 
 	return {
-		registry, log, timesWithoutContact: timesWithoutContact, flapping: flappingCount(watch, service, scene.untilMilliseconds),
+		registry, log, timesWithoutContact: timesWithoutContact, flapping: flappingCount(watch, service, scenario.untilMilliseconds),
 	};
 }
