--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -218,7 +218,7 @@
 	});
 }
 
-const randomScene: fc.Arbitrary<Scenario> = fc.record({
+const randomScenario: fc.Arbitrary<Scenario> = fc.record({
 	whenCut: fc.constantFrom(PartitionPolicy.hold, PartitionPolicy.takeOver),
 	upstreams: fc.integer({min: 2, max: 6}),
 	silentFrom: fc.dictionary(fc.constantFrom('n-1/u0', 'n-1/u1', 'n-2/u0'), fc.integer({min: 500, max: 8000})),
@@ -241,7 +241,7 @@
 }
 
 test(`no verdict without a timeout, agreed evidence, or a partition of a service that is taken over (seed ${seed})`, () => {
-	fc.assert(fc.property(randomScene, scene => {
+	fc.assert(fc.property(randomScenario, scene => {
 		for (const {at, name} of simulate(scene).log.filter(({change}) => change === UpstreamPhase.lost)) {
 			assert.ok(isExplained(scene, name, at), `verdict on ${name} at ${at}`);
 		}
@@ -249,7 +249,7 @@
 });
 
 test(`no verdict on upstreams of an unreachable zone while the service holds (seed ${seed})`, () => {
-	fc.assert(fc.property(randomScene, scene => {
+	fc.assert(fc.property(randomScenario, scene => {
 		const run = simulate({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
 		for (const {at, name} of run.log.filter(({change}) => change === UpstreamPhase.lost)) {
 			const from = scene.partitioned?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
@@ -259,7 +259,7 @@
 });
 
 test(`every unresponsive upstream of a reachable zone is declared lost within 3 s (seed ${seed})`, () => {
-	fc.assert(fc.property(randomScene, scene => {
+	fc.assert(fc.property(randomScenario, scene => {
 		const run = simulate({...scene, partitioned: {}, newLeaderAt: -1});
 		const lost = lostNames(run);
 		for (const [name, from] of Object.entries(scene.unresponsiveFrom ?? {})) {
