--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -145,7 +145,7 @@
 	});
 }
 
-const lifeCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly expected: ReadonlyArray<readonly [at: number, change: string]>; readonly flapping: number}> = [
+const lifecycleCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly expected: ReadonlyArray<readonly [at: number, change: string]>; readonly flapping: number}> = [
 	{
 		name: 'joins at its first announcement', scene: {untilMilliseconds: 2000}, expected: [[0, 'upstreamJoined']], flapping: 0,
 	},
@@ -183,7 +183,7 @@
 	},
 ];
 
-for (const {name, scene, expected, flapping} of lifeCases) {
+for (const {name, scene, expected, flapping} of lifecycleCases) {
 	test(`lifecycle: ${name}`, () => {
 		const run = simulate(scene);
 		assert.deepEqual(run.log.filter(entry => entry.name === 'n-1/u1').map(({at, change}) => [at, change]), expected);
