--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -107,7 +107,7 @@
 }
 
 /** The time from the last contact to the verdict. Announcements are reported every 250 ms. */
-const silenceCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly from: number; readonly until: number}> = [
+const contactCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly from: number; readonly until: number}> = [
 	{
 		name: 'an upstream stops announcing itself', scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000}, from: 1000, until: 1300,
 	},
@@ -138,7 +138,7 @@
 
 for (const {
 	name, scene, from, until,
-} of silenceCases) {
+} of contactCases) {
 	test(`time without contact: ${name}`, () => {
 		const [silence] = simulate(scene).timesWithoutContact;
 		assert.ok(silence !== undefined && silence >= from && silence <= until, `${silence} ms`);
