--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -140,8 +140,8 @@
 	name, scene, from, until,
 } of contactCases) {
 	test(`time without contact: ${name}`, () => {
-		const [silence] = simulate(scene).timesWithoutContact;
-		assert.ok(silence !== undefined && silence >= from && silence <= until, `${silence} ms`);
+		const [timeWithoutContact] = simulate(scene).timesWithoutContact;
+		assert.ok(timeWithoutContact !== undefined && timeWithoutContact >= from && timeWithoutContact <= until, `${timeWithoutContact} ms`);
 	});
 }
 
