--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -233,11 +233,11 @@
 function isExplained(scene: Scenario, name: string, at: number): boolean {
 	const zone = name.slice(0, 3);
 	const failing = scene.failingFrom?.[name];
-	const isSilent = at - (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
+	const isUnresponsive = at - (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
 	const isFailing = failing !== undefined && at >= failing.at && failing.instances.length >= 2;
 	// The zone counts as unreachable until its first report after the partition.
 	const isUnheard = isPartitioned(scene, zone, at) || isPartitioned(scene, zone, at - reportMilliseconds);
-	return isSilent || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isUnheard);
+	return isUnresponsive || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isUnheard);
 }
 
 test(`no verdict without a timeout, agreed evidence, or a partition of a service that is taken over (seed ${seed})`, () => {
