--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -236,8 +236,8 @@
 	const isUnresponsive = at - (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
 	const isFailing = failing !== undefined && at >= failing.at && failing.instances.length >= 2;
 	// The zone counts as unreachable until its first report after the partition.
-	const isUnheard = isPartitioned(scene, zone, at) || isPartitioned(scene, zone, at - reportMilliseconds);
-	return isUnresponsive || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isUnheard);
+	const isZoneUnreachable = isPartitioned(scene, zone, at) || isPartitioned(scene, zone, at - reportMilliseconds);
+	return isUnresponsive || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isZoneUnreachable);
 }
 
 test(`no verdict without a timeout, agreed evidence, or a partition of a service that is taken over (seed ${seed})`, () => {
