--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -211,10 +211,10 @@
 		const {state} = advanceWatch(createWatch(0), {
 			kind: 'reportReceived', now: 70, report: {...emptyReport, announcements: [announcement!]}, reporter: {zone: 'n-1', instance: 'i1'},
 		});
-		const judged = advanceWatch(state, {
+		const decided = advanceWatch(state, {
 			kind: 'ticked', now: 100, registry: isInRegistry ? joining.unwrapOr(emptyMembership) : emptyMembership, contracts: [contractOf({untilMilliseconds: 0})], rosterSizes: {},
 		});
-		assert.equal(joinedAt(judged.state, {service, name: 'n-1/u0', incarnation}), expected);
+		assert.equal(joinedAt(decided.state, {service, name: 'n-1/u0', incarnation}), expected);
 	});
 }
 
