--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -207,12 +207,12 @@
 	test(`time of joining: ${name}`, () => {
 		const [announcement] = announcementsOf({untilMilliseconds: 0}, 'n-1', 0);
 		const {leaving: _leaving, load: _load, ...fields} = announcement!;
-		const joining = applyMembership(emptyMembership, {kind: 'upstreamJoined', record: {...fields, phase: UpstreamPhase.serving}}, 1);
+		const joined = applyMembership(emptyMembership, {kind: 'upstreamJoined', record: {...fields, phase: UpstreamPhase.serving}}, 1);
 		const {state} = advanceWatch(createWatch(0), {
 			kind: 'reportReceived', now: 70, report: {...emptyReport, announcements: [announcement!]}, reporter: {zone: 'n-1', instance: 'i1'},
 		});
 		const decided = advanceWatch(state, {
-			kind: 'ticked', now: 100, registry: isInRegistry ? joining.unwrapOr(emptyMembership) : emptyMembership, contracts: [contractOf({untilMilliseconds: 0})], rosterSizes: {},
+			kind: 'ticked', now: 100, registry: isInRegistry ? joined.unwrapOr(emptyMembership) : emptyMembership, contracts: [contractOf({untilMilliseconds: 0})], rosterSizes: {},
 		});
 		assert.equal(joinedAt(decided.state, {service, name: 'n-1/u0', incarnation}), expected);
 	});
