--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -19,84 +19,84 @@
 
 const allOfZone = (at: number): Readonly<Record<string, number>> => Object.fromEntries(namesIn({untilMilliseconds: 0}, 'n-1').map(name => [name, at]));
 
-const lossCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly lost: readonly string[]; readonly within?: readonly [from: number, until: number]}> = [
-	{name: 'no fault', scene: {untilMilliseconds: 5000}, lost: []},
+const lossCases: ReadonlyArray<{readonly name: string; readonly scenario: Scenario; readonly lost: readonly string[]; readonly within?: readonly [from: number, until: number]}> = [
+	{name: 'no fault', scenario: {untilMilliseconds: 5000}, lost: []},
 	{
 		name: 'an upstream stops announcing itself',
-		scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000},
+		scenario: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000},
 		lost: ['n-1/u1'],
 		within: [2750, 3100],
 	},
-	{name: 'a time without contact below the timeout', scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 2700}, lost: []},
+	{name: 'a time without contact below the timeout', scenario: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 2700}, lost: []},
 	{
 		name: 'an upstream announces itself but answers no instance',
-		scene: {failingFrom: {'n-1/u1': {at: 2000, instances}}, untilMilliseconds: 4000},
+		scenario: {failingFrom: {'n-1/u1': {at: 2000, instances}}, untilMilliseconds: 4000},
 		lost: ['n-1/u1'],
 		within: [2250, 2600],
 	},
-	{name: 'attempts of one instance fail, those of two succeed', scene: {failingFrom: {'n-1/u1': {at: 2000, instances: ['i1']}}, untilMilliseconds: 9000}, lost: []},
+	{name: 'attempts of one instance fail, those of two succeed', scenario: {failingFrom: {'n-1/u1': {at: 2000, instances: ['i1']}}, untilMilliseconds: 9000}, lost: []},
 	{
 		name: 'attempts of one instance fail, and no other has traffic',
-		scene: {busyInstances: ['i1'], failingFrom: {'n-1/u1': {at: 2000, instances: ['i1']}}, untilMilliseconds: 9000},
+		scenario: {busyInstances: ['i1'], failingFrom: {'n-1/u1': {at: 2000, instances: ['i1']}}, untilMilliseconds: 9000},
 		lost: [],
 	},
 	{
 		name: 'attempts of two instances of three fail',
-		scene: {failingFrom: {'n-1/u1': {at: 2000, instances: ['i1', 'i2']}}, untilMilliseconds: 4000},
+		scenario: {failingFrom: {'n-1/u1': {at: 2000, instances: ['i1', 'i2']}}, untilMilliseconds: 4000},
 		lost: ['n-1/u1'],
 	},
 	{
 		name: 'attempts of the only instance of a zone fail',
-		scene: {rosterSize: 1, failingFrom: {'n-1/u1': {at: 2000, instances: ['i1']}}, untilMilliseconds: 4000},
+		scenario: {rosterSize: 1, failingFrom: {'n-1/u1': {at: 2000, instances: ['i1']}}, untilMilliseconds: 4000},
 		lost: ['n-1/u1'],
 	},
 	{
 		name: 'evidence against most upstreams at once is taken for overload',
-		scene: {failingFrom: Object.fromEntries(namesIn({untilMilliseconds: 0}, 'n-1').map(name => [name, {at: 2000, instances}])), untilMilliseconds: 9000},
+		scenario: {failingFrom: Object.fromEntries(namesIn({untilMilliseconds: 0}, 'n-1').map(name => [name, {at: 2000, instances}])), untilMilliseconds: 9000},
 		lost: [],
 	},
-	{name: 'a zone is partitioned, and its service holds', scene: {partitioned: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000}, lost: []},
+	{name: 'a zone is partitioned, and its service holds', scenario: {partitioned: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000}, lost: []},
 	{
 		name: 'a zone whose last two reports lack its only upstream is partitioned, and its service holds',
-		scene: {
+		scenario: {
 			upstreams: 1, reportsPerAnnouncement: 3, partitioned: {'n-1': [2001, 60_000]}, untilMilliseconds: 20_000,
 		},
 		lost: [],
 	},
 	{
 		name: 'a zone is partitioned, and its service is taken over',
-		scene: {whenCut: PartitionPolicy.takeOver, partitioned: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000},
+		scenario: {whenCut: PartitionPolicy.takeOver, partitioned: {'n-1': [2000, 60_000]}, untilMilliseconds: 20_000},
 		lost: namesIn({untilMilliseconds: 0}, 'n-1'),
 		within: [3250, 3400],
 	},
 	{
 		name: 'most upstreams of a reachable zone become unresponsive: the verdict comes later than for one alone',
-		scene: {unresponsiveFrom: allOfZone(2000), untilMilliseconds: 9000},
+		scenario: {unresponsiveFrom: allOfZone(2000), untilMilliseconds: 9000},
 		lost: namesIn({untilMilliseconds: 0}, 'n-1'),
 		within: [3250, 3400],
 	},
-	{name: 'a partition heals: every upstream has a full grace period', scene: {partitioned: {'n-1': [2000, 9000]}, untilMilliseconds: 20_000}, lost: []},
+	{name: 'a partition heals: every upstream has a full grace period', scenario: {partitioned: {'n-1': [2000, 9000]}, untilMilliseconds: 20_000}, lost: []},
 	{
 		name: 'an upstream fails during a partition',
-		scene: {partitioned: {'n-1': [2000, 9000]}, unresponsiveFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
+		scenario: {partitioned: {'n-1': [2000, 9000]}, unresponsiveFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
 		lost: ['n-1/u1'],
 		within: [10_000, 10_100],
 	},
 	{
 		name: 'a gap in reports just under the zone timeout is not counted as time without contact',
-		scene: {partitioned: {'n-1': [2001, 3000]}, unresponsiveFrom: {'n-1/u1': 2600}, untilMilliseconds: 6000},
+		scenario: {partitioned: {'n-1': [2001, 3000]}, unresponsiveFrom: {'n-1/u1': 2600}, untilMilliseconds: 6000},
 		lost: ['n-1/u1'],
 		within: [3250, 3400],
 	},
 	{
 		name: 'a new leader grants a full grace period',
-		scene: {unresponsiveFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
+		scenario: {unresponsiveFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
 		lost: ['n-1/u1'],
 		within: [3500, 3600],
 	},
 ];
 
-for (const {name, scene, lost, within} of lossCases) {
+for (const {name, scenario: scene, lost, within} of lossCases) {
 	test(`loss: ${name}`, () => {
 		const run = simulate(scene);
 		assert.deepEqual(lostNames(run), lost);
