--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -107,28 +107,28 @@
 }
 
 /** The time from the last contact to the verdict. Announcements are reported every 250 ms. */
-const contactCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly from: number; readonly until: number}> = [
+const contactCases: ReadonlyArray<{readonly name: string; readonly scenario: Scenario; readonly from: number; readonly until: number}> = [
 	{
-		name: 'an upstream stops announcing itself', scene: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000}, from: 1000, until: 1300,
+		name: 'an upstream stops announcing itself', scenario: {unresponsiveFrom: {'n-1/u1': 2000}, untilMilliseconds: 5000}, from: 1000, until: 1300,
 	},
 	{
 		name: 'an upstream fails during a partition',
-		scene: {partitioned: {'n-1': [2000, 9000]}, unresponsiveFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
+		scenario: {partitioned: {'n-1': [2000, 9000]}, unresponsiveFrom: {'n-1/u1': 4000}, untilMilliseconds: 20_000},
 		from: 8000,
 		until: 8300,
 	},
 	{
 		name: 'an upstream is lost under a leader that never had contact with it',
-		scene: {unresponsiveFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
+		scenario: {unresponsiveFrom: {'n-1/u1': 2000}, newLeaderAt: 2500, untilMilliseconds: 6000},
 		from: 1000,
 		until: 1100,
 	},
 	{
-		name: 'an upstream restarts at once', scene: {restartsAt: {'n-1/u1': [2000]}, untilMilliseconds: 2100}, from: 250, until: 250,
+		name: 'an upstream restarts at once', scenario: {restartsAt: {'n-1/u1': [2000]}, untilMilliseconds: 2100}, from: 250, until: 250,
 	},
 	{
 		name: 'an upstream restarts under a leader that never had contact with its earlier incarnation',
-		scene: {
+		scenario: {
 			restartsAt: {'n-1/u1': [3000]}, partitioned: {'n-1': [2000, 3000]}, newLeaderAt: 2500, untilMilliseconds: 3050,
 		},
 		from: 0,
@@ -137,7 +137,7 @@
 ];
 
 for (const {
-	name, scene, from, until,
+	name, scenario: scene, from, until,
 } of contactCases) {
 	test(`time without contact: ${name}`, () => {
 		const [timeWithoutContact] = simulate(scene).timesWithoutContact;
