--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -145,31 +145,31 @@
 	});
 }
 
-const lifecycleCases: ReadonlyArray<{readonly name: string; readonly scene: Scenario; readonly expected: ReadonlyArray<readonly [at: number, change: string]>; readonly flapping: number}> = [
+const lifecycleCases: ReadonlyArray<{readonly name: string; readonly scenario: Scenario; readonly expected: ReadonlyArray<readonly [at: number, change: string]>; readonly flapping: number}> = [
 	{
-		name: 'joins at its first announcement', scene: {untilMilliseconds: 2000}, expected: [[0, 'upstreamJoined']], flapping: 0,
+		name: 'joins at its first announcement', scenario: {untilMilliseconds: 2000}, expected: [[0, 'upstreamJoined']], flapping: 0,
 	},
 	{
 		name: 'leaves when it announces so',
-		scene: {leavingFrom: {'n-1/u1': 2000}, untilMilliseconds: 3000},
+		scenario: {leavingFrom: {'n-1/u1': 2000}, untilMilliseconds: 3000},
 		expected: [[0, 'upstreamJoined'], [2000, UpstreamPhase.leaving]],
 		flapping: 0,
 	},
 	{
 		name: 'an upstream that leaves and stops announcing itself is lost',
-		scene: {leavingFrom: {'n-1/u1': 2000}, unresponsiveFrom: {'n-1/u1': 2100}, untilMilliseconds: 4000},
+		scenario: {leavingFrom: {'n-1/u1': 2000}, unresponsiveFrom: {'n-1/u1': 2100}, untilMilliseconds: 4000},
 		expected: [[0, 'upstreamJoined'], [2000, UpstreamPhase.leaving], [3050, UpstreamPhase.lost]],
 		flapping: 0,
 	},
 	{
 		name: 'a restart joins at once',
-		scene: {restartsAt: {'n-1/u1': [2000]}, untilMilliseconds: 5000},
+		scenario: {restartsAt: {'n-1/u1': [2000]}, untilMilliseconds: 5000},
 		expected: [[0, 'upstreamJoined'], [2000, UpstreamPhase.lost], [2000, 'upstreamJoined']],
 		flapping: 0,
 	},
 	{
 		name: 'the third incarnation joins after 5 s, the fourth after 10 s',
-		scene: {restartsAt: {'n-1/u1': [10_000, 20_000, 30_000]}, untilMilliseconds: 45_000},
+		scenario: {restartsAt: {'n-1/u1': [10_000, 20_000, 30_000]}, untilMilliseconds: 45_000},
 		expected: [
 			[0, 'upstreamJoined'],
 			[10_000, UpstreamPhase.lost],
@@ -183,7 +183,7 @@
 	},
 ];
 
-for (const {name, scene, expected, flapping} of lifecycleCases) {
+for (const {name, scenario: scene, expected, flapping} of lifecycleCases) {
 	test(`lifecycle: ${name}`, () => {
 		const run = simulate(scene);
 		assert.deepEqual(run.log.filter(entry => entry.name === 'n-1/u1').map(({at, change}) => [at, change]), expected);
