--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -96,9 +96,9 @@
 	},
 ];
 
-for (const {name, scenario: scene, lost, within} of lossCases) {
+for (const {name, scenario: scenario, lost, within} of lossCases) {
 	test(`loss: ${name}`, () => {
-		const run = simulate(scene);
+		const run = simulate(scenario);
 		assert.deepEqual(lostNames(run), lost);
 		for (const entry of run.log.filter(({change}) => within !== undefined && change === UpstreamPhase.lost)) {
 			assert.ok(entry.at >= within![0] && entry.at <= within![1], `verdict at ${entry.at}`);
