--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -183,9 +183,9 @@
 	},
 ];
 
-for (const {name, scenario: scene, expected, flapping} of lifecycleCases) {
+for (const {name, scenario: scenario, expected, flapping} of lifecycleCases) {
 	test(`lifecycle: ${name}`, () => {
-		const run = simulate(scene);
+		const run = simulate(scenario);
 		assert.deepEqual(run.log.filter(entry => entry.name === 'n-1/u1').map(({at, change}) => [at, change]), expected);
 		assert.equal(run.flapping, flapping);
 	});
