--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -137,10 +137,10 @@
 ];
 
 for (const {
-	name, scenario: scene, from, until,
+	name, scenario: scenario, from, until,
 } of contactCases) {
 	test(`time without contact: ${name}`, () => {
-		const [timeWithoutContact] = simulate(scene).timesWithoutContact;
+		const [timeWithoutContact] = simulate(scenario).timesWithoutContact;
 		assert.ok(timeWithoutContact !== undefined && timeWithoutContact >= from && timeWithoutContact <= until, `${timeWithoutContact} ms`);
 	});
 }
