--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -230,14 +230,14 @@
 	untilMilliseconds: fc.constant(12_000),
 });
 
-function isExplained(scene: Scenario, name: string, at: number): boolean {
+function isExplained(scenario: Scenario, name: string, at: number): boolean {
 	const zone = name.slice(0, 3);
-	const failing = scene.failingFrom?.[name];
-	const isUnresponsive = at - (scene.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
+	const failing = scenario.failingFrom?.[name];
+	const isUnresponsive = at - (scenario.unresponsiveFrom?.[name] ?? Number.POSITIVE_INFINITY) > 500;
 	const isFailing = failing !== undefined && at >= failing.at && failing.instances.length >= 2;
 	// The zone counts as unreachable until its first report after the partition.
-	const isZoneUnreachable = isPartitioned(scene, zone, at) || isPartitioned(scene, zone, at - reportMilliseconds);
-	return isUnresponsive || isFailing || (scene.whenCut === PartitionPolicy.takeOver && isZoneUnreachable);
+	const isZoneUnreachable = isPartitioned(scenario, zone, at) || isPartitioned(scenario, zone, at - reportMilliseconds);
+	return isUnresponsive || isFailing || (scenario.whenCut === PartitionPolicy.takeOver && isZoneUnreachable);
 }
 
 test(`no verdict without a timeout, agreed evidence, or a partition of a service that is taken over (seed ${seed})`, () => {
