--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -241,9 +241,9 @@
 }
 
 test(`no verdict without a timeout, agreed evidence, or a partition of a service that is taken over (seed ${seed})`, () => {
-	fc.assert(fc.property(randomScenario, scene => {
-		for (const {at, name} of simulate(scene).log.filter(({change}) => change === UpstreamPhase.lost)) {
-			assert.ok(isExplained(scene, name, at), `verdict on ${name} at ${at}`);
+	fc.assert(fc.property(randomScenario, scenario => {
+		for (const {at, name} of simulate(scenario).log.filter(({change}) => change === UpstreamPhase.lost)) {
+			assert.ok(isExplained(scenario, name, at), `verdict on ${name} at ${at}`);
 		}
 	}), {seed, numRuns: 100});
 });
