--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -249,11 +249,11 @@
 });
 
 test(`no verdict on upstreams of an unreachable zone while the service holds (seed ${seed})`, () => {
-	fc.assert(fc.property(randomScenario, scene => {
-		const run = simulate({...scene, whenCut: PartitionPolicy.hold, failingFrom: {}});
+	fc.assert(fc.property(randomScenario, scenario => {
+		const run = simulate({...scenario, whenCut: PartitionPolicy.hold, failingFrom: {}});
 		for (const {at, name} of run.log.filter(({change}) => change === UpstreamPhase.lost)) {
-			const from = scene.partitioned?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
-			assert.ok(!isPartitioned(scene, name.slice(0, 3), at) || at <= from + 1000, `verdict on ${name} at ${at}`);
+			const from = scenario.partitioned?.[name.slice(0, 3)]?.[0] ?? Number.POSITIVE_INFINITY;
+			assert.ok(!isPartitioned(scenario, name.slice(0, 3), at) || at <= from + 1000, `verdict on ${name} at ${at}`);
 		}
 	}), {seed, numRuns: 100});
 });
