--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -259,10 +259,10 @@
 });
 
 test(`every unresponsive upstream of a reachable zone is declared lost within 3 s (seed ${seed})`, () => {
-	fc.assert(fc.property(randomScenario, scene => {
-		const run = simulate({...scene, partitioned: {}, newLeaderAt: -1});
+	fc.assert(fc.property(randomScenario, scenario => {
+		const run = simulate({...scenario, partitioned: {}, newLeaderAt: -1});
 		const lost = lostNames(run);
-		for (const [name, from] of Object.entries(scene.unresponsiveFrom ?? {})) {
+		for (const [name, from] of Object.entries(scenario.unresponsiveFrom ?? {})) {
 			assert.ok(lost.includes(name) || from > 9000, `${name} without contact from ${from}`);
 		}
 	}), {seed, numRuns: 100});
