--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -8,9 +8,9 @@
 const zone = 'n-1';
 
 /** The attempts of one instance at an incarnation of the upstream. */
-type Sight = {readonly instance: string; readonly incarnation?: number; readonly answered?: number; readonly failed?: number};
+type Observation = {readonly instance: string; readonly incarnation?: number; readonly answered?: number; readonly failed?: number};
 
-function evidenceOf(name: string, {instance, incarnation = 1, answered = 0, failed = 0}: Sight): Report['evidence'][number] {
+function evidenceOf(name: string, {instance, incarnation = 1, answered = 0, failed = 0}: Observation): Report['evidence'][number] {
 	return {
 		upstream: {service, name, incarnation},
 		answered,
@@ -29,7 +29,7 @@
 	}).state;
 }
 
-const sightCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Sight[]; readonly failures: Readonly<Record<string, number>>}> = [
+const sightCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Observation[]; readonly failures: Readonly<Record<string, number>>}> = [
 	{name: 'failures add up', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
 	{name: 'a response resets the count', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
 	{name: 'the count starts after a response', sights: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
