--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -29,7 +29,7 @@
 	}).state;
 }
 
-const sightCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Observation[]; readonly failures: Readonly<Record<string, number>>}> = [
+const witnessCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Observation[]; readonly failures: Readonly<Record<string, number>>}> = [
 	{name: 'failures add up', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
 	{name: 'a response resets the count', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
 	{name: 'the count starts after a response', sights: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
@@ -39,7 +39,7 @@
 	{name: 'a later incarnation starts at zero', sights: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
 ];
 
-for (const {name, sights, failures} of sightCases) {
+for (const {name, sights, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
 		const evidence = sights.map(sight => evidenceOf('u1', sight));
 		const apart = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
