--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -29,17 +29,17 @@
 	}).state;
 }
 
-const witnessCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Observation[]; readonly failures: Readonly<Record<string, number>>}> = [
-	{name: 'failures add up', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
-	{name: 'a response resets the count', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
-	{name: 'the count starts after a response', sights: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
-	{name: 'each instance has its own count', sights: [{instance: 'i1', failed: 2}, {instance: 'i2', failed: 1}], failures: {i1: 2, i2: 1}},
-	{name: 'evidence without an ended attempt is ignored', sights: [{instance: 'i1', failed: 2}, {instance: 'i1'}, {instance: 'i2'}], failures: {i1: 2}},
-	{name: 'evidence about an earlier incarnation is ignored', sights: [{instance: 'i1', incarnation: 2, failed: 1}, {instance: 'i1', failed: 5}], failures: {i1: 1}},
-	{name: 'a later incarnation starts at zero', sights: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
+const witnessCases: ReadonlyArray<{readonly name: string; readonly observations: readonly Observation[]; readonly failures: Readonly<Record<string, number>>}> = [
+	{name: 'failures add up', observations: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
+	{name: 'a response resets the count', observations: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
+	{name: 'the count starts after a response', observations: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
+	{name: 'each instance has its own count', observations: [{instance: 'i1', failed: 2}, {instance: 'i2', failed: 1}], failures: {i1: 2, i2: 1}},
+	{name: 'evidence without an ended attempt is ignored', observations: [{instance: 'i1', failed: 2}, {instance: 'i1'}, {instance: 'i2'}], failures: {i1: 2}},
+	{name: 'evidence about an earlier incarnation is ignored', observations: [{instance: 'i1', incarnation: 2, failed: 1}, {instance: 'i1', failed: 5}], failures: {i1: 1}},
+	{name: 'a later incarnation starts at zero', observations: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
 ];
 
-for (const {name, sights, failures} of witnessCases) {
+for (const {name, observations: sights, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
 		const evidence = sights.map(sight => evidenceOf('u1', sight));
 		const apart = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
