--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -39,9 +39,9 @@
 	{name: 'a later incarnation starts at zero', observations: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
 ];
 
-for (const {name, observations: sights, failures} of witnessCases) {
+for (const {name, observations: observations, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
-		const evidence = sights.map(sight => evidenceOf('u1', sight));
+		const evidence = observations.map(sight => evidenceOf('u1', sight));
 		const apart = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
 		for (const state of [receive(createWatch(0), evidence), apart]) {
 			const {witnesses} = state.upstreams.get(`${service}\nu1`)!;
