--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -41,7 +41,7 @@
 
 for (const {name, observations: observations, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
-		const evidence = observations.map(sight => evidenceOf('u1', sight));
+		const evidence = observations.map(observation => evidenceOf('u1', observation));
 		const apart = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
 		for (const state of [receive(createWatch(0), evidence), apart]) {
 			const {witnesses} = state.upstreams.get(`${service}\nu1`)!;
