--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -42,8 +42,8 @@
 for (const {name, observations: observations, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
 		const evidence = observations.map(observation => evidenceOf('u1', observation));
-		const apart = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
-		for (const state of [receive(createWatch(0), evidence), apart]) {
+		const separate = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
+		for (const state of [receive(createWatch(0), evidence), separate]) {
 			const {witnesses} = state.upstreams.get(`${service}\nu1`)!;
 			assert.deepEqual(Object.fromEntries(Object.entries(witnesses).map(([instance, {consecutiveFailures: failuresInRow}]) => [instance, failuresInRow])), failures);
 		}
