--- a/packages/membership/test/test-registry.ts
+++ b/packages/membership/test/test-registry.ts
@@ -127,28 +127,28 @@
 	});
 }
 
-const announcements: ReadonlyArray<{readonly name: string; readonly commands: readonly MembershipCommand[]; readonly incarnation: number; readonly isTaken: boolean}> = [
+const announcements: ReadonlyArray<{readonly name: string; readonly commands: readonly MembershipCommand[]; readonly incarnation: number; readonly isAccepted: boolean}> = [
 	{
-		name: 'an unknown upstream', commands: [], incarnation: 1, isTaken: true,
+		name: 'an unknown upstream', commands: [], incarnation: 1, isAccepted: true,
 	},
 	{
-		name: 'the current incarnation', commands: [joined(2)], incarnation: 2, isTaken: true,
+		name: 'the current incarnation', commands: [joined(2)], incarnation: 2, isAccepted: true,
 	},
 	{
-		name: 'a later incarnation', commands: [joined(2)], incarnation: 3, isTaken: true,
+		name: 'a later incarnation', commands: [joined(2)], incarnation: 3, isAccepted: true,
 	},
 	{
-		name: 'an earlier incarnation', commands: [joined(2)], incarnation: 1, isTaken: false,
+		name: 'an earlier incarnation', commands: [joined(2)], incarnation: 1, isAccepted: false,
 	},
 	{
-		name: 'a lost incarnation', commands: [joined(2), phase(2, UpstreamPhase.lost)], incarnation: 2, isTaken: false,
+		name: 'a lost incarnation', commands: [joined(2), phase(2, UpstreamPhase.lost)], incarnation: 2, isAccepted: false,
 	},
 	{
-		name: 'a forgotten incarnation', commands: [joined(2), phase(2, UpstreamPhase.lost), forgotten(2)], incarnation: 2, isTaken: false,
+		name: 'a forgotten incarnation', commands: [joined(2), phase(2, UpstreamPhase.lost), forgotten(2)], incarnation: 2, isAccepted: false,
 	},
 ];
 
-for (const {name, commands, incarnation, isTaken} of announcements) {
+for (const {name, commands, incarnation, isAccepted: isTaken} of announcements) {
 	test(`checkAnnouncement: ${name}`, () => {
 		const {phase: _phase, ...fields} = record(incarnation);
 		const checked = checkAnnouncement(replay(commands).state, {...fields, leaving: false, load: 0});
