--- a/packages/membership/test/test-registry.ts
+++ b/packages/membership/test/test-registry.ts
@@ -148,11 +148,11 @@
 	},
 ];
 
-for (const {name, commands, incarnation, isAccepted: isTaken} of announcements) {
+for (const {name, commands, incarnation, isAccepted: isAccepted} of announcements) {
 	test(`checkAnnouncement: ${name}`, () => {
 		const {phase: _phase, ...fields} = record(incarnation);
 		const checked = checkAnnouncement(replay(commands).state, {...fields, leaving: false, load: 0});
-		assert.equal(checked.isOk, isTaken);
-		assert.equal(checked.isErr ? checked.error.kind : undefined, isTaken ? undefined : FailureKind.superseded);
+		assert.equal(checked.isOk, isAccepted);
+		assert.equal(checked.isErr ? checked.error.kind : undefined, isAccepted ? undefined : FailureKind.superseded);
 	});
 }
