--- a/packages/membership/test/test-registry.ts
+++ b/packages/membership/test/test-registry.ts
@@ -119,11 +119,11 @@
 
 for (const {name, commands, fails, expected} of cases) {
 	test(`applyMembership: ${name}`, () => {
-		const ended = replay(commands);
-		assert.equal(ended.fails, fails);
-		assert.deepEqual(upstreamsOf(ended.state, service).map(upstream => [upstream.incarnation, upstream.phase]), expected);
-		const json = JSON.stringify(ended.state);
-		assert.deepEqual(JSON.parse(json), ended.state);
+		const result = replay(commands);
+		assert.equal(result.fails, fails);
+		assert.deepEqual(upstreamsOf(result.state, service).map(upstream => [upstream.incarnation, upstream.phase]), expected);
+		const json = JSON.stringify(result.state);
+		assert.deepEqual(JSON.parse(json), result.state);
 	});
 }
 
