--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import {
 	announcementsOf, contractOf, instances, isPartitioned, namesIn, simulate, reportMilliseconds, type SimulationResult, type Scenario, service, tickMilliseconds,
-} from './scene.js';
+} from './scenario.js';
 import {applyMembership, emptyMembership, upstreamsOf} from '@dogwooddeck/membership/registry';
 import {advanceWatch, createWatch, joinedAt} from '@dogwooddeck/membership/watch';
 
