--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -62,14 +62,14 @@
 
 	if (previous?.incarnation === announcement.incarnation) {
 		return {
-			...watch, announcement, lastContactAt: now, reportsAtContact: reportsAtContact,
+			...watch, announcement, lastContactAt: now, reportsAtContact,
 		};
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
 	const earlier = previous === undefined ? {} : {earlier: {incarnation: previous.incarnation, heardAt: watch.lastContactAt}};
 	return {
-		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact: reportsAtContact, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
+		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
 	};
 }
 
--- a/packages/membership/test/scenario.ts
+++ b/packages/membership/test/scenario.ts
@@ -140,6 +140,6 @@
 	}
 
 	return {
-		registry, log, timesWithoutContact: timesWithoutContact, flapping: flappingCount(watch, service, scenario.untilMilliseconds),
+		registry, log, timesWithoutContact, flapping: flappingCount(watch, service, scenario.untilMilliseconds),
 	};
 }
--- a/packages/membership/test/test-registry.ts
+++ b/packages/membership/test/test-registry.ts
@@ -148,7 +148,7 @@
 	},
 ];
 
-for (const {name, commands, incarnation, isAccepted: isAccepted} of announcements) {
+for (const {name, commands, incarnation, isAccepted} of announcements) {
 	test(`checkAnnouncement: ${name}`, () => {
 		const {phase: _phase, ...fields} = record(incarnation);
 		const checked = checkAnnouncement(replay(commands).state, {...fields, leaving: false, load: 0});
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -96,7 +96,7 @@
 	},
 ];
 
-for (const {name, scenario: scenario, lost, within} of lossCases) {
+for (const {name, scenario, lost, within} of lossCases) {
 	test(`loss: ${name}`, () => {
 		const run = simulate(scenario);
 		assert.deepEqual(lostNames(run), lost);
@@ -137,7 +137,7 @@
 ];
 
 for (const {
-	name, scenario: scenario, from, until,
+	name, scenario, from, until,
 } of contactCases) {
 	test(`time without contact: ${name}`, () => {
 		const [timeWithoutContact] = simulate(scenario).timesWithoutContact;
@@ -183,7 +183,7 @@
 	},
 ];
 
-for (const {name, scenario: scenario, expected, flapping} of lifecycleCases) {
+for (const {name, scenario, expected, flapping} of lifecycleCases) {
 	test(`lifecycle: ${name}`, () => {
 		const run = simulate(scenario);
 		assert.deepEqual(run.log.filter(entry => entry.name === 'n-1/u1').map(({at, change}) => [at, change]), expected);
--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -39,7 +39,7 @@
 	{name: 'a later incarnation starts at zero', observations: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
 ];
 
-for (const {name, observations: observations, failures} of witnessCases) {
+for (const {name, observations, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
 		const evidence = observations.map(observation => evidenceOf('u1', observation));
 		const separate = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
