--- a/packages/membership/src/flapping.ts
+++ b/packages/membership/src/flapping.ts
@@ -38,5 +38,5 @@
 
 /** Counts the histories that show more than ordinary restarts. */
 export function flappingUpstreams(histories: readonly FlapHistory[], now: MonotonicTime): number {
-	return histories.filter(({incarnations: lives}) => lives.filter(entry => now - entry.startedAt <= flapWindowMilliseconds).length > ordinaryIncarnations).length;
+	return histories.filter(({incarnations}) => incarnations.filter(entry => now - entry.startedAt <= flapWindowMilliseconds).length > ordinaryIncarnations).length;
 }
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -44,9 +44,9 @@
 
 function noContactSince(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MonotonicTime {
 	const watch = watchOf(state, record.service, record.name);
-	const heardAt = watch.announcement?.incarnation === record.incarnation ? watch.lastContactAt : state.startedAt;
+	const lastContactAt = watch.announcement?.incarnation === record.incarnation ? watch.lastContactAt : state.startedAt;
 	const reachableSince = isZoneReachable(state, tick, record.zone) ? state.zones[record.zone]?.reachableSince ?? state.startedAt : state.startedAt;
-	return Math.max(heardAt, reachableSince);
+	return Math.max(lastContactAt, reachableSince);
 }
 
 function timeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
@@ -64,8 +64,8 @@
 		return true;
 	}
 
-	const {reportsAtContact: heardInReport} = watchOf(state, record.service, record.name);
-	return zone.reports - heardInReport >= missingReportsForVerdict && zone.reportedAt - noContactSince(state, tick, record) >= missingAnnouncementMilliseconds;
+	const {reportsAtContact} = watchOf(state, record.service, record.name);
+	return zone.reports - reportsAtContact >= missingReportsForVerdict && zone.reportedAt - noContactSince(state, tick, record) >= missingAnnouncementMilliseconds;
 }
 
 /** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
@@ -75,8 +75,8 @@
 }
 
 /** Returns the last contact with an incarnation; undefined if this leader never had any. */
-function lastContactOf({announcement, lastContactAt: heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
-	const contacts = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, heardAt}, earlier];
+function lastContactOf({announcement, lastContactAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
+	const contacts = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, lastContactAt}, earlier];
 	return contacts.find(contact => contact?.incarnation === incarnation)?.lastContactAt;
 }
 
@@ -85,9 +85,9 @@
  * contact with it, the result is a lower bound.
  */
 function reportedTimeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
-	const heardAt = lastContactOf(watchOf(state, record.service, record.name), record);
+	const lastContactAt = lastContactOf(watchOf(state, record.service, record.name), record);
 	const latestStart = isSuperseded(state, record) ? tick.now : state.startedAt;
-	return tick.now - (heardAt ?? latestStart);
+	return tick.now - (lastContactAt ?? latestStart);
 }
 
 function lostCommand(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MembershipCommand {
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -67,7 +67,7 @@
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
-	const earlier = previous === undefined ? {} : {earlier: {incarnation: previous.incarnation, heardAt: watch.lastContactAt}};
+	const earlier = previous === undefined ? {} : {earlier: {incarnation: previous.incarnation, lastContactAt: watch.lastContactAt}};
 	return {
 		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
 	};
@@ -140,11 +140,11 @@
 function joinCommands(state: WatchState, tick: Tick): MembershipCommand[] {
 	const services = new Set(tick.contracts.map(contract => contract.name));
 	return [...state.upstreams.values()].flatMap(watch => {
-		const {announcement, lastContactAt: heardAt, flapHistory: flaps} = watch;
+		const {announcement, lastContactAt, flapHistory} = watch;
 		const isDue = announcement !== undefined
 			&& services.has(announcement.service)
-			&& tick.now - heardAt <= announcementTimeoutMilliseconds
-			&& tick.now >= joinAllowedAt(flaps)
+			&& tick.now - lastContactAt <= announcementTimeoutMilliseconds
+			&& tick.now >= joinAllowedAt(flapHistory)
 			&& isNewIncarnation(tick, announcement);
 		return isDue ? [{kind: 'upstreamJoined', record: toRecord(announcement)}] : [];
 	});
@@ -184,7 +184,7 @@
 
 /** Drops the view of upstreams that are without contact for `forgetAfterMilliseconds` and have no record. */
 function dropForgotten(state: WatchState, tick: Tick): WatchState {
-	const kept = [...state.upstreams].filter(([, {announcement, lastContactAt: heardAt}]) => tick.now - heardAt <= forgetAfterMilliseconds
+	const kept = [...state.upstreams].filter(([, {announcement, lastContactAt}]) => tick.now - lastContactAt <= forgetAfterMilliseconds
 		|| (announcement !== undefined && upstreamOf(tick.registry, announcement) !== undefined));
 	return kept.length === state.upstreams.size ? state : {...state, upstreams: new Map(kept)};
 }
--- a/packages/membership/test/test-watch.ts
+++ b/packages/membership/test/test-watch.ts
@@ -221,11 +221,11 @@
 const randomScenario: fc.Arbitrary<Scenario> = fc.record({
 	whenCut: fc.constantFrom(PartitionPolicy.hold, PartitionPolicy.takeOver),
 	upstreams: fc.integer({min: 2, max: 6}),
-	silentFrom: fc.dictionary(fc.constantFrom('n-1/u0', 'n-1/u1', 'n-2/u0'), fc.integer({min: 500, max: 8000})),
+	unresponsiveFrom: fc.dictionary(fc.constantFrom('n-1/u0', 'n-1/u1', 'n-2/u0'), fc.integer({min: 500, max: 8000})),
 	failingFrom: fc.dictionary(fc.constantFrom('n-1/u1', 'n-2/u1'), fc.record({
 		at: fc.integer({min: 500, max: 8000}), instances: fc.subarray(instances),
 	})),
-	cut: fc.dictionary(fc.constantFrom('n-1', 'n-2'), fc.tuple(fc.integer({min: 1000, max: 5000}), fc.integer({min: 5000, max: 20_000}))),
+	partitioned: fc.dictionary(fc.constantFrom('n-1', 'n-2'), fc.tuple(fc.integer({min: 1000, max: 5000}), fc.integer({min: 5000, max: 20_000}))),
 	newLeaderAt: fc.integer({min: 20, max: 100}).map(ticks => ticks * tickMilliseconds),
 	untilMilliseconds: fc.constant(12_000),
 });
--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -45,7 +45,7 @@
 		const separate = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
 		for (const state of [receive(createWatch(0), evidence), separate]) {
 			const {witnesses} = state.upstreams.get(`${service}\nu1`)!;
-			assert.deepEqual(Object.fromEntries(Object.entries(witnesses).map(([instance, {consecutiveFailures: failuresInRow}]) => [instance, failuresInRow])), failures);
+			assert.deepEqual(Object.fromEntries(Object.entries(witnesses).map(([instance, {consecutiveFailures}]) => [instance, consecutiveFailures])), failures);
 		}
 	});
 }
