--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -27,7 +27,7 @@
 } from './state.js';
 
 /** The state after one command, and its result. */
-export type CommandApplied = {
+export type CommandResult = {
 	readonly state: ControlState;
 	readonly answer: Result<ControlAccepted, Failure>;
 };
@@ -65,13 +65,13 @@
 	return ownership === state.ownership ? state : {...state, ownership};
 }
 
-function toConfiguration(command: ConfigurationCommand, state: ControlState, index: LogIndex): CommandApplied {
+function toConfiguration(command: ConfigurationCommand, state: ControlState, index: LogIndex): CommandResult {
 	const applied = applyConfiguration(state.configuration, command, index);
 	const next = followContracts({...state, configuration: applied.state}, index);
 	return {state: next, answer: applied.answer.map(configuration => ({index, configuration}))};
 }
 
-function toMembership(command: MembershipCommand, state: ControlState, index: LogIndex): CommandApplied {
+function toMembership(command: MembershipCommand, state: ControlState, index: LogIndex): CommandResult {
 	const membership = applyMembership(state.membership, command, index);
 	return membership.isOk
 		? {state: {...state, membership: membership.value}, answer: ok({index})}
@@ -98,14 +98,14 @@
 	return {...state, seatings: [{index, seats}, ...state.seatings.filter(seating => seating.index !== index)].slice(0, keptSeatings)};
 }
 
-function toOwnership(command: OwnershipCommand, state: ControlState, index: LogIndex): CommandApplied {
+function toOwnership(command: OwnershipCommand, state: ControlState, index: LogIndex): CommandResult {
 	const ownership = applyOwnership(state.ownership, command, index);
 	return ownership.isOk
 		? {state: withSeating(dropMetWishes({...state, ownership: ownership.value}), state.ownership, index), answer: ok({index})}
 		: {state, answer: err(ownership.error)};
 }
 
-function takeWish(wish: MoveWished, state: ControlState, index: LogIndex): CommandApplied {
+function takeWish(wish: MoveWished, state: ControlState, index: LogIndex): CommandResult {
 	if (contractOf(state.configuration, wish.service) === undefined || assignmentOf(state.ownership, wish.service, wish.slot) === undefined) {
 		return {state, answer: err(failure(FailureKind.notFound, `there is no slot ${wish.slot} of ${wish.service}`))};
 	}
@@ -119,7 +119,7 @@
 	return {state: dropMetWishes({...state, wishes: [...others, wish]}), answer: ok({index})};
 }
 
-function drain(asked: DrainAsked, state: ControlState, index: LogIndex): CommandApplied {
+function drain(asked: DrainAsked, state: ControlState, index: LogIndex): CommandResult {
 	const record = upstreamsOf(state.membership, asked.service).find(({name}) => name === asked.upstream);
 	if (record === undefined || record.phase === UpstreamPhase.lost) {
 		return {state, answer: err(failure(FailureKind.notFound, `there is no upstream ${asked.upstream} of ${asked.service}`))};
@@ -128,11 +128,11 @@
 	return toMembership({kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.leaving}, state, index);
 }
 
-function keptAnswer({operation}: OperatorAsked, command: string, answer: CommandApplied['answer']): KeptAnswer {
+function keptAnswer({operation}: OperatorAsked, command: string, answer: CommandResult['answer']): KeptAnswer {
 	return {operation, command, answer: answer.isOk ? {accepted: answer.value} : {failure: answer.error}};
 }
 
-function answerAgain(kept: KeptAnswer, command: string): CommandApplied['answer'] {
+function answerAgain(kept: KeptAnswer, command: string): CommandResult['answer'] {
 	if (kept.command !== command) {
 		return err(failure(FailureKind.conflict, `the operation ${kept.operation} was used for another change`));
 	}
@@ -140,7 +140,7 @@
 	return 'accepted' in kept.answer ? ok(kept.answer.accepted) : err(kept.answer.failure);
 }
 
-function onceOnly(asked: OperatorAsked, state: ControlState, index: LogIndex): CommandApplied {
+function onceOnly(asked: OperatorAsked, state: ControlState, index: LogIndex): CommandResult {
 	const command = JSON.stringify(asked.command);
 	const kept = state.answers.find(({operation}) => operation === asked.operation);
 	if (kept !== undefined) {
@@ -152,7 +152,7 @@
 	return {state: {...applied.state, answers}, answer: applied.answer};
 }
 
-const handlers: HandlerTable<ControlCommand, [ControlState, LogIndex], CommandApplied> = {
+const handlers: HandlerTable<ControlCommand, [ControlState, LogIndex], CommandResult> = {
 	founded: toConfiguration,
 	subtreeApplied: toConfiguration,
 	tokenSet: toConfiguration,
@@ -178,14 +178,14 @@
 };
 
 /** Applies one command of the entry at an index. A rejected command changes nothing but the kept results. */
-export function applyCommand(command: ControlCommand, state: ControlState, index: LogIndex): CommandApplied {
+export function applyCommand(command: ControlCommand, state: ControlState, index: LogIndex): CommandResult {
 	return Object.hasOwn(handlers, command.kind)
 		? dispatch(handlers, command, state, index)
 		: {state, answer: err(failure(FailureKind.malformed, `there is no command of kind ${JSON.stringify(command.kind)}`))};
 }
 
 /** A command with missing fields changes nothing: it fails in the same way at every instance. */
-function applyWhole(command: ControlCommand, state: ControlState, index: LogIndex): CommandApplied {
+function applyWhole(command: ControlCommand, state: ControlState, index: LogIndex): CommandResult {
 	try {
 		return applyCommand(command, state, index);
 	} catch (error) {
