--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -33,7 +33,7 @@
 };
 
 /** The state after an entry, and the results of its commands in order. */
-export type EntryApplied = {
+export type EntryResult = {
 	readonly state: ControlState;
 	readonly answers: ReadonlyArray<Result<ControlAccepted, Failure>>;
 };
@@ -194,7 +194,7 @@
 }
 
 /** Applies the entry at an index. A payload that can't be decoded changes nothing but the index. */
-export function applyEntry(state: ControlState, payload: string, index: LogIndex): EntryApplied {
+export function applyEntry(state: ControlState, payload: string, index: LogIndex): EntryResult {
 	const commands = decodeCommands(payload);
 	if (commands.isErr) {
 		return {state: {...state, applied: index}, answers: [err(commands.error)]};
