--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -41,13 +41,13 @@
 /** The number of results of operators' commands that are kept. */
 const keptOperatorAnswers = 1024;
 
-function policyTerms({whenCut, longestDeadlineMilliseconds}: ServiceContract) {
+function policyOf({whenCut, longestDeadlineMilliseconds}: ServiceContract) {
 	return {whenCut, longestDeadlineMilliseconds};
 }
 
 function followContract(ownership: OwnershipState, contract: ServiceContract, index: LogIndex): OwnershipState {
 	const service = contract.name;
-	const policy = policyTerms(contract);
+	const policy = policyOf(contract);
 	const standing = ownership.policies[service];
 	if (standing === undefined) {
 		return applyOwnership(ownership, {
