--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -45,7 +45,7 @@
 	return {whenCut, longestDeadlineMilliseconds};
 }
 
-function followContract(ownership: OwnershipState, contract: ServiceContract, index: LogIndex): OwnershipState {
+function applyContract(ownership: OwnershipState, contract: ServiceContract, index: LogIndex): OwnershipState {
 	const service = contract.name;
 	const policy = policyOf(contract);
 	const standing = ownership.policies[service];
@@ -61,7 +61,7 @@
 
 function followContracts(state: ControlState, index: LogIndex): ControlState {
 	const ownership = contractsOf(state.configuration)
-		.reduce((followed, contract) => followContract(followed, contract, index), state.ownership);
+		.reduce((followed, contract) => applyContract(followed, contract, index), state.ownership);
 	return ownership === state.ownership ? state : {...state, ownership};
 }
 
