--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -59,7 +59,7 @@
 	return same ? ownership : applyOwnership(ownership, {kind: 'policyChanged', service, policy}, index).unwrapOr(ownership);
 }
 
-function followContracts(state: ControlState, index: LogIndex): ControlState {
+function applyContracts(state: ControlState, index: LogIndex): ControlState {
 	const ownership = contractsOf(state.configuration)
 		.reduce((followed, contract) => applyContract(followed, contract, index), state.ownership);
 	return ownership === state.ownership ? state : {...state, ownership};
@@ -67,7 +67,7 @@
 
 function toConfiguration(command: ConfigurationCommand, state: ControlState, index: LogIndex): CommandResult {
 	const applied = applyConfiguration(state.configuration, command, index);
-	const next = followContracts({...state, configuration: applied.state}, index);
+	const next = applyContracts({...state, configuration: applied.state}, index);
 	return {state: next, answer: applied.answer.map(configuration => ({index, configuration}))};
 }
 
