--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -61,7 +61,7 @@
 
 function applyContracts(state: ControlState, index: LogIndex): ControlState {
 	const ownership = contractsOf(state.configuration)
-		.reduce((followed, contract) => applyContract(followed, contract, index), state.ownership);
+		.reduce((updated, contract) => applyContract(updated, contract, index), state.ownership);
 	return ownership === state.ownership ? state : {...state, ownership};
 }
 
