--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -48,14 +48,14 @@
 function applyContract(ownership: OwnershipState, contract: ServiceContract, index: LogIndex): OwnershipState {
 	const service = contract.name;
 	const policy = policyOf(contract);
-	const standing = ownership.policies[service];
-	if (standing === undefined) {
+	const current = ownership.policies[service];
+	if (current === undefined) {
 		return applyOwnership(ownership, {
 			kind: 'serviceOpened', service, slots: contract.slots, policy,
 		}, index).unwrapOr(ownership);
 	}
 
-	const same = standing.whenCut === policy.whenCut && standing.longestDeadlineMilliseconds === policy.longestDeadlineMilliseconds;
+	const same = current.whenCut === policy.whenCut && current.longestDeadlineMilliseconds === policy.longestDeadlineMilliseconds;
 	return same ? ownership : applyOwnership(ownership, {kind: 'policyChanged', service, policy}, index).unwrapOr(ownership);
 }
 
