--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -55,8 +55,8 @@
 		}, index).unwrapOr(ownership);
 	}
 
-	const same = current.whenCut === policy.whenCut && current.longestDeadlineMilliseconds === policy.longestDeadlineMilliseconds;
-	return same ? ownership : applyOwnership(ownership, {kind: 'policyChanged', service, policy}, index).unwrapOr(ownership);
+	const isUnchanged = current.whenCut === policy.whenCut && current.longestDeadlineMilliseconds === policy.longestDeadlineMilliseconds;
+	return isUnchanged ? ownership : applyOwnership(ownership, {kind: 'policyChanged', service, policy}, index).unwrapOr(ownership);
 }
 
 function applyContracts(state: ControlState, index: LogIndex): ControlState {
