--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -65,7 +65,7 @@
 	return ownership === state.ownership ? state : {...state, ownership};
 }
 
-function toConfiguration(command: ConfigurationCommand, state: ControlState, index: LogIndex): CommandResult {
+function applyToConfiguration(command: ConfigurationCommand, state: ControlState, index: LogIndex): CommandResult {
 	const applied = applyConfiguration(state.configuration, command, index);
 	const next = applyContracts({...state, configuration: applied.state}, index);
 	return {state: next, answer: applied.answer.map(configuration => ({index, configuration}))};
@@ -153,9 +153,9 @@
 }
 
 const handlers: HandlerTable<ControlCommand, [ControlState, LogIndex], CommandResult> = {
-	founded: toConfiguration,
-	subtreeApplied: toConfiguration,
-	tokenSet: toConfiguration,
+	founded: applyToConfiguration,
+	subtreeApplied: applyToConfiguration,
+	tokenSet: applyToConfiguration,
 	upstreamJoined: toMembership,
 	upstreamPhaseChanged: toMembership,
 	upstreamForgotten: toMembership,
