--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -71,7 +71,7 @@
 	return {state: next, answer: applied.answer.map(configuration => ({index, configuration}))};
 }
 
-function toMembership(command: MembershipCommand, state: ControlState, index: LogIndex): CommandResult {
+function applyToMembership(command: MembershipCommand, state: ControlState, index: LogIndex): CommandResult {
 	const membership = applyMembership(state.membership, command, index);
 	return membership.isOk
 		? {state: {...state, membership: membership.value}, answer: ok({index})}
@@ -125,7 +125,7 @@
 		return {state, answer: err(failure(FailureKind.notFound, `there is no upstream ${asked.upstream} of ${asked.service}`))};
 	}
 
-	return toMembership({kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.leaving}, state, index);
+	return applyToMembership({kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.leaving}, state, index);
 }
 
 function keptAnswer({operation}: OperatorAsked, command: string, answer: CommandResult['answer']): KeptAnswer {
@@ -156,9 +156,9 @@
 	founded: applyToConfiguration,
 	subtreeApplied: applyToConfiguration,
 	tokenSet: applyToConfiguration,
-	upstreamJoined: toMembership,
-	upstreamPhaseChanged: toMembership,
-	upstreamForgotten: toMembership,
+	upstreamJoined: applyToMembership,
+	upstreamPhaseChanged: applyToMembership,
+	upstreamForgotten: applyToMembership,
 	serviceOpened: toOwnership,
 	serviceClosed: toOwnership,
 	policyChanged: toOwnership,
