--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -98,7 +98,7 @@
 	return {...state, seatings: [{index, seats}, ...state.seatings.filter(seating => seating.index !== index)].slice(0, keptSeatings)};
 }
 
-function toOwnership(command: OwnershipCommand, state: ControlState, index: LogIndex): CommandResult {
+function applyToOwnership(command: OwnershipCommand, state: ControlState, index: LogIndex): CommandResult {
 	const ownership = applyOwnership(state.ownership, command, index);
 	return ownership.isOk
 		? {state: withSeating(dropMetWishes({...state, ownership: ownership.value}), state.ownership, index), answer: ok({index})}
@@ -159,19 +159,19 @@
 	upstreamJoined: applyToMembership,
 	upstreamPhaseChanged: applyToMembership,
 	upstreamForgotten: applyToMembership,
-	serviceOpened: toOwnership,
-	serviceClosed: toOwnership,
-	policyChanged: toOwnership,
-	policySettled: toOwnership,
-	assignmentsGranted: toOwnership,
-	assignmentsRevoked: toOwnership,
-	assignmentsReleased: toOwnership,
-	keyPinned: toOwnership,
-	keyUnpinned: toOwnership,
-	instanceSeated: toOwnership,
-	instanceUnseated: toOwnership,
-	rosterSettled: toOwnership,
-	zoneReleased: toOwnership,
+	serviceOpened: applyToOwnership,
+	serviceClosed: applyToOwnership,
+	policyChanged: applyToOwnership,
+	policySettled: applyToOwnership,
+	assignmentsGranted: applyToOwnership,
+	assignmentsRevoked: applyToOwnership,
+	assignmentsReleased: applyToOwnership,
+	keyPinned: applyToOwnership,
+	keyUnpinned: applyToOwnership,
+	instanceSeated: applyToOwnership,
+	instanceUnseated: applyToOwnership,
+	rosterSettled: applyToOwnership,
+	zoneReleased: applyToOwnership,
 	moveWished: takeWish,
 	drainAsked: drain,
 	operatorAsked: onceOnly,
