--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -78,7 +78,7 @@
 		: {state, answer: err(membership.error)};
 }
 
-function isOpenWish(state: ControlState, wish: MoveWished): boolean {
+function isPendingMove(state: ControlState, wish: MoveWished): boolean {
 	const assignment = assignmentOf(state.ownership, wish.service, wish.slot);
 	const target = upstreamsOf(state.membership, wish.service).find(({name}) => name === wish.upstream);
 	const met = assignment?.phase === AssignmentPhase.granted && assignment.owner.name === wish.upstream;
@@ -86,7 +86,7 @@
 }
 
 function dropMetWishes(state: ControlState): ControlState {
-	return state.wishes.length === 0 ? state : {...state, wishes: state.wishes.filter(wish => isOpenWish(state, wish))};
+	return state.wishes.length === 0 ? state : {...state, wishes: state.wishes.filter(wish => isPendingMove(state, wish))};
 }
 
 function withSeating(state: ControlState, before: OwnershipState, index: LogIndex): ControlState {
