--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -85,7 +85,7 @@
 	return assignment !== undefined && !met && target?.phase === UpstreamPhase.serving;
 }
 
-function dropMetWishes(state: ControlState): ControlState {
+function dropCompletedMoves(state: ControlState): ControlState {
 	return state.wishes.length === 0 ? state : {...state, wishes: state.wishes.filter(wish => isPendingMove(state, wish))};
 }
 
@@ -101,7 +101,7 @@
 function applyToOwnership(command: OwnershipCommand, state: ControlState, index: LogIndex): CommandResult {
 	const ownership = applyOwnership(state.ownership, command, index);
 	return ownership.isOk
-		? {state: withSeating(dropMetWishes({...state, ownership: ownership.value}), state.ownership, index), answer: ok({index})}
+		? {state: withSeating(dropCompletedMoves({...state, ownership: ownership.value}), state.ownership, index), answer: ok({index})}
 		: {state, answer: err(ownership.error)};
 }
 
@@ -116,7 +116,7 @@
 	}
 
 	const others = state.wishes.filter(({service, slot}) => service !== wish.service || slot !== wish.slot);
-	return {state: dropMetWishes({...state, wishes: [...others, wish]}), answer: ok({index})};
+	return {state: dropCompletedMoves({...state, wishes: [...others, wish]}), answer: ok({index})};
 }
 
 function drain(asked: DrainAsked, state: ControlState, index: LogIndex): CommandResult {
