--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -105,7 +105,7 @@
 		: {state, answer: err(ownership.error)};
 }
 
-function takeWish(wish: MoveWished, state: ControlState, index: LogIndex): CommandResult {
+function requestMove(wish: MoveWished, state: ControlState, index: LogIndex): CommandResult {
 	if (contractOf(state.configuration, wish.service) === undefined || assignmentOf(state.ownership, wish.service, wish.slot) === undefined) {
 		return {state, answer: err(failure(FailureKind.notFound, `there is no slot ${wish.slot} of ${wish.service}`))};
 	}
@@ -172,7 +172,7 @@
 	instanceUnseated: applyToOwnership,
 	rosterSettled: applyToOwnership,
 	zoneReleased: applyToOwnership,
-	moveWished: takeWish,
+	moveWished: requestMove,
 	drainAsked: drain,
 	operatorAsked: onceOnly,
 };
