--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -78,10 +78,10 @@
 		: {state, answer: err(membership.error)};
 }
 
-function isPendingMove(state: ControlState, wish: MoveWished): boolean {
-	const assignment = assignmentOf(state.ownership, wish.service, wish.slot);
-	const target = upstreamsOf(state.membership, wish.service).find(({name}) => name === wish.upstream);
-	const met = assignment?.phase === AssignmentPhase.granted && assignment.owner.name === wish.upstream;
+function isPendingMove(state: ControlState, move: MoveWished): boolean {
+	const assignment = assignmentOf(state.ownership, move.service, move.slot);
+	const target = upstreamsOf(state.membership, move.service).find(({name}) => name === move.upstream);
+	const met = assignment?.phase === AssignmentPhase.granted && assignment.owner.name === move.upstream;
 	return assignment !== undefined && !met && target?.phase === UpstreamPhase.serving;
 }
 
