--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -86,7 +86,7 @@
 }
 
 function dropCompletedMoves(state: ControlState): ControlState {
-	return state.wishes.length === 0 ? state : {...state, wishes: state.wishes.filter(wish => isPendingMove(state, wish))};
+	return state.wishes.length === 0 ? state : {...state, wishes: state.wishes.filter(move => isPendingMove(state, move))};
 }
 
 function withSeating(state: ControlState, before: OwnershipState, index: LogIndex): ControlState {
