--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -105,18 +105,18 @@
 		: {state, answer: err(ownership.error)};
 }
 
-function requestMove(wish: MoveWished, state: ControlState, index: LogIndex): CommandResult {
-	if (contractOf(state.configuration, wish.service) === undefined || assignmentOf(state.ownership, wish.service, wish.slot) === undefined) {
-		return {state, answer: err(failure(FailureKind.notFound, `there is no slot ${wish.slot} of ${wish.service}`))};
+function requestMove(move: MoveWished, state: ControlState, index: LogIndex): CommandResult {
+	if (contractOf(state.configuration, move.service) === undefined || assignmentOf(state.ownership, move.service, move.slot) === undefined) {
+		return {state, answer: err(failure(FailureKind.notFound, `there is no slot ${move.slot} of ${move.service}`))};
 	}
 
-	const target = upstreamsOf(state.membership, wish.service).find(({name}) => name === wish.upstream);
+	const target = upstreamsOf(state.membership, move.service).find(({name}) => name === move.upstream);
 	if (target?.phase !== UpstreamPhase.serving) {
-		return {state, answer: err(failure(FailureKind.notFound, `no upstream ${wish.upstream} of ${wish.service} is serving`))};
+		return {state, answer: err(failure(FailureKind.notFound, `no upstream ${move.upstream} of ${move.service} is serving`))};
 	}
 
-	const others = state.wishes.filter(({service, slot}) => service !== wish.service || slot !== wish.slot);
-	return {state: dropCompletedMoves({...state, wishes: [...others, wish]}), answer: ok({index})};
+	const others = state.wishes.filter(({service, slot}) => service !== move.service || slot !== move.slot);
+	return {state: dropCompletedMoves({...state, wishes: [...others, move]}), answer: ok({index})};
 }
 
 function drain(asked: DrainAsked, state: ControlState, index: LogIndex): CommandResult {
