--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -81,8 +81,8 @@
 function isPendingMove(state: ControlState, move: MoveWished): boolean {
 	const assignment = assignmentOf(state.ownership, move.service, move.slot);
 	const target = upstreamsOf(state.membership, move.service).find(({name}) => name === move.upstream);
-	const met = assignment?.phase === AssignmentPhase.granted && assignment.owner.name === move.upstream;
-	return assignment !== undefined && !met && target?.phase === UpstreamPhase.serving;
+	const isCompleted = assignment?.phase === AssignmentPhase.granted && assignment.owner.name === move.upstream;
+	return assignment !== undefined && !isCompleted && target?.phase === UpstreamPhase.serving;
 }
 
 function dropCompletedMoves(state: ControlState): ControlState {
