--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -119,10 +119,10 @@
 	return {state: dropCompletedMoves({...state, wishes: [...others, move]}), answer: ok({index})};
 }
 
-function drain(asked: DrainAsked, state: ControlState, index: LogIndex): CommandResult {
-	const record = upstreamsOf(state.membership, asked.service).find(({name}) => name === asked.upstream);
+function drain(request: DrainAsked, state: ControlState, index: LogIndex): CommandResult {
+	const record = upstreamsOf(state.membership, request.service).find(({name}) => name === request.upstream);
 	if (record === undefined || record.phase === UpstreamPhase.lost) {
-		return {state, answer: err(failure(FailureKind.notFound, `there is no upstream ${asked.upstream} of ${asked.service}`))};
+		return {state, answer: err(failure(FailureKind.notFound, `there is no upstream ${request.upstream} of ${request.service}`))};
 	}
 
 	return applyToMembership({kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.leaving}, state, index);
