--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -140,15 +140,15 @@
 	return 'accepted' in kept.answer ? ok(kept.answer.accepted) : err(kept.answer.failure);
 }
 
-function onceOnly(asked: OperatorAsked, state: ControlState, index: LogIndex): CommandResult {
-	const command = JSON.stringify(asked.command);
-	const kept = state.answers.find(({operation}) => operation === asked.operation);
+function onceOnly(request: OperatorAsked, state: ControlState, index: LogIndex): CommandResult {
+	const command = JSON.stringify(request.command);
+	const kept = state.answers.find(({operation}) => operation === request.operation);
 	if (kept !== undefined) {
 		return {state, answer: answerAgain(kept, command)};
 	}
 
-	const applied = applyCommand(asked.command, state, index);
-	const answers = [...applied.state.answers, keptAnswer(asked, command, applied.answer)].slice(-keptOperatorAnswers);
+	const applied = applyCommand(request.command, state, index);
+	const answers = [...applied.state.answers, keptAnswer(request, command, applied.answer)].slice(-keptOperatorAnswers);
 	return {state: {...applied.state, answers}, answer: applied.answer};
 }
 
