--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -128,7 +128,7 @@
 	return applyToMembership({kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.leaving}, state, index);
 }
 
-function keptAnswer({operation}: OperatorAsked, command: string, answer: CommandResult['answer']): KeptAnswer {
+function toKeptAnswer({operation}: OperatorAsked, command: string, answer: CommandResult['answer']): KeptAnswer {
 	return {operation, command, answer: answer.isOk ? {accepted: answer.value} : {failure: answer.error}};
 }
 
@@ -148,7 +148,7 @@
 	}
 
 	const applied = applyCommand(request.command, state, index);
-	const answers = [...applied.state.answers, keptAnswer(request, command, applied.answer)].slice(-keptOperatorAnswers);
+	const answers = [...applied.state.answers, toKeptAnswer(request, command, applied.answer)].slice(-keptOperatorAnswers);
 	return {state: {...applied.state, answers}, answer: applied.answer};
 }
 
