--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -132,7 +132,7 @@
 	return {operation, command, answer: answer.isOk ? {accepted: answer.value} : {failure: answer.error}};
 }
 
-function answerAgain(kept: KeptAnswer, command: string): CommandResult['answer'] {
+function repeatedAnswer(kept: KeptAnswer, command: string): CommandResult['answer'] {
 	if (kept.command !== command) {
 		return err(failure(FailureKind.conflict, `the operation ${kept.operation} was used for another change`));
 	}
@@ -144,7 +144,7 @@
 	const command = JSON.stringify(request.command);
 	const kept = state.answers.find(({operation}) => operation === request.operation);
 	if (kept !== undefined) {
-		return {state, answer: answerAgain(kept, command)};
+		return {state, answer: repeatedAnswer(kept, command)};
 	}
 
 	const applied = applyCommand(request.command, state, index);
