--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -140,7 +140,7 @@
 	return 'accepted' in kept.answer ? ok(kept.answer.accepted) : err(kept.answer.failure);
 }
 
-function onceOnly(request: OperatorAsked, state: ControlState, index: LogIndex): CommandResult {
+function applyOnce(request: OperatorAsked, state: ControlState, index: LogIndex): CommandResult {
 	const command = JSON.stringify(request.command);
 	const kept = state.answers.find(({operation}) => operation === request.operation);
 	if (kept !== undefined) {
@@ -174,7 +174,7 @@
 	zoneReleased: applyToOwnership,
 	moveWished: requestMove,
 	drainAsked: drain,
-	operatorAsked: onceOnly,
+	operatorAsked: applyOnce,
 };
 
 /** Applies one command of the entry at an index. A rejected command changes nothing but the kept results. */
