--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -185,7 +185,7 @@
 }
 
 /** A command with missing fields changes nothing: it fails in the same way at every instance. */
-function applyWhole(command: ControlCommand, state: ControlState, index: LogIndex): CommandResult {
+function applyGuarded(command: ControlCommand, state: ControlState, index: LogIndex): CommandResult {
 	try {
 		return applyCommand(command, state, index);
 	} catch (error) {
@@ -203,7 +203,7 @@
 	const answers: Array<Result<ControlAccepted, Failure>> = [];
 	let next = state;
 	for (const command of commands.value) {
-		const applied = applyWhole(command, next, index);
+		const applied = applyGuarded(command, next, index);
 		next = applied.state;
 		answers.push(applied.answer);
 	}
