--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -20,7 +20,7 @@
 } from '@dogwooddeck/ownership/table';
 import {err, ok, type Result} from 'true-myth/result';
 import {
-	type ControlCommand, decodeCommands, type DrainAsked, type MoveWished, type OperatorAsked,
+	type ControlCommand, decodeCommands, type DrainAsked, type MoveRequest, type OperatorAsked,
 } from './command.js';
 import {
 	type ControlAccepted, type ControlState, type KeptAnswer, keptSeatings,
@@ -78,7 +78,7 @@
 		: {state, answer: err(membership.error)};
 }
 
-function isPendingMove(state: ControlState, move: MoveWished): boolean {
+function isPendingMove(state: ControlState, move: MoveRequest): boolean {
 	const assignment = assignmentOf(state.ownership, move.service, move.slot);
 	const target = upstreamsOf(state.membership, move.service).find(({name}) => name === move.upstream);
 	const isCompleted = assignment?.phase === AssignmentPhase.granted && assignment.owner.name === move.upstream;
@@ -105,7 +105,7 @@
 		: {state, answer: err(ownership.error)};
 }
 
-function requestMove(move: MoveWished, state: ControlState, index: LogIndex): CommandResult {
+function requestMove(move: MoveRequest, state: ControlState, index: LogIndex): CommandResult {
 	if (contractOf(state.configuration, move.service) === undefined || assignmentOf(state.ownership, move.service, move.slot) === undefined) {
 		return {state, answer: err(failure(FailureKind.notFound, `there is no slot ${move.slot} of ${move.service}`))};
 	}
--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -14,7 +14,7 @@
 import {groupSlots, ungroupSlots} from './slot-group.js';
 
 /** An operator requests that a slot moves to another owner. */
-export type MoveWished = {
+export type MoveRequest = {
 	readonly kind: 'moveWished';
 	readonly service: ServiceName;
 	readonly slot: Slot;
@@ -32,11 +32,11 @@
 export type OperatorAsked = {
 	readonly kind: 'operatorAsked';
 	readonly operation: OperationIdentifier;
-	readonly command: MembershipCommand | OwnershipCommand | MoveWished | DrainAsked;
+	readonly command: MembershipCommand | OwnershipCommand | MoveRequest | DrainAsked;
 };
 
 /** Any command of the replicated log. */
-export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveWished | DrainAsked | OperatorAsked;
+export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveRequest | DrainAsked | OperatorAsked;
 
 /** The fields that hold one item for each slot, by the kind of command. They are encoded as groups of slots. */
 const slottedFields: Readonly<Record<string, string>> = {
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -11,7 +11,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {emptyOwnership, type OwnershipState} from '@dogwooddeck/ownership/table';
 import {err, ok, type Result} from 'true-myth/result';
-import {type MoveWished} from './command.js';
+import {type MoveRequest} from './command.js';
 import {groupSlots, ungroupSlots} from './slot-group.js';
 
 /** The result of an accepted command for its sender. */
@@ -38,7 +38,7 @@
 	readonly membership: MembershipState;
 	readonly ownership: OwnershipState;
 	/** Operators' requested moves that aren't completed yet. */
-	readonly wishes: readonly MoveWished[];
+	readonly wishes: readonly MoveRequest[];
 	/** The kept results of operators' commands, oldest first. */
 	readonly answers: readonly KeptAnswer[];
 	/** The recent sets of seated instances (members of a zone's roster), newest first. */
