--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -20,7 +20,7 @@
 } from '@dogwooddeck/ownership/table';
 import {err, ok, type Result} from 'true-myth/result';
 import {
-	type ControlCommand, decodeCommands, type DrainAsked, type MoveRequest, type OperatorAsked,
+	type ControlCommand, decodeCommands, type DrainRequest, type MoveRequest, type OperatorAsked,
 } from './command.js';
 import {
 	type ControlAccepted, type ControlState, type KeptAnswer, keptSeatings,
@@ -119,7 +119,7 @@
 	return {state: dropCompletedMoves({...state, wishes: [...others, move]}), answer: ok({index})};
 }
 
-function drain(request: DrainAsked, state: ControlState, index: LogIndex): CommandResult {
+function drain(request: DrainRequest, state: ControlState, index: LogIndex): CommandResult {
 	const record = upstreamsOf(state.membership, request.service).find(({name}) => name === request.upstream);
 	if (record === undefined || record.phase === UpstreamPhase.lost) {
 		return {state, answer: err(failure(FailureKind.notFound, `there is no upstream ${request.upstream} of ${request.service}`))};
--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -22,7 +22,7 @@
 };
 
 /** An operator requests that an upstream is drained: its current incarnation leaves and its keys move to others. */
-export type DrainAsked = {
+export type DrainRequest = {
 	readonly kind: 'drainAsked';
 	readonly service: ServiceName;
 	readonly upstream: UpstreamName;
@@ -32,11 +32,11 @@
 export type OperatorAsked = {
 	readonly kind: 'operatorAsked';
 	readonly operation: OperationIdentifier;
-	readonly command: MembershipCommand | OwnershipCommand | MoveRequest | DrainAsked;
+	readonly command: MembershipCommand | OwnershipCommand | MoveRequest | DrainRequest;
 };
 
 /** Any command of the replicated log. */
-export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveRequest | DrainAsked | OperatorAsked;
+export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveRequest | DrainRequest | OperatorAsked;
 
 /** The fields that hold one item for each slot, by the kind of command. They are encoded as groups of slots. */
 const slottedFields: Readonly<Record<string, string>> = {
