--- a/packages/control/src/apply.ts
+++ b/packages/control/src/apply.ts
@@ -20,7 +20,7 @@
 } from '@dogwooddeck/ownership/table';
 import {err, ok, type Result} from 'true-myth/result';
 import {
-	type ControlCommand, decodeCommands, type DrainRequest, type MoveRequest, type OperatorAsked,
+	type ControlCommand, decodeCommands, type DrainRequest, type MoveRequest, type OperatorRequest,
 } from './command.js';
 import {
 	type ControlAccepted, type ControlState, type KeptAnswer, keptSeatings,
@@ -128,7 +128,7 @@
 	return applyToMembership({kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.leaving}, state, index);
 }
 
-function toKeptAnswer({operation}: OperatorAsked, command: string, answer: CommandResult['answer']): KeptAnswer {
+function toKeptAnswer({operation}: OperatorRequest, command: string, answer: CommandResult['answer']): KeptAnswer {
 	return {operation, command, answer: answer.isOk ? {accepted: answer.value} : {failure: answer.error}};
 }
 
@@ -140,7 +140,7 @@
 	return 'accepted' in kept.answer ? ok(kept.answer.accepted) : err(kept.answer.failure);
 }
 
-function applyOnce(request: OperatorAsked, state: ControlState, index: LogIndex): CommandResult {
+function applyOnce(request: OperatorRequest, state: ControlState, index: LogIndex): CommandResult {
 	const command = JSON.stringify(request.command);
 	const kept = state.answers.find(({operation}) => operation === request.operation);
 	if (kept !== undefined) {
--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -29,14 +29,14 @@
 };
 
 /** An operator's command. Idempotent: it takes effect once however often it is sent. */
-export type OperatorAsked = {
+export type OperatorRequest = {
 	readonly kind: 'operatorAsked';
 	readonly operation: OperationIdentifier;
 	readonly command: MembershipCommand | OwnershipCommand | MoveRequest | DrainRequest;
 };
 
 /** Any command of the replicated log. */
-export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveRequest | DrainRequest | OperatorAsked;
+export type ControlCommand = ConfigurationCommand | MembershipCommand | OwnershipCommand | MoveRequest | DrainRequest | OperatorRequest;
 
 /** The fields that hold one item for each slot, by the kind of command. They are encoded as groups of slots. */
 const slottedFields: Readonly<Record<string, string>> = {
@@ -95,7 +95,7 @@
 
 /** The commands that an instance may forward to the leader: operators' requests. The leader alone proposes all others. */
 const passedOn: ReadonlySet<string> = new Set<ControlCommand['kind']>(['subtreeApplied', 'tokenSet', 'operatorAsked']);
-const asked: ReadonlySet<string> = new Set<OperatorAsked['command']['kind']>(['moveWished', 'drainAsked', 'zoneReleased']);
+const asked: ReadonlySet<string> = new Set<OperatorRequest['command']['kind']>(['moveWished', 'drainAsked', 'zoneReleased']);
 
 function isPassedOn(command: ControlCommand): boolean {
 	return passedOn.has(command.kind) && (command.kind !== 'operatorAsked' || asked.has(command.command.kind));
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -13,7 +13,7 @@
 import {
 	contractOf, type ConfigurationAccepted, type ConfigurationCommand, subtreeOf, teamOf,
 } from '@dogwooddeck/configuration/tree';
-import {type OperatorAsked} from '@dogwooddeck/control/command';
+import {type OperatorRequest} from '@dogwooddeck/control/command';
 import {requireServedAgain} from '@dogwooddeck/control/served-again';
 import {type ControlAccepted, type ControlState} from '@dogwooddeck/control/state';
 import {type OperatorApi, type ApiHandler, type ApiRequest} from '@dogwooddeck/front/api';
@@ -118,7 +118,7 @@
 			: ok(configuration));
 	}
 
-	async function ask(operation: OperationIdentifier, command: OperatorAsked['command']): Promise<Result<WriteAnswer, Failure>> {
+	async function ask(operation: OperationIdentifier, command: OperatorRequest['command']): Promise<Result<WriteAnswer, Failure>> {
 		const accepted: Result<ControlAccepted, Failure> = await control.submit({kind: 'operatorAsked', operation, command});
 		return accepted.map(({index}) => ({operation, index}));
 	}
