--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -95,10 +95,10 @@
 
 /** The commands that an instance may forward to the leader: operators' requests. The leader alone proposes all others. */
 const forwardableKinds: ReadonlySet<string> = new Set<ControlCommand['kind']>(['subtreeApplied', 'tokenSet', 'operatorAsked']);
-const asked: ReadonlySet<string> = new Set<OperatorRequest['command']['kind']>(['moveWished', 'drainAsked', 'zoneReleased']);
+const operatorRequestKinds: ReadonlySet<string> = new Set<OperatorRequest['command']['kind']>(['moveWished', 'drainAsked', 'zoneReleased']);
 
 function isPassedOn(command: ControlCommand): boolean {
-	return forwardableKinds.has(command.kind) && (command.kind !== 'operatorAsked' || asked.has(command.command.kind));
+	return forwardableKinds.has(command.kind) && (command.kind !== 'operatorAsked' || operatorRequestKinds.has(command.command.kind));
 }
 
 /**
