--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -97,7 +97,7 @@
 const forwardableKinds: ReadonlySet<string> = new Set<ControlCommand['kind']>(['subtreeApplied', 'tokenSet', 'operatorAsked']);
 const operatorRequestKinds: ReadonlySet<string> = new Set<OperatorRequest['command']['kind']>(['moveWished', 'drainAsked', 'zoneReleased']);
 
-function isPassedOn(command: ControlCommand): boolean {
+function isForwardable(command: ControlCommand): boolean {
 	return forwardableKinds.has(command.kind) && (command.kind !== 'operatorAsked' || operatorRequestKinds.has(command.command.kind));
 }
 
@@ -112,7 +112,7 @@
 			return err(failure(FailureKind.malformed, 'the proposal is not a single complete command'));
 		}
 
-		return isPassedOn(command)
+		return isForwardable(command)
 			? ok(command)
 			: err(failure(FailureKind.forbidden, `only the leader may propose ${command.kind}`));
 	});
