--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -105,7 +105,7 @@
  * Decodes the command that another instance forwards for an operator. Fails with
  * `malformed`, and with `forbidden` for a command that operators may not request.
  */
-export function decodePassedOn(payload: string): Result<ControlCommand, Failure> {
+export function decodeForwarded(payload: string): Result<ControlCommand, Failure> {
 	return decodeCommands(payload).andThen(commands => {
 		const [command] = commands;
 		if (command === undefined || commands.length > 1 || (command.kind === 'operatorAsked' && !isCommand(command.command))) {
--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -2,7 +2,7 @@
  * This process's part in control: the leader's decisions while it leads, and
  * the way to the leader while it does not.
  */
-import {type ControlCommand, decodePassedOn, encodeCommands} from '@dogwooddeck/control/command';
+import {type ControlCommand, decodeForwarded, encodeCommands} from '@dogwooddeck/control/command';
 import {type ControlAccepted} from '@dogwooddeck/control/state';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type InstanceName} from '@dogwooddeck/model/identifiers';
@@ -54,7 +54,7 @@
 			return err(known.notLeader());
 		}
 
-		const command = decodePassedOn(payload);
+		const command = decodeForwarded(payload);
 		if (command.isErr) {
 			return err(command.error);
 		}
