--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -48,7 +48,7 @@
 	return Object.hasOwn(slottedFields, kind) ? slottedFields[kind] : undefined;
 }
 
-function grouped(command: ControlCommand): unknown {
+function encodeCommand(command: ControlCommand): unknown {
 	const field = slottedField(command);
 	if (field === undefined) {
 		return command;
@@ -72,7 +72,7 @@
 
 /** Encodes commands as the payload of an entry. */
 export function encodeCommands(commands: readonly ControlCommand[]): string {
-	return JSON.stringify(commands.map(command => grouped(command)));
+	return JSON.stringify(commands.map(command => encodeCommand(command)));
 }
 
 function isCommand(value: unknown): value is ControlCommand {
