--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -59,7 +59,7 @@
 }
 
 /** If the groups can't be decoded, the field becomes undefined, so that the command is rejected when it is applied. */
-function ungrouped(command: ControlCommand): ControlCommand {
+function decodeCommand(command: ControlCommand): ControlCommand {
 	const field = slottedField(command);
 	if (field === undefined) {
 		return command;
@@ -84,7 +84,7 @@
 	try {
 		const commands: unknown = JSON.parse(payload);
 		if (Array.isArray(commands) && commands.every(command => isCommand(command))) {
-			return ok(commands.map(command => ungrouped(command)));
+			return ok(commands.map(command => decodeCommand(command)));
 		}
 	} catch {
 		// Invalid JSON is rejected below.
