--- a/packages/control/src/command.ts
+++ b/packages/control/src/command.ts
@@ -66,8 +66,8 @@
 	}
 
 	const fields: JsonRecord = command;
-	const read: ControlCommand = {...command, [field]: ungroupSlots(fields[field])};
-	return read;
+	const decoded: ControlCommand = {...command, [field]: ungroupSlots(fields[field])};
+	return decoded;
 }
 
 /** Encodes commands as the payload of an entry. */
