--- a/packages/control/src/leader-state.ts
+++ b/packages/control/src/leader-state.ts
@@ -23,7 +23,7 @@
 	readonly loads: Readonly<Record<ServiceName, LoadState>>;
 	readonly placements: Readonly<Record<ServiceName, PlacementState>>;
 	/** The inputs and the due time of the last planning of each service. */
-	readonly looks: Readonly<Record<ServiceName, ServiceLook>>;
+	readonly planningInputs: Readonly<Record<ServiceName, ServiceLook>>;
 	/** The intended next owner of each slot under revocation, by `targetKey`. */
 	readonly targets: Readonly<Record<string, UpstreamIdentity>>;
 	/** The latest request for a seat (membership in a zone's roster) of each instance. */
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -60,7 +60,7 @@
 		grantor: createGrantor(now, control.applied, terms),
 		loads: {},
 		placements: {},
-		looks: {},
+		planningInputs: {},
 		targets: {},
 		seats: {},
 		heard: {},
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -212,7 +212,7 @@
 function planNow(state: LeaderState, control: ControlState, basis: PlanBasis, now: MonotonicTime): Planned {
 	const service = basis.contract.name;
 	const input = placementInput(state, control, basis, now);
-	const withLook = (look: ServiceLook) => ({...state, looks: {...state.looks, [service]: look}});
+	const withLook = (look: ServiceLook) => ({...state, looks: {...state.planningInputs, [service]: look}});
 	const waitsUntil = formsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
 		return {state: withLook(formingLook(basis, waitsUntil))};
@@ -225,7 +225,7 @@
 
 function planWhenDue(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Planned {
 	const basis = basisOf(state, control, contract, now);
-	return isPlanDue(state.looks[contract.name], basis, state.loads[contract.name], now) ? planNow(state, control, basis, now) : {state};
+	return isPlanDue(state.planningInputs[contract.name], basis, state.loads[contract.name], now) ? planNow(state, control, basis, now) : {state};
 }
 
 function plannedProposals(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Proposals {
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -301,11 +301,11 @@
 			const world = begun('entry-1');
 			const both = [announcement('one'), announcement('two')];
 			world.pass(10_000, both, ['entry-1']);
-			const look = world.leader.looks[contract.name];
+			const look = world.leader.planningInputs[contract.name];
 			world.pass(60_000, both, ['entry-1']);
-			assert.equal(world.leader.looks[contract.name], look);
+			assert.equal(world.leader.planningInputs[contract.name], look);
 			world.pass(formationMilliseconds, [...both, announcement('three')], ['entry-1']);
-			assert.notEqual(world.leader.looks[contract.name], look);
+			assert.notEqual(world.leader.planningInputs[contract.name], look);
 		},
 	},
 	{
