--- a/packages/control/src/leader-state.ts
+++ b/packages/control/src/leader-state.ts
@@ -29,7 +29,7 @@
 	/** The latest request for a seat (membership in a zone's roster) of each instance. */
 	readonly seats: Readonly<Record<InstanceName, SeatRequest>>;
 	/** The last contact with each instance. */
-	readonly heard: Readonly<Record<InstanceName, MonotonicTime>>;
+	readonly lastContacts: Readonly<Record<InstanceName, MonotonicTime>>;
 	readonly sharing: SharingState;
 	/** When the pending proposal was made. Absent: none is pending. */
 	readonly proposedAt?: MonotonicTime;
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -63,7 +63,7 @@
 		planningInputs: {},
 		targets: {},
 		seats: {},
-		heard: {},
+		lastContacts: {},
 		sharing: createSharing(now, contractsOf(control.configuration).map(({name}) => name)),
 	};
 }
@@ -96,8 +96,8 @@
 	return grantLimitShares(state.sharing, demanded, seatedInstances(control.ownership).length, now);
 }
 
-function hearAll(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['heard'] {
-	return {...state.heard, ...Object.fromEntries(instances.map(({name}) => [name, now]))};
+function hearAll(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['lastContacts'] {
+	return {...state.lastContacts, ...Object.fromEntries(instances.map(({name}) => [name, now]))};
 }
 
 function delegationRequested(event: EventOf<'delegationRequested'>, state: LeaderState): LeaderTransition {
@@ -111,7 +111,7 @@
 	const {state: sharing, shares} = answerDemands(state, event);
 	return {
 		state: {
-			...state, sharing, grantor: granted.state, watch, loads: takeLoads(state, event), heard: hearAll(state, request.holders ?? [], now),
+			...state, sharing, grantor: granted.state, watch, loads: takeLoads(state, event), lastContacts: hearAll(state, request.holders ?? [], now),
 		},
 		effects: granted.effects.map(effect => ({...effect, answer: {...effect.answer, shares}})),
 	};
@@ -123,7 +123,7 @@
 	}).state;
 	return {
 		state: {
-			...state, grantor, seats: {...state.seats, [request.instance.name]: request}, heard: hearAll(state, [request.instance], now),
+			...state, grantor, seats: {...state.seats, [request.instance.name]: request}, lastContacts: hearAll(state, [request.instance], now),
 		},
 		effects: [],
 	};
--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -57,11 +57,11 @@
 }
 
 function isHeard(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
-	return now - (state.heard[name] ?? state.grantor.startedAt) < silentInstanceMilliseconds;
+	return now - (state.lastContacts[name] ?? state.grantor.startedAt) < silentInstanceMilliseconds;
 }
 
 function isPresent(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
-	return now - (state.heard[name] ?? -Infinity) < presentMilliseconds;
+	return now - (state.lastContacts[name] ?? -Infinity) < presentMilliseconds;
 }
 
 /**
@@ -113,7 +113,7 @@
 }
 
 function seatProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
-	const seats = Object.fromEntries(Object.entries(state.seats).filter(([name]) => now - (state.heard[name] ?? 0) < silentInstanceMilliseconds));
+	const seats = Object.fromEntries(Object.entries(state.seats).filter(([name]) => now - (state.lastContacts[name] ?? 0) < silentInstanceMilliseconds));
 	const zones = new Set([...Object.keys(control.ownership.rosters), ...Object.values(seats).map(({instance}) => instance.zone)]);
 	const next = {...state, seats};
 	const commands = [...zones].map(zone => zoneProposal(next, control, zone, now)).filter(command => command !== undefined);
