--- a/packages/control/src/leader-state.ts
+++ b/packages/control/src/leader-state.ts
@@ -13,7 +13,7 @@
 import {type LoadState} from '@dogwooddeck/placement/load';
 import {type PlacementState} from '@dogwooddeck/placement/input';
 import {type ControlCommand} from './command.js';
-import {type ServiceLook} from './plan-due.js';
+import {type PlanningInputs} from './plan-due.js';
 
 /** The leader's state that isn't in the log. */
 export type LeaderState = {
@@ -23,7 +23,7 @@
 	readonly loads: Readonly<Record<ServiceName, LoadState>>;
 	readonly placements: Readonly<Record<ServiceName, PlacementState>>;
 	/** The inputs and the due time of the last planning of each service. */
-	readonly planningInputs: Readonly<Record<ServiceName, ServiceLook>>;
+	readonly planningInputs: Readonly<Record<ServiceName, PlanningInputs>>;
 	/** The intended next owner of each slot under revocation, by `targetKey`. */
 	readonly targets: Readonly<Record<string, UpstreamIdentity>>;
 	/** The latest request for a seat (membership in a zone's roster) of each instance. */
--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -24,7 +24,7 @@
 };
 
 /** The inputs of a service's last planning, and when the next is due. */
-export type ServiceLook = {
+export type PlanningInputs = {
 	readonly basis: PlanBasis;
 	/** When the service is planned again with unchanged inputs. */
 	readonly dueAt: MonotonicTime;
@@ -49,7 +49,7 @@
 }
 
 /** Whether planning a service is due. */
-export function isPlanDue(last: ServiceLook | undefined, basis: PlanBasis, load: LoadState | undefined, now: MonotonicTime): boolean {
+export function isPlanDue(last: PlanningInputs | undefined, basis: PlanBasis, load: LoadState | undefined, now: MonotonicTime): boolean {
 	if (last === undefined || !sameBasis(last.basis, basis)) {
 		return true;
 	}
@@ -58,12 +58,12 @@
 }
 
 /** Records that a service waits until `formsAt` for its keys to be assigned for the first time. */
-export function formingLook(basis: PlanBasis, formsAt: MonotonicTime): ServiceLook {
+export function formingLook(basis: PlanBasis, formsAt: MonotonicTime): PlanningInputs {
 	return {basis, dueAt: formsAt, isAtRest: false};
 }
 
 /** Records the inputs of a plan. A plan that proposes anything is due again at once, as its proposals may be rejected or lost. */
-export function plannedLook(basis: PlanBasis, plan: PlacementPlan, flapping: number, now: MonotonicTime): ServiceLook {
+export function plannedLook(basis: PlanBasis, plan: PlacementPlan, flapping: number, now: MonotonicTime): PlanningInputs {
 	const isSettled = plan.grants.length + plan.moves.length + plan.pins.length + plan.unpins.length === 0;
 	const isAtRest = isSettled && flapping === 0 && !plan.state.isBalancing && Object.keys(plan.state.movedAt).length === 0;
 	return {basis, dueAt: isSettled ? now + planPaceMilliseconds : now, isAtRest};
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -23,7 +23,7 @@
 import {type ControlCommand} from './command.js';
 import {type LeaderState, type Proposals} from './leader-state.js';
 import {
-	formingLook, isPlanDue, type PlanBasis, plannedLook, type ServiceLook,
+	formingLook, isPlanDue, type PlanBasis, plannedLook, type PlanningInputs,
 } from './plan-due.js';
 import {type ControlState} from './state.js';
 
@@ -212,7 +212,7 @@
 function planNow(state: LeaderState, control: ControlState, basis: PlanBasis, now: MonotonicTime): Planned {
 	const service = basis.contract.name;
 	const input = placementInput(state, control, basis, now);
-	const withLook = (look: ServiceLook) => ({...state, looks: {...state.planningInputs, [service]: look}});
+	const withLook = (look: PlanningInputs) => ({...state, looks: {...state.planningInputs, [service]: look}});
 	const waitsUntil = formsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
 		return {state: withLook(formingLook(basis, waitsUntil))};
