--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -58,7 +58,7 @@
 }
 
 /** Records that a service waits until `formsAt` for its keys to be assigned for the first time. */
-export function formingLook(basis: PlanBasis, formsAt: MonotonicTime): PlanningInputs {
+export function formingInputs(basis: PlanBasis, formsAt: MonotonicTime): PlanningInputs {
 	return {basis, dueAt: formsAt, isAtRest: false};
 }
 
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -23,7 +23,7 @@
 import {type ControlCommand} from './command.js';
 import {type LeaderState, type Proposals} from './leader-state.js';
 import {
-	formingLook, isPlanDue, type PlanBasis, plannedLook, type PlanningInputs,
+	formingInputs, isPlanDue, type PlanBasis, plannedLook, type PlanningInputs,
 } from './plan-due.js';
 import {type ControlState} from './state.js';
 
@@ -215,7 +215,7 @@
 	const withLook = (look: PlanningInputs) => ({...state, looks: {...state.planningInputs, [service]: look}});
 	const waitsUntil = formsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
-		return {state: withLook(formingLook(basis, waitsUntil))};
+		return {state: withLook(formingInputs(basis, waitsUntil))};
 	}
 
 	const plan = planPlacement(input);
--- a/packages/control/test/test-plan-due.ts
+++ b/packages/control/test/test-plan-due.ts
@@ -5,7 +5,7 @@
 import {createPlacement} from '@dogwooddeck/placement/plan';
 import {type PlacementPlan} from '@dogwooddeck/placement/proposal';
 import {
-	formingLook, isPlanDue, type PlanBasis, plannedLook, planPaceMilliseconds,
+	formingInputs, isPlanDue, type PlanBasis, plannedLook, planPaceMilliseconds,
 } from '@dogwooddeck/control/plan-due';
 
 const contract: ServiceContract = {
@@ -80,6 +80,6 @@
 }
 
 test('plan due: a forming service at the end of its wait, and a service that was never planned', () => {
-	assert.deepEqual([1999, 2000].map(now => isPlanDue(formingLook(basis, 2000), basis, undefined, now)), [false, true]);
+	assert.deepEqual([1999, 2000].map(now => isPlanDue(formingInputs(basis, 2000), basis, undefined, now)), [false, true]);
 	assert.equal(isPlanDue(undefined, basis, undefined, 0), true);
 });
