--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -63,7 +63,7 @@
 }
 
 /** Records the inputs of a plan. A plan that proposes anything is due again at once, as its proposals may be rejected or lost. */
-export function plannedLook(basis: PlanBasis, plan: PlacementPlan, flapping: number, now: MonotonicTime): PlanningInputs {
+export function plannedInputs(basis: PlanBasis, plan: PlacementPlan, flapping: number, now: MonotonicTime): PlanningInputs {
 	const isSettled = plan.grants.length + plan.moves.length + plan.pins.length + plan.unpins.length === 0;
 	const isAtRest = isSettled && flapping === 0 && !plan.state.isBalancing && Object.keys(plan.state.movedAt).length === 0;
 	return {basis, dueAt: isSettled ? now + planPaceMilliseconds : now, isAtRest};
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -23,7 +23,7 @@
 import {type ControlCommand} from './command.js';
 import {type LeaderState, type Proposals} from './leader-state.js';
 import {
-	formingInputs, isPlanDue, type PlanBasis, plannedLook, type PlanningInputs,
+	formingInputs, isPlanDue, type PlanBasis, plannedInputs, type PlanningInputs,
 } from './plan-due.js';
 import {type ControlState} from './state.js';
 
@@ -219,7 +219,7 @@
 	}
 
 	const plan = planPlacement(input);
-	const looked = withLook(plannedLook(basis, plan, input.flapping, now));
+	const looked = withLook(plannedInputs(basis, plan, input.flapping, now));
 	return {plan, state: {...looked, placements: {...state.placements, [service]: plan.state}}};
 }
 
--- a/packages/control/test/test-plan-due.ts
+++ b/packages/control/test/test-plan-due.ts
@@ -5,7 +5,7 @@
 import {createPlacement} from '@dogwooddeck/placement/plan';
 import {type PlacementPlan} from '@dogwooddeck/placement/proposal';
 import {
-	formingInputs, isPlanDue, type PlanBasis, plannedLook, planPaceMilliseconds,
+	formingInputs, isPlanDue, type PlanBasis, plannedInputs, planPaceMilliseconds,
 } from '@dogwooddeck/control/plan-due';
 
 const contract: ServiceContract = {
@@ -29,7 +29,7 @@
 const decayed = 20 * noLoad.timeConstantMilliseconds;
 
 function isDue(now: number, plan: Partial<PlacementPlan> = {}, flapping = 0, load: LoadState | undefined = undefined, changed: Partial<PlanBasis> = {}): boolean {
-	return isPlanDue(plannedLook(basis, {...nothing, ...plan}, flapping, plannedAt), {...basis, ...changed}, load, now);
+	return isPlanDue(plannedInputs(basis, {...nothing, ...plan}, flapping, plannedAt), {...basis, ...changed}, load, now);
 }
 
 const changeCases: ReadonlyArray<{readonly name: string; readonly changed: Partial<PlanBasis>; readonly expected: boolean}> = [
