--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -40,12 +40,12 @@
 }
 
 /** Loads last reported this many time constants ago have decayed to a negligible amount. */
-const quietTimeConstants = 20;
+const idleTimeConstants = 20;
 
 function isQuiet(load: LoadState | undefined, now: MonotonicTime): boolean {
 	return load === undefined
 		|| (load.slots.length === 0 && Object.keys(load.keys).length === 0)
-		|| now - load.updatedAt >= quietTimeConstants * load.timeConstantMilliseconds;
+		|| now - load.updatedAt >= idleTimeConstants * load.timeConstantMilliseconds;
 }
 
 /** Whether planning a service is due. */
