--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -42,7 +42,7 @@
 /** Loads last reported this many time constants ago have decayed to a negligible amount. */
 const idleTimeConstants = 20;
 
-function isQuiet(load: LoadState | undefined, now: MonotonicTime): boolean {
+function isIdle(load: LoadState | undefined, now: MonotonicTime): boolean {
 	return load === undefined
 		|| (load.slots.length === 0 && Object.keys(load.keys).length === 0)
 		|| now - load.updatedAt >= idleTimeConstants * load.timeConstantMilliseconds;
@@ -54,7 +54,7 @@
 		return true;
 	}
 
-	return now >= last.dueAt && !(last.isAtRest && isQuiet(load, now));
+	return now >= last.dueAt && !(last.isAtRest && isIdle(load, now));
 }
 
 /** Records that a service waits until `formsAt` for its keys to be assigned for the first time. */
