--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -13,7 +13,7 @@
 import {type PlacementPlan} from '@dogwooddeck/placement/proposal';
 
 /** The interval between plans of a service when only loads and time changed. The benchmark replays with the same interval. */
-export const planPaceMilliseconds: Milliseconds = 5000;
+export const planIntervalMilliseconds: Milliseconds = 5000;
 
 /** The inputs of a service's plan other than loads and time. */
 export type PlanBasis = {
@@ -66,5 +66,5 @@
 export function plannedInputs(basis: PlanBasis, plan: PlacementPlan, flapping: number, now: MonotonicTime): PlanningInputs {
 	const isSettled = plan.grants.length + plan.moves.length + plan.pins.length + plan.unpins.length === 0;
 	const isAtRest = isSettled && flapping === 0 && !plan.state.isBalancing && Object.keys(plan.state.movedAt).length === 0;
-	return {basis, dueAt: isSettled ? now + planPaceMilliseconds : now, isAtRest};
+	return {basis, dueAt: isSettled ? now + planIntervalMilliseconds : now, isAtRest};
 }
--- a/packages/control/test/test-plan-due.ts
+++ b/packages/control/test/test-plan-due.ts
@@ -5,7 +5,7 @@
 import {createPlacement} from '@dogwooddeck/placement/plan';
 import {type PlacementPlan} from '@dogwooddeck/placement/proposal';
 import {
-	formingInputs, isPlanDue, type PlanBasis, plannedInputs, planPaceMilliseconds,
+	formingInputs, isPlanDue, type PlanBasis, plannedInputs, planIntervalMilliseconds,
 } from '@dogwooddeck/control/plan-due';
 
 const contract: ServiceContract = {
@@ -25,7 +25,7 @@
 const someLoad: LoadState = {...noLoad, slots: [0, 0.5]};
 const plannedAt = 1000;
 const soon = plannedAt + 50;
-const pace = plannedAt + planPaceMilliseconds;
+const pace = plannedAt + planIntervalMilliseconds;
 const decayed = 20 * noLoad.timeConstantMilliseconds;
 
 function isDue(now: number, plan: Partial<PlacementPlan> = {}, flapping = 0, load: LoadState | undefined = undefined, changed: Partial<PlanBasis> = {}): boolean {
