--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -75,7 +75,7 @@
 }
 
 /** Loads decay with the time since their last update, so a service that a report doesn't name needs no update. */
-function takeLoads(state: LeaderState, {now, control, request}: EventOf<'delegationRequested'>): LeaderState['loads'] {
+function receiveLoads(state: LeaderState, {now, control, request}: EventOf<'delegationRequested'>): LeaderState['loads'] {
 	const region = control.ownership.rosters[request.zone]?.region;
 	if (region === undefined) {
 		return state.loads;
@@ -111,7 +111,7 @@
 	const {state: sharing, shares} = answerDemands(state, event);
 	return {
 		state: {
-			...state, sharing, grantor: granted.state, watch, loads: takeLoads(state, event), lastContacts: hearAll(state, request.holders ?? [], now),
+			...state, sharing, grantor: granted.state, watch, loads: receiveLoads(state, event), lastContacts: hearAll(state, request.holders ?? [], now),
 		},
 		effects: granted.effects.map(effect => ({...effect, answer: {...effect.answer, shares}})),
 	};
