--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -96,7 +96,7 @@
 	return grantLimitShares(state.sharing, demanded, seatedInstances(control.ownership).length, now);
 }
 
-function hearAll(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['lastContacts'] {
+function recordContacts(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['lastContacts'] {
 	return {...state.lastContacts, ...Object.fromEntries(instances.map(({name}) => [name, now]))};
 }
 
@@ -111,7 +111,7 @@
 	const {state: sharing, shares} = answerDemands(state, event);
 	return {
 		state: {
-			...state, sharing, grantor: granted.state, watch, loads: receiveLoads(state, event), lastContacts: hearAll(state, request.holders ?? [], now),
+			...state, sharing, grantor: granted.state, watch, loads: receiveLoads(state, event), lastContacts: recordContacts(state, request.holders ?? [], now),
 		},
 		effects: granted.effects.map(effect => ({...effect, answer: {...effect.answer, shares}})),
 	};
@@ -123,7 +123,7 @@
 	}).state;
 	return {
 		state: {
-			...state, grantor, seats: {...state.seats, [request.instance.name]: request}, lastContacts: hearAll(state, [request.instance], now),
+			...state, grantor, seats: {...state.seats, [request.instance.name]: request}, lastContacts: recordContacts(state, [request.instance], now),
 		},
 		effects: [],
 	};
