--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -50,7 +50,7 @@
 export type LeaderTransition = Transition<LeaderState, LeaderEffect>;
 
 /** The timeout of a pending proposal. It is safe to propose again: duplicate commands are rejected when they are applied. */
-export const proposalMilliseconds: Milliseconds = 3000;
+export const proposalTimeoutMilliseconds: Milliseconds = 3000;
 
 /** Creates the state of a leader that was elected now and has applied its whole log. */
 export function createLeader(now: MonotonicTime, control: ControlState, terms: LeaseTerms, hash: SlotHash): LeaderState {
@@ -131,7 +131,7 @@
 
 function ticked({now, control}: EventOf<'ticked' | 'proposalEnded'>, state: LeaderState): LeaderTransition {
 	const grantor = stepGrantor(state.grantor, {kind: 'tableChanged', now, table: control.ownership}).state;
-	if (state.proposedAt !== undefined && now - state.proposedAt < proposalMilliseconds) {
+	if (state.proposedAt !== undefined && now - state.proposedAt < proposalTimeoutMilliseconds) {
 		return {state: {...state, grantor}, effects: []};
 	}
 
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -11,7 +11,7 @@
 import {applyEntry} from '@dogwooddeck/control/apply';
 import {type ControlCommand, encodeCommands} from '@dogwooddeck/control/command';
 import {
-	createLeader, type LeaderEvent, proposalMilliseconds, stepLeader,
+	createLeader, type LeaderEvent, proposalTimeoutMilliseconds, stepLeader,
 } from '@dogwooddeck/control/leader';
 import {type LeaderState} from '@dogwooddeck/control/leader-state';
 import {silentInstanceMilliseconds} from '@dogwooddeck/control/proposals';
@@ -274,7 +274,7 @@
 		run() {
 			const world = begun('entry-1');
 			world.leader = {...world.leader, proposedAt: world.now};
-			world.pass(proposalMilliseconds - 200, [announcement('one')], ['entry-1']);
+			world.pass(proposalTimeoutMilliseconds - 200, [announcement('one')], ['entry-1']);
 			assert.deepEqual(new Set(world.owners()), new Set(['']));
 			world.pass(formationMilliseconds + 1000, [announcement('one')], ['entry-1']);
 			assert.deepEqual(new Set(world.owners()), new Set(['one']));
