--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -21,7 +21,7 @@
 import {closingProposals, serviceProposals} from './service-proposals.js';
 import {type ControlState} from './state.js';
 
-const commandsAtMost = 512;
+const maximumCommands = 512;
 
 /** A roster member without contact for this long loses its seat, if there is contact with another member of its zone. */
 export const silentInstanceMilliseconds: Milliseconds = 3000;
@@ -143,5 +143,5 @@
 		commands.push(...made.commands);
 	}
 
-	return {state: next, commands: commands.slice(0, commandsAtMost)};
+	return {state: next, commands: commands.slice(0, maximumCommands)};
 }
