--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -24,7 +24,7 @@
 const maximumCommands = 512;
 
 /** A roster member without contact for this long loses its seat, if there is contact with another member of its zone. */
-export const silentInstanceMilliseconds: Milliseconds = 3000;
+export const memberContactTimeoutMilliseconds: Milliseconds = 3000;
 
 /** A member with contact within this time counts as present. In a partition, contact with all members of a zone ends together. */
 const presentMilliseconds: Milliseconds = 1000;
@@ -57,7 +57,7 @@
 }
 
 function isHeard(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
-	return now - (state.lastContacts[name] ?? state.grantor.startedAt) < silentInstanceMilliseconds;
+	return now - (state.lastContacts[name] ?? state.grantor.startedAt) < memberContactTimeoutMilliseconds;
 }
 
 function isPresent(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
@@ -113,7 +113,7 @@
 }
 
 function seatProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
-	const seats = Object.fromEntries(Object.entries(state.seats).filter(([name]) => now - (state.lastContacts[name] ?? 0) < silentInstanceMilliseconds));
+	const seats = Object.fromEntries(Object.entries(state.seats).filter(([name]) => now - (state.lastContacts[name] ?? 0) < memberContactTimeoutMilliseconds));
 	const zones = new Set([...Object.keys(control.ownership.rosters), ...Object.values(seats).map(({instance}) => instance.zone)]);
 	const next = {...state, seats};
 	const commands = [...zones].map(zone => zoneProposal(next, control, zone, now)).filter(command => command !== undefined);
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -14,7 +14,7 @@
 	createLeader, type LeaderEvent, proposalTimeoutMilliseconds, stepLeader,
 } from '@dogwooddeck/control/leader';
 import {type LeaderState} from '@dogwooddeck/control/leader-state';
-import {silentInstanceMilliseconds} from '@dogwooddeck/control/proposals';
+import {memberContactTimeoutMilliseconds} from '@dogwooddeck/control/proposals';
 import {formationMilliseconds} from '@dogwooddeck/control/service-proposals';
 import {type ControlState, emptyControl} from '@dogwooddeck/control/state';
 
@@ -146,7 +146,7 @@
 		run() {
 			const world = begun('entry-1', 'entry-2');
 			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
-			world.pass(silentInstanceMilliseconds + 500, [], ['entry-1']);
+			world.pass(memberContactTimeoutMilliseconds + 500, [], ['entry-1']);
 			assert.deepEqual(world.members(), ['entry-1#1']);
 		},
 	},
@@ -155,7 +155,7 @@
 		run() {
 			const world = begun('entry-1', 'entry-2');
 			world.pass(500, [], ['entry-1', 'entry-2']);
-			world.pass(10 * silentInstanceMilliseconds, [], []);
+			world.pass(10 * memberContactTimeoutMilliseconds, [], []);
 			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
 		},
 	},
