--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -27,7 +27,7 @@
 export const memberContactTimeoutMilliseconds: Milliseconds = 3000;
 
 /** A member with contact within this time counts as present. In a partition, contact with all members of a zone ends together. */
-const presentMilliseconds: Milliseconds = 1000;
+const presenceTimeoutMilliseconds: Milliseconds = 1000;
 
 function ownsSlots(control: ControlState, upstream: UpstreamIdentity): boolean {
 	const assignments = control.ownership.services[upstream.service]?.assignments ?? [];
@@ -61,7 +61,7 @@
 }
 
 function isPresent(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
-	return now - (state.lastContacts[name] ?? -Infinity) < presentMilliseconds;
+	return now - (state.lastContacts[name] ?? -Infinity) < presenceTimeoutMilliseconds;
 }
 
 /**
