--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -34,7 +34,7 @@
 	return assignments.some(assignment => assignment.phase !== AssignmentPhase.vacant && sameUpstream(assignment.owner, upstream));
 }
 
-function isTimely(command: MembershipCommand, control: ControlState): boolean {
+function mayBeProposed(command: MembershipCommand, control: ControlState): boolean {
 	return command.kind !== 'upstreamForgotten' || !ownsSlots(control, command.upstream);
 }
 
@@ -47,7 +47,7 @@
 		contracts: contractsOf(control.configuration),
 		rosterSizes: Object.fromEntries(rosters.map(({zone, members}) => [zone, members.length])),
 	});
-	const commands = judged.effects.map(effect => effect.command).filter(command => isTimely(command, control));
+	const commands = judged.effects.map(effect => effect.command).filter(command => mayBeProposed(command, control));
 	return {state: {...state, watch: judged.state}, commands};
 }
 
