--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -40,15 +40,15 @@
 
 function membershipProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
 	const rosters = Object.values(control.ownership.rosters);
-	const judged = advanceWatch(state.watch, {
+	const decided = advanceWatch(state.watch, {
 		kind: 'ticked',
 		now,
 		registry: control.membership,
 		contracts: contractsOf(control.configuration),
 		rosterSizes: Object.fromEntries(rosters.map(({zone, members}) => [zone, members.length])),
 	});
-	const commands = judged.effects.map(effect => effect.command).filter(command => mayBeProposed(command, control));
-	return {state: {...state, watch: judged.state}, commands};
+	const commands = decided.effects.map(effect => effect.command).filter(command => mayBeProposed(command, control));
+	return {state: {...state, watch: decided.state}, commands};
 }
 
 function isMember(control: ControlState, {instance}: SeatRequest): boolean {
