--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -56,7 +56,7 @@
 	return includesInstance(members, instance);
 }
 
-function isHeard(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
+function hasRecentContact(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
 	return now - (state.lastContacts[name] ?? state.grantor.startedAt) < memberContactTimeoutMilliseconds;
 }
 
@@ -76,7 +76,7 @@
 	}
 
 	const gone = members.find(member => state.seats[member.name]?.leaving === true && sameInstance(member, state.seats[member.name]!.instance))
-		?? members.find(member => !isHeard(state, member, now));
+		?? members.find(member => !hasRecentContact(state, member, now));
 	const another = members.some(member => member !== gone && isPresent(state, member, now));
 	return gone !== undefined && another
 		? {
