--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -75,12 +75,12 @@
 		return undefined;
 	}
 
-	const gone = members.find(member => state.seats[member.name]?.leaving === true && sameInstance(member, state.seats[member.name]!.instance))
+	const removed = members.find(member => state.seats[member.name]?.leaving === true && sameInstance(member, state.seats[member.name]!.instance))
 		?? members.find(member => !hasRecentContact(state, member, now));
-	const another = members.some(member => member !== gone && isPresent(state, member, now));
-	return gone !== undefined && another
+	const another = members.some(member => member !== removed && isPresent(state, member, now));
+	return removed !== undefined && another
 		? {
-			kind: 'instanceUnseated', zone, changedAt: roster.changedAt, instance: {name: gone.name, incarnation: gone.incarnation},
+			kind: 'instanceUnseated', zone, changedAt: roster.changedAt, instance: {name: removed.name, incarnation: removed.incarnation},
 		}
 		: undefined;
 }
