--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -77,8 +77,8 @@
 
 	const removed = members.find(member => state.seats[member.name]?.leaving === true && sameInstance(member, state.seats[member.name]!.instance))
 		?? members.find(member => !hasRecentContact(state, member, now));
-	const another = members.some(member => member !== removed && isPresent(state, member, now));
-	return removed !== undefined && another
+	const isAnotherPresent = members.some(member => member !== removed && isPresent(state, member, now));
+	return removed !== undefined && isAnotherPresent
 		? {
 			kind: 'instanceUnseated', zone, changedAt: roster.changedAt, instance: {name: removed.name, incarnation: removed.incarnation},
 		}
