--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -100,8 +100,8 @@
 }
 
 function zoneProposal(state: LeaderState, control: ControlState, zone: ZoneName, now: MonotonicTime): OwnershipCommand | undefined {
-	const asking = Object.values(state.seats).filter(({instance, leaving}) => instance.zone === zone && leaving !== true);
-	for (const request of asking) {
+	const requests = Object.values(state.seats).filter(({instance, leaving}) => instance.zone === zone && leaving !== true);
+	for (const request of requests) {
 		const command = isMember(control, request) ? undefined : proposeSeat(state.grantor, control.ownership, request.instance, now);
 		if (command !== undefined && !isTooEarly(state, control, command, now)) {
 			return command;
