--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -138,9 +138,9 @@
 			(current: LeaderState) => serviceProposals(current, control, contract, now)),
 	];
 	for (const step of steps) {
-		const made = step(next, control, now);
-		next = made.state;
-		commands.push(...made.commands);
+		const result = step(next, control, now);
+		next = result.state;
+		commands.push(...result.commands);
 	}
 
 	return {state: next, commands: commands.slice(0, maximumCommands)};
