--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -60,7 +60,7 @@
 }
 
 /** Returns the unreachable zones whose upstreams keep their slots. */
-function heldZones(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): ReadonlySet<ZoneName | undefined> {
+function holdingZones(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): ReadonlySet<ZoneName | undefined> {
 	const policy = control.ownership.policies[service];
 	const holds = policy !== undefined && someMayHold(policy);
 	return new Set(holds ? unreachableZones(state, control, now) : []);
@@ -122,7 +122,7 @@
 	const granted = [...cleared].filter(({slot}) => mayOwn(control, targetOf(slot)));
 	const released = [...cleared].filter(({slot}) => !mayOwn(control, targetOf(slot)));
 	const waiting = revoking.filter(assignment => !cleared.has(assignment));
-	const takenBack = waiting.length === 0 ? [] : heldUp(waiting, control, heldZones(state, control, service, now));
+	const takenBack = waiting.length === 0 ? [] : heldUp(waiting, control, holdingZones(state, control, service, now));
 	const grants: readonly Grant[] = [
 		...granted.map(({slot, revokedAt}) => ({slot, owner: targetOf(slot)!, revokedAt})),
 		...takenBack.map(({slot, owner, revokedAt}) => ({slot, owner, revokedAt})),
@@ -139,7 +139,7 @@
 }
 
 function wishedMoves(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): readonly Target[] {
-	const held = heldZones(state, control, assignments.service, now);
+	const held = holdingZones(state, control, assignments.service, now);
 	return control.wishes.filter(({service}) => service === assignments.service).flatMap(({slot, upstream}) => {
 		const assignment = assignments.assignments[slot];
 		const target = upstreamsOf(control.membership, assignments.service)
