--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -62,8 +62,8 @@
 /** Returns the unreachable zones whose upstreams keep their slots. */
 function holdingZones(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): ReadonlySet<ZoneName | undefined> {
 	const policy = control.ownership.policies[service];
-	const holds = policy !== undefined && someMayHold(policy);
-	return new Set(holds ? unreachableZones(state, control, now) : []);
+	const mayHold = policy !== undefined && someMayHold(policy);
+	return new Set(mayHold ? unreachableZones(state, control, now) : []);
 }
 
 /**
