--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -71,7 +71,7 @@
  * continue to send to the owner, so the slot can't be granted to another
  * upstream. It can be granted to the same owner again, which needs no evidence.
  */
-function heldUp(revoking: readonly Revoking[], control: ControlState, held: ReadonlySet<ZoneName | undefined>): readonly Revoking[] {
+function blockedRevocations(revoking: readonly Revoking[], control: ControlState, held: ReadonlySet<ZoneName | undefined>): readonly Revoking[] {
 	return revoking.filter(({owner}) => mayOwn(control, owner) && held.has(ownerZone(control, owner)));
 }
 
@@ -122,7 +122,7 @@
 	const granted = [...cleared].filter(({slot}) => mayOwn(control, targetOf(slot)));
 	const released = [...cleared].filter(({slot}) => !mayOwn(control, targetOf(slot)));
 	const waiting = revoking.filter(assignment => !cleared.has(assignment));
-	const takenBack = waiting.length === 0 ? [] : heldUp(waiting, control, holdingZones(state, control, service, now));
+	const takenBack = waiting.length === 0 ? [] : blockedRevocations(waiting, control, holdingZones(state, control, service, now));
 	const grants: readonly Grant[] = [
 		...granted.map(({slot, revokedAt}) => ({slot, owner: targetOf(slot)!, revokedAt})),
 		...takenBack.map(({slot, owner, revokedAt}) => ({slot, owner, revokedAt})),
