--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -87,17 +87,17 @@
 function clearRevocations(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): Cleared {
 	let {grantor} = state;
 	const cleared = new Set<Revoking>();
-	const looked = new Map<string, boolean>();
+	const checked = new Map<string, boolean>();
 	for (const assignment of revocationsOf(assignments)) {
 		const revocation = revocationOf(control, assignment);
 		const evidence = `${assignment.revokedAt}\n${revocation.ownerZone}`;
-		if (!looked.has(evidence)) {
+		if (!checked.has(evidence)) {
 			const result = clear(grantor, control.ownership, revocation, now);
 			({grantor} = result);
-			looked.set(evidence, result.cleared);
+			checked.set(evidence, result.cleared);
 		}
 
-		if (looked.get(evidence) === true) {
+		if (checked.get(evidence) === true) {
 			cleared.add(assignment);
 		}
 	}
