--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -122,10 +122,10 @@
 	const granted = [...cleared].filter(({slot}) => mayOwn(control, targetOf(slot)));
 	const released = [...cleared].filter(({slot}) => !mayOwn(control, targetOf(slot)));
 	const waiting = revoking.filter(assignment => !cleared.has(assignment));
-	const takenBack = waiting.length === 0 ? [] : blockedRevocations(waiting, control, holdingZones(state, control, service, now));
+	const cancelled = waiting.length === 0 ? [] : blockedRevocations(waiting, control, holdingZones(state, control, service, now));
 	const grants: readonly Grant[] = [
 		...granted.map(({slot, revokedAt}) => ({slot, owner: targetOf(slot)!, revokedAt})),
-		...takenBack.map(({slot, owner, revokedAt}) => ({slot, owner, revokedAt})),
+		...cancelled.map(({slot, owner, revokedAt}) => ({slot, owner, revokedAt})),
 	];
 	const commands: ControlCommand[] = [
 		...(grants.length === 0 ? [] : [{kind: 'assignmentsGranted' as const, service, grants}]),
