--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -138,7 +138,7 @@
 	return {state: {...state, grantor}, commands};
 }
 
-function wishedMoves(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): readonly Target[] {
+function requestedMoves(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): readonly Target[] {
 	const held = holdingZones(state, control, assignments.service, now);
 	return control.wishes.filter(({service}) => service === assignments.service).flatMap(({slot, upstream}) => {
 		const assignment = assignments.assignments[slot];
@@ -231,7 +231,7 @@
 function plannedProposals(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Proposals {
 	const service = contract.name;
 	const {state: next, plan} = planWhenDue(state, control, contract, now);
-	const wished = wishedMoves(state, control, assignmentsOf(control, service), now);
+	const wished = requestedMoves(state, control, assignmentsOf(control, service), now);
 	const moves = plan?.moves ?? [];
 	const planned = moves.flatMap(({slot, to}) => to === undefined ? [] : [{slot, to}]);
 	const revoked = [...new Set([...moves.map(({slot}) => slot), ...wished.map(({slot}) => slot)])];
