--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -231,11 +231,11 @@
 function plannedProposals(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Proposals {
 	const service = contract.name;
 	const {state: next, plan} = planWhenDue(state, control, contract, now);
-	const wished = requestedMoves(state, control, assignmentsOf(control, service), now);
+	const requested = requestedMoves(state, control, assignmentsOf(control, service), now);
 	const moves = plan?.moves ?? [];
 	const planned = moves.flatMap(({slot, to}) => to === undefined ? [] : [{slot, to}]);
-	const revoked = [...new Set([...moves.map(({slot}) => slot), ...wished.map(({slot}) => slot)])];
-	return {state: withTargets(next, service, [...planned, ...wished]), commands: planCommands(service, plan, revoked)};
+	const revoked = [...new Set([...moves.map(({slot}) => slot), ...requested.map(({slot}) => slot)])];
+	return {state: withTargets(next, service, [...planned, ...requested]), commands: planCommands(service, plan, revoked)};
 }
 
 /** Returns the proposals for a service that has a contract. */
