--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -144,9 +144,9 @@
 		const assignment = assignments.assignments[slot];
 		const target = upstreamsOf(control.membership, assignments.service)
 			.find(({name, phase}) => name === upstream && phase === UpstreamPhase.serving);
-		const moves = assignment?.phase === AssignmentPhase.granted && target !== undefined && !sameUpstream(assignment.owner, identityOf(target))
+		const mayMove = assignment?.phase === AssignmentPhase.granted && target !== undefined && !sameUpstream(assignment.owner, identityOf(target))
 			&& !held.has(ownerZone(control, assignment.owner));
-		return moves ? [{slot, to: identityOf(target)}] : [];
+		return mayMove ? [{slot, to: identityOf(target)}] : [];
 	});
 }
 
