--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -212,14 +212,14 @@
 function planNow(state: LeaderState, control: ControlState, basis: PlanBasis, now: MonotonicTime): Planned {
 	const service = basis.contract.name;
 	const input = placementInput(state, control, basis, now);
-	const withLook = (look: PlanningInputs) => ({...state, looks: {...state.planningInputs, [service]: look}});
+	const withInputs = (look: PlanningInputs) => ({...state, looks: {...state.planningInputs, [service]: look}});
 	const waitsUntil = formsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
-		return {state: withLook(formingInputs(basis, waitsUntil))};
+		return {state: withInputs(formingInputs(basis, waitsUntil))};
 	}
 
 	const plan = planPlacement(input);
-	const looked = withLook(plannedInputs(basis, plan, input.flapping, now));
+	const looked = withInputs(plannedInputs(basis, plan, input.flapping, now));
 	return {plan, state: {...looked, placements: {...state.placements, [service]: plan.state}}};
 }
 
