--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -219,8 +219,8 @@
 	}
 
 	const plan = planPlacement(input);
-	const looked = withInputs(plannedInputs(basis, plan, input.flapping, now));
-	return {plan, state: {...looked, placements: {...state.placements, [service]: plan.state}}};
+	const updated = withInputs(plannedInputs(basis, plan, input.flapping, now));
+	return {plan, state: {...updated, placements: {...state.placements, [service]: plan.state}}};
 }
 
 function planWhenDue(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Planned {
