--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -245,7 +245,7 @@
 	return {state: planned.state, commands: [...ended.commands, ...planned.commands]};
 }
 
-function closingOf(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): Proposals {
+function closeService(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): Proposals {
 	const {assignments} = control.ownership.services[service]!;
 	if (assignments.every(({phase}) => phase === AssignmentPhase.vacant)) {
 		return {state, commands: [{kind: 'serviceClosed', service}]};
@@ -265,7 +265,7 @@
 	let next = state;
 	for (const service of Object.keys(control.ownership.services)) {
 		if (contractOf(control.configuration, service) === undefined) {
-			const made = closingOf(next, control, service, now);
+			const made = closeService(next, control, service, now);
 			next = made.state;
 			commands.push(...made.commands);
 		}
