--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -265,9 +265,9 @@
 	let next = state;
 	for (const service of Object.keys(control.ownership.services)) {
 		if (contractOf(control.configuration, service) === undefined) {
-			const made = closeService(next, control, service, now);
-			next = made.state;
-			commands.push(...made.commands);
+			const result = closeService(next, control, service, now);
+			next = result.state;
+			commands.push(...result.commands);
 		}
 	}
 
