--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -192,7 +192,7 @@
 export const formationMilliseconds: Milliseconds = 1500;
 
 /** Returns when a service without any owner stops waiting; `-Infinity` for a service that doesn't wait. */
-function formsAt(input: PlacementInput, startedAt: MonotonicTime): MonotonicTime {
+function formationEndsAt(input: PlacementInput, startedAt: MonotonicTime): MonotonicTime {
 	const joined = input.upstreams.map(upstream => upstream.joinedAt ?? startedAt);
 	const isVacant = input.assignments.assignments.every(({phase}) => phase === AssignmentPhase.vacant);
 	return isVacant ? Math.min(...joined) + formationMilliseconds : -Infinity;
@@ -213,7 +213,7 @@
 	const service = basis.contract.name;
 	const input = placementInput(state, control, basis, now);
 	const withInputs = (inputs: PlanningInputs) => ({...state, looks: {...state.planningInputs, [service]: inputs}});
-	const waitsUntil = formsAt(input, state.grantor.startedAt);
+	const waitsUntil = formationEndsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
 		return {state: withInputs(formingInputs(basis, waitsUntil))};
 	}
