--- a/packages/control/src/slot-group.ts
+++ b/packages/control/src/slot-group.ts
@@ -15,11 +15,11 @@
 };
 
 type Slotted = {readonly slot: Slot};
-type Open<Common> = {readonly common: Common; readonly steps: number[]; last: Slot};
+type OpenGroup<Common> = {readonly common: Common; readonly steps: number[]; last: Slot};
 
 /** Groups items. The groups are sorted by their smallest slot. */
 export function groupSlots<Item extends Slotted>(items: readonly Item[]): ReadonlyArray<SlotGroup<Omit<Item, 'slot'>>> {
-	const groups = new Map<string, Open<Omit<Item, 'slot'>>>();
+	const groups = new Map<string, OpenGroup<Omit<Item, 'slot'>>>();
 	for (const {slot, ...common} of items.toSorted((one, other) => one.slot - other.slot)) {
 		const key = JSON.stringify(common);
 		const group = groups.get(key) ?? {common, steps: [], last: 0};
