--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -85,13 +85,13 @@
 }
 
 /** Whether a value has all fields of a pattern, each with the same type as in the pattern: list, object or primitive. */
-function hasForm(value: unknown, pattern: unknown): boolean {
+function hasShape(value: unknown, pattern: unknown): boolean {
 	if (typeof pattern !== 'object' || pattern === null || typeof value !== 'object' || value === null) {
 		return typeof value === typeof pattern && value !== null;
 	}
 
 	return Array.isArray(value) === Array.isArray(pattern)
-		&& Object.entries(pattern).every(([name, part]) => hasForm((value as Readonly<Record<string, unknown>>)[name], part));
+		&& Object.entries(pattern).every(([name, part]) => hasShape((value as Readonly<Record<string, unknown>>)[name], part));
 }
 
 /** Decodes a snapshot. Fails with `malformed`. */
@@ -99,7 +99,7 @@
 	try {
 		const read = JSON.parse(data) as ControlState;
 		const state = {...emptyControl, ...read};
-		const whole = hasForm(read, {}) && hasForm(state, emptyControl) ? withAssignments(state) : undefined;
+		const whole = hasShape(read, {}) && hasShape(state, emptyControl) ? withAssignments(state) : undefined;
 		if (whole !== undefined) {
 			return ok(whole);
 		}
