--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -79,9 +79,9 @@
 
 /** Decodes the assignments of a state; undefined if the groups of a service can't be decoded. */
 function withAssignments(state: ControlState): ControlState | undefined {
-	const read = Object.entries(state.ownership.services).map(([name, service]) => [name, {...service, assignments: assignmentsOf(service.assignments)}] as const);
-	const services = Object.fromEntries(read) as Readonly<Record<string, ServiceAssignments>>;
-	return read.every(([, {assignments}]) => assignments !== undefined) ? {...state, ownership: {...state.ownership, services}} : undefined;
+	const decoded = Object.entries(state.ownership.services).map(([name, service]) => [name, {...service, assignments: assignmentsOf(service.assignments)}] as const);
+	const services = Object.fromEntries(decoded) as Readonly<Record<string, ServiceAssignments>>;
+	return decoded.every(([, {assignments}]) => assignments !== undefined) ? {...state, ownership: {...state.ownership, services}} : undefined;
 }
 
 /** Whether a value has all fields of a pattern, each with the same type as in the pattern: list, object or primitive. */
