--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -97,9 +97,9 @@
 /** Decodes a snapshot. Fails with `malformed`. */
 export function decodeControl(data: string): Result<ControlState, Failure> {
 	try {
-		const read = JSON.parse(data) as ControlState;
-		const state = {...emptyControl, ...read};
-		const whole = hasShape(read, {}) && hasShape(state, emptyControl) ? withAssignments(state) : undefined;
+		const parsed = JSON.parse(data) as ControlState;
+		const state = {...emptyControl, ...parsed};
+		const whole = hasShape(parsed, {}) && hasShape(state, emptyControl) ? withAssignments(state) : undefined;
 		if (whole !== undefined) {
 			return ok(whole);
 		}
