--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -99,9 +99,9 @@
 	try {
 		const parsed = JSON.parse(data) as ControlState;
 		const state = {...emptyControl, ...parsed};
-		const whole = hasShape(parsed, {}) && hasShape(state, emptyControl) ? withAssignments(state) : undefined;
-		if (whole !== undefined) {
-			return ok(whole);
+		const decoded = hasShape(parsed, {}) && hasShape(state, emptyControl) ? withAssignments(state) : undefined;
+		if (decoded !== undefined) {
+			return ok(decoded);
 		}
 	} catch {
 		// Invalid JSON is rejected below.
