--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -60,9 +60,9 @@
 	},
 };
 
-type Known = {readonly drained: number; readonly isCut: boolean};
+type ZoneEvidence = {readonly drained: number; readonly isCut: boolean};
 
-function leaderThatKnows(known: Readonly<Record<Zone, Known>>): LeaderState {
+function leaderThatKnows(known: Readonly<Record<Zone, ZoneEvidence>>): LeaderState {
 	const leader = createLeader(now, control, defaultLeaseTerms, () => 0);
 	const delegations = zones.map(zone => {
 		const {drained, isCut} = known[zone];
@@ -71,7 +71,7 @@
 	return {...leader, grantor: {...leader.grantor, zones: Object.fromEntries(delegations)}};
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly known: Readonly<Record<Zone, Known>>; readonly ended: readonly number[]}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly known: Readonly<Record<Zone, ZoneEvidence>>; readonly ended: readonly number[]}> = [
 	{name: 'no zone is drained', known: {'noord-a': {drained: 4, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: []},
 	{name: 'a zone is drained to the earlier revocation', known: {'noord-a': {drained: 5, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 2, 3]},
 	{name: 'all are drained', known: {'noord-a': {drained: 7, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 1, 2, 3]},
