--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -60,22 +60,22 @@
 	},
 };
 
-type ZoneEvidence = {readonly drained: number; readonly isCut: boolean};
+type ZoneEvidence = {readonly drained: number; readonly isPartitioned: boolean};
 
 function leaderThatKnows(known: Readonly<Record<Zone, ZoneEvidence>>): LeaderState {
 	const leader = createLeader(now, control, defaultLeaseTerms, () => 0);
 	const delegations = zones.map(zone => {
-		const {drained, isCut} = known[zone];
+		const {drained, isPartitioned: isCut} = known[zone];
 		return [zone, {drained, floor: 0, delegatedUntil: isCut ? 0 : now + 1000}] as const;
 	});
 	return {...leader, grantor: {...leader.grantor, zones: Object.fromEntries(delegations)}};
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly known: Readonly<Record<Zone, ZoneEvidence>>; readonly ended: readonly number[]}> = [
-	{name: 'no zone is drained', known: {'noord-a': {drained: 4, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: []},
-	{name: 'a zone is drained to the earlier revocation', known: {'noord-a': {drained: 5, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 2, 3]},
-	{name: 'all are drained', known: {'noord-a': {drained: 7, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 1, 2, 3]},
-	{name: 'a partitioned zone blocks only the slots of its own owners', known: {'noord-a': {drained: 0, isCut: true}, 'noord-b': {drained: 9, isCut: false}}, ended: [2]},
+	{name: 'no zone is drained', known: {'noord-a': {drained: 4, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: []},
+	{name: 'a zone is drained to the earlier revocation', known: {'noord-a': {drained: 5, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 2, 3]},
+	{name: 'all are drained', known: {'noord-a': {drained: 7, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 1, 2, 3]},
+	{name: 'a partitioned zone blocks only the slots of its own owners', known: {'noord-a': {drained: 0, isPartitioned: true}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [2]},
 ];
 
 for (const {name, known, ended} of cases) {
