--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -62,7 +62,7 @@
 
 type ZoneEvidence = {readonly drained: number; readonly isPartitioned: boolean};
 
-function leaderThatKnows(known: Readonly<Record<Zone, ZoneEvidence>>): LeaderState {
+function leaderWithEvidence(known: Readonly<Record<Zone, ZoneEvidence>>): LeaderState {
 	const leader = createLeader(now, control, defaultLeaseTerms, () => 0);
 	const delegations = zones.map(zone => {
 		const {drained, isPartitioned: isCut} = known[zone];
@@ -80,7 +80,7 @@
 
 for (const {name, known, ended} of cases) {
 	test(`evidence: ${name}`, () => {
-		const {commands} = serviceProposals(leaderThatKnows(known), control, contract, now);
+		const {commands} = serviceProposals(leaderWithEvidence(known), control, contract, now);
 		const released = commands.flatMap(command => command.kind === 'assignmentsReleased' ? command.releases : []);
 		assert.deepEqual(released, ended.map(slot => ({slot, revokedAt: slot === 1 ? 7 : 5})));
 	});
