--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -71,14 +71,14 @@
 	return {...leader, grantor: {...leader.grantor, zones: Object.fromEntries(delegations)}};
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly known: Readonly<Record<Zone, ZoneEvidence>>; readonly ended: readonly number[]}> = [
-	{name: 'no zone is drained', known: {'noord-a': {drained: 4, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: []},
-	{name: 'a zone is drained to the earlier revocation', known: {'noord-a': {drained: 5, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 2, 3]},
-	{name: 'all are drained', known: {'noord-a': {drained: 7, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 1, 2, 3]},
-	{name: 'a partitioned zone blocks only the slots of its own owners', known: {'noord-a': {drained: 0, isPartitioned: true}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [2]},
+const cases: ReadonlyArray<{readonly name: string; readonly evidence: Readonly<Record<Zone, ZoneEvidence>>; readonly ended: readonly number[]}> = [
+	{name: 'no zone is drained', evidence: {'noord-a': {drained: 4, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: []},
+	{name: 'a zone is drained to the earlier revocation', evidence: {'noord-a': {drained: 5, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 2, 3]},
+	{name: 'all are drained', evidence: {'noord-a': {drained: 7, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 1, 2, 3]},
+	{name: 'a partitioned zone blocks only the slots of its own owners', evidence: {'noord-a': {drained: 0, isPartitioned: true}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [2]},
 ];
 
-for (const {name, known, ended} of cases) {
+for (const {name, evidence: known, ended} of cases) {
 	test(`evidence: ${name}`, () => {
 		const {commands} = serviceProposals(leaderWithEvidence(known), control, contract, now);
 		const released = commands.flatMap(command => command.kind === 'assignmentsReleased' ? command.releases : []);
