--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -35,7 +35,7 @@
 }
 
 /** A simulated leader whose proposals are all committed at once. */
-class World {
+class LeaderSimulation {
 	control: ControlState = emptyControl;
 	leader: LeaderState = createLeader(0, emptyControl, defaultLeaseTerms, (key, slots) => key.length % slots);
 	now = 0;
@@ -118,8 +118,8 @@
 	};
 }
 
-function begun(...names: readonly string[]): World {
-	const world = new World();
+function begun(...names: readonly string[]): LeaderSimulation {
+	const world = new LeaderSimulation();
 	world.apply(contractApplied(0, contract));
 	for (const name of names) {
 		world.seat(instance(name));
