--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -118,7 +118,7 @@
 	};
 }
 
-function begun(...names: readonly string[]): LeaderSimulation {
+function startSimulation(...names: readonly string[]): LeaderSimulation {
 	const world = new LeaderSimulation();
 	world.apply(contractApplied(0, contract));
 	for (const name of names) {
@@ -133,7 +133,7 @@
 	{
 		name: 'the keys of a new service are divided over the upstreams that join together',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			world.pass(200, [announcement('one')], ['entry-1']);
 			assert.deepEqual(new Set(world.owners()), new Set(['']));
 			world.pass(formationMilliseconds + 500, [announcement('one'), announcement('two')], ['entry-1']);
@@ -144,7 +144,7 @@
 	{
 		name: 'a member without contact loses its seat while there is contact with another of its zone',
 		run() {
-			const world = begun('entry-1', 'entry-2');
+			const world = startSimulation('entry-1', 'entry-2');
 			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
 			world.pass(memberContactTimeoutMilliseconds + 500, [], ['entry-1']);
 			assert.deepEqual(world.members(), ['entry-1#1']);
@@ -153,7 +153,7 @@
 	{
 		name: 'no member loses its seat in a zone without any contact',
 		run() {
-			const world = begun('entry-1', 'entry-2');
+			const world = startSimulation('entry-1', 'entry-2');
 			world.pass(500, [], ['entry-1', 'entry-2']);
 			world.pass(10 * memberContactTimeoutMilliseconds, [], []);
 			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
@@ -162,7 +162,7 @@
 	{
 		name: 'a member that is lost together with the leader loses its seat under the next one',
 		run() {
-			const world = begun('entry-1', 'entry-2');
+			const world = startSimulation('entry-1', 'entry-2');
 			world.pass(500, [], ['entry-1', 'entry-2']);
 			world.leader = createLeader(world.now, world.control, defaultLeaseTerms, (key, slots) => key.length % slots);
 			for (let count = 0; count < 20; count++) {
@@ -176,7 +176,7 @@
 	{
 		name: 'a leaving member loses its seat at once',
 		run() {
-			const world = begun('entry-1', 'entry-2');
+			const world = startSimulation('entry-1', 'entry-2');
 			world.seat(instance('entry-2'), true);
 			world.pass(200, [], ['entry-1', 'entry-2']);
 			assert.deepEqual(world.members(), ['entry-1#1']);
@@ -185,7 +185,7 @@
 	{
 		name: 'the only member keeps its seat when it leaves',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			world.seat(instance('entry-1'), true);
 			world.pass(500, [], ['entry-1']);
 			assert.deepEqual(world.members(), ['entry-1#1']);
@@ -194,7 +194,7 @@
 	{
 		name: 'a restarted member loses the seat of its earlier incarnation at once and is seated again after a waiting period',
 		run() {
-			const world = begun('entry-1', 'entry-2');
+			const world = startSimulation('entry-1', 'entry-2');
 			const later = instance('entry-2', 2);
 			world.seat(later);
 			world.pass(300, [], ['entry-1']);
@@ -210,7 +210,7 @@
 	{
 		name: 'a move that an operator requests is made, and the request is removed',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
 			world.pass(3000, both, ['entry-1']);
 			const slot = world.owners().indexOf('one');
@@ -227,7 +227,7 @@
 	{
 		name: 'a move that a partitioned zone blocks is cancelled, and made when contact with the zone returns',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
 			world.pass(3000, both, ['entry-1']);
 			const slot = world.owners().indexOf('one');
@@ -250,7 +250,7 @@
 	{
 		name: 'the keys of a restarted upstream have owners again once its zone has drained',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
 			world.drains = false;
 			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
@@ -263,7 +263,7 @@
 	{
 		name: 'the keys of an upstream that restarts at once have owners again',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
 			world.pass(1000, [announcement('one', 2), announcement('two')], ['entry-1']);
 			assert.deepEqual(new Set(world.phases()), new Set(['granted']));
@@ -272,7 +272,7 @@
 	{
 		name: 'a proposal that never ends blocks the leader for a bounded time',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			world.leader = {...world.leader, proposedAt: world.now};
 			world.pass(proposalTimeoutMilliseconds - 200, [announcement('one')], ['entry-1']);
 			assert.deepEqual(new Set(world.owners()), new Set(['']));
@@ -283,7 +283,7 @@
 	{
 		name: 'loads of a service that a report does not name are unchanged',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			const slotLoads = [{service: contract.name, slot: 1, requests: 30}];
 			world.report('noord-a', [], ['entry-1'], {slotLoads});
 			const before = world.leader.loads[contract.name]!;
@@ -298,7 +298,7 @@
 	{
 		name: 'an idle service is not planned again at each tick',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
 			world.pass(10_000, both, ['entry-1']);
 			const look = world.leader.planningInputs[contract.name];
@@ -311,7 +311,7 @@
 	{
 		name: 'the keys of an unresponsive upstream move to the others',
 		run() {
-			const world = begun('entry-1');
+			const world = startSimulation('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two'), announcement('three')], ['entry-1']);
 			world.pass(4000, [announcement('one'), announcement('two')], ['entry-1']);
 			assert.equal(world.owners().includes('three'), false);
@@ -332,7 +332,7 @@
 
 for (const {name, weighs, expected} of smoothingCases) {
 	test(`smoothing of loads: ${name}`, () => {
-		const world = begun('entry-1');
+		const world = startSimulation('entry-1');
 		for (const weigh of weighs) {
 			const {revision} = world.control.configuration.teams[0]!;
 			world.apply(contractApplied(revision, {...contract, weigh}));
