--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -40,7 +40,7 @@
 	leader: LeaderState = createLeader(0, emptyControl, defaultLeaseTerms, (key, slots) => key.length % slots);
 	now = 0;
 	/** Whether the zone completes the requests that revocations wait for. */
-	drains = true;
+	completesRequests = true;
 	readonly proposed: ControlCommand[] = [];
 
 	apply(...commands: ControlCommand[]): void {
@@ -69,7 +69,7 @@
 				zone,
 				steward: {name: holders[0]!, incarnation: 1},
 				applied: this.control.applied,
-				drained: this.drains ? this.control.applied : 0,
+				drained: this.completesRequests ? this.control.applied : 0,
 				report: {...emptyReport, announcements, ...seen},
 				holders: holders.map(name => ({name, incarnation: 1})),
 			},
@@ -231,7 +231,7 @@
 			const both = [announcement('one'), announcement('two')];
 			world.pass(3000, both, ['entry-1']);
 			const slot = world.owners().indexOf('one');
-			world.drains = false;
+			world.completesRequests = false;
 			world.apply({
 				kind: 'operatorAsked', operation: 'move-0001', command: {
 					kind: 'moveWished', service: contract.name, slot, upstream: 'two',
@@ -242,7 +242,7 @@
 			world.pass(10_000, [], []);
 			assert.equal(world.phaseOf(slot), 'granted');
 			assert.equal(world.owners()[slot], 'one');
-			world.drains = true;
+			world.completesRequests = true;
 			world.pass(2000, both, ['entry-1']);
 			assert.equal(world.owners()[slot], 'two');
 		},
@@ -252,10 +252,10 @@
 		run() {
 			const world = startSimulation('entry-1');
 			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
-			world.drains = false;
+			world.completesRequests = false;
 			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
 			assert.ok(world.phases().includes('revoking'));
-			world.drains = true;
+			world.completesRequests = true;
 			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
 			assert.deepEqual(new Set(world.phases()), new Set(['granted']));
 		},
