--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -59,7 +59,7 @@
 		}
 	}
 
-	report(zone: string, announcements: readonly Announcement[], holders: readonly string[], seen: Partial<Report> = {}): void {
+	report(zone: string, announcements: readonly Announcement[], holders: readonly string[], changes: Partial<Report> = {}): void {
 		this.step({
 			kind: 'delegationRequested',
 			now: this.now,
@@ -70,7 +70,7 @@
 				steward: {name: holders[0]!, incarnation: 1},
 				applied: this.control.applied,
 				drained: this.completesRequests ? this.control.applied : 0,
-				report: {...emptyReport, announcements, ...seen},
+				report: {...emptyReport, announcements, ...changes},
 				holders: holders.map(name => ({name, incarnation: 1})),
 			},
 		});
