--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -119,14 +119,14 @@
 }
 
 function startSimulation(...names: readonly string[]): LeaderSimulation {
-	const world = new LeaderSimulation();
-	world.apply(contractApplied(0, contract));
+	const simulation = new LeaderSimulation();
+	simulation.apply(contractApplied(0, contract));
 	for (const name of names) {
-		world.seat(instance(name));
-		world.pass(2500, [], world.members().map(member => member.split('#', 1)[0]!));
+		simulation.seat(instance(name));
+		simulation.pass(2500, [], simulation.members().map(member => member.split('#', 1)[0]!));
 	}
 
-	return world;
+	return simulation;
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly run: () => void}> = [
