--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -133,12 +133,12 @@
 	{
 		name: 'the keys of a new service are divided over the upstreams that join together',
 		run() {
-			const world = startSimulation('entry-1');
-			world.pass(200, [announcement('one')], ['entry-1']);
-			assert.deepEqual(new Set(world.owners()), new Set(['']));
-			world.pass(formationMilliseconds + 500, [announcement('one'), announcement('two')], ['entry-1']);
-			assert.equal(world.owners().filter(owner => owner === 'one').length, 4);
-			assert.equal(world.owners().filter(owner => owner === 'two').length, 4);
+			const simulation = startSimulation('entry-1');
+			simulation.pass(200, [announcement('one')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.owners()), new Set(['']));
+			simulation.pass(formationMilliseconds + 500, [announcement('one'), announcement('two')], ['entry-1']);
+			assert.equal(simulation.owners().filter(owner => owner === 'one').length, 4);
+			assert.equal(simulation.owners().filter(owner => owner === 'two').length, 4);
 		},
 	},
 	{
