--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -144,10 +144,10 @@
 	{
 		name: 'a member without contact loses its seat while there is contact with another of its zone',
 		run() {
-			const world = startSimulation('entry-1', 'entry-2');
-			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
-			world.pass(memberContactTimeoutMilliseconds + 500, [], ['entry-1']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			assert.deepEqual(simulation.members(), ['entry-1#1', 'entry-2#1']);
+			simulation.pass(memberContactTimeoutMilliseconds + 500, [], ['entry-1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
