--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -153,10 +153,10 @@
 	{
 		name: 'no member loses its seat in a zone without any contact',
 		run() {
-			const world = startSimulation('entry-1', 'entry-2');
-			world.pass(500, [], ['entry-1', 'entry-2']);
-			world.pass(10 * memberContactTimeoutMilliseconds, [], []);
-			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			simulation.pass(500, [], ['entry-1', 'entry-2']);
+			simulation.pass(10 * memberContactTimeoutMilliseconds, [], []);
+			assert.deepEqual(simulation.members(), ['entry-1#1', 'entry-2#1']);
 		},
 	},
 	{
