--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -162,15 +162,15 @@
 	{
 		name: 'a member that is lost together with the leader loses its seat under the next one',
 		run() {
-			const world = startSimulation('entry-1', 'entry-2');
-			world.pass(500, [], ['entry-1', 'entry-2']);
-			world.leader = createLeader(world.now, world.control, defaultLeaseTerms, (key, slots) => key.length % slots);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			simulation.pass(500, [], ['entry-1', 'entry-2']);
+			simulation.leader = createLeader(simulation.now, simulation.control, defaultLeaseTerms, (key, slots) => key.length % slots);
 			for (let count = 0; count < 20; count++) {
-				world.seat(instance('entry-1'));
-				world.pass(300, [], []);
+				simulation.seat(instance('entry-1'));
+				simulation.pass(300, [], []);
 			}
 
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
