--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -176,10 +176,10 @@
 	{
 		name: 'a leaving member loses its seat at once',
 		run() {
-			const world = startSimulation('entry-1', 'entry-2');
-			world.seat(instance('entry-2'), true);
-			world.pass(200, [], ['entry-1', 'entry-2']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			simulation.seat(instance('entry-2'), true);
+			simulation.pass(200, [], ['entry-1', 'entry-2']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
