--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -185,10 +185,10 @@
 	{
 		name: 'the only member keeps its seat when it leaves',
 		run() {
-			const world = startSimulation('entry-1');
-			world.seat(instance('entry-1'), true);
-			world.pass(500, [], ['entry-1']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			const simulation = startSimulation('entry-1');
+			simulation.seat(instance('entry-1'), true);
+			simulation.pass(500, [], ['entry-1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
