--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -194,17 +194,17 @@
 	{
 		name: 'a restarted member loses the seat of its earlier incarnation at once and is seated again after a waiting period',
 		run() {
-			const world = startSimulation('entry-1', 'entry-2');
+			const simulation = startSimulation('entry-1', 'entry-2');
 			const later = instance('entry-2', 2);
-			world.seat(later);
-			world.pass(300, [], ['entry-1']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			simulation.seat(later);
+			simulation.pass(300, [], ['entry-1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 			for (let count = 0; count < 6; count++) {
-				world.seat(later);
-				world.pass(300, [], ['entry-1']);
+				simulation.seat(later);
+				simulation.pass(300, [], ['entry-1']);
 			}
 
-			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#2']);
+			assert.deepEqual(simulation.members(), ['entry-1#1', 'entry-2#2']);
 		},
 	},
 	{
