--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -210,18 +210,18 @@
 	{
 		name: 'a move that an operator requests is made, and the request is removed',
 		run() {
-			const world = startSimulation('entry-1');
+			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
-			world.pass(3000, both, ['entry-1']);
-			const slot = world.owners().indexOf('one');
-			world.apply({
+			simulation.pass(3000, both, ['entry-1']);
+			const slot = simulation.owners().indexOf('one');
+			simulation.apply({
 				kind: 'operatorAsked', operation: 'move-0001', command: {
 					kind: 'moveWished', service: contract.name, slot, upstream: 'two',
 				},
 			});
-			world.pass(1000, both, ['entry-1']);
-			assert.equal(world.owners()[slot], 'two');
-			assert.deepEqual(world.control.wishes, []);
+			simulation.pass(1000, both, ['entry-1']);
+			assert.equal(simulation.owners()[slot], 'two');
+			assert.deepEqual(simulation.control.wishes, []);
 		},
 	},
 	{
