--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -227,24 +227,24 @@
 	{
 		name: 'a move that a partitioned zone blocks is cancelled, and made when contact with the zone returns',
 		run() {
-			const world = startSimulation('entry-1');
+			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
-			world.pass(3000, both, ['entry-1']);
-			const slot = world.owners().indexOf('one');
-			world.completesRequests = false;
-			world.apply({
+			simulation.pass(3000, both, ['entry-1']);
+			const slot = simulation.owners().indexOf('one');
+			simulation.completesRequests = false;
+			simulation.apply({
 				kind: 'operatorAsked', operation: 'move-0001', command: {
 					kind: 'moveWished', service: contract.name, slot, upstream: 'two',
 				},
 			});
-			world.pass(300, both, ['entry-1']);
-			assert.equal(world.phaseOf(slot), 'revoking');
-			world.pass(10_000, [], []);
-			assert.equal(world.phaseOf(slot), 'granted');
-			assert.equal(world.owners()[slot], 'one');
-			world.completesRequests = true;
-			world.pass(2000, both, ['entry-1']);
-			assert.equal(world.owners()[slot], 'two');
+			simulation.pass(300, both, ['entry-1']);
+			assert.equal(simulation.phaseOf(slot), 'revoking');
+			simulation.pass(10_000, [], []);
+			assert.equal(simulation.phaseOf(slot), 'granted');
+			assert.equal(simulation.owners()[slot], 'one');
+			simulation.completesRequests = true;
+			simulation.pass(2000, both, ['entry-1']);
+			assert.equal(simulation.owners()[slot], 'two');
 		},
 	},
 	{
