--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -250,14 +250,14 @@
 	{
 		name: 'the keys of a restarted upstream have owners again once its zone has drained',
 		run() {
-			const world = startSimulation('entry-1');
-			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
-			world.completesRequests = false;
-			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
-			assert.ok(world.phases().includes('revoking'));
-			world.completesRequests = true;
-			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
-			assert.deepEqual(new Set(world.phases()), new Set(['granted']));
+			const simulation = startSimulation('entry-1');
+			simulation.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
+			simulation.completesRequests = false;
+			simulation.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
+			assert.ok(simulation.phases().includes('revoking'));
+			simulation.completesRequests = true;
+			simulation.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.phases()), new Set(['granted']));
 		},
 	},
 	{
