--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -263,10 +263,10 @@
 	{
 		name: 'the keys of an upstream that restarts at once have owners again',
 		run() {
-			const world = startSimulation('entry-1');
-			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
-			world.pass(1000, [announcement('one', 2), announcement('two')], ['entry-1']);
-			assert.deepEqual(new Set(world.phases()), new Set(['granted']));
+			const simulation = startSimulation('entry-1');
+			simulation.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
+			simulation.pass(1000, [announcement('one', 2), announcement('two')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.phases()), new Set(['granted']));
 		},
 	},
 	{
