--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -272,12 +272,12 @@
 	{
 		name: 'a proposal that never ends blocks the leader for a bounded time',
 		run() {
-			const world = startSimulation('entry-1');
-			world.leader = {...world.leader, proposedAt: world.now};
-			world.pass(proposalTimeoutMilliseconds - 200, [announcement('one')], ['entry-1']);
-			assert.deepEqual(new Set(world.owners()), new Set(['']));
-			world.pass(formationMilliseconds + 1000, [announcement('one')], ['entry-1']);
-			assert.deepEqual(new Set(world.owners()), new Set(['one']));
+			const simulation = startSimulation('entry-1');
+			simulation.leader = {...simulation.leader, proposedAt: simulation.now};
+			simulation.pass(proposalTimeoutMilliseconds - 200, [announcement('one')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.owners()), new Set(['']));
+			simulation.pass(formationMilliseconds + 1000, [announcement('one')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.owners()), new Set(['one']));
 		},
 	},
 	{
