--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -283,16 +283,16 @@
 	{
 		name: 'loads of a service that a report does not name are unchanged',
 		run() {
-			const world = startSimulation('entry-1');
+			const simulation = startSimulation('entry-1');
 			const slotLoads = [{service: contract.name, slot: 1, requests: 30}];
-			world.report('noord-a', [], ['entry-1'], {slotLoads});
-			const before = world.leader.loads[contract.name]!;
-			world.pass(2000, [], ['entry-1']);
-			const after = world.leader.loads[contract.name]!;
+			simulation.report('noord-a', [], ['entry-1'], {slotLoads});
+			const before = simulation.leader.loads[contract.name]!;
+			simulation.pass(2000, [], ['entry-1']);
+			const after = simulation.leader.loads[contract.name]!;
 			assert.deepEqual(after, before);
-			assert.ok(ratesOf(after, world.now).slots[1]! < ratesOf(before, world.now - 2000).slots[1]!);
-			world.report('noord-a', [], ['entry-1'], {slotLoads});
-			assert.equal(world.leader.loads[contract.name]!.updatedAt, world.now);
+			assert.ok(ratesOf(after, simulation.now).slots[1]! < ratesOf(before, simulation.now - 2000).slots[1]!);
+			simulation.report('noord-a', [], ['entry-1'], {slotLoads});
+			assert.equal(simulation.leader.loads[contract.name]!.updatedAt, simulation.now);
 		},
 	},
 	{
