--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -298,14 +298,14 @@
 	{
 		name: 'an idle service is not planned again at each tick',
 		run() {
-			const world = startSimulation('entry-1');
+			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
-			world.pass(10_000, both, ['entry-1']);
-			const look = world.leader.planningInputs[contract.name];
-			world.pass(60_000, both, ['entry-1']);
-			assert.equal(world.leader.planningInputs[contract.name], look);
-			world.pass(formationMilliseconds, [...both, announcement('three')], ['entry-1']);
-			assert.notEqual(world.leader.planningInputs[contract.name], look);
+			simulation.pass(10_000, both, ['entry-1']);
+			const look = simulation.leader.planningInputs[contract.name];
+			simulation.pass(60_000, both, ['entry-1']);
+			assert.equal(simulation.leader.planningInputs[contract.name], look);
+			simulation.pass(formationMilliseconds, [...both, announcement('three')], ['entry-1']);
+			assert.notEqual(simulation.leader.planningInputs[contract.name], look);
 		},
 	},
 	{
