--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -311,11 +311,11 @@
 	{
 		name: 'the keys of an unresponsive upstream move to the others',
 		run() {
-			const world = startSimulation('entry-1');
-			world.pass(3000, [announcement('one'), announcement('two'), announcement('three')], ['entry-1']);
-			world.pass(4000, [announcement('one'), announcement('two')], ['entry-1']);
-			assert.equal(world.owners().includes('three'), false);
-			assert.equal(world.owners().includes(''), false);
+			const simulation = startSimulation('entry-1');
+			simulation.pass(3000, [announcement('one'), announcement('two'), announcement('three')], ['entry-1']);
+			simulation.pass(4000, [announcement('one'), announcement('two')], ['entry-1']);
+			assert.equal(simulation.owners().includes('three'), false);
+			assert.equal(simulation.owners().includes(''), false);
 		},
 	},
 ];
