--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -332,13 +332,13 @@
 
 for (const {name, weighs, expected} of smoothingCases) {
 	test(`smoothing of loads: ${name}`, () => {
-		const world = startSimulation('entry-1');
+		const simulation = startSimulation('entry-1');
 		for (const weigh of weighs) {
-			const {revision} = world.control.configuration.teams[0]!;
-			world.apply(contractApplied(revision, {...contract, weigh}));
-			world.pass(500, [], ['entry-1']);
+			const {revision} = simulation.control.configuration.teams[0]!;
+			simulation.apply(contractApplied(revision, {...contract, weigh}));
+			simulation.pass(500, [], ['entry-1']);
 		}
 
-		assert.equal(world.leader.loads[contract.name]!.timeConstantMilliseconds, expected);
+		assert.equal(simulation.leader.loads[contract.name]!.timeConstantMilliseconds, expected);
 	});
 }
