--- a/packages/control/test/test-plan-due.ts
+++ b/packages/control/test/test-plan-due.ts
@@ -25,7 +25,7 @@
 const someLoad: LoadState = {...noLoad, slots: [0, 0.5]};
 const plannedAt = 1000;
 const soon = plannedAt + 50;
-const pace = plannedAt + planIntervalMilliseconds;
+const nextPlanAt = plannedAt + planIntervalMilliseconds;
 const decayed = 20 * noLoad.timeConstantMilliseconds;
 
 function isDue(now: number, plan: Partial<PlacementPlan> = {}, flapping = 0, load: LoadState | undefined = undefined, changed: Partial<PlanBasis> = {}): boolean {
@@ -53,14 +53,14 @@
 	{name: 'a move was proposed', plan: {moves: [{slot: 0, from: owner, reason: 'lost'}]}, dueAt: plannedAt},
 	{name: 'a pin was proposed', plan: {pins: [{key: 'key', home: 0}]}, dueAt: plannedAt},
 	{name: 'an unpin was proposed', plan: {unpins: [{key: 'key', slot: 0}]}, dueAt: plannedAt},
-	{name: 'balancing waits for its move budget', plan: {state: {...nothing.state, isBalancing: true}}, dueAt: pace},
-	{name: 'a moved slot is in its cooldown', plan: {state: {...nothing.state, movedAt: {0: 500}}}, dueAt: pace},
-	{name: 'upstreams flap', flapping: 1, dueAt: pace},
+	{name: 'balancing waits for its move budget', plan: {state: {...nothing.state, isBalancing: true}}, dueAt: nextPlanAt},
+	{name: 'a moved slot is in its cooldown', plan: {state: {...nothing.state, movedAt: {0: 500}}}, dueAt: nextPlanAt},
+	{name: 'upstreams flap', flapping: 1, dueAt: nextPlanAt},
 ];
 
 for (const {name, plan, flapping, dueAt} of timeCases) {
 	test(`plan due after a time: ${name}`, () => {
-		for (const now of [plannedAt, soon, pace - 1, pace, 3_600_000]) {
+		for (const now of [plannedAt, soon, nextPlanAt - 1, nextPlanAt, 3_600_000]) {
 			assert.equal(isDue(now, plan, flapping), now >= dueAt, `at ${now}`);
 		}
 	});
@@ -68,14 +68,14 @@
 
 const loadCases: ReadonlyArray<{readonly name: string; readonly load: LoadState; readonly dueAt: readonly number[]}> = [
 	{name: 'no load was ever reported', load: noLoad, dueAt: []},
-	{name: 'load of slots', load: someLoad, dueAt: [pace, decayed - 1]},
-	{name: 'load of a hot key', load: {...noLoad, keys: {key: 0.5}}, dueAt: [pace, decayed - 1]},
+	{name: 'load of slots', load: someLoad, dueAt: [nextPlanAt, decayed - 1]},
+	{name: 'load of a hot key', load: {...noLoad, keys: {key: 0.5}}, dueAt: [nextPlanAt, decayed - 1]},
 	{name: 'load reported long ago', load: {...someLoad, updatedAt: -decayed}, dueAt: []},
 ];
 
 for (const {name, load, dueAt} of loadCases) {
 	test(`plan due for loads: ${name}`, () => {
-		assert.deepEqual([soon, pace - 1, pace, decayed - 1, decayed].filter(now => isDue(now, {}, 0, load)), dueAt);
+		assert.deepEqual([soon, nextPlanAt - 1, nextPlanAt, decayed - 1, decayed].filter(now => isDue(now, {}, 0, load)), dueAt);
 	});
 }
 
