--- a/packages/control/test/test-apply.ts
+++ b/packages/control/test/test-apply.ts
@@ -28,15 +28,15 @@
 
 function applied(payloads: readonly string[]): {readonly state: ControlState; readonly last: readonly string[]} {
 	let state = emptyControl;
-	let last: readonly string[] = [];
+	let lastResults: readonly string[] = [];
 	for (const payload of payloads) {
 		const next = applyEntry(state, payload, state.applied + 1);
 		const restored = decodeControl(encodeControl(next.state));
 		state = restored.unwrapOr(emptyControl);
-		last = next.answers.map(answer => answer.isOk ? `ok ${answer.value.index}` : answer.error.kind);
+		lastResults = next.answers.map(answer => answer.isOk ? `ok ${answer.value.index}` : answer.error.kind);
 	}
 
-	return {state, last};
+	return {state, last: lastResults};
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly payloads: readonly string[]; readonly last: readonly string[]}> = [
