--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -78,7 +78,7 @@
 	{name: 'a partitioned zone blocks only the slots of its own owners', evidence: {'noord-a': {drained: 0, isPartitioned: true}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [2]},
 ];
 
-for (const {name, evidence: evidence, ended} of cases) {
+for (const {name, evidence, ended} of cases) {
 	test(`evidence: ${name}`, () => {
 		const {commands} = serviceProposals(leaderWithEvidence(evidence), control, contract, now);
 		const released = commands.flatMap(command => command.kind === 'assignmentsReleased' ? command.releases : []);
