--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -212,7 +212,7 @@
 function planNow(state: LeaderState, control: ControlState, basis: PlanBasis, now: MonotonicTime): Planned {
 	const service = basis.contract.name;
 	const input = placementInput(state, control, basis, now);
-	const withInputs = (inputs: PlanningInputs) => ({...state, looks: {...state.planningInputs, [service]: inputs}});
+	const withInputs = (inputs: PlanningInputs) => ({...state, planningInputs: {...state.planningInputs, [service]: inputs}});
 	const waitsUntil = formationEndsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
 		return {state: withInputs(formingInputs(basis, waitsUntil))};
--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -65,8 +65,8 @@
 function leaderWithEvidence(evidence: Readonly<Record<Zone, ZoneEvidence>>): LeaderState {
 	const leader = createLeader(now, control, defaultLeaseTerms, () => 0);
 	const delegations = zones.map(zone => {
-		const {drained, isPartitioned: isCut} = evidence[zone];
-		return [zone, {drained, floor: 0, delegatedUntil: isCut ? 0 : now + 1000}] as const;
+		const {drained, isPartitioned} = evidence[zone];
+		return [zone, {drained, floor: 0, delegatedUntil: isPartitioned ? 0 : now + 1000}] as const;
 	});
 	return {...leader, grantor: {...leader.grantor, zones: Object.fromEntries(delegations)}};
 }
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -301,11 +301,11 @@
 			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
 			simulation.pass(10_000, both, ['entry-1']);
-			const look = simulation.leader.planningInputs[contract.name];
+			const inputs = simulation.leader.planningInputs[contract.name];
 			simulation.pass(60_000, both, ['entry-1']);
-			assert.equal(simulation.leader.planningInputs[contract.name], look);
+			assert.equal(simulation.leader.planningInputs[contract.name], inputs);
 			simulation.pass(formationMilliseconds, [...both, announcement('three')], ['entry-1']);
-			assert.notEqual(simulation.leader.planningInputs[contract.name], look);
+			assert.notEqual(simulation.leader.planningInputs[contract.name], inputs);
 		},
 	},
 	{
