--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -33,7 +33,7 @@
 	| {
 		readonly kind: 'delegationRequested';
 		readonly now: MonotonicTime;
-		readonly quorumHeardAt: MonotonicTime;
+		readonly quorumContactAt: MonotonicTime;
 		readonly control: ControlState;
 		readonly request: DelegationRequest;
 	}
@@ -101,7 +101,7 @@
 }
 
 function delegationRequested(event: EventOf<'delegationRequested'>, state: LeaderState): LeaderTransition {
-	const {now, quorumHeardAt, control, request} = event;
+	const {now, quorumContactAt: quorumHeardAt, control, request} = event;
 	const granted = stepGrantor(state.grantor, {
 		kind: 'delegationRequested', now, quorumHeardAt, table: control.ownership, request,
 	});
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -63,7 +63,7 @@
 		this.step({
 			kind: 'delegationRequested',
 			now: this.now,
-			quorumHeardAt: this.now,
+			quorumContactAt: this.now,
 			control: this.control,
 			request: {
 				zone,
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -121,7 +121,7 @@
 	function delegate(request: DelegationRequest, now: number, quorumHeardAt: number): WithCatchUp<DelegationAnswer> {
 		delegationAnswer = undefined;
 		step({
-			kind: 'delegationRequested', now, quorumHeardAt, control: holder.state(), request,
+			kind: 'delegationRequested', now, quorumContactAt: quorumHeardAt, control: holder.state(), request,
 		});
 		const answer = delegationAnswer ?? {termMilliseconds: 0, shares: []};
 		return {answer, catchUp: holder.catchUpAfter(request.applied)};
