--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -101,9 +101,9 @@
 }
 
 function delegationRequested(event: EventOf<'delegationRequested'>, state: LeaderState): LeaderTransition {
-	const {now, quorumContactAt: quorumHeardAt, control, request} = event;
+	const {now, quorumContactAt: quorumContactAt, control, request} = event;
 	const granted = stepGrantor(state.grantor, {
-		kind: 'delegationRequested', now, quorumHeardAt, table: control.ownership, request,
+		kind: 'delegationRequested', now, quorumHeardAt: quorumContactAt, table: control.ownership, request,
 	});
 	const watch = advanceWatch(state.watch, {
 		kind: 'reportReceived', now, report: request.report, reporter: {zone: request.zone, instance: request.steward.name},
