--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -94,9 +94,9 @@
 		return false;
 	}
 
-	const heardAt = state.grantor.sightings[command.record.name]?.heardAt ?? now;
+	const lastContactAt = state.grantor.sightings[command.record.name]?.heardAt ?? now;
 	const {terms} = state.grantor;
-	return now < heardAt + grantorWait(terms.stewardTermMilliseconds, terms) + terms.renewMilliseconds;
+	return now < lastContactAt + grantorWait(terms.stewardTermMilliseconds, terms) + terms.renewMilliseconds;
 }
 
 function zoneProposal(state: LeaderState, control: ControlState, zone: ZoneName, now: MonotonicTime): OwnershipCommand | undefined {
