--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -58,8 +58,8 @@
 }
 
 /** Records that a service waits until `formsAt` for its keys to be assigned for the first time. */
-export function formingInputs(basis: PlanBasis, formsAt: MonotonicTime): PlanningInputs {
-	return {basis, dueAt: formsAt, isAtRest: false};
+export function formingInputs(basis: PlanBasis, formationEndsAt: MonotonicTime): PlanningInputs {
+	return {basis, dueAt: formationEndsAt, isAtRest: false};
 }
 
 /** Records the inputs of a plan. A plan that proposes anything is due again at once, as its proposals may be rejected or lost. */
