--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -101,7 +101,7 @@
 }
 
 function delegationRequested(event: EventOf<'delegationRequested'>, state: LeaderState): LeaderTransition {
-	const {now, quorumContactAt: quorumContactAt, control, request} = event;
+	const {now, quorumContactAt, control, request} = event;
 	const granted = stepGrantor(state.grantor, {
 		kind: 'delegationRequested', now, quorumHeardAt: quorumContactAt, table: control.ownership, request,
 	});
