--- a/packages/control/src/plan-due.ts
+++ b/packages/control/src/plan-due.ts
@@ -57,7 +57,7 @@
 	return now >= last.dueAt && !(last.isAtRest && isIdle(load, now));
 }
 
-/** Records that a service waits until `formsAt` for its keys to be assigned for the first time. */
+/** Records that a service waits until `formationEndsAt` for its keys to be assigned for the first time. */
 export function formingInputs(basis: PlanBasis, formationEndsAt: MonotonicTime): PlanningInputs {
 	return {basis, dueAt: formationEndsAt, isAtRest: false};
 }
