--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -1,7 +1,8 @@
 /**
- * What the leader of control decides: it hears the zones' stewards, and at each
- * tick proposes the commands that the state of the world asks for. Its own
- * state is volatile: the next leader begins anew.
+ * The state machine of the leader of control: it receives the reports of the
+ * zones' stewards (their elected lease distributors) and at each tick proposes
+ * the commands that the control state requires. Its own state is volatile: the
+ * next leader starts with an empty one.
  */
 import {contractsOf} from '@dogwooddeck/configuration/tree';
 import {controlPart} from '@dogwooddeck/limits/reserve';
@@ -26,32 +27,32 @@
 import {proposals} from './proposals.js';
 import {type ControlState} from './state.js';
 
-/** What happens to the leader. `control` is its own state with every committed entry applied. */
+/** An input of the leader. `control` is the leader's control state with every committed entry applied. */
 export type LeaderEvent =
 	| {readonly kind: 'ticked'; readonly now: MonotonicTime; readonly control: ControlState}
 	| {
 		readonly kind: 'delegationRequested';
 		readonly now: MonotonicTime;
-		readonly quorumHeardAt: MonotonicTime;
+		readonly quorumContactAt: MonotonicTime;
 		readonly control: ControlState;
 		readonly request: DelegationRequest;
 	}
 	| {readonly kind: 'seatRequested'; readonly now: MonotonicTime; readonly control: ControlState; readonly request: SeatRequest}
-	/** The proposal that was under way was applied or refused. */
+	/** The pending proposal was applied or rejected. */
 	| {readonly kind: 'proposalEnded'; readonly now: MonotonicTime; readonly control: ControlState};
 
-/** What the leader asks the edge to do. */
+/** An effect for the caller of `stepLeader` to carry out. */
 export type LeaderEffect =
 	| {readonly kind: 'propose'; readonly commands: readonly ControlCommand[]}
 	| {readonly kind: 'answerDelegation'; readonly answer: DelegationAnswer};
 
-/** A step of the leader. */
+/** The next state of the leader and its effects. */
 export type LeaderTransition = Transition<LeaderState, LeaderEffect>;
 
-/** A proposal of which nothing is heard for this long is no longer waited for. Commands that come twice are refused when they are applied. */
-export const proposalMilliseconds: Milliseconds = 3000;
+/** The timeout of a pending proposal. It is safe to propose again: duplicate commands are rejected when they are applied. */
+export const proposalTimeoutMilliseconds: Milliseconds = 3000;
 
-/** A leader that was elected now, and has applied its whole log. */
+/** Creates the state of a leader that was elected now and has applied its whole log. */
 export function createLeader(now: MonotonicTime, control: ControlState, terms: LeaseTerms, hash: SlotHash): LeaderState {
 	return {
 		hash,
@@ -59,10 +60,10 @@
 		grantor: createGrantor(now, control.applied, terms),
 		loads: {},
 		placements: {},
-		looks: {},
+		planningInputs: {},
 		targets: {},
 		seats: {},
-		heard: {},
+		lastContacts: {},
 		sharing: createSharing(now, contractsOf(control.configuration).map(({name}) => name)),
 	};
 }
@@ -73,8 +74,8 @@
 	return new Set([...slotLoads, ...keyLoads, ...evidence.map(({upstream}) => upstream)].map(({service}) => service));
 }
 
-/** Loads decay with the time since they were last received, so a service that a report doesn't name costs nothing. */
-function takeLoads(state: LeaderState, {now, control, request}: EventOf<'delegationRequested'>): LeaderState['loads'] {
+/** Loads decay with the time since their last update, so a service that a report doesn't name needs no update. */
+function receiveLoads(state: LeaderState, {now, control, request}: EventOf<'delegationRequested'>): LeaderState['loads'] {
 	const region = control.ownership.rosters[request.zone]?.region;
 	if (region === undefined) {
 		return state.loads;
@@ -95,14 +96,14 @@
 	return grantLimitShares(state.sharing, demanded, seatedInstances(control.ownership).length, now);
 }
 
-function hearAll(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['heard'] {
-	return {...state.heard, ...Object.fromEntries(instances.map(({name}) => [name, now]))};
+function recordContacts(state: LeaderState, instances: readonly InstanceIdentity[], now: MonotonicTime): LeaderState['lastContacts'] {
+	return {...state.lastContacts, ...Object.fromEntries(instances.map(({name}) => [name, now]))};
 }
 
 function delegationRequested(event: EventOf<'delegationRequested'>, state: LeaderState): LeaderTransition {
-	const {now, quorumHeardAt, control, request} = event;
+	const {now, quorumContactAt, control, request} = event;
 	const granted = stepGrantor(state.grantor, {
-		kind: 'delegationRequested', now, quorumContactAt: quorumHeardAt, table: control.ownership, request,
+		kind: 'delegationRequested', now, quorumContactAt, table: control.ownership, request,
 	});
 	const watch = advanceWatch(state.watch, {
 		kind: 'reportReceived', now, report: request.report, reporter: {zone: request.zone, instance: request.steward.name},
@@ -110,7 +111,7 @@
 	const {state: sharing, shares} = answerDemands(state, event);
 	return {
 		state: {
-			...state, sharing, grantor: granted.state, watch, loads: takeLoads(state, event), heard: hearAll(state, request.holders ?? [], now),
+			...state, sharing, grantor: granted.state, watch, loads: receiveLoads(state, event), lastContacts: recordContacts(state, request.holders ?? [], now),
 		},
 		effects: granted.effects.map(effect => ({...effect, answer: {...effect.answer, shares}})),
 	};
@@ -122,7 +123,7 @@
 	}).state;
 	return {
 		state: {
-			...state, grantor, seats: {...state.seats, [request.instance.name]: request}, heard: hearAll(state, [request.instance], now),
+			...state, grantor, seats: {...state.seats, [request.instance.name]: request}, lastContacts: recordContacts(state, [request.instance], now),
 		},
 		effects: [],
 	};
@@ -130,7 +131,7 @@
 
 function ticked({now, control}: EventOf<'ticked' | 'proposalEnded'>, state: LeaderState): LeaderTransition {
 	const grantor = stepGrantor(state.grantor, {kind: 'tableChanged', now, table: control.ownership}).state;
-	if (state.proposedAt !== undefined && now - state.proposedAt < proposalMilliseconds) {
+	if (state.proposedAt !== undefined && now - state.proposedAt < proposalTimeoutMilliseconds) {
 		return {state: {...state, grantor}, effects: []};
 	}
 
@@ -152,7 +153,7 @@
 	proposalEnded,
 };
 
-/** The next state of the leader, and what to do. */
+/** Returns the leader's next state and the effects of an event. */
 export function stepLeader(state: LeaderState, event: LeaderEvent): LeaderTransition {
 	return dispatch(handlers, event, state);
 }
--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/proposals.ts
@@ -1,6 +1,7 @@
 /**
- * The commands that a leader proposes at one moment: verdicts on upstreams,
- * seats of instances, and for each service grants, revocations and pins.
+ * Computes the commands that a leader proposes at one time: verdicts on
+ * upstreams, seats (memberships of instances in zone rosters), and for each
+ * service grants, revocations and pins.
  */
 import {contractsOf} from '@dogwooddeck/configuration/tree';
 import {type MembershipCommand} from '@dogwooddeck/membership/registry';
@@ -20,34 +21,34 @@
 import {closingProposals, serviceProposals} from './service-proposals.js';
 import {type ControlState} from './state.js';
 
-const commandsAtMost = 512;
+const maximumCommands = 512;
 
-/** A member of a roster that isn't heard of for this long loses its seat, where another member of its zone is heard of. */
-export const silentInstanceMilliseconds: Milliseconds = 3000;
+/** A roster member without contact for this long loses its seat, if there is contact with another member of its zone. */
+export const memberContactTimeoutMilliseconds: Milliseconds = 3000;
 
-/** A member counts as there if it was heard of within this time: in a cut, all of a zone fall silent together. */
-const presentMilliseconds: Milliseconds = 1000;
+/** A member with contact within this time counts as present. In a partition, contact with all members of a zone ends together. */
+const presenceTimeoutMilliseconds: Milliseconds = 1000;
 
 function ownsSlots(control: ControlState, upstream: UpstreamIdentity): boolean {
 	const assignments = control.ownership.services[upstream.service]?.assignments ?? [];
 	return assignments.some(assignment => assignment.phase !== AssignmentPhase.vacant && sameUpstream(assignment.owner, upstream));
 }
 
-function isTimely(command: MembershipCommand, control: ControlState): boolean {
+function mayBeProposed(command: MembershipCommand, control: ControlState): boolean {
 	return command.kind !== 'upstreamForgotten' || !ownsSlots(control, command.upstream);
 }
 
 function membershipProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
 	const rosters = Object.values(control.ownership.rosters);
-	const judged = advanceWatch(state.watch, {
+	const decided = advanceWatch(state.watch, {
 		kind: 'ticked',
 		now,
 		registry: control.membership,
 		contracts: contractsOf(control.configuration),
 		rosterSizes: Object.fromEntries(rosters.map(({zone, members}) => [zone, members.length])),
 	});
-	const commands = judged.effects.map(effect => effect.command).filter(command => isTimely(command, control));
-	return {state: {...state, watch: judged.state}, commands};
+	const commands = decided.effects.map(effect => effect.command).filter(command => mayBeProposed(command, control));
+	return {state: {...state, watch: decided.state}, commands};
 }
 
 function isMember(control: ControlState, {instance}: SeatRequest): boolean {
@@ -55,18 +56,18 @@
 	return includesInstance(members, instance);
 }
 
-function isHeard(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
-	return now - (state.heard[name] ?? state.grantor.startedAt) < silentInstanceMilliseconds;
+function hasRecentContact(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
+	return now - (state.lastContacts[name] ?? state.grantor.startedAt) < memberContactTimeoutMilliseconds;
 }
 
 function isPresent(state: LeaderState, {name}: InstanceRecord, now: MonotonicTime): boolean {
-	return now - (state.heard[name] ?? -Infinity) < presentMilliseconds;
+	return now - (state.lastContacts[name] ?? -Infinity) < presenceTimeoutMilliseconds;
 }
 
 /**
- * Takes the seat of a member that leaves, or that is silent while another is
- * heard. Majorities of the rosters before and after meet, so this is safe
- * whether the silent one is gone or not.
+ * Removes the seat of a member that leaves, or that is without contact while
+ * another member is present. Majorities of the rosters before and after overlap,
+ * so this is safe whether or not the removed member still runs.
  */
 function proposeUnseat(state: LeaderState, roster: ZoneRoster, now: MonotonicTime): OwnershipCommand | undefined {
 	const {zone, members} = roster;
@@ -74,30 +75,33 @@
 		return undefined;
 	}
 
-	const gone = members.find(member => state.seats[member.name]?.leaving === true && sameInstance(member, state.seats[member.name]!.instance))
-		?? members.find(member => !isHeard(state, member, now));
-	const another = members.some(member => member !== gone && isPresent(state, member, now));
-	return gone !== undefined && another
+	const removed = members.find(member => state.seats[member.name]?.leaving === true && sameInstance(member, state.seats[member.name]!.instance))
+		?? members.find(member => !hasRecentContact(state, member, now));
+	const isAnotherPresent = members.some(member => member !== removed && isPresent(state, member, now));
+	return removed !== undefined && isAnotherPresent
 		? {
-			kind: 'instanceUnseated', zone, changedAt: roster.changedAt, instance: {name: gone.name, incarnation: gone.incarnation},
+			kind: 'instanceUnseated', zone, changedAt: roster.changedAt, instance: {name: removed.name, incarnation: removed.incarnation},
 		}
 		: undefined;
 }
 
-/** A process that still keeps silent would only take the zone's steward its majority. */
+/**
+ * Whether a new process would still wait before it supports a steward. Seating it
+ * that early could only deprive the zone's steward of its majority.
+ */
 function isTooEarly(state: LeaderState, control: ControlState, command: OwnershipCommand, now: MonotonicTime): boolean {
 	if (command.kind !== 'instanceSeated' || (control.ownership.rosters[command.record.zone]?.members.length ?? 0) === 0) {
 		return false;
 	}
 
-	const heardAt = state.grantor.seatObservations[command.record.name]?.observedAt ?? now;
+	const lastContactAt = state.grantor.seatObservations[command.record.name]?.observedAt ?? now;
 	const {terms} = state.grantor;
-	return now < heardAt + grantorWait(terms.stewardTermMilliseconds, terms) + terms.renewMilliseconds;
+	return now < lastContactAt + grantorWait(terms.stewardTermMilliseconds, terms) + terms.renewMilliseconds;
 }
 
 function zoneProposal(state: LeaderState, control: ControlState, zone: ZoneName, now: MonotonicTime): OwnershipCommand | undefined {
-	const asking = Object.values(state.seats).filter(({instance, leaving}) => instance.zone === zone && leaving !== true);
-	for (const request of asking) {
+	const requests = Object.values(state.seats).filter(({instance, leaving}) => instance.zone === zone && leaving !== true);
+	for (const request of requests) {
 		const command = isMember(control, request) ? undefined : proposeSeat(state.grantor, control.ownership, request.instance, now);
 		if (command !== undefined && !isTooEarly(state, control, command, now)) {
 			return command;
@@ -109,7 +113,7 @@
 }
 
 function seatProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
-	const seats = Object.fromEntries(Object.entries(state.seats).filter(([name]) => now - (state.heard[name] ?? 0) < silentInstanceMilliseconds));
+	const seats = Object.fromEntries(Object.entries(state.seats).filter(([name]) => now - (state.lastContacts[name] ?? 0) < memberContactTimeoutMilliseconds));
 	const zones = new Set([...Object.keys(control.ownership.rosters), ...Object.values(seats).map(({instance}) => instance.zone)]);
 	const next = {...state, seats};
 	const commands = [...zones].map(zone => zoneProposal(next, control, zone, now)).filter(command => command !== undefined);
@@ -121,7 +125,7 @@
 	return {state: {...state, grantor}, commands: [...settleRosters(state.grantor, control.ownership), ...commands]};
 }
 
-/** What to propose now, as one entry. */
+/** Returns the commands to propose now, as one log entry. */
 export function proposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
 	const commands: ControlCommand[] = [];
 	let next = state;
@@ -134,10 +138,10 @@
 			(current: LeaderState) => serviceProposals(current, control, contract, now)),
 	];
 	for (const step of steps) {
-		const made = step(next, control, now);
-		next = made.state;
-		commands.push(...made.commands);
+		const result = step(next, control, now);
+		next = result.state;
+		commands.push(...result.commands);
 	}
 
-	return {state: next, commands: commands.slice(0, commandsAtMost)};
+	return {state: next, commands: commands.slice(0, maximumCommands)};
 }
--- a/packages/control/src/service-proposals.ts
+++ b/packages/control/src/service-proposals.ts
@@ -1,6 +1,7 @@
 /**
- * The commands that a leader proposes for one service: the ends of revocations
- * whose evidence is complete, grants of vacant slots, moves, and pinned keys.
+ * Computes the commands that a leader proposes for one service: grants or
+ * releases that end revocations whose evidence is complete, grants of vacant
+ * slots, moves, and pinned keys.
  */
 import {contractOf} from '@dogwooddeck/configuration/tree';
 import {upstreamOf, upstreamsOf} from '@dogwooddeck/membership/registry';
@@ -22,7 +23,7 @@
 import {type ControlCommand} from './command.js';
 import {type LeaderState, type Proposals} from './leader-state.js';
 import {
-	formingLook, isPlanDue, type PlanBasis, plannedLook, type ServiceLook,
+	formingInputs, isPlanDue, type PlanBasis, plannedInputs, type PlanningInputs,
 } from './plan-due.js';
 import {type ControlState} from './state.js';
 
@@ -41,7 +42,7 @@
 	return control.ownership.services[service] ?? {service, assignments: [], pinned: []};
 }
 
-/** Ticks ask for them 20 times a second; most services have none. */
+/** Memoized, as it is evaluated at each of 20 ticks a second and most services have no revocation. */
 const revocationsOf = memoize(({assignments}: ServiceAssignments): readonly Revoking[] => assignments.filter(assignment => isRevoking(assignment)));
 
 function unreachableZones(state: LeaderState, control: ControlState, now: MonotonicTime): readonly ZoneName[] {
@@ -58,23 +59,23 @@
 	return upstreamOf(control.membership, owner)?.zone;
 }
 
-/** The cut zones that keep the slots of their upstreams. */
-function heldZones(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): ReadonlySet<ZoneName | undefined> {
+/** Returns the unreachable zones whose upstreams keep their slots. */
+function holdingZones(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): ReadonlySet<ZoneName | undefined> {
 	const policy = control.ownership.policies[service];
-	const holds = policy !== undefined && someMayHold(policy);
-	return new Set(holds ? unreachableZones(state, control, now) : []);
+	const mayHold = policy !== undefined && someMayHold(policy);
+	return new Set(mayHold ? unreachableZones(state, control, now) : []);
 }
 
 /**
- * Revocations that a cut zone holds up: its instances may go on sending to the
- * owner, so no other may be granted the slot. The owner itself may: a grant to
- * the same owner needs no evidence.
+ * Returns the revocations that a partitioned zone blocks: its instances may
+ * continue to send to the owner, so the slot can't be granted to another
+ * upstream. It can be granted to the same owner again, which needs no evidence.
  */
-function heldUp(revoking: readonly Revoking[], control: ControlState, held: ReadonlySet<ZoneName | undefined>): readonly Revoking[] {
+function blockedRevocations(revoking: readonly Revoking[], control: ControlState, held: ReadonlySet<ZoneName | undefined>): readonly Revoking[] {
 	return revoking.filter(({owner}) => mayOwn(control, owner) && held.has(ownerZone(control, owner)));
 }
 
-/** The record of an owner that started anew is that of its later life, which may stand in another zone. */
+/** The registry holds no zone for an owner that restarted: its record is that of the later incarnation, which may be in another zone. */
 function revocationOf(control: ControlState, {owner, slot}: Revoking): Revocation {
 	const zone = ownerZone(control, owner);
 	return {service: owner.service, slot, ...(zone !== undefined && {ownerZone: zone})};
@@ -82,21 +83,21 @@
 
 type Cleared = {readonly grantor: LeaderState['grantor']; readonly cleared: ReadonlySet<Revoking>};
 
-/** Which revocations of a service have their evidence. It is the same for all slots that one entry took from owners of one zone. */
+/** Finds the revocations of a service whose evidence is complete. It is checked once for all slots that one log entry revoked from owners in one zone. */
 function clearRevocations(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): Cleared {
 	let {grantor} = state;
 	const cleared = new Set<Revoking>();
-	const looked = new Map<string, boolean>();
+	const checked = new Map<string, boolean>();
 	for (const assignment of revocationsOf(assignments)) {
 		const revocation = revocationOf(control, assignment);
 		const evidence = `${assignment.revokedAt}\n${revocation.ownerZone}`;
-		if (!looked.has(evidence)) {
+		if (!checked.has(evidence)) {
 			const result = clearRevocation(grantor, control.ownership, revocation, now);
 			({grantor} = result);
-			looked.set(evidence, result.cleared);
+			checked.set(evidence, result.cleared);
 		}
 
-		if (looked.get(evidence) === true) {
+		if (checked.get(evidence) === true) {
 			cleared.add(assignment);
 		}
 	}
@@ -106,7 +107,8 @@
 
 /**
  * Ends the revocations of a service whose evidence is complete, by a grant to the
- * slot's target or by a release, and takes back those that a cut zone holds up.
+ * slot's target or by a release, and cancels those that a partitioned zone blocks,
+ * by a grant to the same owner.
  */
 function endRevocations(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): Proposals {
 	const assignments = assignmentsOf(control, service);
@@ -120,10 +122,10 @@
 	const granted = [...cleared].filter(({slot}) => mayOwn(control, targetOf(slot)));
 	const released = [...cleared].filter(({slot}) => !mayOwn(control, targetOf(slot)));
 	const waiting = revoking.filter(assignment => !cleared.has(assignment));
-	const takenBack = waiting.length === 0 ? [] : heldUp(waiting, control, heldZones(state, control, service, now));
+	const cancelled = waiting.length === 0 ? [] : blockedRevocations(waiting, control, holdingZones(state, control, service, now));
 	const grants: readonly Grant[] = [
 		...granted.map(({slot, revokedAt}) => ({slot, owner: targetOf(slot)!, revokedAt})),
-		...takenBack.map(({slot, owner, revokedAt}) => ({slot, owner, revokedAt})),
+		...cancelled.map(({slot, owner, revokedAt}) => ({slot, owner, revokedAt})),
 	];
 	const commands: ControlCommand[] = [
 		...(grants.length === 0 ? [] : [{kind: 'assignmentsGranted' as const, service, grants}]),
@@ -136,15 +138,15 @@
 	return {state: {...state, grantor}, commands};
 }
 
-function wishedMoves(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): readonly Target[] {
-	const held = heldZones(state, control, assignments.service, now);
+function requestedMoves(state: LeaderState, control: ControlState, assignments: ServiceAssignments, now: MonotonicTime): readonly Target[] {
+	const held = holdingZones(state, control, assignments.service, now);
 	return control.wishes.filter(({service}) => service === assignments.service).flatMap(({slot, upstream}) => {
 		const assignment = assignments.assignments[slot];
 		const target = upstreamsOf(control.membership, assignments.service)
 			.find(({name, phase}) => name === upstream && phase === UpstreamPhase.serving);
-		const moves = assignment?.phase === AssignmentPhase.granted && target !== undefined && !sameUpstream(assignment.owner, identityOf(target))
+		const mayMove = assignment?.phase === AssignmentPhase.granted && target !== undefined && !sameUpstream(assignment.owner, identityOf(target))
 			&& !held.has(ownerZone(control, assignment.owner));
-		return moves ? [{slot, to: identityOf(target)}] : [];
+		return mayMove ? [{slot, to: identityOf(target)}] : [];
 	});
 }
 
@@ -186,11 +188,11 @@
 	return added.length === 0 ? state : {...state, targets: {...state.targets, ...Object.fromEntries(added)}};
 }
 
-/** A service without any owner waits until the first of its upstreams has been there for this long, so that its keys are divided over all that come together. */
+/** A service without any owner waits until its first upstream joined this long ago, so that its keys are divided over all upstreams that start together. */
 export const formationMilliseconds: Milliseconds = 1500;
 
-/** When a service without any owner stops waiting. In the past where it doesn't wait. */
-function formsAt(input: PlacementInput, startedAt: MonotonicTime): MonotonicTime {
+/** Returns when a service without any owner stops waiting; `-Infinity` for a service that doesn't wait. */
+function formationEndsAt(input: PlacementInput, startedAt: MonotonicTime): MonotonicTime {
 	const joined = input.upstreams.map(upstream => upstream.joinedAt ?? startedAt);
 	const isVacant = input.assignments.assignments.every(({phase}) => phase === AssignmentPhase.vacant);
 	return isVacant ? Math.min(...joined) + formationMilliseconds : -Infinity;
@@ -210,40 +212,40 @@
 function planNow(state: LeaderState, control: ControlState, basis: PlanBasis, now: MonotonicTime): Planned {
 	const service = basis.contract.name;
 	const input = placementInput(state, control, basis, now);
-	const withLook = (look: ServiceLook) => ({...state, looks: {...state.looks, [service]: look}});
-	const waitsUntil = formsAt(input, state.grantor.startedAt);
+	const withInputs = (inputs: PlanningInputs) => ({...state, planningInputs: {...state.planningInputs, [service]: inputs}});
+	const waitsUntil = formationEndsAt(input, state.grantor.startedAt);
 	if (now < waitsUntil) {
-		return {state: withLook(formingLook(basis, waitsUntil))};
+		return {state: withInputs(formingInputs(basis, waitsUntil))};
 	}
 
 	const plan = planPlacement(input);
-	const looked = withLook(plannedLook(basis, plan, input.flapping, now));
-	return {plan, state: {...looked, placements: {...state.placements, [service]: plan.state}}};
+	const updated = withInputs(plannedInputs(basis, plan, input.flapping, now));
+	return {plan, state: {...updated, placements: {...state.placements, [service]: plan.state}}};
 }
 
 function planWhenDue(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Planned {
 	const basis = basisOf(state, control, contract, now);
-	return isPlanDue(state.looks[contract.name], basis, state.loads[contract.name], now) ? planNow(state, control, basis, now) : {state};
+	return isPlanDue(state.planningInputs[contract.name], basis, state.loads[contract.name], now) ? planNow(state, control, basis, now) : {state};
 }
 
 function plannedProposals(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Proposals {
 	const service = contract.name;
 	const {state: next, plan} = planWhenDue(state, control, contract, now);
-	const wished = wishedMoves(state, control, assignmentsOf(control, service), now);
+	const requested = requestedMoves(state, control, assignmentsOf(control, service), now);
 	const moves = plan?.moves ?? [];
 	const planned = moves.flatMap(({slot, to}) => to === undefined ? [] : [{slot, to}]);
-	const revoked = [...new Set([...moves.map(({slot}) => slot), ...wished.map(({slot}) => slot)])];
-	return {state: withTargets(next, service, [...planned, ...wished]), commands: planCommands(service, plan, revoked)};
+	const revoked = [...new Set([...moves.map(({slot}) => slot), ...requested.map(({slot}) => slot)])];
+	return {state: withTargets(next, service, [...planned, ...requested]), commands: planCommands(service, plan, revoked)};
 }
 
-/** What to propose for a service that has a contract. */
+/** Returns the proposals for a service that has a contract. */
 export function serviceProposals(state: LeaderState, control: ControlState, contract: ServiceContract, now: MonotonicTime): Proposals {
 	const ended = endRevocations(state, control, contract.name, now);
 	const planned = plannedProposals(ended.state, control, contract, now);
 	return {state: planned.state, commands: [...ended.commands, ...planned.commands]};
 }
 
-function closingOf(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): Proposals {
+function closeService(state: LeaderState, control: ControlState, service: ServiceName, now: MonotonicTime): Proposals {
 	const {assignments} = control.ownership.services[service]!;
 	if (assignments.every(({phase}) => phase === AssignmentPhase.vacant)) {
 		return {state, commands: [{kind: 'serviceClosed', service}]};
@@ -257,15 +259,15 @@
 	};
 }
 
-/** What to propose for services whose contract was removed: their slots become vacant, then they are closed. */
+/** Returns the proposals for services whose contract was removed: their slots become vacant, then they are closed. */
 export function closingProposals(state: LeaderState, control: ControlState, now: MonotonicTime): Proposals {
 	const commands: ControlCommand[] = [];
 	let next = state;
 	for (const service of Object.keys(control.ownership.services)) {
 		if (contractOf(control.configuration, service) === undefined) {
-			const made = closingOf(next, control, service, now);
-			next = made.state;
-			commands.push(...made.commands);
+			const result = closeService(next, control, service, now);
+			next = result.state;
+			commands.push(...result.commands);
 		}
 	}
 
--- a/packages/control/test/test-evidence.ts
+++ b/packages/control/test/test-evidence.ts
@@ -1,6 +1,6 @@
 /**
- * Which revocations of one service end together: the evidence is looked at once
- * for all slots with the same revocation and zone, and for no others.
+ * Tests which revocations of a service end together: the evidence is checked once
+ * for all slots with the same revocation index and zone, and for no others.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -60,27 +60,27 @@
 	},
 };
 
-type Known = {readonly drained: number; readonly isCut: boolean};
+type ZoneEvidence = {readonly drained: number; readonly isPartitioned: boolean};
 
-function leaderThatKnows(known: Readonly<Record<Zone, Known>>): LeaderState {
+function leaderWithEvidence(evidence: Readonly<Record<Zone, ZoneEvidence>>): LeaderState {
 	const leader = createLeader(now, control, defaultLeaseTerms, () => 0);
 	const delegations = zones.map(zone => {
-		const {drained, isCut} = known[zone];
-		return [zone, {drained, minimumApplied: 0, delegatedUntil: isCut ? 0 : now + 1000}] as const;
+		const {drained, isPartitioned} = evidence[zone];
+		return [zone, {drained, minimumApplied: 0, delegatedUntil: isPartitioned ? 0 : now + 1000}] as const;
 	});
 	return {...leader, grantor: {...leader.grantor, zones: Object.fromEntries(delegations)}};
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly known: Readonly<Record<Zone, Known>>; readonly ended: readonly number[]}> = [
-	{name: 'no zone is drained', known: {'noord-a': {drained: 4, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: []},
-	{name: 'a zone is drained to the earlier revocation', known: {'noord-a': {drained: 5, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 2, 3]},
-	{name: 'all are drained', known: {'noord-a': {drained: 7, isCut: false}, 'noord-b': {drained: 9, isCut: false}}, ended: [0, 1, 2, 3]},
-	{name: 'a cut zone holds the slots of its own owners alone', known: {'noord-a': {drained: 0, isCut: true}, 'noord-b': {drained: 9, isCut: false}}, ended: [2]},
+const cases: ReadonlyArray<{readonly name: string; readonly evidence: Readonly<Record<Zone, ZoneEvidence>>; readonly ended: readonly number[]}> = [
+	{name: 'no zone is drained', evidence: {'noord-a': {drained: 4, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: []},
+	{name: 'a zone is drained to the earlier revocation', evidence: {'noord-a': {drained: 5, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 2, 3]},
+	{name: 'all are drained', evidence: {'noord-a': {drained: 7, isPartitioned: false}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [0, 1, 2, 3]},
+	{name: 'a partitioned zone blocks only the slots of its own owners', evidence: {'noord-a': {drained: 0, isPartitioned: true}, 'noord-b': {drained: 9, isPartitioned: false}}, ended: [2]},
 ];
 
-for (const {name, known, ended} of cases) {
+for (const {name, evidence, ended} of cases) {
 	test(`evidence: ${name}`, () => {
-		const {commands} = serviceProposals(leaderThatKnows(known), control, contract, now);
+		const {commands} = serviceProposals(leaderWithEvidence(evidence), control, contract, now);
 		const released = commands.flatMap(command => command.kind === 'assignmentsReleased' ? command.releases : []);
 		assert.deepEqual(released, ended.map(slot => ({slot, revokedAt: slot === 1 ? 7 : 5})));
 	});
--- a/packages/control/test/test-leader.ts
+++ b/packages/control/test/test-leader.ts
@@ -11,10 +11,10 @@
 import {applyEntry} from '@dogwooddeck/control/apply';
 import {type ControlCommand, encodeCommands} from '@dogwooddeck/control/command';
 import {
-	createLeader, type LeaderEvent, proposalMilliseconds, stepLeader,
+	createLeader, type LeaderEvent, proposalTimeoutMilliseconds, stepLeader,
 } from '@dogwooddeck/control/leader';
 import {type LeaderState} from '@dogwooddeck/control/leader-state';
-import {silentInstanceMilliseconds} from '@dogwooddeck/control/proposals';
+import {memberContactTimeoutMilliseconds} from '@dogwooddeck/control/proposals';
 import {formationMilliseconds} from '@dogwooddeck/control/service-proposals';
 import {type ControlState, emptyControl} from '@dogwooddeck/control/state';
 
@@ -34,13 +34,13 @@
 	};
 }
 
-/** A leader whose proposals are all accepted at once. */
-class World {
+/** A simulated leader whose proposals are all committed at once. */
+class LeaderSimulation {
 	control: ControlState = emptyControl;
 	leader: LeaderState = createLeader(0, emptyControl, defaultLeaseTerms, (key, slots) => key.length % slots);
 	now = 0;
-	/** Whether the zone ends the work that revocations wait for. */
-	drains = true;
+	/** Whether the zone completes the requests that revocations wait for. */
+	completesRequests = true;
 	readonly proposed: ControlCommand[] = [];
 
 	apply(...commands: ControlCommand[]): void {
@@ -59,24 +59,24 @@
 		}
 	}
 
-	report(zone: string, announcements: readonly Announcement[], holders: readonly string[], seen: Partial<Report> = {}): void {
+	report(zone: string, announcements: readonly Announcement[], holders: readonly string[], changes: Partial<Report> = {}): void {
 		this.step({
 			kind: 'delegationRequested',
 			now: this.now,
-			quorumHeardAt: this.now,
+			quorumContactAt: this.now,
 			control: this.control,
 			request: {
 				zone,
 				steward: {name: holders[0]!, incarnation: 1},
 				applied: this.control.applied,
-				drained: this.drains ? this.control.applied : 0,
-				report: {...emptyReport, announcements, ...seen},
+				drained: this.completesRequests ? this.control.applied : 0,
+				report: {...emptyReport, announcements, ...changes},
 				holders: holders.map(name => ({name, incarnation: 1})),
 			},
 		});
 	}
 
-	/** Lets time pass in ticks of 100 ms; the zone's steward reports at each. */
+	/** Advances time in ticks of 100 ms. The zone's steward reports at each, if there are holders. */
 	pass(duration: number, announcements: readonly Announcement[], holders: readonly string[]): void {
 		for (const end = this.now + duration; this.now < end;) {
 			this.now += 100;
@@ -118,204 +118,204 @@
 	};
 }
 
-function begun(...names: readonly string[]): World {
-	const world = new World();
-	world.apply(contractApplied(0, contract));
+function startSimulation(...names: readonly string[]): LeaderSimulation {
+	const simulation = new LeaderSimulation();
+	simulation.apply(contractApplied(0, contract));
 	for (const name of names) {
-		world.seat(instance(name));
-		world.pass(2500, [], world.members().map(member => member.split('#', 1)[0]!));
+		simulation.seat(instance(name));
+		simulation.pass(2500, [], simulation.members().map(member => member.split('#', 1)[0]!));
 	}
 
-	return world;
+	return simulation;
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly run: () => void}> = [
 	{
-		name: 'a service\'s first keys are divided over the upstreams that come together',
+		name: 'the keys of a new service are divided over the upstreams that join together',
 		run() {
-			const world = begun('entry-1');
-			world.pass(200, [announcement('one')], ['entry-1']);
-			assert.deepEqual(new Set(world.owners()), new Set(['']));
-			world.pass(formationMilliseconds + 500, [announcement('one'), announcement('two')], ['entry-1']);
-			assert.equal(world.owners().filter(owner => owner === 'one').length, 4);
-			assert.equal(world.owners().filter(owner => owner === 'two').length, 4);
+			const simulation = startSimulation('entry-1');
+			simulation.pass(200, [announcement('one')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.owners()), new Set(['']));
+			simulation.pass(formationMilliseconds + 500, [announcement('one'), announcement('two')], ['entry-1']);
+			assert.equal(simulation.owners().filter(owner => owner === 'one').length, 4);
+			assert.equal(simulation.owners().filter(owner => owner === 'two').length, 4);
 		},
 	},
 	{
-		name: 'a silent member loses its seat while another of its zone is heard',
+		name: 'a member without contact loses its seat while there is contact with another of its zone',
 		run() {
-			const world = begun('entry-1', 'entry-2');
-			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
-			world.pass(silentInstanceMilliseconds + 500, [], ['entry-1']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			assert.deepEqual(simulation.members(), ['entry-1#1', 'entry-2#1']);
+			simulation.pass(memberContactTimeoutMilliseconds + 500, [], ['entry-1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
-		name: 'nobody loses a seat in a zone of which nothing is heard',
+		name: 'no member loses its seat in a zone without any contact',
 		run() {
-			const world = begun('entry-1', 'entry-2');
-			world.pass(500, [], ['entry-1', 'entry-2']);
-			world.pass(10 * silentInstanceMilliseconds, [], []);
-			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#1']);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			simulation.pass(500, [], ['entry-1', 'entry-2']);
+			simulation.pass(10 * memberContactTimeoutMilliseconds, [], []);
+			assert.deepEqual(simulation.members(), ['entry-1#1', 'entry-2#1']);
 		},
 	},
 	{
 		name: 'a member that is lost together with the leader loses its seat under the next one',
 		run() {
-			const world = begun('entry-1', 'entry-2');
-			world.pass(500, [], ['entry-1', 'entry-2']);
-			world.leader = createLeader(world.now, world.control, defaultLeaseTerms, (key, slots) => key.length % slots);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			simulation.pass(500, [], ['entry-1', 'entry-2']);
+			simulation.leader = createLeader(simulation.now, simulation.control, defaultLeaseTerms, (key, slots) => key.length % slots);
 			for (let count = 0; count < 20; count++) {
-				world.seat(instance('entry-1'));
-				world.pass(300, [], []);
+				simulation.seat(instance('entry-1'));
+				simulation.pass(300, [], []);
 			}
 
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
-		name: 'a leaving member gives its seat up at once',
+		name: 'a leaving member loses its seat at once',
 		run() {
-			const world = begun('entry-1', 'entry-2');
-			world.seat(instance('entry-2'), true);
-			world.pass(200, [], ['entry-1', 'entry-2']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			const simulation = startSimulation('entry-1', 'entry-2');
+			simulation.seat(instance('entry-2'), true);
+			simulation.pass(200, [], ['entry-1', 'entry-2']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
 		name: 'the only member keeps its seat when it leaves',
 		run() {
-			const world = begun('entry-1');
-			world.seat(instance('entry-1'), true);
-			world.pass(500, [], ['entry-1']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			const simulation = startSimulation('entry-1');
+			simulation.seat(instance('entry-1'), true);
+			simulation.pass(500, [], ['entry-1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 		},
 	},
 	{
-		name: 'a restarted member gives its earlier life\'s seat up at once and is seated when its silence is over',
+		name: 'a restarted member loses the seat of its earlier incarnation at once and is seated again after a waiting period',
 		run() {
-			const world = begun('entry-1', 'entry-2');
+			const simulation = startSimulation('entry-1', 'entry-2');
 			const later = instance('entry-2', 2);
-			world.seat(later);
-			world.pass(300, [], ['entry-1']);
-			assert.deepEqual(world.members(), ['entry-1#1']);
+			simulation.seat(later);
+			simulation.pass(300, [], ['entry-1']);
+			assert.deepEqual(simulation.members(), ['entry-1#1']);
 			for (let count = 0; count < 6; count++) {
-				world.seat(later);
-				world.pass(300, [], ['entry-1']);
+				simulation.seat(later);
+				simulation.pass(300, [], ['entry-1']);
 			}
 
-			assert.deepEqual(world.members(), ['entry-1#1', 'entry-2#2']);
+			assert.deepEqual(simulation.members(), ['entry-1#1', 'entry-2#2']);
 		},
 	},
 	{
-		name: 'a wished move is made, and the wish is met',
+		name: 'a move that an operator requests is made, and the request is removed',
 		run() {
-			const world = begun('entry-1');
+			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
-			world.pass(3000, both, ['entry-1']);
-			const slot = world.owners().indexOf('one');
-			world.apply({
+			simulation.pass(3000, both, ['entry-1']);
+			const slot = simulation.owners().indexOf('one');
+			simulation.apply({
 				kind: 'operatorAsked', operation: 'move-0001', command: {
 					kind: 'moveWished', service: contract.name, slot, upstream: 'two',
 				},
 			});
-			world.pass(1000, both, ['entry-1']);
-			assert.equal(world.owners()[slot], 'two');
-			assert.deepEqual(world.control.wishes, []);
+			simulation.pass(1000, both, ['entry-1']);
+			assert.equal(simulation.owners()[slot], 'two');
+			assert.deepEqual(simulation.control.wishes, []);
 		},
 	},
 	{
-		name: 'a move that a cut zone holds up is taken back, and made when the zone is heard again',
+		name: 'a move that a partitioned zone blocks is cancelled, and made when contact with the zone returns',
 		run() {
-			const world = begun('entry-1');
+			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
-			world.pass(3000, both, ['entry-1']);
-			const slot = world.owners().indexOf('one');
-			world.drains = false;
-			world.apply({
+			simulation.pass(3000, both, ['entry-1']);
+			const slot = simulation.owners().indexOf('one');
+			simulation.completesRequests = false;
+			simulation.apply({
 				kind: 'operatorAsked', operation: 'move-0001', command: {
 					kind: 'moveWished', service: contract.name, slot, upstream: 'two',
 				},
 			});
-			world.pass(300, both, ['entry-1']);
-			assert.equal(world.phaseOf(slot), 'revoking');
-			world.pass(10_000, [], []);
-			assert.equal(world.phaseOf(slot), 'granted');
-			assert.equal(world.owners()[slot], 'one');
-			world.drains = true;
-			world.pass(2000, both, ['entry-1']);
-			assert.equal(world.owners()[slot], 'two');
+			simulation.pass(300, both, ['entry-1']);
+			assert.equal(simulation.phaseOf(slot), 'revoking');
+			simulation.pass(10_000, [], []);
+			assert.equal(simulation.phaseOf(slot), 'granted');
+			assert.equal(simulation.owners()[slot], 'one');
+			simulation.completesRequests = true;
+			simulation.pass(2000, both, ['entry-1']);
+			assert.equal(simulation.owners()[slot], 'two');
 		},
 	},
 	{
-		name: 'the keys of an upstream that starts anew have owners again once its zone has drained',
+		name: 'the keys of a restarted upstream have owners again once its zone has drained',
 		run() {
-			const world = begun('entry-1');
-			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
-			world.drains = false;
-			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
-			assert.ok(world.phases().includes('revoking'));
-			world.drains = true;
-			world.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
-			assert.deepEqual(new Set(world.phases()), new Set(['granted']));
+			const simulation = startSimulation('entry-1');
+			simulation.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
+			simulation.completesRequests = false;
+			simulation.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
+			assert.ok(simulation.phases().includes('revoking'));
+			simulation.completesRequests = true;
+			simulation.pass(2000, [announcement('one', 2), announcement('two')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.phases()), new Set(['granted']));
 		},
 	},
 	{
-		name: 'the keys of an upstream that starts anew at once have owners again',
+		name: 'the keys of an upstream that restarts at once have owners again',
 		run() {
-			const world = begun('entry-1');
-			world.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
-			world.pass(1000, [announcement('one', 2), announcement('two')], ['entry-1']);
-			assert.deepEqual(new Set(world.phases()), new Set(['granted']));
+			const simulation = startSimulation('entry-1');
+			simulation.pass(3000, [announcement('one'), announcement('two')], ['entry-1']);
+			simulation.pass(1000, [announcement('one', 2), announcement('two')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.phases()), new Set(['granted']));
 		},
 	},
 	{
-		name: 'a proposal without an end holds the leader up for a bounded time',
+		name: 'a proposal that never ends blocks the leader for a bounded time',
 		run() {
-			const world = begun('entry-1');
-			world.leader = {...world.leader, proposedAt: world.now};
-			world.pass(proposalMilliseconds - 200, [announcement('one')], ['entry-1']);
-			assert.deepEqual(new Set(world.owners()), new Set(['']));
-			world.pass(formationMilliseconds + 1000, [announcement('one')], ['entry-1']);
-			assert.deepEqual(new Set(world.owners()), new Set(['one']));
+			const simulation = startSimulation('entry-1');
+			simulation.leader = {...simulation.leader, proposedAt: simulation.now};
+			simulation.pass(proposalTimeoutMilliseconds - 200, [announcement('one')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.owners()), new Set(['']));
+			simulation.pass(formationMilliseconds + 1000, [announcement('one')], ['entry-1']);
+			assert.deepEqual(new Set(simulation.owners()), new Set(['one']));
 		},
 	},
 	{
-		name: 'loads of a service that a report does not name are left as they are',
+		name: 'loads of a service that a report does not name are unchanged',
 		run() {
-			const world = begun('entry-1');
+			const simulation = startSimulation('entry-1');
 			const slotLoads = [{service: contract.name, slot: 1, requests: 30}];
-			world.report('noord-a', [], ['entry-1'], {slotLoads});
-			const before = world.leader.loads[contract.name]!;
-			world.pass(2000, [], ['entry-1']);
-			const after = world.leader.loads[contract.name]!;
+			simulation.report('noord-a', [], ['entry-1'], {slotLoads});
+			const before = simulation.leader.loads[contract.name]!;
+			simulation.pass(2000, [], ['entry-1']);
+			const after = simulation.leader.loads[contract.name]!;
 			assert.deepEqual(after, before);
-			assert.ok(ratesOf(after, world.now).slots[1]! < ratesOf(before, world.now - 2000).slots[1]!);
-			world.report('noord-a', [], ['entry-1'], {slotLoads});
-			assert.equal(world.leader.loads[contract.name]!.updatedAt, world.now);
+			assert.ok(ratesOf(after, simulation.now).slots[1]! < ratesOf(before, simulation.now - 2000).slots[1]!);
+			simulation.report('noord-a', [], ['entry-1'], {slotLoads});
+			assert.equal(simulation.leader.loads[contract.name]!.updatedAt, simulation.now);
 		},
 	},
 	{
-		name: 'a service at rest is not planned again at the ticks',
+		name: 'an idle service is not planned again at each tick',
 		run() {
-			const world = begun('entry-1');
+			const simulation = startSimulation('entry-1');
 			const both = [announcement('one'), announcement('two')];
-			world.pass(10_000, both, ['entry-1']);
-			const look = world.leader.looks[contract.name];
-			world.pass(60_000, both, ['entry-1']);
-			assert.equal(world.leader.looks[contract.name], look);
-			world.pass(formationMilliseconds, [...both, announcement('three')], ['entry-1']);
-			assert.notEqual(world.leader.looks[contract.name], look);
+			simulation.pass(10_000, both, ['entry-1']);
+			const inputs = simulation.leader.planningInputs[contract.name];
+			simulation.pass(60_000, both, ['entry-1']);
+			assert.equal(simulation.leader.planningInputs[contract.name], inputs);
+			simulation.pass(formationMilliseconds, [...both, announcement('three')], ['entry-1']);
+			assert.notEqual(simulation.leader.planningInputs[contract.name], inputs);
 		},
 	},
 	{
-		name: 'the keys of an upstream that falls silent go to the others',
+		name: 'the keys of an unresponsive upstream move to the others',
 		run() {
-			const world = begun('entry-1');
-			world.pass(3000, [announcement('one'), announcement('two'), announcement('three')], ['entry-1']);
-			world.pass(4000, [announcement('one'), announcement('two')], ['entry-1']);
-			assert.equal(world.owners().includes('three'), false);
-			assert.equal(world.owners().includes(''), false);
+			const simulation = startSimulation('entry-1');
+			simulation.pass(3000, [announcement('one'), announcement('two'), announcement('three')], ['entry-1']);
+			simulation.pass(4000, [announcement('one'), announcement('two')], ['entry-1']);
+			assert.equal(simulation.owners().includes('three'), false);
+			assert.equal(simulation.owners().includes(''), false);
 		},
 	},
 ];
@@ -325,20 +325,20 @@
 }
 
 const smoothingCases = [
-	{name: 'of a contract that weighs availability', weighs: [MovePreference.availability], expected: placementPolicies.availability.smoothingMilliseconds},
-	{name: 'of a contract that weighs churn', weighs: [MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
-	{name: 'after the weight was changed', weighs: [MovePreference.availability, MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
+	{name: 'of a contract that prefers availability', weighs: [MovePreference.availability], expected: placementPolicies.availability.smoothingMilliseconds},
+	{name: 'of a contract that prefers low churn', weighs: [MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
+	{name: 'after the preference was changed', weighs: [MovePreference.availability, MovePreference.churn], expected: placementPolicies.churn.smoothingMilliseconds},
 ];
 
 for (const {name, weighs, expected} of smoothingCases) {
 	test(`smoothing of loads: ${name}`, () => {
-		const world = begun('entry-1');
+		const simulation = startSimulation('entry-1');
 		for (const weigh of weighs) {
-			const {revision} = world.control.configuration.teams[0]!;
-			world.apply(contractApplied(revision, {...contract, weigh}));
-			world.pass(500, [], ['entry-1']);
+			const {revision} = simulation.control.configuration.teams[0]!;
+			simulation.apply(contractApplied(revision, {...contract, weigh}));
+			simulation.pass(500, [], ['entry-1']);
 		}
 
-		assert.equal(world.leader.loads[contract.name]!.timeConstantMilliseconds, expected);
+		assert.equal(simulation.leader.loads[contract.name]!.timeConstantMilliseconds, expected);
 	});
 }
--- a/packages/membership/src/registry.ts
+++ b/packages/membership/src/registry.ts
@@ -1,6 +1,7 @@
 /**
- * The replicated registry of upstreams: who announced itself, in which life,
- * and what was decided about it. The state is JSON and never changed in place.
+ * The replicated registry of upstreams: which upstreams announced themselves,
+ * with which incarnation, and which phase they are in. The state is JSON and is
+ * never mutated.
  */
 import {
 	type Failure, FailureKind, failure,
@@ -12,13 +13,13 @@
 import {dispatch, type HandlerTable} from '@dogwooddeck/model/transition';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** The incarnations of forgotten upstreams that are kept for each service, so that none of them returns. */
+/** The number of tombstones kept for each service. A tombstone keeps a removed incarnation from joining again. */
 export const tombstonesPerService = 4096;
 
-/** The last life of an upstream whose record was dropped. */
+/** The last incarnation of an upstream whose record was removed. */
 export type Tombstone = {
 	readonly incarnation: Incarnation;
-	/** The log entry that dropped the record. */
+	/** The index of the log entry that removed the record. */
 	readonly forgottenAt: LogIndex;
 };
 
@@ -33,33 +34,33 @@
 	readonly services: Readonly<Record<ServiceName, ServiceMembership>>;
 };
 
-/** A log entry that changes the registry. */
+/** A command of the replicated log that changes the registry. */
 export type MembershipCommand =
-	/** An upstream announced itself in an incarnation that the registry doesn't hold. */
+	/** An upstream announced itself with an incarnation that isn't in the registry. */
 	| {readonly kind: 'upstreamJoined'; readonly record: UpstreamRecord}
 	| {
 		readonly kind: 'upstreamPhaseChanged';
 		readonly upstream: UpstreamIdentity;
 		readonly phase: UpstreamPhase;
-		/** With `lost`: how long nothing had been heard of it. */
+		/** Set with `lost`: the time without contact before the verdict. */
 		readonly silentMilliseconds?: Milliseconds;
 	}
-	/** The record of an upstream that no longer serves is dropped. */
+	/** Removes the record of an upstream that no longer serves. */
 	| {readonly kind: 'upstreamForgotten'; readonly upstream: UpstreamIdentity};
 
-/** The registry before the first entry. */
+/** The registry before the first log entry. */
 export const emptyMembership: MembershipState = {services: {}};
 
 const emptyService: ServiceMembership = {upstreams: {}, tombstones: {}};
 
-/** Within one incarnation, phases only go forward. */
+/** Within one incarnation, the phase only advances. */
 const phaseOrder: Readonly<Record<UpstreamPhase, number>> = {
 	[UpstreamPhase.serving]: 0,
 	[UpstreamPhase.leaving]: 1,
 	[UpstreamPhase.lost]: 2,
 };
 
-function own<Value>(record: Readonly<Record<string, Value>>, name: string): Value | undefined {
+function ownProperty<Value>(record: Readonly<Record<string, Value>>, name: string): Value | undefined {
 	return Object.hasOwn(record, name) ? record[name] : undefined;
 }
 
@@ -68,7 +69,7 @@
 }
 
 function serviceOf(state: MembershipState, service: ServiceName): ServiceMembership {
-	return own(state.services, service) ?? emptyService;
+	return ownProperty(state.services, service) ?? emptyService;
 }
 
 function withService(state: MembershipState, service: ServiceName, membership: ServiceMembership): MembershipState {
@@ -90,35 +91,35 @@
 	);
 }
 
-/** The records of a service's upstreams in all phases, ordered by name. */
+/** Returns the records of a service's upstreams in all phases, sorted by name. */
 export function upstreamsOf(state: MembershipState, service: ServiceName): readonly UpstreamRecord[] {
 	const {upstreams} = serviceOf(state, service);
 	return Object.keys(upstreams).sort().map(name => upstreams[name]!);
 }
 
-/** The record of exactly this life of an upstream, if the registry holds it. */
+/** Returns the record of an upstream if its incarnation is the given one. */
 export function upstreamOf(state: MembershipState, identity: UpstreamIdentity): UpstreamRecord | undefined {
-	const record = own(serviceOf(state, identity.service).upstreams, identity.name);
+	const record = ownProperty(serviceOf(state, identity.service).upstreams, identity.name);
 	return record?.incarnation === identity.incarnation ? record : undefined;
 }
 
-/** The latest incarnation under which a name was ever admitted, as far as the registry remembers. */
+/** Returns the latest incarnation admitted under a name, from its record or its tombstone. */
 export function latestIncarnation(state: MembershipState, service: ServiceName, name: UpstreamName): Incarnation | undefined {
 	const membership = serviceOf(state, service);
-	return own(membership.upstreams, name)?.incarnation ?? own(membership.tombstones, name)?.incarnation;
+	return ownProperty(membership.upstreams, name)?.incarnation ?? ownProperty(membership.tombstones, name)?.incarnation;
 }
 
 /**
- * Whether an announcement may be taken up. Fails with `superseded` when the
- * upstream has a later life, or when this life was judged to be gone: the
+ * Checks whether an announcement may be accepted. Fails with `superseded` when
+ * the upstream has a later incarnation or this one was declared lost: the
  * upstream must then announce itself with a later incarnation.
  */
 export function checkAnnouncement(state: MembershipState, announcement: Announcement): Result<Announcement, Failure> {
 	const {service, name, incarnation} = announcement;
 	const latest = latestIncarnation(state, service, name);
 	const record = upstreamOf(state, {service, name, incarnation});
-	const isKnown = record !== undefined && record.phase !== UpstreamPhase.lost;
-	return latest === undefined || incarnation > latest || isKnown ? ok(announcement) : err(superseded({service, name, incarnation: latest}));
+	const isRegistered = record !== undefined && record.phase !== UpstreamPhase.lost;
+	return latest === undefined || incarnation > latest || isRegistered ? ok(announcement) : err(superseded({service, name, incarnation: latest}));
 }
 
 function join(state: MembershipState, record: UpstreamRecord): Result<MembershipState, Failure> {
@@ -131,12 +132,12 @@
 		return ok(withRecord(state, record));
 	}
 
-	const standing = upstreamOf(state, record);
-	const isSameLife = standing !== undefined && standing.phase !== UpstreamPhase.lost && standing.address === record.address;
-	return isSameLife ? ok(state) : err(superseded({service: record.service, name: record.name, incarnation: latest}));
+	const current = upstreamOf(state, record);
+	const isSameIncarnation = current !== undefined && current.phase !== UpstreamPhase.lost && current.address === record.address;
+	return isSameIncarnation ? ok(state) : err(superseded({service: record.service, name: record.name, incarnation: latest}));
 }
 
-function findStanding(state: MembershipState, upstream: UpstreamIdentity): Result<UpstreamRecord, Failure> {
+function findRecord(state: MembershipState, upstream: UpstreamIdentity): Result<UpstreamRecord, Failure> {
 	const record = upstreamOf(state, upstream);
 	if (record !== undefined) {
 		return ok(record);
@@ -155,8 +156,8 @@
 		return err(superseded(record));
 	}
 
-	const silence = silentMilliseconds === undefined ? {} : {silentMilliseconds};
-	return ok(phase === record.phase ? state : withRecord(state, {...record, phase, ...silence}));
+	const timeWithoutContact = silentMilliseconds === undefined ? {} : {silentMilliseconds};
+	return ok(phase === record.phase ? state : withRecord(state, {...record, phase, ...timeWithoutContact}));
 }
 
 function boundTombstones(tombstones: Readonly<Record<UpstreamName, Tombstone>>): Readonly<Record<UpstreamName, Tombstone>> {
@@ -181,14 +182,14 @@
 
 const handlers: HandlerTable<MembershipCommand, [MembershipState, LogIndex], Result<MembershipState, Failure>> = {
 	upstreamJoined: ({record}, state) => join(state, record),
-	upstreamPhaseChanged: (change, state) => findStanding(state, change.upstream).andThen(record => changePhase(state, record, change)),
-	upstreamForgotten: ({upstream}, state, index) => findStanding(state, upstream).andThen(record => forget(state, record, index)),
+	upstreamPhaseChanged: (change, state) => findRecord(state, change.upstream).andThen(record => changePhase(state, record, change)),
+	upstreamForgotten: ({upstream}, state, index) => findRecord(state, upstream).andThen(record => forget(state, record, index)),
 };
 
 /**
- * Applies the log entry at `index`. Commands may come twice: the second
- * changes nothing. Fails with `superseded` for an older or lost incarnation,
- * `notFound`, `malformed`, and `conflict` for forgetting one that serves.
+ * Applies a command of the log entry at `index`. Commands are idempotent. Fails
+ * with `superseded` for an older or lost incarnation, `notFound`, `malformed`,
+ * and `conflict` for forgetting an upstream that is serving.
  */
 export function applyMembership(state: MembershipState, command: MembershipCommand, index: LogIndex): Result<MembershipState, Failure> {
 	return dispatch(handlers, command, state, index);
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -1,6 +1,7 @@
 /**
- * Which upstreams are judged to be gone: by silence, by what instances saw, or
- * because a later life of theirs announced itself.
+ * Decides which upstreams are lost: because their announcements timed out,
+ * because instances report failed attempts, or because a later incarnation
+ * announced itself.
  */
 import {type ServiceContract, PartitionPolicy} from '@dogwooddeck/model/contract';
 import {type Milliseconds, type MonotonicTime, type ZoneName} from '@dogwooddeck/model/identifiers';
@@ -9,81 +10,88 @@
 import {
 	announcementTimeoutMilliseconds, type UpstreamWatch, watchOf, type WatchState, zoneTimeoutMilliseconds,
 } from './view.js';
-import {evidenceSaysLost} from './witness.js';
+import {isLostByEvidence} from './witness.js';
 
-/** A zone must have sent this many reports without an upstream before its silence counts. */
-export const silentReportsForVerdict = 2;
+/** The number of reports of its zone that must lack an upstream's announcement before the upstream counts as unresponsive. */
+export const missingReportsForVerdict = 2;
 /**
- * A zone's reports must also have left an upstream out for this long. It is the
- * announcements' timeout less one renewal, so that a zone that is cut off just
- * after two reports without an announcement isn't taken for one that misses it.
+ * The zone's reports must also have lacked the announcement for this long: the
+ * announcement timeout less one renewal interval. A zone that is partitioned just
+ * after two reports without the announcement is thereby not mistaken for a zone
+ * that lost contact with the upstream.
  */
-export const missedMilliseconds: Milliseconds = 750;
-/** When a large part of a service's upstreams in a zone goes silent at once, the verdict waits for this much more silence. */
-export const stormConfirmationMilliseconds: Milliseconds = 500;
-/** Silence of more than this share of a service's upstreams in a zone looks like a cut, not like deaths. */
-export const stormShare = 0.5;
-/** Evidence alone, against announcements that still come, condemns at most this share of a service's upstreams. */
+export const missingAnnouncementMilliseconds: Milliseconds = 750;
+/** The extra time without contact required when a large share of a service's upstreams in a zone becomes unresponsive at once. */
+export const failureBurstConfirmationMilliseconds: Milliseconds = 500;
+/** When more than this share of a service's upstreams in a zone is unresponsive, a network partition is more likely than crashes. */
+export const failureBurstShare = 0.5;
+/** The maximum share of a service's upstreams that evidence alone may declare lost while they still announce themselves. */
 export const evidenceVerdictShare = 0.34;
 
-/** What is judged by. */
-export type Judgement = {
+/** What verdicts are based on, next to the watch state. */
+export type VerdictInputs = {
 	readonly now: MonotonicTime;
 	readonly registry: MembershipState;
 	/** The number of instances in each zone's roster. */
 	readonly rosterSizes: Readonly<Record<ZoneName, number>>;
 };
 
-function isZoneReachable(state: WatchState, tick: Judgement, zone: ZoneName): boolean {
+function isZoneReachable(state: WatchState, tick: VerdictInputs, zone: ZoneName): boolean {
 	const isWatched = (tick.rosterSizes[zone] ?? 0) > 0;
 	const reportedAt = state.zones[zone]?.reportedAt;
 	return !isWatched || (reportedAt !== undefined && tick.now - reportedAt <= zoneTimeoutMilliseconds);
 }
 
-function silentSince(state: WatchState, tick: Judgement, record: UpstreamRecord): MonotonicTime {
+function noContactSince(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MonotonicTime {
 	const watch = watchOf(state, record.service, record.name);
-	const heardAt = watch.announcement?.incarnation === record.incarnation ? watch.heardAt : state.startedAt;
+	const lastContactAt = watch.announcement?.incarnation === record.incarnation ? watch.lastContactAt : state.startedAt;
 	const reachableSince = isZoneReachable(state, tick, record.zone) ? state.zones[record.zone]?.reachableSince ?? state.startedAt : state.startedAt;
-	return Math.max(heardAt, reachableSince);
+	return Math.max(lastContactAt, reachableSince);
 }
 
-function silenceOf(state: WatchState, tick: Judgement, record: UpstreamRecord): Milliseconds {
-	return tick.now - silentSince(state, tick, record);
+function timeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
+	return tick.now - noContactSince(state, tick, record);
 }
 
-/** Whether the upstream's zone had its chance to tell of it. A zone out of reach is judged by the contract. */
-function isMissedByZone(state: WatchState, tick: Judgement, record: UpstreamRecord): boolean {
+/**
+ * Whether the upstream's zone has had the opportunity to report it. True for an
+ * unreachable zone, where the contract's partition policy decides.
+ */
+function isMissingFromReports(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): boolean {
 	const zone = state.zones[record.zone];
 	const isWatched = (tick.rosterSizes[record.zone] ?? 0) > 0;
 	if (!isWatched || zone === undefined || !isZoneReachable(state, tick, record.zone)) {
 		return true;
 	}
 
-	const {heardInReport} = watchOf(state, record.service, record.name);
-	return zone.reports - heardInReport >= silentReportsForVerdict && zone.reportedAt - silentSince(state, tick, record) >= missedMilliseconds;
+	const {reportsAtContact} = watchOf(state, record.service, record.name);
+	return zone.reports - reportsAtContact >= missingReportsForVerdict && zone.reportedAt - noContactSince(state, tick, record) >= missingAnnouncementMilliseconds;
 }
 
-/** A later life that announces itself ends the earlier, also while it is held back itself. */
-function isOver(state: WatchState, record: UpstreamRecord): boolean {
+/** An announcement of a later incarnation ends the earlier one, even while the later one's join is delayed. */
+function isSuperseded(state: WatchState, record: UpstreamRecord): boolean {
 	const {announcement} = watchOf(state, record.service, record.name);
 	return announcement !== undefined && announcement.incarnation > record.incarnation;
 }
 
-/** The last sign of a life. Absent: this leader never heard of it. */
-function lastHeard({announcement, heardAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
-	const lives = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, heardAt}, earlier];
-	return lives.find(life => life?.incarnation === incarnation)?.heardAt;
+/** Returns the last contact with an incarnation; undefined if this leader never had any. */
+function lastContactOf({announcement, lastContactAt, earlier}: UpstreamWatch, {incarnation}: UpstreamRecord): MonotonicTime | undefined {
+	const contacts = [announcement === undefined ? undefined : {incarnation: announcement.incarnation, lastContactAt}, earlier];
+	return contacts.find(contact => contact?.incarnation === incarnation)?.lastContactAt;
 }
 
-/** How long nothing was heard of a life. Where this leader never heard of it, the time is not less than what is given. */
-function unheardTime(state: WatchState, tick: Judgement, record: UpstreamRecord): Milliseconds {
-	const heardAt = lastHeard(watchOf(state, record.service, record.name), record);
-	const leastSince = isOver(state, record) ? tick.now : state.startedAt;
-	return tick.now - (heardAt ?? leastSince);
+/**
+ * Returns the time without contact with an incarnation. If this leader never had
+ * contact with it, the result is a lower bound.
+ */
+function reportedTimeWithoutContact(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): Milliseconds {
+	const lastContactAt = lastContactOf(watchOf(state, record.service, record.name), record);
+	const latestStart = isSuperseded(state, record) ? tick.now : state.startedAt;
+	return tick.now - (lastContactAt ?? latestStart);
 }
 
-function lostCommand(state: WatchState, tick: Judgement, record: UpstreamRecord): MembershipCommand {
-	const silentMilliseconds = Math.round(unheardTime(state, tick, record));
+function lostCommand(state: WatchState, tick: VerdictInputs, record: UpstreamRecord): MembershipCommand {
+	const silentMilliseconds = Math.round(reportedTimeWithoutContact(state, tick, record));
 	return {
 		kind: 'upstreamPhaseChanged', upstream: identityOf(record), phase: UpstreamPhase.lost, silentMilliseconds,
 	};
@@ -91,45 +99,45 @@
 
 type ZoneView = {
 	readonly isReachable: boolean;
-	readonly isStorm: boolean;
+	readonly isFailureBurst: boolean;
 };
 
-function viewZone(state: WatchState, tick: Judgement, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
+function viewZone(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[], zone: ZoneName): ZoneView {
 	const inZone = records.filter(record => record.zone === zone && record.phase !== UpstreamPhase.lost);
-	const silent = inZone.filter(record => silenceOf(state, tick, record) > announcementTimeoutMilliseconds);
+	const unresponsive = inZone.filter(record => timeWithoutContact(state, tick, record) > announcementTimeoutMilliseconds);
 	return {
 		isReachable: isZoneReachable(state, tick, zone),
-		isStorm: silent.length > 1 && silent.length > inZone.length * stormShare,
+		isFailureBurst: unresponsive.length > 1 && unresponsive.length > inZone.length * failureBurstShare,
 	};
 }
 
-function silenceSaysLost(silence: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
-	const confirmation = zone.isStorm ? stormConfirmationMilliseconds : 0;
-	const mayJudge = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
-	return mayJudge && silence > announcementTimeoutMilliseconds + confirmation;
+function isTimedOut(noContactTime: Milliseconds, contract: ServiceContract, zone: ZoneView): boolean {
+	const confirmation = zone.isFailureBurst ? failureBurstConfirmationMilliseconds : 0;
+	const mayDecide = zone.isReachable || contract.whenCut === PartitionPolicy.takeOver;
+	return mayDecide && noContactTime > announcementTimeoutMilliseconds + confirmation;
 }
 
-function condemnedByEvidence(state: WatchState, tick: Judgement, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
+function lostByEvidence(state: WatchState, tick: VerdictInputs, records: readonly UpstreamRecord[]): ReadonlySet<UpstreamRecord> {
 	const alive = records.filter(record => record.phase !== UpstreamPhase.lost);
-	const condemned = alive.filter(record => {
+	const lost = alive.filter(record => {
 		const {witnesses} = watchOf(state, record.service, record.name);
-		return evidenceSaysLost({
+		return isLostByEvidence({
 			witnesses, upstream: identityOf(record), zone: record.zone, rosterSize: tick.rosterSizes[record.zone] ?? 0, now: tick.now,
 		});
 	});
 	const allowed = Math.max(1, Math.floor(alive.length * evidenceVerdictShare));
-	return new Set(condemned.length <= allowed ? condemned : []);
+	return new Set(lost.length <= allowed ? lost : []);
 }
 
-/** The commands for upstreams of a service that are judged to be gone. */
-export function lostCommands(state: WatchState, tick: Judgement, contract: ServiceContract): MembershipCommand[] {
+/** Returns the commands that declare upstreams of a service lost. */
+export function lostCommands(state: WatchState, tick: VerdictInputs, contract: ServiceContract): MembershipCommand[] {
 	const records = upstreamsOf(tick.registry, contract.name);
-	const condemned = condemnedByEvidence(state, tick, records);
+	const lost = lostByEvidence(state, tick, records);
 	const zones = new Map([...new Set(records.map(record => record.zone))].map(zone => [zone, viewZone(state, tick, records, zone)]));
 	return records
 		.filter(record => record.phase !== UpstreamPhase.lost)
-		.filter(record => condemned.has(record)
-			|| isOver(state, record)
-			|| (isMissedByZone(state, tick, record) && silenceSaysLost(silenceOf(state, tick, record), contract, zones.get(record.zone)!)))
+		.filter(record => lost.has(record)
+			|| isSuperseded(state, record)
+			|| (isMissingFromReports(state, tick, record) && isTimedOut(timeWithoutContact(state, tick, record), contract, zones.get(record.zone)!)))
 		.map(record => lostCommand(state, tick, record));
 }
--- a/packages/membership/src/watch.ts
+++ b/packages/membership/src/watch.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's volatile view of the upstreams. It hears reports and, at each
- * tick, says which changes of the registry to propose. A new leader starts
- * with an empty view, which gives every upstream a full grace period.
+ * The leader's volatile state machine for upstreams. It receives reports and, at
+ * each tick, returns the registry changes to propose. A new leader starts with
+ * an empty view, which gives every upstream a full grace period.
  */
 import {type ServiceContract} from '@dogwooddeck/model/contract';
 import {
@@ -12,7 +12,7 @@
 	type Announcement, identityOf, UpstreamPhase, type UpstreamRecord,
 } from '@dogwooddeck/model/registry';
 import {dispatch, type HandlerTable, type Transition} from '@dogwooddeck/model/transition';
-import {heldUntil, noteLife} from './flapping.js';
+import {joinAllowedAt, recordIncarnation} from './flapping.js';
 import {
 	latestIncarnation, type MembershipCommand, type MembershipState, upstreamOf, upstreamsOf,
 } from './registry.js';
@@ -20,20 +20,20 @@
 import {
 	announcementTimeoutMilliseconds, noContact, upstreamKey, type UpstreamWatch, watchOf, type WatchState, zoneTimeoutMilliseconds, type ZoneWatch,
 } from './view.js';
-import {noteEvidence} from './witness.js';
+import {recordEvidence} from './witness.js';
 
 export {
 	createWatch, flappingCount, joinedAt, type WatchState,
 } from './view.js';
 
-/** A proposal that did not take effect is made again after this long. */
+/** A proposal that took no effect is repeated after this long. */
 export const proposalRepeatMilliseconds: Milliseconds = 500;
-/** The record of a lost upstream is dropped after this long. */
+/** The record of a lost upstream is removed after this long. */
 export const forgetAfterMilliseconds: Milliseconds = 3_600_000;
 
-/** What the watch is fed with. */
+/** An input of the watch. */
 export type WatchEvent =
-	/** A zone's steward, or a single instance, passed on what its zone saw. */
+	/** A report arrived from a zone's steward (its elected lease distributor) or from a single instance. */
 	| {
 		readonly kind: 'reportReceived';
 		readonly now: MonotonicTime;
@@ -49,31 +49,31 @@
 		readonly rosterSizes: Readonly<Record<ZoneName, number>>;
 	};
 
-/** Changes of the registry to propose. */
+/** A registry change to propose. */
 export type WatchEffect = {readonly kind: 'propose'; readonly command: MembershipCommand};
 
 type Tick = Extract<WatchEvent, {readonly kind: 'ticked'}>;
 
-function hearAnnouncement(watch: UpstreamWatch, announcement: Announcement, heardInReport: number, now: MonotonicTime): UpstreamWatch {
-	const known = watch.announcement;
-	if (known !== undefined && known.incarnation > announcement.incarnation) {
+function receiveAnnouncement(watch: UpstreamWatch, announcement: Announcement, reportsAtContact: number, now: MonotonicTime): UpstreamWatch {
+	const previous = watch.announcement;
+	if (previous !== undefined && previous.incarnation > announcement.incarnation) {
 		return watch;
 	}
 
-	if (known?.incarnation === announcement.incarnation) {
+	if (previous?.incarnation === announcement.incarnation) {
 		return {
-			...watch, announcement, heardAt: now, heardInReport,
+			...watch, announcement, lastContactAt: now, reportsAtContact,
 		};
 	}
 
 	const {lostAt: _lostAt, proposedAt: _proposedAt, joinedAt: _joinedAt, ...kept} = watch;
-	const earlier = known === undefined ? {} : {earlier: {incarnation: known.incarnation, heardAt: watch.heardAt}};
+	const earlier = previous === undefined ? {} : {earlier: {incarnation: previous.incarnation, lastContactAt: watch.lastContactAt}};
 	return {
-		...kept, ...earlier, announcement, heardAt: now, heardInReport, witnesses: {}, flaps: noteLife(watch.flaps, announcement.incarnation, now),
+		...kept, ...earlier, announcement, lastContactAt: now, reportsAtContact, witnesses: {}, flapHistory: recordIncarnation(watch.flapHistory, announcement.incarnation, now),
 	};
 }
 
-function hearZone(zone: ZoneWatch | undefined, now: MonotonicTime): ZoneWatch {
+function recordZoneReport(zone: ZoneWatch | undefined, now: MonotonicTime): ZoneWatch {
 	const isContinuous = zone !== undefined && now - zone.reportedAt <= zoneTimeoutMilliseconds;
 	return {reportedAt: now, reachableSince: isContinuous ? zone.reachableSince : now, reports: (zone?.reports ?? 0) + 1};
 }
@@ -90,19 +90,19 @@
 	return groups;
 }
 
-function receive(event: Extract<WatchEvent, {readonly kind: 'reportReceived'}>, state: WatchState): Transition<WatchState, WatchEffect> {
+function receiveReport(event: Extract<WatchEvent, {readonly kind: 'reportReceived'}>, state: WatchState): Transition<WatchState, WatchEffect> {
 	const {now, report, reporter} = event;
-	const zones = {...state.zones, [reporter.zone]: hearZone(state.zones[reporter.zone], now)};
+	const zones = {...state.zones, [reporter.zone]: recordZoneReport(state.zones[reporter.zone], now)};
 	const upstreams = new Map(state.upstreams);
 	for (const announcement of report.announcements) {
 		const {service, name, zone} = announcement;
 		const key = upstreamKey(service, name);
-		upstreams.set(key, hearAnnouncement(upstreams.get(key) ?? noContact(state), announcement, zones[zone]?.reports ?? 0, now));
+		upstreams.set(key, receiveAnnouncement(upstreams.get(key) ?? noContact(state), announcement, zones[zone]?.reports ?? 0, now));
 	}
 
 	for (const [key, evidence] of byUpstream(report.evidence)) {
 		const watch = upstreams.get(key) ?? noContact(state);
-		upstreams.set(key, {...watch, witnesses: noteEvidence(watch.witnesses, evidence, reporter.zone, now)});
+		upstreams.set(key, {...watch, witnesses: recordEvidence(watch.witnesses, evidence, reporter.zone, now)});
 	}
 
 	return {state: {...state, zones, upstreams}, effects: []};
@@ -127,7 +127,7 @@
 		.map(record => ({kind: 'upstreamForgotten', upstream: identityOf(record)}));
 }
 
-function isNews(tick: Tick, announcement: Announcement): boolean {
+function isNewIncarnation(tick: Tick, announcement: Announcement): boolean {
 	const latest = latestIncarnation(tick.registry, announcement.service, announcement.name);
 	return latest === undefined || announcement.incarnation > latest;
 }
@@ -140,12 +140,12 @@
 function joinCommands(state: WatchState, tick: Tick): MembershipCommand[] {
 	const services = new Set(tick.contracts.map(contract => contract.name));
 	return [...state.upstreams.values()].flatMap(watch => {
-		const {announcement, heardAt, flaps} = watch;
+		const {announcement, lastContactAt, flapHistory} = watch;
 		const isDue = announcement !== undefined
 			&& services.has(announcement.service)
-			&& tick.now - heardAt <= announcementTimeoutMilliseconds
-			&& tick.now >= heldUntil(flaps)
-			&& isNews(tick, announcement);
+			&& tick.now - lastContactAt <= announcementTimeoutMilliseconds
+			&& tick.now >= joinAllowedAt(flapHistory)
+			&& isNewIncarnation(tick, announcement);
 		return isDue ? [{kind: 'upstreamJoined', record: toRecord(announcement)}] : [];
 	});
 }
@@ -154,7 +154,7 @@
 	return command.kind === 'upstreamJoined' ? identityOf(command.record) : command.upstream;
 }
 
-function noteProposals(state: WatchState, commands: readonly MembershipCommand[], now: MonotonicTime): WatchState {
+function recordProposals(state: WatchState, commands: readonly MembershipCommand[], now: MonotonicTime): WatchState {
 	if (commands.length === 0) {
 		return state;
 	}
@@ -170,7 +170,7 @@
 	return {...state, upstreams};
 }
 
-function noteLosses(state: WatchState, tick: Tick): WatchState {
+function recordLosses(state: WatchState, tick: Tick): WatchState {
 	const lost = tick.contracts
 		.flatMap(contract => upstreamsOf(tick.registry, contract.name))
 		.filter(({service, name, phase}) => phase === UpstreamPhase.lost && watchOf(state, service, name).lostAt === undefined);
@@ -178,13 +178,13 @@
 		return state;
 	}
 
-	const noted = lost.map(({service, name}) => [upstreamKey(service, name), {...watchOf(state, service, name), lostAt: tick.now}] as const);
-	return {...state, upstreams: new Map([...state.upstreams, ...noted])};
+	const recorded = lost.map(({service, name}) => [upstreamKey(service, name), {...watchOf(state, service, name), lostAt: tick.now}] as const);
+	return {...state, upstreams: new Map([...state.upstreams, ...recorded])};
 }
 
-/** Drops what is known of upstreams that are silent for long and have no record. */
+/** Drops the view of upstreams that are without contact for `forgetAfterMilliseconds` and have no record. */
 function dropForgotten(state: WatchState, tick: Tick): WatchState {
-	const kept = [...state.upstreams].filter(([, {announcement, heardAt}]) => tick.now - heardAt <= forgetAfterMilliseconds
+	const kept = [...state.upstreams].filter(([, {announcement, lastContactAt}]) => tick.now - lastContactAt <= forgetAfterMilliseconds
 		|| (announcement !== undefined && upstreamOf(tick.registry, announcement) !== undefined));
 	return kept.length === state.upstreams.size ? state : {...state, upstreams: new Map(kept)};
 }
@@ -197,23 +197,23 @@
 	};
 }
 
-function judge(tick: Tick, previous: WatchState): Transition<WatchState, WatchEffect> {
-	const state = dropForgotten(noteLosses(previous, tick), tick);
+function decide(tick: Tick, previous: WatchState): Transition<WatchState, WatchEffect> {
+	const state = dropForgotten(recordLosses(previous, tick), tick);
 	const lost = tick.contracts.flatMap(contract => lostCommands(state, tick, contract));
 	const lostKeys = new Set(lost.map(command => upstreamKey(targetOf(command).service, targetOf(command).name)));
 	const leaving = tick.contracts.flatMap(contract => leavingCommands(state, tick, contract))
 		.filter(command => !lostKeys.has(upstreamKey(targetOf(command).service, targetOf(command).name)));
 	const forgotten = tick.contracts.flatMap(contract => forgetCommands(state, tick, contract));
 	const commands = [...lost, ...leaving, ...joinCommands(state, tick), ...forgotten].filter(isUnproposed(state, tick.now));
-	return {state: noteProposals(state, commands, tick.now), effects: commands.map(command => ({kind: 'propose', command}))};
+	return {state: recordProposals(state, commands, tick.now), effects: commands.map(command => ({kind: 'propose', command}))};
 }
 
 const handlers: HandlerTable<WatchEvent, [WatchState], Transition<WatchState, WatchEffect>> = {
-	reportReceived: receive,
-	ticked: judge,
+	reportReceived: receiveReport,
+	ticked: decide,
 };
 
-/** Takes in a report, or judges at a tick. */
+/** Processes a report, or decides on verdicts and joins at a tick. */
 export function advanceWatch(state: WatchState, event: WatchEvent): Transition<WatchState, WatchEffect> {
 	return dispatch(handlers, event, state);
 }
--- a/packages/membership/test/test-witness.ts
+++ b/packages/membership/test/test-witness.ts
@@ -7,10 +7,10 @@
 const service = 'bermrand/schedule';
 const zone = 'n-1';
 
-/** What one instance saw: answers, failures, and which life of the upstream. */
-type Sight = {readonly instance: string; readonly incarnation?: number; readonly answered?: number; readonly failed?: number};
+/** The attempts of one instance at an incarnation of the upstream. */
+type Observation = {readonly instance: string; readonly incarnation?: number; readonly answered?: number; readonly failed?: number};
 
-function evidenceOf(name: string, {instance, incarnation = 1, answered = 0, failed = 0}: Sight): Report['evidence'][number] {
+function evidenceOf(name: string, {instance, incarnation = 1, answered = 0, failed = 0}: Observation): Report['evidence'][number] {
 	return {
 		upstream: {service, name, incarnation},
 		answered,
@@ -29,23 +29,23 @@
 	}).state;
 }
 
-const sightCases: ReadonlyArray<{readonly name: string; readonly sights: readonly Sight[]; readonly failures: Readonly<Record<string, number>>}> = [
-	{name: 'failures add up', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
-	{name: 'an answer ends the row', sights: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
-	{name: 'a row begins after an answer', sights: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
-	{name: 'each instance has its own row', sights: [{instance: 'i1', failed: 2}, {instance: 'i2', failed: 1}], failures: {i1: 2, i2: 1}},
-	{name: 'no attempt that ended says nothing', sights: [{instance: 'i1', failed: 2}, {instance: 'i1'}, {instance: 'i2'}], failures: {i1: 2}},
-	{name: 'an earlier life is left out', sights: [{instance: 'i1', incarnation: 2, failed: 1}, {instance: 'i1', failed: 5}], failures: {i1: 1}},
-	{name: 'a later life begins anew', sights: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
+const witnessCases: ReadonlyArray<{readonly name: string; readonly observations: readonly Observation[]; readonly failures: Readonly<Record<string, number>>}> = [
+	{name: 'failures add up', observations: [{instance: 'i1', failed: 2}, {instance: 'i1', failed: 3}], failures: {i1: 5}},
+	{name: 'a response resets the count', observations: [{instance: 'i1', failed: 2}, {instance: 'i1', answered: 1}], failures: {i1: 0}},
+	{name: 'the count starts after a response', observations: [{instance: 'i1', answered: 1}, {instance: 'i1', failed: 2}], failures: {i1: 2}},
+	{name: 'each instance has its own count', observations: [{instance: 'i1', failed: 2}, {instance: 'i2', failed: 1}], failures: {i1: 2, i2: 1}},
+	{name: 'evidence without an ended attempt is ignored', observations: [{instance: 'i1', failed: 2}, {instance: 'i1'}, {instance: 'i2'}], failures: {i1: 2}},
+	{name: 'evidence about an earlier incarnation is ignored', observations: [{instance: 'i1', incarnation: 2, failed: 1}, {instance: 'i1', failed: 5}], failures: {i1: 1}},
+	{name: 'a later incarnation starts at zero', observations: [{instance: 'i1', failed: 5}, {instance: 'i1', incarnation: 2, failed: 1}], failures: {i1: 1}},
 ];
 
-for (const {name, sights, failures} of sightCases) {
+for (const {name, observations, failures} of witnessCases) {
 	test(`witnesses: ${name}, in one report and in several`, () => {
-		const evidence = sights.map(sight => evidenceOf('u1', sight));
-		const apart = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
-		for (const state of [receive(createWatch(0), evidence), apart]) {
+		const evidence = observations.map(observation => evidenceOf('u1', observation));
+		const separate = evidence.reduce((state, one) => receive(state, [one]), createWatch(0));
+		for (const state of [receive(createWatch(0), evidence), separate]) {
 			const {witnesses} = state.upstreams.get(`${service}\nu1`)!;
-			assert.deepEqual(Object.fromEntries(Object.entries(witnesses).map(([instance, {failuresInRow}]) => [instance, failuresInRow])), failures);
+			assert.deepEqual(Object.fromEntries(Object.entries(witnesses).map(([instance, {consecutiveFailures}]) => [instance, consecutiveFailures])), failures);
 		}
 	});
 }
@@ -56,7 +56,7 @@
 ];
 
 for (const {instances, upstreams, processorMilliseconds} of costCases) {
-	test(`a report of ${instances} witnesses of ${upstreams} upstreams costs less than ${processorMilliseconds} ms of processor time`, () => {
+	test(`a report of ${instances} witnesses of ${upstreams} upstreams takes less than ${processorMilliseconds} ms of CPU time`, () => {
 		const evidence = Array.from({length: instances}, (_, instance) =>
 			Array.from({length: upstreams}, (_, upstream) => evidenceOf(`u${upstream}`, {instance: `i${instance}`, answered: 5}))).flat();
 		const before = process.cpuUsage();
