--- a/packages/mesh/src/calls.ts
+++ b/packages/mesh/src/calls.ts
@@ -1,6 +1,6 @@
 /**
- * The calls between instances. Messages are JSON: their types are the model's
- * own, so that no second description of them is kept.
+ * The calls between instances. Messages are JSON and use the types of the model
+ * directly, so that there is no second schema to maintain.
  */
 import {type ConsensusEnvelope, type VoterIdentity} from '@dogwooddeck/consensus/message';
 import {type ItemChange} from '@dogwooddeck/directory/item';
@@ -12,87 +12,87 @@
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type LogIndex, type Milliseconds, type ZoneName} from '@dogwooddeck/model/identifiers';
 
-/** An announcement, as a control instance passes it on to the leader. */
+/** An announcement, as a control instance forwards it to the leader. */
 export type AnnouncementReport = {
-	/** Undefined: its record stands in the sender's table as it was announced. */
+	/** The announced record; undefined if the sender's directory already contains it unchanged. */
 	readonly upstream?: UpstreamRecord;
 	readonly keys: KeyReport;
-	/** It brings news, or there is news for it: it is not kept to be confirmed together with others. */
+	/** Whether it reports a change, or its upstream has to be notified of one: it is confirmed sooner, in a shorter batching window. */
 	readonly isUrgent: boolean;
 };
 
-/** What the leader says to an announcement. */
+/** The leader's answer to an announcement. */
 export type AnnouncementOutcome = {
 	readonly holdMilliseconds: Milliseconds;
-	/** Whether the service has keys. */
+	/** Whether the service is keyed. */
 	readonly keyed: boolean;
-	/** All keys that the upstream is to hold. Undefined: those by which the report's digest was made. */
+	/** All keys that the upstream is to hold; undefined if the digest of the report matches them. */
 	readonly rows?: readonly KeyRange[];
 };
 
-/** What an upstream is told in answer to an announcement. */
+/** The answer to the announcement of an upstream. */
 export type AnnouncementAnswer = {
-	/** All keys that it is to hold. Undefined: its service has no keys. */
+	/** All keys that the upstream is to hold; undefined if its service is not keyed. */
 	readonly holds?: readonly KeyRange[];
 	readonly holdMilliseconds: Milliseconds;
 };
 
-/** An answer as it travels. */
+/** The encoded result of a call. */
 export type Reply<Answer> = {readonly answer: Answer} | {readonly failure: Failure};
 
-/** Requests that instances counted, by service and key (pairs of key and count), and how upstreams answered (name, count, milliseconds together). */
+/** Request counts of instances by service: `counts` lists a key and its count, `answers` an upstream, its number of answers and the sum of their milliseconds. */
 export type LoadReport = {
 	readonly services: ReadonlyArray<{readonly service: string; readonly counts: ReadonlyArray<readonly [number, number]>; readonly answers: ReadonlyArray<readonly [string, number, number]>}>;
 };
 
-/** What each call takes and gives. All but `deliver`, `sight` and `reportLoad` are answered by the leader alone. */
+/** The request and answer of each call. All but `deliver`, `sight` and `reportLoad` are served by the leader alone. */
 export type MeshCalls = {
-	deliver: {request: ConsensusEnvelope; /** What the voter has to say to it, where that was known soon. */ answer: {readonly envelope?: ConsensusEnvelope}};
-	/** A control instance shows that it is there; the answer names the leader and all control instances it knows. */
+	deliver: {request: ConsensusEnvelope; /** The voter's answer, if it was ready in time. */ answer: {readonly envelope?: ConsensusEnvelope}};
+	/** Reports that a control instance is alive; the answer lists the leader and all known control instances. */
 	sight: {
-		request: {readonly voter: VoterIdentity; /** The names of the entries that follow it. */ readonly entries: readonly string[]};
-		answer: {readonly leader?: string; readonly members: readonly string[]; /** The entries of the whole deployment, as far as the answering instance knows. */ readonly entryCount: number};
+		request: {readonly voter: VoterIdentity; /** The names of the entries that follow the sender. */ readonly entries: readonly string[]};
+		answer: {readonly leader?: string; readonly members: readonly string[]; /** The number of entries of the whole deployment that the answering instance knows of. */ readonly entryCount: number};
 	};
-	announce: {request: {readonly announcements: readonly AnnouncementReport[]}; /** One for each, in order. */ answer: {readonly answers: ReadonlyArray<Reply<AnnouncementOutcome>>}};
+	announce: {request: {readonly announcements: readonly AnnouncementReport[]}; /** One for each announcement, in the same order. */ answer: {readonly answers: ReadonlyArray<Reply<AnnouncementOutcome>>}};
 	depart: {request: {readonly life: Partial<UpstreamIncarnation> & Pick<UpstreamIncarnation, 'id'>}; answer: Record<string, never>};
 	declare: {request: {readonly changes: readonly ItemChange[]}; answer: {readonly index: LogIndex}};
-	/** Gives the newest state, confirmed by a majority. */
+	/** Returns the newest log index, confirmed by a majority. */
 	confirm: {request: Record<string, never>; answer: {readonly index: LogIndex}};
-	/** An entry tells the control instance that it follows what it counted. */
+	/** Reports the counts of an entry to the control instance that it follows. */
 	reportLoad: {request: LoadReport; answer: Record<string, never>};
-	/** A control instance tells the leader what its entries counted. */
-	relayLoad: {request: LoadReport; /** The upstreams of all services that have too much work. */ answer: {readonly shares: readonly HolderShare[]}};
+	/** Forwards the aggregated counts of the entries of a control instance to the leader. */
+	relayLoad: {request: LoadReport; /** The overloaded upstreams of all services. */ answer: {readonly shares: readonly HolderShare[]}};
 };
 
 /** The name of a call. */
 export type MeshCall = keyof MeshCalls;
 
-/** The calls by name, for tables. */
+/** The names of all calls, for lookup tables. */
 export const meshCalls: readonly MeshCall[] = ['deliver', 'sight', 'announce', 'depart', 'declare', 'confirm', 'reportLoad', 'relayLoad'];
 
-/** What an entry asks for when it begins to follow a control instance. */
+/** The request with which an entry starts to follow a control instance. */
 export type FollowRequest = {
 	readonly entry: string;
-	/** What it has applied. */
+	/** The log index up to which the entry has applied changes. */
 	readonly applied: LogIndex;
-	/** Whether it wants the changes of the directory; otherwise it only hears where the control instance stands, and how it is. */
+	/** Whether to send the changes of the directory. Otherwise the messages carry only the status of the control instance. */
 	readonly wantsChanges: boolean;
 };
 
-/** What a control instance streams to the entries that follow it. */
+/** A message that a control instance streams to the entries that follow it. */
 export type FollowMessage = {
 	readonly catchUp?: CatchUp;
-	/** Whether the sender has heard a leader that a majority follows, a moment ago, and lacks nothing that it committed before. */
+	/** Whether the sender's directory is recent: it has had recent contact with a leader that a majority follows and is not behind its committed entries. */
 	readonly fresh: boolean;
-	/** The highest index that the sender knows to be committed. */
+	/** The highest log index that the sender knows to be committed. */
 	readonly committed: LogIndex;
-	/** The availability zone that the sender stands in. */
+	/** The availability zone of the sender. */
 	readonly zone: ZoneName;
-	/** The addresses of all control instances that are known. */
+	/** The addresses of all known control instances. */
 	readonly members: readonly string[];
 	readonly leader?: string;
 	/** The number of entries of the whole deployment. */
 	readonly entryCount: number;
-	/** The upstreams that have too much work, and the part of the requests for their keys that they can process. */
+	/** The overloaded upstreams, with the fraction of the requests for their keys that each can process. */
 	readonly shares: readonly HolderShare[];
 };
--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -1,6 +1,6 @@
 /**
- * Calls other instances. There is one channel for each address. Nothing is
- * sent again here: whoever calls decides what a failure means.
+ * The client side of the calls between instances, with one channel for each
+ * address. It doesn't retry: the caller decides how to handle a failure.
  */
 import {type Buffer} from 'node:buffer';
 import {
@@ -19,10 +19,10 @@
 import {followMethod, methodOf, sessionMethod} from './service.js';
 import {openSession, type Session} from './session.js';
 
-/** A pause between attempts to connect, in milliseconds: short, since a peer may be back within a second. */
+/** Delay between connection attempts: short, since a peer may be back within a second. */
 const reconnectMilliseconds: Milliseconds = 200;
 
-/** A connection that answers no ping for this long is given up: partitions are silent. */
+/** A connection is closed if a ping isn't answered within the timeout: a network partition doesn't close it. */
 const keepaliveMilliseconds: Milliseconds = 1000;
 const keepaliveTimeoutMilliseconds: Milliseconds = 900;
 
@@ -40,32 +40,32 @@
 	'grpc.enable_channelz': 0,
 };
 
-/** How often calls to one address may time out in a row before its channel is made anew. */
+/** Number of consecutive timeouts of calls to an address after which its channel is reopened. */
 const timeoutsBeforeReopening = 2;
 
-/** A stream that is open. */
+/** An open stream of messages from a control instance. */
 export type Following = {readonly stop: () => void};
 
-/** What a follower hears. */
+/** The callbacks of a follower. */
 export type FollowListener = {
-	/** The stream is alive: a part of a message has come. */
+	/** Called for each part of a message: the stream is alive. */
 	readonly onPart: () => void;
 	readonly onMessage: (message: FollowMessage) => void;
-	/** Called once, also after `stop`; with a failure where the stream broke off or can't be read. */
+	/** Called once, also after `stop`; with a failure if the stream broke off or can't be read. */
 	readonly onEnd: (failed?: Failure) => void;
 };
 
-/** Calls other instances by their address. */
+/** Calls other instances by address. */
 export type MeshClients = {
-	/** Fails with `unreachable` where no answer comes in time, and as the other instance fails. */
+	/** Fails with `unreachable` if there is no answer in time, or with the failure that the other instance returned. */
 	readonly call: <Call extends MeshCall>(address: string, call: Call, request: MeshCalls[Call]['request'], timeoutMilliseconds: Milliseconds) => Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 	readonly follow: (address: string, request: FollowRequest, listener: FollowListener) => Following;
-	/** Gives up the connection to an address; the next call makes another. */
+	/** Retires the connection to an address; the next call opens a new one. */
 	readonly reopen: (address: string) => void;
 	readonly close: () => void;
 };
 
-/** Hears how each call ended. */
+/** Called with the outcome of each call. */
 export type CallListener = (call: MeshCall, outcome: Result<unknown, Failure>) => void;
 
 type Channel = {readonly client: Client; session: Session | undefined; timeouts: number};
@@ -80,7 +80,7 @@
 	}
 }
 
-/** Makes the calls of one instance. */
+/** Creates the clients of one instance. */
 export function createMeshClients(onCall: CallListener = () => undefined): MeshClients {
 	const channels = new Map<string, Channel>();
 
@@ -123,7 +123,7 @@
 		return channel.session;
 	}
 
-	/** Calls in a stream of its own: a long message would hold up all that share a session. */
+	/** Makes a call on a stream of its own: a long message would delay all other calls of a session. */
 	async function callAlone({client}: Channel, call: MeshCall, request: string, timeoutMilliseconds: Milliseconds): Promise<Result<Reply<unknown>, Failure>> {
 		const method = methodOf(call);
 		return new Promise(resolve => {
--- a/packages/mesh/src/encoding.ts
+++ b/packages/mesh/src/encoding.ts
@@ -1,26 +1,26 @@
 /**
- * Messages as they travel: JSON, compressed where that is worth its processor
- * time. What crosses regions is paid by volume, and a log entry of many routes
- * says much the same of each.
+ * Encoding of messages: JSON, compressed where that is worth the processor time.
+ * Traffic between regions is billed by volume, and a log entry of many routes is
+ * highly repetitive.
  */
 import {Buffer} from 'node:buffer';
 import {constants, deflateRawSync, inflateRawSync} from 'node:zlib';
 
-/** The largest message that is taken, in bytes before compression: a whole state of some ten thousand routes. */
+/** Maximum size of a message in bytes before compression: a full snapshot of about ten thousand routes. */
 export const largestMessageBytes = 33_554_432;
 
-/** Shorter messages go as they are: to set the compression up would cost more than it saves. */
+/** Shorter messages are sent uncompressed: setting up the compression would cost more than it saves. */
 const leastCompressedBytes = 2048;
 
-/** The first byte of a compressed message. JSON never begins with it. */
+/** The first byte of a compressed message. JSON never starts with it. */
 const compressedMark = 0x01;
 
-/** Encodes a message. */
+/** Encodes a value as a message. */
 export function encodeMessage(value: unknown): Buffer {
 	return encodeText(JSON.stringify(value));
 }
 
-/** Encodes a message that is JSON already. */
+/** Encodes JSON text as a message. */
 export function encodeText(text: string): Buffer {
 	const bytes = Buffer.from(text);
 	return bytes.length < leastCompressedBytes
@@ -28,7 +28,7 @@
 		: Buffer.concat([Buffer.of(compressedMark), deflateRawSync(bytes, {level: constants.Z_BEST_SPEED})]);
 }
 
-/** Reads what `encodeMessage` made. Throws an `Error` where it can't be read or is too large. */
+/** Decodes a message. Throws an `Error` if it is malformed or too large. */
 export function decodeMessage(bytes: Buffer): unknown {
 	const text = bytes[0] === compressedMark ? inflateRawSync(bytes.subarray(1), {maxOutputLength: largestMessageBytes}) : bytes;
 	return JSON.parse(text.toString());
--- a/packages/mesh/src/parts.ts
+++ b/packages/mesh/src/parts.ts
@@ -1,18 +1,19 @@
 /**
- * Long messages of a stream go out in parts, each of which shows the receiver
- * that the stream is alive: a message may take longer than a stream may be silent.
+ * Splits long messages of a stream into parts, each of which shows the receiver
+ * that the stream is alive: a message may take longer to send than the receiver's
+ * contact timeout.
  */
 import {Buffer} from 'node:buffer';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** What one HTTP/2 frame holds: 66 ms on a link of 2 Mbit/s, the slowest of an instance. */
+/** Payload of one HTTP/2 frame: 66 ms on a link of 2 Mbit/s, the slowest that an instance may have. */
 export const partBytes = 16_384;
 
-/** The first byte of a part. */
+/** The first byte of a part: whether more parts of the message follow. */
 const PartMark = {more: 0, last: 1} as const;
 
-/** Divides a message. */
+/** Splits a message into parts. */
 export function splitMessage(message: Buffer): readonly Buffer[] {
 	const parts: Buffer[] = [];
 	for (let start = 0; start === 0 || start < message.length; start += partBytes) {
@@ -24,28 +25,28 @@
 	return parts;
 }
 
-/** Puts the parts of a stream's messages together. It is updated in place. */
+/** Reassembles the messages of a stream from their parts. Mutable. */
 export class PartGathering {
 	readonly #mostBytes: number;
 	#parts: Buffer[] = [];
 	#bytes = 0;
 
-	/** `mostBytes`: no message may be longer. */
+	/** `mostBytes`: the maximum length of a message. */
 	constructor(mostBytes: number) {
 		this.#mostBytes = mostBytes;
 	}
 
-	/** Takes a part; gives the message that it ends, if it does. Fails with `tooLarge`, and with `malformed` where it is no part. */
+	/** Adds a part and returns the message if it is complete. Fails with `tooLarge` if the message is too long, and with `malformed` if the bytes are not a part. */
 	take(part: Buffer): Result<Buffer | undefined, Failure> {
 		const mark = part[0];
 		if (mark !== PartMark.more && mark !== PartMark.last) {
-			return err(failure(FailureKind.malformed, 'a stream brought bytes that are no part of a message'));
+			return err(failure(FailureKind.malformed, 'the stream delivered bytes that are not part of a message'));
 		}
 
 		this.#parts.push(part.subarray(1));
 		this.#bytes += part.length - 1;
 		if (this.#bytes > this.#mostBytes) {
-			return err(failure(FailureKind.tooLarge, `a message is longer than ${this.#mostBytes} bytes`));
+			return err(failure(FailureKind.tooLarge, `the message is longer than ${this.#mostBytes} bytes`));
 		}
 
 		if (mark === PartMark.more) {
--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -1,5 +1,5 @@
 /**
- * Takes calls from other instances.
+ * The server side of the calls between instances.
  */
 import {type Buffer} from 'node:buffer';
 import {
@@ -17,20 +17,20 @@
 import {meshService} from './service.js';
 import {serveSession} from './session.js';
 
-/** What answers each call. */
+/** The handler of each call. */
 export type MeshHandlers = {
 	readonly [Call in MeshCall]: (request: MeshCalls[Call]['request']) => Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 };
 
-/** One entry that follows this instance. */
+/** An entry that follows this instance. */
 export type Follower = {
 	readonly request: FollowRequest;
-	/** Sends a message, a `FollowMessage` that is encoded already. `false`: the follower does not read; what is sent now would pile up. */
+	/** Sends an encoded `FollowMessage`. Returns `false`, and sends nothing, if the write buffer of the stream is full because the follower doesn't read. */
 	readonly send: (message: Buffer) => boolean;
 	readonly onEnd: (ended: () => void) => void;
 };
 
-/** A server that listens. */
+/** A listening server. */
 export type MeshServer = {readonly close: () => void};
 
 type Answering = (request: unknown) => Promise<Result<unknown, Failure>>;
@@ -63,7 +63,7 @@
 			on: call.on.bind(call),
 		}, async (name, request) => {
 			const handler = handlers[name] as Answering | undefined;
-			return handler === undefined ? {failure: failure(FailureKind.malformed, `there is no call ${name}`)} : replyTo(handler, request);
+			return handler === undefined ? {failure: failure(FailureKind.malformed, `unknown call ${name}`)} : replyTo(handler, request);
 		});
 	};
 }
@@ -95,7 +95,7 @@
 	};
 }
 
-/** Listens at an address. Fails with `unreachable` where it can't be bound. */
+/** Listens on an address. Fails with `unreachable` if it can't be bound. */
 export async function startMeshServer(address: string, handlers: MeshHandlers, follow: (follower: Follower) => void): Promise<Result<MeshServer, Failure>> {
 	const server = new Server({'grpc.max_receive_message_length': largestMessageBytes, 'grpc.max_send_message_length': largestMessageBytes});
 	const table = Object.fromEntries(meshCalls.map(call => [call, unary(handlers[call] as Answering)]));
--- a/packages/mesh/src/service.ts
+++ b/packages/mesh/src/service.ts
@@ -1,28 +1,28 @@
 /**
- * The gRPC service that carries the calls: a session for most, a method for each
- * that is long, and the stream that followers read.
+ * The gRPC service that carries the calls: a session stream for most, a unary
+ * method for calls with long requests, and the stream that followers read.
  */
 import {Buffer} from 'node:buffer';
 import {type MethodDefinition, type ServiceDefinition} from '@grpc/grpc-js';
 import {meshCalls} from './calls.js';
 import {decodeMessage, encodeMessage} from './encoding.js';
 
-/** What was encoded before is sent as it is. */
+/** Encodes a value; a buffer is already encoded. */
 function serialize(value: unknown): Buffer {
 	return Buffer.isBuffer(value) ? value : encodeMessage(value);
 }
 
-/** Messages of streams are read by those who gather their parts or frames. */
+/** Messages of streams are decoded by the readers of their parts or frames. */
 function keepBytes(bytes: Buffer): unknown {
 	return bytes;
 }
 
-/** Which directions of a method are streams. */
+/** Which directions of a method are streamed. */
 export type Streams = {readonly request: boolean; readonly response: boolean};
 
 const noStreams: Streams = {request: false, response: false};
 
-/** Describes one method. */
+/** Returns the definition of a method. */
 export function methodOf(name: string, {request, response}: Streams = noStreams): MethodDefinition<unknown, unknown> {
 	return {
 		path: `/dogwooddeck.Mesh/${name}`,
@@ -35,13 +35,13 @@
 	};
 }
 
-/** The stream on which an instance tells those that follow it. */
+/** The stream from an instance to its followers. */
 export const followMethod = methodOf('follow', {request: false, response: true});
 
-/** The stream that carries calls and their answers. */
+/** The stream that carries calls and their replies. */
 export const sessionMethod = methodOf('session', {request: true, response: true});
 
-/** All methods: each call has one of its own too, for messages too long for a session. */
+/** All methods. Each call also has a unary method, for requests that are too long for a session. */
 export const meshService: ServiceDefinition = {
 	...Object.fromEntries(meshCalls.map(call => [call, methodOf(call)])),
 	follow: followMethod,
--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -1,7 +1,7 @@
 /**
- * Many calls on one stream: what is asked within a turn of the loop goes out as
- * one message, and so do the answers. A stream for each call costs both sides
- * several times as much processor time as what most calls carry.
+ * Multiplexes calls on one stream: the requests of one turn of the event loop are
+ * sent as one message, and so are the replies. A stream for each call costs both
+ * sides several times as much processor time as the payload of most calls.
  */
 import {type Buffer} from 'node:buffer';
 import {
@@ -12,13 +12,13 @@
 import {type MeshCall, type Reply} from './calls.js';
 import {decodeMessage, encodeText} from './encoding.js';
 
-/** A call as it travels: its number within the session, its name and what it asks. */
+/** An encoded call: its number within the session, its name and its request. */
 export type CallFrame = readonly [number, MeshCall, unknown];
 
-/** The answer to the call of this number. */
+/** An encoded reply: the number of its call, and the reply. */
 export type ReplyFrame = readonly [number, Reply<unknown>];
 
-/** A stream in both directions, as far as a session uses it. */
+/** The subset of a bidirectional stream that a session uses. */
 export type SessionStream = {
 	readonly write: (message: Buffer) => boolean;
 	readonly end: () => void;
@@ -30,36 +30,36 @@
 
 /** The calls to one instance. */
 export type Session = {
-	/** Fails with `unreachable` where no answer comes in time. `request` is JSON. */
+	/** Makes a call; `request` is JSON. Fails with `unreachable` if there is no answer in time. */
 	readonly call: (call: MeshCall, request: string, timeoutMilliseconds: Milliseconds) => Promise<Result<Reply<unknown>, Failure>>;
-	/** Takes no more calls; those that are under way end as they would. */
+	/** Closes the stream once the pending calls have completed. No calls may be made after this. */
 	readonly retire: () => void;
 };
 
-/** Writes frames, those of one turn of the loop together, and as fast as the other side reads. */
+/** Writes the frames of one turn of the event loop together, respecting backpressure. */
 export class FrameWriter {
 	readonly #write: (message: Buffer) => boolean;
 	#frames = new Map<number, string>();
 	#isDue = false;
 	#hasRoom = true;
 
-	/** `write` gives `false` where the stream has no more room for now. */
+	/** `write` returns `false` if the write buffer of the stream is full. */
 	constructor(write: (message: Buffer) => boolean) {
 		this.#write = write;
 	}
 
-	/** Adds a frame, which is JSON. */
+	/** Queues a JSON frame. */
 	add(number: number, frame: string): void {
 		this.#frames.set(number, frame);
 		this.#schedule();
 	}
 
-	/** Takes back a frame that has not been written. */
+	/** Removes a queued frame. */
 	drop(number: number): void {
 		this.#frames.delete(number);
 	}
 
-	/** The stream has room again. */
+	/** Called when the write buffer of the stream has drained. */
 	drained(): void {
 		this.#hasRoom = true;
 		this.#schedule();
@@ -84,19 +84,19 @@
 	}
 }
 
-/** Reads the frames of a message. Fails with `malformed`. */
+/** Decodes the frames of a message. Fails with `malformed`. */
 export function readFrames<Frame extends CallFrame | ReplyFrame>(message: Buffer): Result<readonly Frame[], Failure> {
 	try {
 		const frames: unknown = decodeMessage(message);
 		return Array.isArray(frames) && frames.every(frame => Array.isArray(frame) && typeof frame[0] === 'number')
 			? ok(frames as readonly Frame[])
-			: err(failure(FailureKind.malformed, 'a message of a session holds no frames'));
+			: err(failure(FailureKind.malformed, 'a session message does not consist of frames'));
 	} catch (error) {
 		return err(toFailure(error, FailureKind.malformed));
 	}
 }
 
-/** Begins a session on a stream. `ended` is called once the stream is over. */
+/** Opens a session on a stream. `ended` is called once when the stream ends. */
 export function openSession(stream: SessionStream, ended: () => void): Session {
 	const waiting = new Map<number, (outcome: Result<Reply<unknown>, Failure>) => void>();
 	const writer = new FrameWriter(message => stream.write(message));
@@ -175,7 +175,7 @@
 	};
 }
 
-/** Answers the calls of a session. `answer` never fails: what goes wrong is told in its reply. */
+/** Answers the calls of a session. `answer` must not reject: its reply reports failures. */
 export function serveSession(stream: SessionStream, answer: (call: MeshCall, request: unknown) => Promise<Reply<unknown>>): void {
 	const writer = new FrameWriter(message => stream.write(message));
 
--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls between two instances over a real connection, with a relay between them
- * that counts the HTTP/2 streams which the caller opens.
+ * Calls between two instances over a real connection. A TCP relay between them
+ * counts the HTTP/2 streams that the client opens.
  */
 import assert from 'node:assert/strict';
 import {type Buffer} from 'node:buffer';
@@ -20,7 +20,7 @@
 const frameHeadBytes = 9;
 const headersFrame = 1;
 
-/** Counts the frames of HTTP/2 that begin a stream. */
+/** Counts the HTTP/2 HEADERS frames, each of which opens a stream. */
 class StreamCount {
 	streams = 0;
 	#skip = prefaceBytes;
@@ -82,12 +82,12 @@
 	readonly address: string;
 	readonly clients: MeshClients;
 	readonly relay: Relay;
-	/** The calls that were taken. */
+	/** The calls that the server received. */
 	readonly taken: MeshCall[];
 	readonly streams: () => number;
 };
 
-/** Answers `confirm` with a count, `depart` after as many milliseconds as its life is old, and refuses `declare`. */
+/** Runs with a server that answers `confirm` with a count and `depart` after `born` milliseconds, and refuses `declare`. */
 async function inScene(run: (scene: Scene) => Promise<void>): Promise<void> {
 	const taken: MeshCall[] = [];
 	const handlers = {
@@ -102,7 +102,7 @@
 		},
 		async declare() {
 			taken.push('declare');
-			return err(failure(FailureKind.notLeader, 'another one leads'));
+			return err(failure(FailureKind.notLeader, 'another instance is the leader'));
 		},
 		async reportLoad({services}: {readonly services: readonly unknown[]}) {
 			taken.push('reportLoad');
@@ -143,7 +143,7 @@
 	assert.equal(streams(), 1);
 }));
 
-test('calls: each call gets its own answer, in whatever order they come', async () => inScene(async ({address, clients}) => {
+test('calls: each call gets its own answer, regardless of their order', async () => inScene(async ({address, clients}) => {
 	const ended: string[] = [];
 	const call = async (name: string, asked: Promise<unknown>) => {
 		await asked;
@@ -161,7 +161,7 @@
 	assert.deepEqual(ended, ['quick', 'slow']);
 }));
 
-test('calls: a call that times out leaves the others as they are', async () => inScene(async ({address, clients}) => {
+test('calls: a call that times out doesn\'t affect the others', async () => inScene(async ({address, clients}) => {
 	const [late, inTime] = await Promise.all([
 		clients.call(address, 'depart', life(500), 100),
 		clients.call(address, 'depart', life(300), 2000),
@@ -170,7 +170,7 @@
 	assert.ok(inTime.isOk);
 }));
 
-test('calls: calls that time out one after the other don\'t end the ones that are under way', async () => inScene(async ({address, clients}) => {
+test('calls: consecutive timeouts don\'t end the calls that are pending', async () => inScene(async ({address, clients}) => {
 	const slow = clients.call(address, 'depart', life(900), 2000);
 	for (let count = 0; count < 4; count += 1) {
 		const late = await clients.call(address, 'depart', life(500), 100);
@@ -181,7 +181,7 @@
 	assert.ok(ended.isOk);
 }));
 
-test('calls: a lost connection ends what is under way at once, and the next call finds another', async () => inScene(async ({address, clients, relay}) => {
+test('calls: a lost connection fails the pending calls at once, and the next call opens another', async () => inScene(async ({address, clients, relay}) => {
 	await clients.call(address, 'confirm', {}, 2000);
 	const startedAt = Date.now();
 	const cut = clients.call(address, 'depart', life(3000), 5000);
@@ -198,7 +198,7 @@
 	assert.ok(next.isOk);
 }));
 
-test('calls: a long message doesn\'t hold up short ones', async () => inScene(async ({address, clients, streams}) => {
+test('calls: a long message doesn\'t delay short ones', async () => inScene(async ({address, clients, streams}) => {
 	const long = {services: [{service: 's', counts: Array.from({length: 100_000}, (_, key) => [key, 1] as const), answers: []}]};
 	const [first, second] = await Promise.all([clients.call(address, 'reportLoad', long, 5000), clients.call(address, 'confirm', {}, 5000)]);
 	assert.ok(first.isOk);
--- a/packages/mesh/test/test-encoding.ts
+++ b/packages/mesh/test/test-encoding.ts
@@ -4,7 +4,7 @@
 import {deflateRawSync} from 'node:zlib';
 import {decodeMessage, encodeMessage, largestMessageBytes} from '@dogwooddeck/mesh/encoding';
 
-/** A change of routes, as an entry of the log carries it. */
+/** A log entry that changes routes. */
 function change(routes: number): unknown {
 	const changes = Array.from({length: routes}, (_, position) => {
 		const value = {
@@ -18,11 +18,11 @@
 const cases: ReadonlyArray<{readonly name: string; readonly value: unknown; readonly mostShare: number}> = [
 	{name: 'a short message', value: {kind: 'preVoteAnswered', term: 3, granted: true}, mostShare: 1},
 	{name: 'a change of 500 routes', value: change(500), mostShare: 0.2},
-	{name: 'text of several bytes a character', value: {text: 'é€𝄞'.repeat(1000)}, mostShare: 0.2},
+	{name: 'text with multibyte characters', value: {text: 'é€𝄞'.repeat(1000)}, mostShare: 0.2},
 ];
 
 for (const {name, value, mostShare} of cases) {
-	test(`encoding: ${name} is read back, and is not longer than ${mostShare} of its text`, () => {
+	test(`encoding: ${name} is decoded to the same value, and its encoded size is at most ${mostShare} of its JSON`, () => {
 		const bytes = encodeMessage(value);
 		assert.deepEqual(decodeMessage(bytes), value);
 		assert.ok(bytes.length <= mostShare * Buffer.byteLength(JSON.stringify(value)), `${bytes.length}`);
@@ -30,10 +30,10 @@
 }
 
 const refused: ReadonlyArray<{readonly name: string; readonly bytes: Buffer}> = [
-	{name: 'nothing', bytes: Buffer.alloc(0)},
-	{name: 'what is neither JSON nor compressed', bytes: Buffer.from([7, 7, 7])},
-	{name: 'a compressed message that is cut', bytes: encodeMessage(change(50)).subarray(0, 200)},
-	{name: 'a short message that would fill the memory', bytes: Buffer.concat([Buffer.of(1), deflateRawSync(Buffer.alloc(largestMessageBytes + 1))])},
+	{name: 'an empty message', bytes: Buffer.alloc(0)},
+	{name: 'a message that is neither JSON nor compressed', bytes: Buffer.from([7, 7, 7])},
+	{name: 'a truncated compressed message', bytes: encodeMessage(change(50)).subarray(0, 200)},
+	{name: 'a short message that decompresses to more than the maximum size', bytes: Buffer.concat([Buffer.of(1), deflateRawSync(Buffer.alloc(largestMessageBytes + 1))])},
 ];
 
 for (const {name, bytes} of refused) {
--- a/packages/mesh/test/test-parts.ts
+++ b/packages/mesh/test/test-parts.ts
@@ -7,13 +7,13 @@
 const lengths: ReadonlyArray<{readonly name: string; readonly bytes: number; readonly parts: number}> = [
 	{name: 'an empty message', bytes: 0, parts: 1},
 	{name: 'a short message', bytes: 10, parts: 1},
-	{name: 'a message of just one part', bytes: partBytes, parts: 1},
+	{name: 'a message of exactly one part', bytes: partBytes, parts: 1},
 	{name: 'a message of one byte more', bytes: partBytes + 1, parts: 2},
 	{name: 'a long message', bytes: 10 * partBytes, parts: 10},
 ];
 
 for (const {name, bytes, parts: count} of lengths) {
-	test(`parts: ${name} is put together again`, () => {
+	test(`parts: ${name} is split and reassembled`, () => {
 		const message = Buffer.from(Array.from({length: bytes}, (_, position) => position % 251));
 		const gathering = new PartGathering(10 * partBytes);
 		for (const round of [1, 2]) {
@@ -28,7 +28,7 @@
 
 const refused: ReadonlyArray<{readonly name: string; readonly parts: readonly Buffer[]; readonly kind: FailureKind}> = [
 	{name: 'no bytes', parts: [Buffer.alloc(0)], kind: FailureKind.malformed},
-	{name: 'bytes of another kind', parts: [Buffer.from('{}')], kind: FailureKind.malformed},
+	{name: 'bytes that are not a part', parts: [Buffer.from('{}')], kind: FailureKind.malformed},
 	{name: 'a message that is too long', parts: splitMessage(Buffer.alloc(100)), kind: FailureKind.tooLarge},
 ];
 
