--- a/packages/control-node/src/announcement-batch.ts
+++ b/packages/control-node/src/announcement-batch.ts
@@ -1,34 +1,33 @@
 /**
- * Passes announcements on to the leader, those of a moment in one call: hundreds
- * of upstreams announce themselves in each second, and a call costs more than
- * what it carries.
+ * Forwards announcements to the leader in batches: hundreds of upstreams announce
+ * themselves each second, and a call costs more than its payload.
  */
 import {type AnnouncementOutcome, type AnnouncementReport, type Reply} from '@dogwooddeck/mesh/calls';
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {err, ok, type Result} from 'true-myth/result';
 
-/** Announcements that come within this time go together, unless one is urgent. */
+/** Announcements within this window share a call. An urgent one sends the batch at once. */
 const gatherMilliseconds: Milliseconds = 25;
 
 type Outcome = Result<AnnouncementOutcome, Failure>;
 type Waiting = {readonly report: AnnouncementReport; readonly resolve: (outcome: Outcome) => void};
 
-/** Sends announcements in one call. */
+/** Sends announcements in one call. The replies are in the same order. */
 export type SendAnnouncements = (announcements: readonly AnnouncementReport[]) => Promise<Result<ReadonlyArray<Reply<AnnouncementOutcome>>, Failure>>;
 
 function outcomeOf(sent: Result<ReadonlyArray<Reply<AnnouncementOutcome>>, Failure>, position: number): Outcome {
 	return sent.andThen((answers): Outcome => {
 		const reply = answers[position];
 		if (reply === undefined) {
-			return err(failure(FailureKind.malformed, 'the leader answered fewer announcements than it was sent'));
+			return err(failure(FailureKind.malformed, 'the leader returned fewer replies than announcements sent'));
 		}
 
 		return 'failure' in reply ? err(reply.failure) : ok(reply.answer);
 	});
 }
 
-/** Makes the way on to the leader. */
+/** Creates a function that forwards an announcement to the leader as part of a batch. */
 export function createAnnouncementBatch(send: SendAnnouncements): (report: AnnouncementReport) => Promise<Outcome> {
 	let waiting: readonly Waiting[] = [];
 	let timer: NodeJS.Timeout | undefined;
--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -1,7 +1,7 @@
 /**
- * Takes announcements of upstreams at any control instance. What the replicated
- * record shows to be routine is answered here; the rest goes to the leader, as
- * little of it as the leader doesn't know.
+ * Handles announcements of upstreams at any control instance. An announcement
+ * that is routine by the replicated directory is answered locally; any other is
+ * forwarded to the leader, reduced to what the leader doesn't have yet.
  */
 import {
 	type Announcement, isRecorded, isRoutine,
@@ -18,23 +18,23 @@
 import {ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder} from './directory-voter.js';
 
-/** What the desk works with. */
+/** The collaborators and options of the announcement coordinator. */
 export type AnnouncementDeskParts = {
 	readonly holder: DirectoryHolder;
-	/** Whether this instance is in touch with a leader that a majority follows. */
+	/** Whether this instance's directory is recent: it is the confirmed leader, or in contact with the leader and not behind. */
 	readonly isFresh: () => boolean;
 	readonly holdMilliseconds: Milliseconds;
 	readonly passOn: (report: AnnouncementReport) => Promise<Result<AnnouncementOutcome, Failure>>;
 };
 
-/** An answer is kept back for this long at most: it has to arrive within a second, and passing the announcement on and confirming it take up to 0.4 s between regions. */
+/** Maximum time to hold an announcement: its answer has to arrive within a second, and forwarding and confirming it take up to 0.4 s between regions. */
 const keptMilliseconds: Milliseconds = 350;
 
-/** The lives that have to hear something of their keys: that they got some, or have to give some up. */
+/** The incarnations that have to be notified of a change of their keys: keys granted to them, or keys to release. */
 const livesWithNews = memoize((ranges: readonly KeyRange[]): ReadonlySet<string> =>
 	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [incarnationText(range.holder)] : [])));
 
-/** Makes the desk. */
+/** Creates the announcement coordinator. */
 export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, passOn}: AnnouncementDeskParts): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
 	const kept = new Map<string, () => void>();
 	let keys: DirectoryState['keys'] | undefined;
@@ -57,10 +57,10 @@
 	}
 
 	/**
-	 * Keeps an announcement that brings nothing new for a moment, so that an upstream
-	 * that should get keys or give them up hears of it at once and not with its next
-	 * announcement. One that is giving keys up announces itself often until it has,
-	 * and is not kept.
+	 * Holds an announcement that reports nothing new for a moment, so that an
+	 * upstream that is granted keys or has to release some is notified at once and
+	 * not with its next announcement. An upstream that is releasing keys announces
+	 * itself often until it is done, and is not held.
 	 */
 	async function keep({keys: {life}}: Announcement): Promise<void> {
 		const key = incarnationText(life);
--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -1,26 +1,26 @@
 /**
- * Lets a voter's answer travel in the answer to the call that brought the
- * question. A call of its own would double the calls of the log, most of which
- * carry nothing but a heartbeat and its answer.
+ * Piggybacks a voter's answer on the response to the call that delivered the
+ * request. A separate call would double the replication calls, most of which
+ * carry only a heartbeat and its answer.
  */
 import {type ConsensusEnvelope} from '@dogwooddeck/consensus/message';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** An answer waits for the disk. One that takes longer goes by itself, so that the call's own end isn't held up. */
+/** An answer waits for the disk. One that takes longer is sent in a separate call, so that the response isn't delayed further. */
 const longestRideMilliseconds: Milliseconds = 40;
 
-/** One call that waits. */
+/** A call that waits for an answer. */
 export type Ride = {
-	/** What it takes along; undefined where nothing came in time. */
+	/** The answer to return; undefined if none was ready in time. */
 	readonly answer: Promise<ConsensusEnvelope | undefined>;
 	readonly leave: (envelope?: ConsensusEnvelope) => void;
 };
 
-/** The calls that wait for an answer to take along, by the voter that made them. */
+/** The calls that wait for an answer, by the voter that made them. */
 export class AnswerRides {
 	readonly #rides = new Map<string, Ride[]>();
 
-	/** Waits for the next message to a voter. */
+	/** Registers a call that waits for the next answer to a voter. */
 	begin(voter: string): Ride {
 		const rides = this.#rides.get(voter) ?? [];
 		this.#rides.set(voter, rides);
@@ -47,7 +47,7 @@
 		return ride;
 	}
 
-	/** Gives a message to the call that has waited longest. `false`: none waits. */
+	/** Passes an answer to the call that has waited longest. Returns `false` if none is waiting. */
 	take(envelope: ConsensusEnvelope): boolean {
 		const [first] = this.#rides.get(envelope.to.name) ?? [];
 		first?.leave(envelope);
--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -1,6 +1,6 @@
 /**
- * Counts the calls between instances: each costs both sides processor time,
- * most of it whatever it carries.
+ * Counts the calls between instances: each costs both sides processor time, most
+ * of it independent of the payload.
  */
 import {type MeshCall, meshCalls} from '@dogwooddeck/mesh/calls';
 import {type CallListener} from '@dogwooddeck/mesh/client';
@@ -11,15 +11,15 @@
 /** The counts of one instance. */
 export type CallCounts = {
 	readonly made: CallListener;
-	/** Handlers that count what they are called. */
+	/** Wraps handlers so that they count the calls they receive. */
 	readonly taken: (handlers: MeshHandlers) => MeshHandlers;
-	/** The calls since this was asked last, by kind: those that were taken, made, and made in vain. */
+	/** Counts since the last call of this function, by kind of call, as `received/made/failed`. */
 	readonly sinceLast: () => Fields;
 };
 
 type Count = {taken: number; made: number; failed: number};
 
-/** Makes the counts. */
+/** Creates the counts. */
 export function countCalls(measures: Measures): CallCounts {
 	const counts = new Map<MeshCall, Count>(meshCalls.map(call => [call, {taken: 0, made: 0, failed: 0}]));
 
--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -1,7 +1,7 @@
 /**
- * A control instance: a voter or a standby of the replicated log, and what
- * upstreams, operators and entries ask of it. What only the leader can answer
- * is passed on to it.
+ * A control instance: a voter or learner of the replicated log that serves
+ * requests of upstreams, operators and entries. Requests that only the leader
+ * can answer are forwarded to it.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -39,56 +39,56 @@
 import {type ReplicationWatch, startReplicationWatch} from './replication-watch.js';
 import {type ControlSettings} from './settings.js';
 
-/** A control instance that runs. */
+/** A running control instance. */
 export type ControlNode = {
-	/** An upstream announced itself. */
+	/** Handles the announcement of an upstream. */
 	readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>;
-	/** An upstream says that it is gone. */
+	/** Records that an upstream has left. */
 	readonly depart: (life: MeshCalls['depart']['request']['life']) => Promise<Result<unknown, Failure>>;
-	/** An operator changes items. */
+	/** Applies an operator's changes of items. */
 	readonly declare: (changes: readonly ItemChange[]) => Promise<Result<{readonly index: LogIndex}, Failure>>;
-	/** The newest items, confirmed by a majority. */
+	/** Reads the newest items, confirmed by a majority. */
 	readonly readItems: () => Promise<Result<Items, Failure>>;
-	/** The settings name further control instances. */
+	/** Adds addresses of control instances from the settings to the seeds. */
 	readonly askAlso: (addresses: readonly string[]) => void;
-	/** Passes leadership on and ends. */
+	/** Hands over leadership and stops. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What the node tells and needs beside its settings. */
+/** The collaborators and settings of a control instance. */
 export type ControlNodeParts = {
 	readonly settings: ControlSettings;
 	readonly log: Log;
 	readonly measures: Measures;
-	/** The durable state can't be written: the process has to end. */
+	/** Called when the durable state can't be written: the process has to exit. */
 	readonly failed: (failure: Failure) => void;
 };
 
-/** A call of an upstream or operator is answered within a second; passing it on must fail before. */
+/** A call of an upstream or operator is answered within a second; forwarding it must time out before that. */
 const forwardMilliseconds: Milliseconds = 800;
-/** A report of requests that takes longer is of no use: the next one follows. */
+/** A load report that takes longer is useless: the next one follows. */
 const relayMilliseconds: Milliseconds = 450;
-/** What the leader told of overloads is out of date after this long: a key is hot for seconds. */
+/** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
 const sharesMilliseconds: Milliseconds = 1500;
 const sightMilliseconds: Milliseconds = 600;
 const sightTimeoutMilliseconds: Milliseconds = 700;
 const handOverMilliseconds: Milliseconds = 400;
-/** How long a change of the directory may take to reach this instance after the leader confirmed it. */
+/** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
 const catchUpMilliseconds: Milliseconds = 700;
 const catchUpStepMilliseconds: Milliseconds = 5;
 
-const nobodyLeads = failure(FailureKind.noQuorum, 'no leader is known at this moment');
+const nobodyLeads = failure(FailureKind.noQuorum, 'no leader is currently known');
 
 type MeshAnswer<Call extends MeshCall> = Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 
-/** Starts a control instance. Throws a `FailureError` where its folder or address can't be used. */
+/** Starts a control instance. Throws a `FailureError` if its data folder or address can't be used. */
 export async function startControlNode({settings, log, measures, failed}: ControlNodeParts): Promise<ControlNode> {
 	const calls = countCalls(measures);
 	const clients = createMeshClients(calls.made);
 	const holder = createStateHolder(directoryMachine);
 	const sightings = new Map<string, VoterObservation>();
 	const entryCount = new EntryCount();
-	/** The voter starts after the server through which the others reach it. */
+	/** Set after the server has started: the other voters reach this one through it. */
 	const own: {voter?: DirectoryVoter; replication?: ReplicationWatch} = {};
 	let isChangingVoters = false;
 	let {seeds} = settings;
@@ -178,7 +178,7 @@
 			return answered.map(({answers}) => answers);
 		}),
 	});
-	/** What the leader last told of upstreams that have too much work. */
+	/** The overloaded upstreams that the leader last reported. */
 	let told: {readonly shares: readonly HolderShare[]; readonly at: MonotonicTime} = {shares: [], at: -Infinity};
 
 	async function relayTo(leader: string, report: LoadReport): Promise<void> {
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -1,6 +1,7 @@
 /**
- * This instance's voter: its data folder, its way to the other voters, and its
- * being seen by the leader, which decides who votes.
+ * The voter of this instance: opens its data folder, exchanges messages with the
+ * other voters, and applies the log to the directory. The instance reports the
+ * identity of its voter to the leader, which decides who votes.
  */
 import {bootstrapCluster} from '@dogwooddeck/consensus/founding';
 import {type Role, type SavedState} from '@dogwooddeck/consensus/machine';
@@ -22,19 +23,19 @@
 import {AnswerRides} from './answer-rides.js';
 import {type ControlSettings} from './settings.js';
 
-/** The directory of this process. */
+/** Holds this process's copy of the directory. */
 export type DirectoryHolder = StateHolder<DirectoryState, DirectoryAccepted>;
 
 /** The voter whose log drives the directory. */
 export type DirectoryVoter = VoterRunner<DirectoryAccepted> & {
 	readonly identity: VoterIdentity;
-	/** Takes a message, and waits a moment for what this voter has to say to it. */
+	/** Delivers a message to this voter and waits briefly for its answer. */
 	readonly deliver: (envelope: ConsensusEnvelope) => Promise<Result<{readonly envelope?: ConsensusEnvelope}, Failure>>;
-	/** The addresses of all control instances that are known, this one among them. */
+	/** The addresses of all known control instances, including this one. */
 	readonly members: () => readonly string[];
 };
 
-/** What the voter works with. */
+/** The collaborators and settings of the voter. */
 export type VoterParts = {
 	readonly settings: ControlSettings;
 	readonly holder: DirectoryHolder;
@@ -42,21 +43,21 @@
 	readonly log: Log;
 	readonly measures: Measures;
 	readonly roleChanged: (role: Role) => void;
-	/** The durable state can't be written: the process has to end. */
+	/** Called when the durable state can't be written: the process has to exit. */
 	readonly failed: (failure: Failure) => void;
 };
 
-/** Above a round between regions (60 ms) with room for a slow turn of the loop. */
+/** Longer than a round trip between regions (60 ms) plus a delayed turn of the event loop. */
 const electionMilliseconds: Milliseconds = 750;
 const heartbeatMilliseconds: Milliseconds = 150;
 
-/** After a loss of all voters: twice a round between regions, and a slow start of the others. */
+/** The election timeout after the start, short for a restart after the loss of all voters: two round trips between regions, plus a slow start of the others. */
 const firstElectionMilliseconds: Milliseconds = 250;
 
 const entriesBeforeSnapshot = 1000;
 const seeds = 2 ** 31;
 
-/** What a message is to the voter that gets it. */
+/** How the recipient treats a message: as a request to answer, as an answer, or as a notification without an answer. */
 const Turn = {question: 'question', answer: 'answer', word: 'word'} as const;
 type Turn = (typeof Turn)[keyof typeof Turn];
 
@@ -89,7 +90,7 @@
 	return founded;
 }
 
-/** Opens the data folder and starts the voter. Throws a `FailureError` where the folder can't be read. */
+/** Opens the data folder and starts the voter. Throws a `FailureError` if the folder can't be opened or written. */
 export async function startDirectoryVoter(parts: VoterParts): Promise<DirectoryVoter> {
 	const {
 		settings, holder, clients, log, measures,
--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -1,32 +1,32 @@
 /**
- * Counts the entries of the deployment. Each control instance tells the leader
- * which entries follow it; the leader tells all how many there are.
+ * Counts the entries of the deployment. Each control instance reports the entries
+ * that follow it to the leader, which returns the total number.
  */
 import {type InstanceName, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** What a control instance said is forgotten after this long. */
+/** The report of a control instance expires after this long. */
 const memoryMilliseconds: Milliseconds = 3000;
 
 type Told = {readonly entries: readonly InstanceName[]; readonly at: MonotonicTime};
 
-/** The number of entries. It is updated in place. */
+/** The number of entries. Mutable. */
 export class EntryCount {
 	readonly #told = new Map<string, Told>();
 	#total = 1;
 
-	/** A control instance, this one or another, tells its followers. */
+	/** Records the entries that follow a control instance, this one or another. */
 	note(control: string, entries: readonly InstanceName[], now: MonotonicTime): void {
 		this.#told.set(control, {entries, at: now});
 		const recent = [...this.#told.values()].filter(({at}) => now - at <= memoryMilliseconds);
 		this.#total = Math.max(1, new Set(recent.flatMap(told => told.entries)).size);
 	}
 
-	/** Takes over what the leader counts. Without an answer of the leader the last count stands. */
+	/** Adopts the total that the leader reported. Without an answer of the leader the last total is kept. */
 	learn(totals: readonly number[]): void {
 		this.#total = totals.length === 0 ? this.#total : Math.max(1, ...totals);
 	}
 
-	/** The entries of the whole deployment, as far as is known. */
+	/** The number of entries of the whole deployment that are known; at least 1. */
 	total(): number {
 		return this.#total;
 	}
--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -1,6 +1,6 @@
 /**
- * The entries that follow this instance: each gets every change of the
- * directory, and a short message at least as often as it needs to notice silence.
+ * Streams to the entries that follow this instance: every change of the directory
+ * for those that request changes, and a heartbeat that lets each detect loss of contact.
  */
 import {type Buffer} from 'node:buffer';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
@@ -9,13 +9,13 @@
 import {type LogIndex, type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type DirectoryHolder} from './directory-voter.js';
 
-/** What each message says beside the changes. */
+/** The fields of each message other than the changes. */
 export type Pulse = Omit<FollowMessage, 'catchUp'>;
 
-/** Changes that come within this time go out together: each message is written to every follower. */
+/** Changes within this window are sent together: each message is written to every follower. */
 const gatherMilliseconds: Milliseconds = 40;
 
-/** How often a follower hears something. Entries take three missed messages for silence. */
+/** Interval of the heartbeats. Entries treat three missed messages as loss of contact. */
 export const pulseMilliseconds: Milliseconds = 250;
 
 type Followed = {readonly follower: Follower; sent: LogIndex};
@@ -23,12 +23,12 @@
 /** The followers of this instance. */
 export type Followers = {
 	readonly add: (follower: Follower) => void;
-	/** The names of the entries that follow. */
+	/** The names of the following entries. */
 	readonly names: () => readonly string[];
 	readonly stop: () => void;
 };
 
-/** Makes the list of followers. */
+/** Creates the list of followers. */
 export function createFollowers(holder: DirectoryHolder, pulse: () => Pulse): Followers {
 	const followed = new Set<Followed>();
 	let isFlushing = false;
@@ -38,7 +38,7 @@
 		return {...pulse(), ...(catchUp.state !== undefined || catchUp.entries.length > 0 ? {catchUp} : {})};
 	}
 
-	/** Followers that lack the same get the same message, which is encoded once. */
+	/** Followers at the same log index get the same message, which is encoded once. */
 	function sendTo(some: Iterable<Followed>): void {
 		const encoded = new Map<LogIndex | undefined, Buffer>();
 		for (const one of some) {
--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -1,32 +1,32 @@
 /**
- * Whether a control instance's directory can be relied on to be recent. Entries
- * follow another one beside it where it can't.
+ * Decides whether a control instance's directory is recent. If it isn't, entries
+ * follow another instance as well.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** A leader that was not heard for this long may have been replaced. */
+/** After this long without contact, the leader may have been replaced. */
 export const leaderSilentMilliseconds: Milliseconds = 500;
 
 /**
- * A copy that has lacked committed entries for this long counts as behind: entries take up to
- * 1.5 s more to notice and to connect elsewhere, and a change has to be in force after 2.5 s.
+ * A replica that has lacked committed log entries for this long counts as behind: entry instances take
+ * up to 1.5 s more to notice and to connect elsewhere, and a change has to be in force after 2.5 s.
  */
 export const behindMilliseconds: Milliseconds = 500;
 
-/** What a control instance knows of its directory's age. */
+/** The inputs that determine whether a control instance's directory is recent. */
 export type Recency = {
 	readonly now: MonotonicTime;
-	/** Whether this instance leads, and a majority has confirmed it a moment ago. */
+	/** Whether this instance is the leader and a majority has recently confirmed it. */
 	readonly leads: boolean;
-	/** When a leader was last heard; undefined where none is known. */
+	/** Time of the last contact with the leader; undefined if no leader is known or this instance leads. */
 	readonly leaderHeardAt: MonotonicTime | undefined;
-	/** For how long the directory has lacked something that is known to be committed. */
+	/** How long the directory has lacked an entry that is known to be committed. */
 	readonly lacksFor: Milliseconds;
 };
 
 /**
- * Whether the directory is recent. Heartbeats alone don't show it: they go on
- * while the entries of the log don't arrive.
+ * Whether the directory is recent. Heartbeats alone don't show it: they can keep
+ * arriving while log entries don't.
  */
 export function isRecent({
 	now, leads, leaderHeardAt, lacksFor,
--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -1,33 +1,33 @@
 /**
- * Requests by key, with a long and a short memory. Thousands of keys are counted
- * and read several times a second, so each memory is one list of numbers that all
- * lose weight by one factor.
+ * Request rates by key, as exponentially decaying counts with a long and a short
+ * time constant. Thousands of keys are counted and read several times a second, so
+ * each set of counts is one array of numbers with a common decay factor.
  */
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {keyCount} from '@dogwooddeck/key-lease/range';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** Counts lose all but 1/e of their weight within these times. */
+/** Time constants: counts decay to 1/e of their weight within these times. */
 export const longMemoryMilliseconds: Milliseconds = 8000;
 export const shortMemoryMilliseconds: Milliseconds = 1000;
 
-/** A recent rate takes the place of the long one where they differ by so many standard deviations. */
+/** The short-term rate replaces the long-term one if they differ by more than this many standard deviations. */
 const significance = 3;
 
-/** Keys that are looked at together: busy keys are neighbours, and each of them may get too few requests to tell a change. */
+/** Number of adjacent keys tested together: busy keys are neighbours, and each may get too few requests to show a change. */
 const keysInRun = 32;
 
-/** A key with fewer remembered requests counts as silent. */
+/** A key with a lower decayed count is treated as idle. */
 const leastRemembered = 0.1;
 
 const millisecondsPerSecond = 1000;
 
-/** Weights of new counts grow by `e` to this power at most before all are brought back to 1. */
+/** Weights of new counts grow by at most `e` to this power before all counts are rescaled. */
 const mostGrowth = 100;
 
-/** Counts that lose weight with time. Instead of taking it from them, new ones are given more. */
+/** Exponentially decaying counts. Instead of scaling down old counts, new ones get a higher weight. */
 class Memory {
-	/** The counts by key, each to be multiplied by `left`. */
+	/** The weighted counts by key; multiply by `left` for the decayed count. */
 	readonly weighted = new Float64Array(keyCount);
 	readonly #milliseconds: Milliseconds;
 	#since: MonotonicTime = 0;
@@ -49,19 +49,19 @@
 		this.weighted[key]! += count / this.left(now);
 	}
 
-	/** What a weighted count is multiplied by at a moment. */
+	/** The factor from a weighted count to the decayed count at a given time. */
 	left(now: MonotonicTime): number {
 		return Math.exp((this.#since - now) / this.#milliseconds);
 	}
 }
 
-/** Whether there were far more or far fewer requests lately than before. */
+/** Whether the short-term count is significantly above or below what the long-term one predicts. */
 function hasChanged(long: number, short: number): boolean {
 	const expected = long * shortMemoryMilliseconds / longMemoryMilliseconds;
 	return Math.abs(short - expected) > significance * Math.sqrt(expected + 1);
 }
 
-/** The counts of one service. They are updated in place. */
+/** The counts of one service. Mutable. */
 export class KeyCounts {
 	readonly #long = new Memory(longMemoryMilliseconds);
 	readonly #short = new Memory(shortMemoryMilliseconds);
@@ -72,7 +72,7 @@
 		this.#short.add(key, count, now);
 	}
 
-	/** Requests a second for the keys that had any, in order of the keys. */
+	/** Requests per second of the keys that are not idle, in key order. */
 	rates(now: MonotonicTime): readonly KeyRate[] {
 		const {weighted: longs} = this.#long;
 		const {weighted: shorts} = this.#short;
--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -1,6 +1,7 @@
 /**
- * What the leader does: records announcements, answers them with the keys that
- * their senders are to hold, takes declarations, and plans who holds what.
+ * The work of the leader: records announcements, answers each with the keys that
+ * its sender is to hold, accepts declarations, and plans which upstream holds
+ * which keys.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -43,19 +44,20 @@
 	readonly declare: (request: MeshCalls['declare']['request']) => Promise<Result<{readonly index: LogIndex}, Failure>>;
 	readonly confirm: () => Promise<Result<{readonly index: LogIndex}, Failure>>;
 	readonly reportLoad: (report: LoadReport) => void;
-	/** The upstreams that have too much work, as they were when it was planned last. */
+	/** The overloaded upstreams as of the last plan. */
 	readonly shares: () => readonly HolderShare[];
-	/** This instance begins to lead, or ends. */
+	/** Called when this instance becomes leader. */
 	readonly begin: () => void;
+	/** Called when this instance takes any other role, and when it stops. */
 	readonly end: () => void;
 };
 
-/** What the desk works with. */
+/** The collaborators and options of the leader coordinator. */
 export type DeskParts = {
 	readonly holder: DirectoryHolder;
 	readonly voter: () => DirectoryVoter;
 	readonly terms: GrantingTerms;
-	/** The ranges of keys that one upstream may hold at most. */
+	/** The maximum number of key ranges that one upstream may hold. */
 	readonly mostRanges: number;
 	readonly log: Log;
 	readonly measures: Measures;
@@ -63,10 +65,10 @@
 
 const planMilliseconds: Milliseconds = 250;
 
-/** A change that calls for a plan is planned for after this long, with those that come meanwhile. */
+/** Delay from a change that requires a new plan to that plan, which covers all changes received meanwhile. */
 const gatherChangesMilliseconds: Milliseconds = 30;
 
-/** Announcements that come within this time are confirmed by one round of the log, urgent ones sooner. */
+/** Announcements received within this window are confirmed by one read round of the log; urgent ones have a shorter window. */
 const gatherConfirmsMilliseconds: Milliseconds = 120;
 const gatherUrgentMilliseconds: Milliseconds = 10;
 
@@ -76,20 +78,20 @@
 	return ranges.map(({from, to}) => ({from, to, holder}));
 }
 
-/** Makes the desk. */
+/** Creates the leader coordinator. */
 export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: DeskParts): LeaderDesk {
 	let granting: GrantingState = beginGranting(monotonicNow());
 	let loads = new LoadCounts();
 	let planning: NodeJS.Timeout | undefined;
 	let planningSoon: NodeJS.Timeout | undefined;
 	let isProposing = false;
-	/** Keys are being taken from holders whose time is over: none of them may be renewed until it is known whether they were. */
+	/** The pending proposal that vacates keys of holders whose lease expired: no lease may be renewed until its outcome is known. */
 	let expiring: Promise<unknown> | undefined;
 	let shares: readonly HolderShare[] = [];
 	let joinedAt: MonotonicTime = -Infinity;
-	/** The rounds that have not begun yet, by the time that announcements are gathered for. */
+	/** Read rounds that have not started yet, by the length of their batching window. */
 	const confirming = new Map<Milliseconds, Promise<Result<LogIndex, Failure>>>();
-	/** The changes of items that are under way, by their text. */
+	/** Pending proposals of item changes, by the JSON of the changes. */
 	const declaring = new Map<string, Promise<Result<LogIndex, Failure>>>();
 	const lapseLines = new LineBudget(lapseLinesPerSecond);
 	const propose = createProposals(async payload => voter().propose(payload));
@@ -128,7 +130,7 @@
 		return rowsDigest(rows) === keys.digest ? {holdMilliseconds, keyed: true} : {holdMilliseconds, keyed: true, rows: rowsFor(ranges, keys)};
 	}
 
-	/** Tells of keys that an upstream was told to hold and doesn't list any more. */
+	/** Logs and counts keys that were reported to an upstream as held and that it no longer lists. */
 	function noteLapse({service}: UpstreamRecord, keys: KeyReport, receivedAt: MonotonicTime): void {
 		const lapsed = lapsedRows(granting, rangesOf(holder.state().keys, service), keys);
 		if (lapsed.length === 0) {
@@ -155,7 +157,7 @@
 		return voter().read();
 	}
 
-	/** Confirms that this instance still leads, once for all announcements that came within a moment: each round crosses regions. */
+	/** Confirms that this instance is still the leader, with one round for all announcements of a batching window: each round crosses regions. */
 	async function confirmTogether(isUrgent: boolean): Promise<Result<LogIndex, Failure>> {
 		const milliseconds = isUrgent ? gatherUrgentMilliseconds : gatherConfirmsMilliseconds;
 		const known = confirming.get(milliseconds) ?? confirmAfter(milliseconds);
@@ -174,8 +176,8 @@
 	}
 
 	/**
-	 * Takes a change in, unless it is taken or under way already: operators send a
-	 * change again when they hear nothing, and each entry of the log goes to all instances.
+	 * Proposes a change unless it is already applied or pending: operators retry a
+	 * change when they receive no answer, and each log entry is sent to all instances.
 	 */
 	async function declareOnce(changes: readonly ItemChange[]): Promise<Result<LogIndex, Failure>> {
 		if (isNoOp(holder.state().items, changes)) {
@@ -190,7 +192,7 @@
 		return proposed;
 	}
 
-	/** The record that an announcement is about; undefined where the sender's table was older and this one has another life. */
+	/** The upstream record of an announcement; undefined if the sender's directory was older and the one here records another incarnation. */
 	function recordOf({upstream, keys: {life}}: AnnouncementReport): UpstreamRecord | undefined {
 		const known = holder.state().upstreams[life.id];
 		return upstream ?? (sameIncarnation(known, life) ? known : undefined);
@@ -201,7 +203,7 @@
 		const {keys, isUrgent} = report;
 		const upstream = recordOf(report);
 		if (upstream === undefined) {
-			return err(failure(FailureKind.notReady, `there is no record of ${incarnationText(keys.life)} any more`));
+			return err(failure(FailureKind.notReady, `the directory no longer has a record of ${incarnationText(keys.life)}`));
 		}
 
 		const recorded = recordAnnouncement(holder.state(), upstream);
@@ -260,7 +262,7 @@
 		}
 	}
 
-	/** Plans soon: what changes within a moment is planned for once. */
+	/** Schedules a plan shortly, so that changes in quick succession share one plan. */
 	function plan(): void {
 		if (planning !== undefined) {
 			planningSoon ??= setTimeout(() => {
@@ -270,7 +272,7 @@
 		}
 	}
 
-	/** The upstreams of a service that have too much work. */
+	/** The overloaded upstreams of a service. */
 	function overloadsOf(service: string, rates: readonly KeyRate[], now: MonotonicTime): readonly HolderShare[] {
 		const {keys, upstreams} = holder.state();
 		const meanLatency = loads.meanLatency(service, now);
--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -1,9 +1,9 @@
 /**
- * The work of each service's keys and the speed of its upstreams, as the entries
- * report them.
+ * The request rates of each service's keys and the relative speeds of its
+ * upstreams, computed from the load reports of entries.
  *
- * Load patterns: with few requests, counts differ by chance, and need a long
- * memory; a run of keys gets hot within a second, and cools down as fast.
+ * Two load patterns matter. At low rates counts vary by chance and need a long
+ * time constant; a run of keys gets hot within a second and cools down as fast.
  */
 import {type LoadReport} from '@dogwooddeck/mesh/calls';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -11,17 +11,17 @@
 import {keyCount} from '@dogwooddeck/key-lease/range';
 import {KeyCounts, longMemoryMilliseconds} from './key-counts.js';
 
-/** An upstream counts as this many times slower or faster than the others of its service at most. */
+/** Bounds of the speed of an upstream relative to the others of its service. */
 const slowestSpeed = 0.2;
 const fastestSpeed = 2;
 
-/** Answers that an upstream must have given before its speed is believed. */
+/** Minimum decayed count of answers from an upstream before its speed is used. */
 const leastAnswers = 5;
 
-/** Times of answers differ by about as much as their mean. */
+/** Standard deviation of answer times, relative to their mean. */
 const answerDeviation = 1;
 
-/** A speed takes the place of the one that is believed where it differs by so many standard deviations: keys move with it. */
+/** A measured speed replaces the current estimate if it differs by more than this many standard deviations: each change of speed moves keys. */
 const speedSignificance = 2.5;
 
 type Answers = {readonly count: number; readonly milliseconds: Milliseconds};
@@ -29,9 +29,9 @@
 type Counts = {
 	readonly keys: KeyCounts;
 	answers: ReadonlyMap<string, Answers>;
-	/** Of all upstreams together. */
+	/** The sum over all upstreams. */
 	answersTogether: Answers;
-	/** The speeds that are believed, of upstreams whose speed is not 1. */
+	/** The current speed estimates of upstreams whose estimate has changed from the initial 1. */
 	readonly speeds: Map<string, number>;
 	decayedAt: MonotonicTime;
 };
@@ -44,11 +44,11 @@
 	};
 }
 
-/** The counts of all services. They are updated in place: there are thousands. */
+/** The counts of all services. Mutable, since there are thousands of counts. */
 export class LoadCounts {
 	readonly #services = new Map<string, Counts>();
 
-	/** Adds what an entry counted. */
+	/** Adds a load report. */
 	add(report: LoadReport, now: MonotonicTime): void {
 		for (const {service, counts, answers} of report.services) {
 			const known = this.#decayed(service, now);
@@ -69,18 +69,18 @@
 		}
 	}
 
-	/** Requests a second for the keys of a service that had any, in order of the keys. */
+	/** Requests per second of the keys of a service that are not idle, in key order. */
 	rates(service: string, now: MonotonicTime): readonly KeyRate[] {
 		return this.#decayed(service, now).keys.rates(now);
 	}
 
-	/** How long the upstreams of a service take for an answer, in the mean; undefined where none was counted. */
+	/** The mean answer time of the upstreams of a service; undefined if no answers were counted. */
 	meanLatency(service: string, now: MonotonicTime): Milliseconds | undefined {
 		const {count, milliseconds} = this.#decayed(service, now).answersTogether;
 		return count === 0 ? undefined : milliseconds / count;
 	}
 
-	/** How fast an upstream answers beside the others of its service: 1 is as fast, or not known. It changes only by more than chance. */
+	/** The speed of an upstream relative to the mean of its service; 1 if there are too few answers. It changes only if the difference is statistically significant. */
 	speed(upstream: string, service: string, now: MonotonicTime): number {
 		const {answers, answersTogether: {count, milliseconds}, speeds} = this.#decayed(service, now);
 		const own = answers.get(upstream);
--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -1,17 +1,17 @@
 /**
- * Gathers what entries counted and passes it on to the leader in one report: the
- * leader hears from each control instance, not from each entry.
+ * Aggregates the load reports of entries and forwards them to the leader, which so
+ * receives one report from each control instance, not one from each entry.
  */
 import {type LoadReport} from '@dogwooddeck/mesh/calls';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** How often reports are passed on: a key gets hot within a second. */
+/** Interval of the aggregated reports: a key gets hot within a second. */
 const relayMilliseconds: Milliseconds = 300;
 
 type ServiceReport = LoadReport['services'][number];
 type Gathered = {readonly counts: Map<number, number>; readonly answers: Map<string, readonly [number, number]>};
 
-/** Gathers reports. */
+/** Aggregates load reports. */
 export type LoadRelay = {
 	readonly add: (report: LoadReport) => void;
 	readonly stop: () => void;
@@ -28,7 +28,7 @@
 	}
 }
 
-/** Starts to gather; `send` gets what came since the last time, if anything did. */
+/** Starts the relay. Each interval, `send` is called with the aggregate of the reports since the last one, if there were any. */
 export function createLoadRelay(send: (report: LoadReport) => void): LoadRelay {
 	let services = new Map<string, Gathered>();
 
--- a/packages/control-node/src/proposals.ts
+++ b/packages/control-node/src/proposals.ts
@@ -1,6 +1,6 @@
 /**
- * Proposes commands, those of a moment as one entry of the log: each entry is
- * synced, sent to the voters and to all followers.
+ * Proposes commands in batches, one log entry each: every entry is synced to disk
+ * and sent to the voters and to all followers.
  */
 import {type DirectoryCommand, encodeCommands} from '@dogwooddeck/directory/state';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -8,12 +8,12 @@
 import {ok, type Result} from 'true-myth/result';
 import {type DirectoryVoter} from './directory-voter.js';
 
-/** Commands that are proposed within this time make one entry of the log. */
+/** Commands proposed within this window share one log entry. */
 const gatherCommandsMilliseconds: Milliseconds = 5;
 
 type Proposed = {readonly commands: readonly DirectoryCommand[]; readonly resolve: (result: Result<LogIndex, Failure>) => void};
 
-/** Makes the way to the log. It gives the index of the entry, or the failure of the first of the commands that was refused. */
+/** Creates a function that proposes commands. It returns the index of their log entry, or the failure of the first of its commands that was refused. */
 export function createProposals(send: DirectoryVoter['propose']): (commands: readonly DirectoryCommand[]) => Promise<Result<LogIndex, Failure>> {
 	let gathered: readonly Proposed[] = [];
 
--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches how far the copies of the directory are: this instance's own, and on
- * the leader those of the other voters and learners.
+ * Monitors the replica lag of the directory: that of this instance and, on the
+ * leader, of the other voters and learners.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type VoterIdentity} from '@dogwooddeck/consensus/message';
@@ -10,10 +10,10 @@
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
 
-/** How often the copies are looked at. */
+/** Interval of the lag checks. */
 const watchMilliseconds: Milliseconds = 200;
 
-/** What is watched. */
+/** The collaborators of the replication watch. */
 export type ReplicationWatchParts = {
 	readonly holder: DirectoryHolder;
 	readonly voter: DirectoryVoter;
@@ -25,14 +25,14 @@
 	return `${name} ${folder}`;
 }
 
-/** A watch that runs. */
+/** A running watch. */
 export type ReplicationWatch = {
-	/** For how long this instance's copy has lacked something that is known to be committed. */
+	/** How long this instance's replica has lacked an entry that is known to be committed. */
 	readonly ownLag: () => Milliseconds;
 	readonly stop: () => void;
 };
 
-/** Starts to watch. */
+/** Starts the watch. */
 export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchParts): ReplicationWatch {
 	const own = new LagWatch(log);
 	let members = new Map<string, LagWatch>();
--- a/packages/control-node/src/settings.ts
+++ b/packages/control-node/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * What a control instance is told when it starts.
+ * The startup settings of a control instance.
  */
 import {type Milliseconds, type ZoneName} from '@dogwooddeck/model/identifiers';
 
@@ -7,19 +7,19 @@
 export type ControlSettings = {
 	/** Where other instances reach this one, as `IP:port`. It is also the name of its voter. */
 	readonly address: string;
-	/** The availability zone that it stands in. */
+	/** The availability zone of this instance. */
 	readonly zone: ZoneName;
-	/** Where control instances were reachable when the settings were written. */
+	/** Addresses of control instances at the time the settings were written. */
 	readonly seeds: readonly string[];
-	/** The whole deployment starts for the first time: the seeds found the cluster. */
+	/** Whether the whole deployment starts for the first time: the seeds bootstrap the cluster. */
 	readonly founding: boolean;
 	readonly dataFolder: string;
-	/** The losses of control instances that are borne at once; twice as many and one vote. */
+	/** Number of simultaneous losses of control instances to tolerate; the number of voters is twice that plus one. */
 	readonly toleratedLosses: number;
-	/** How long an upstream holds its keys after an announcement. */
+	/** Duration for which an upstream holds its keys after an announcement. */
 	readonly holdMilliseconds: Milliseconds;
-	/** The ranges of keys that an upstream may hold at most: all of them are listed in each answer to it. */
+	/** The maximum number of key ranges that an upstream may hold: each answer to it lists all of them. */
 	readonly mostRanges: number;
-	/** How much slower than true an upstream's clock may run, as a share. */
+	/** The maximum fraction by which an upstream's clock may run slow. */
 	readonly clockDrift: number;
 };
--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -14,14 +14,14 @@
 type Step = {readonly begins: string} | {readonly answers: readonly [string, number]; readonly rides: boolean} | {readonly waits: number};
 
 const cases: ReadonlyArray<{readonly name: string; readonly steps: readonly Step[]; readonly taken: ReadonlyArray<number | undefined>}> = [
-	{name: 'an answer goes with the call that waits', steps: [{begins: 'a'}, {answers: ['a', 1], rides: true}], taken: [1]},
-	{name: 'each call takes one, the first that waits first', steps: [{begins: 'a'}, {begins: 'a'}, {answers: ['a', 1], rides: true}, {answers: ['a', 2], rides: true}, {answers: ['a', 3], rides: false}], taken: [1, 2]},
-	{name: 'an answer to another voter goes by itself', steps: [{begins: 'a'}, {answers: ['b', 1], rides: false}, {waits: 40}], taken: [undefined]},
-	{name: 'no call waits for long', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], rides: false}], taken: [undefined]},
+	{name: 'an answer is returned by the waiting call', steps: [{begins: 'a'}, {answers: ['a', 1], rides: true}], taken: [1]},
+	{name: 'each call returns one answer, the longest waiting first', steps: [{begins: 'a'}, {begins: 'a'}, {answers: ['a', 1], rides: true}, {answers: ['a', 2], rides: true}, {answers: ['a', 3], rides: false}], taken: [1, 2]},
+	{name: 'an answer to another voter is sent separately', steps: [{begins: 'a'}, {answers: ['b', 1], rides: false}, {waits: 40}], taken: [undefined]},
+	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], rides: false}], taken: [undefined]},
 ];
 
 for (const {name, steps, taken} of cases) {
-	test(`answer rides: ${name}`, async context => {
+	test(`piggybacked answers: ${name}`, async context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
 		const rides = new AnswerRides();
 		const waiting: Array<Promise<ConsensusEnvelope | undefined>> = [];
--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -1,5 +1,5 @@
 /**
- * Control instances over real connections, with data folders of their own.
+ * Control instances that communicate over real connections, each with its own data folder.
  */
 import assert from 'node:assert/strict';
 import {mkdtemp, rm} from 'node:fs/promises';
@@ -75,10 +75,10 @@
 	};
 }
 
-/** Of the calls of the log that followers take, at most this share is followed by one of their own: answers ride on the call. */
+/** Maximum ratio of `deliver` calls that a follower makes to those it receives: answers are piggybacked on the responses. */
 const mostAnswersAlone = 0.2;
 
-test('control nodes: followers answer the leader without calls of their own', async () => withNodes(async running => {
+test('control nodes: followers answer the leader without separate calls', async () => withNodes(async running => {
 	await declareUntilTaken(running[0]!.node);
 	const before = running.map(one => deliverCalls(one));
 	for (let version = 2; version < 60; version += 1) {
@@ -93,6 +93,6 @@
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
 	for (const {taken, made} of followers) {
-		assert.ok(made <= taken * mostAnswersAlone, `${made} calls made, ${taken} taken`);
+		assert.ok(made <= taken * mostAnswersAlone, `${made} calls made, ${taken} received`);
 	}
 }));
--- a/packages/control-node/test/test-freshness.ts
+++ b/packages/control-node/test/test-freshness.ts
@@ -7,12 +7,12 @@
 };
 
 const cases: ReadonlyArray<{readonly name: string; readonly fields: Partial<Recency>; readonly isRecent: boolean}> = [
-	{name: 'a follower that hears its leader and has everything', fields: {}, isRecent: true},
+	{name: 'a follower in contact with its leader and up to date', fields: {}, isRecent: true},
 	{name: 'the leader', fields: {leads: true, leaderHeardAt: undefined}, isRecent: true},
-	{name: 'a follower whose leader is silent', fields: {leaderHeardAt: 9400}, isRecent: false},
+	{name: 'a follower without contact to its leader', fields: {leaderHeardAt: 9400}, isRecent: false},
 	{name: 'a follower without a leader', fields: {leaderHeardAt: undefined}, isRecent: false},
-	{name: 'a follower to which an entry is on its way', fields: {lacksFor: 400}, isRecent: true},
-	{name: 'a follower that hears its leader and gets no entries', fields: {lacksFor: 600}, isRecent: false},
+	{name: 'a follower that has briefly lacked an entry', fields: {lacksFor: 400}, isRecent: true},
+	{name: 'a follower in contact with its leader that receives no entries', fields: {lacksFor: 600}, isRecent: false},
 ];
 
 for (const {name, fields, isRecent: expected} of cases) {
--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-gathering.ts
@@ -17,13 +17,13 @@
 
 const batches: ReadonlyArray<{readonly name: string; readonly reports: readonly AnnouncementReport[]; readonly afterMilliseconds: number; readonly sent: readonly string[]}> = [
 	{
-		name: 'those of a moment go together', reports: [report('a'), report('b')], afterMilliseconds: 25, sent: ['a,b'],
+		name: 'announcements within the window share a call', reports: [report('a'), report('b')], afterMilliseconds: 25, sent: ['a,b'],
 	},
 	{
-		name: 'they are gathered first', reports: [report('a'), report('b')], afterMilliseconds: 10, sent: [],
+		name: 'nothing is sent before the window ends', reports: [report('a'), report('b')], afterMilliseconds: 10, sent: [],
 	},
 	{
-		name: 'an urgent one takes the others along at once', reports: [report('a'), report('b', true), report('c')], afterMilliseconds: 0, sent: ['a,b'],
+		name: 'an urgent announcement sends the waiting ones at once', reports: [report('a'), report('b', true), report('c')], afterMilliseconds: 0, sent: ['a,b'],
 	},
 ];
 
@@ -44,7 +44,7 @@
 	});
 }
 
-test('announcement batch: each gets its own answer, and a failure where there is none', async context => {
+test('announcement batch: each gets its own answer, or a failure if there is none', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const refused = failure(FailureKind.notFound, 'there is no service');
 	const passOn = createAnnouncementBatch(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
@@ -55,7 +55,7 @@
 	assert.deepEqual(kinds, ['taken', FailureKind.notFound, FailureKind.malformed]);
 });
 
-test('announcement batch: all fail where the leader can not be reached', async context => {
+test('announcement batch: all fail if the leader is unreachable', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const passOn = createAnnouncementBatch(async () => err(failure(FailureKind.unreachable, 'no answer')));
 	const outcomes = Promise.all([report('a'), report('b')].map(async one => passOn(one)));
@@ -64,7 +64,7 @@
 	assert.deepEqual(settled.map(({isErr}) => isErr), [true, true]);
 });
 
-test('load relay: what entries counted is added up and passed on once', context => {
+test('load relay: reports of entries are summed and forwarded once', context => {
 	context.mock.timers.enable({apis: ['setInterval']});
 	const sent: LoadReport[] = [];
 	const relay = createLoadRelay(told => {
--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -25,14 +25,14 @@
 	readonly holder: DirectoryHolder;
 	readonly commit: (commands: readonly DirectoryCommand[]) => void;
 	readonly leads: {value: boolean};
-	/** How long a round of the log takes. */
+	/** Duration of a read round of the log. */
 	readonly roundMilliseconds: {value: number};
-	/** How long the log takes to commit. */
+	/** Duration of a commit. */
 	readonly commitMilliseconds: {value: number};
 	readonly advance: (milliseconds: number) => Promise<void>;
 };
 
-/** A leader whose log commits at once. Time stands still until it is advanced. */
+/** A leader whose log commits at once by default. Time only passes when it is advanced. */
 function startScene(context: TestContext): Scene {
 	let now = 1000;
 	context.mock.timers.enable({apis: ['setTimeout', 'setInterval']});
@@ -112,7 +112,7 @@
 
 const held = {from: 0, to: 65_535, holder: {id: '1', born: 1}};
 
-/** Upstream 1 has announced itself and holds all keys, as it was told. */
+/** Upstream 1 has announced itself, holds all keys and has been notified of them. */
 async function startHeld(context: TestContext): Promise<Scene> {
 	const scene = startScene(context);
 	ask(scene, announcement('1', 1));
@@ -123,15 +123,15 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly happens: (scene: Scene) => void; readonly isAnsweredWithin: number; readonly rows: number | undefined}> = [
 	{
-		name: 'waits for keys for a moment, and is renewed', happens: () => undefined, isAnsweredWithin: 600, rows: 1,
+		name: 'without news is delayed, then renewed', happens: () => undefined, isAnsweredWithin: 600, rows: 1,
 	},
 	{
-		name: 'is answered at once when its keys are recalled', happens({commit}) {
+		name: 'is answered at once when keys of its upstream are recalled', happens({commit}) {
 			commit([{kind: 'keysRecalled', service: 's', rows: [held]}]);
 		}, isAnsweredWithin: 40, rows: 0,
 	},
 	{
-		name: 'is answered at once when it gets more keys', happens({commit}) {
+		name: 'is answered at once when its upstream is granted more keys', happens({commit}) {
 			const half = {...held, to: 100};
 			commit([{kind: 'keysRecalled', service: 's', rows: [half]}, {kind: 'keysVacated', service: 's', rows: [{...half, handover: 'h'}]}, {kind: 'keysGranted', service: 's', rows: [half]}]);
 		}, isAnsweredWithin: 40, rows: 2,
@@ -139,7 +139,7 @@
 ];
 
 for (const {name, happens, isAnsweredWithin, rows} of cases) {
-	test(`leader desk: an announcement ${name}`, async context => {
+	test(`leader coordinator: an announcement ${name}`, async context => {
 		const scene = await startHeld(context);
 		const answered = ask(scene, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
 		await scene.advance(300);
@@ -150,7 +150,7 @@
 	});
 }
 
-test('leader desk: an announcement that came to a leader that was replaced since renews nothing', async context => {
+test('leader coordinator: an announcement received by a leader that has since been replaced renews nothing', async context => {
 	const scene = await startHeld(context);
 	const answered = ask(scene, announcement('1', 2));
 	scene.leads.value = false;
@@ -158,7 +158,7 @@
 	assert.equal(answered.value?.isErr, true);
 });
 
-test('leader desk: an announcement is answered in time also where the leader takes its time', async context => {
+test('leader coordinator: an announcement is answered in time even if the read round of the leader is slow', async context => {
 	const scene = await startHeld(context);
 	scene.roundMilliseconds.value = 200;
 	const answered = ask(scene, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
@@ -166,7 +166,7 @@
 	assert.equal(answered.value?.isOk, true);
 });
 
-test('leader desk: a draining upstream is not kept waiting', async context => {
+test('leader coordinator: the announcement of a draining upstream is not delayed', async context => {
 	const scene = await startHeld(context);
 	const answered = ask(scene, announcement('1', 2, {}, UpstreamState.draining));
 	await scene.advance(30);
@@ -182,7 +182,7 @@
 
 const declarations: ReadonlyArray<{readonly name: string; readonly together: ReadonlyArray<readonly Declared[]>; readonly entries: number}> = [
 	{
-		name: 'sent twice at once', together: [[{changes: [service('t', 2)], isTaken: true}, {changes: [service('t', 2)], isTaken: true}]], entries: 1,
+		name: 'sent twice concurrently', together: [[{changes: [service('t', 2)], isTaken: true}, {changes: [service('t', 2)], isTaken: true}]], entries: 1,
 	},
 	{
 		name: 'sent again later', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 2)], isTaken: true}]], entries: 1,
@@ -191,12 +191,12 @@
 		name: 'sent again after a later one', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 3)], isTaken: true}], [{changes: [service('t', 2)], isTaken: true}]], entries: 2,
 	},
 	{
-		name: 'with other content under its version', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 2, 11)], isTaken: false}]], entries: 2,
+		name: 'followed by other content under its version', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 2, 11)], isTaken: false}]], entries: 2,
 	},
 ];
 
 for (const {name, together, entries} of declarations) {
-	test(`leader desk: a change ${name} makes ${entries} ${entries === 1 ? 'entry' : 'entries'} of the log`, async context => {
+	test(`leader coordinator: a change ${name} creates ${entries} log ${entries === 1 ? 'entry' : 'entries'}`, async context => {
 		const scene = startScene(context);
 		const before = scene.holder.state().applied;
 		for (const declared of together) {
@@ -210,7 +210,7 @@
 	});
 }
 
-test('leader desk: a change that is sent again while it is under way makes one entry of the log', async context => {
+test('leader coordinator: a change that is sent again while it is pending creates one log entry', async context => {
 	const scene = startScene(context);
 	const before = scene.holder.state().applied;
 	scene.commitMilliseconds.value = 300;
--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -7,7 +7,7 @@
 
 const reportMilliseconds = 500;
 
-/** Plays reports: each lists the requests for one key in half a second; a tenth of a request is one in ten reports. */
+/** Adds one report per half second, each with the requests for one key, and returns the resulting rate. */
 function ratesAfter(requests: readonly number[], key: number): number {
 	const counts = new LoadCounts();
 	let now = 0;
@@ -36,7 +36,7 @@
 		name: 'a key that gets hot, after a second', requests: [...quiet, 10, 10], least: 8, most: 25,
 	},
 	{
-		name: 'a key that was hot counts for less than half two seconds later', requests: [...quiet, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], least: 0, most: 10,
+		name: 'a key that was hot has less than half its rate two seconds later', requests: [...quiet, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], least: 0, most: 10,
 	},
 ];
 
@@ -47,7 +47,7 @@
 	});
 }
 
-test('load counts: a slow upstream counts for less, one that is hardly known for one', () => {
+test('load counts: a slow upstream has a lower speed, one with few answers has speed 1', () => {
 	const counts = new LoadCounts();
 	counts.add({services: [{service: 's', counts: [], answers: [['fast', 100, 5000], ['slow', 100, 15_000], ['new', 1, 900]]}]}, 0);
 	const speeds = ['fast', 'slow', 'new', 'unknown'].map(upstream => counts.speed(upstream, 's', 1).toFixed(1));
@@ -56,7 +56,7 @@
 
 const hotKeys = Array.from({length: 120}, (_, position) => 1000 + position);
 
-/** Each of many neighbours gets few requests; together they are a change. */
+/** Each of many adjacent keys gets few requests; only their sum shows the change. */
 test('load counts: a run of keys that gets hot together, a second later', () => {
 	const counts = new LoadCounts();
 	let now = 0;
@@ -77,7 +77,7 @@
 const few = 250;
 const many = 8 * few;
 
-/** In proportion it would be 8, by the square 64. */
+/** Linear growth would be 8, quadratic growth 64. */
 const mostGrowth = 20;
 
 function timeOfSpeeds(count: number): number {
@@ -92,13 +92,13 @@
 	return performance.now() - startedAt;
 }
 
-test('load counts: the speeds of 8 times as many upstreams cost about as many times as much', () => {
+test('load counts: the cost of computing speeds grows about linearly with the number of upstreams', () => {
 	const times = Array.from({length: 5}, () => ({small: timeOfSpeeds(few), large: timeOfSpeeds(many)})).slice(1);
 	const growth = Math.min(...times.map(({large}) => large)) / Math.min(...times.map(({small}) => small));
 	assert.ok(growth < mostGrowth, `${growth.toFixed(1)} times`);
 });
 
-/** Answer times differ by as much as their mean. */
+/** Draws an exponentially distributed answer time: its standard deviation equals its mean. */
 function drawTime(generator: RandomGenerator, meanMilliseconds: number): number {
 	return -meanMilliseconds * Math.log((uniformInt(generator, 0, 999_999) + 0.5) / 1_000_000);
 }
@@ -108,7 +108,7 @@
 
 type Fleet = {readonly counts: LoadCounts; readonly generator: RandomGenerator; now: number};
 
-/** Each upstream answers four times a second; `meanOf` tells how long that takes. */
+/** Simulates reports in which each upstream answers four times a second, with the mean answer time `meanOf`. */
 function answer(playing: Fleet, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
 	for (let period = 0; period < periods; period += 1) {
 		playing.now += reportMilliseconds;
@@ -124,7 +124,7 @@
 const speedSeeds = [1, 2, 3];
 
 for (const seed of speedSeeds) {
-	test(`load counts: speeds don't change by chance, and do when an upstream turns slow, seed ${seed}`, () => {
+	test(`load counts: speeds don't change by chance, but do when an upstream becomes slow, seed ${seed}`, () => {
 		const playing: Fleet = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
 		const speedsNow = () => fleet.map(upstream => playing.counts.speed(upstream, 's', playing.now));
 		answer(playing, 40, () => 200, () => undefined);
