--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -15,7 +15,7 @@
 	type FollowMessage, type FollowRequest, type MeshCall, type MeshCalls, type Reply,
 } from './calls.js';
 import {decodeMessage, encodeText, largestMessageBytes} from './encoding.js';
-import {PartGathering, partBytes} from './parts.js';
+import {PartAssembler, partBytes} from './parts.js';
 import {followMethod, methodOf, sessionMethod} from './service.js';
 import {openSession, type Session} from './session.js';
 
@@ -160,7 +160,7 @@
 				}
 			};
 
-			const gathering = new PartGathering(largestMessageBytes);
+			const gathering = new PartAssembler(largestMessageBytes);
 			stream.on('data', (part: Buffer) => {
 				if (isOver) {
 					return;
--- a/packages/mesh/src/parts.ts
+++ b/packages/mesh/src/parts.ts
@@ -26,7 +26,7 @@
 }
 
 /** Reassembles the messages of a stream from their parts. Mutable. */
-export class PartGathering {
+export class PartAssembler {
 	readonly #mostBytes: number;
 	#parts: Buffer[] = [];
 	#bytes = 0;
--- a/packages/mesh/test/test-parts.ts
+++ b/packages/mesh/test/test-parts.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
 import {FailureKind} from '@dogwooddeck/model/failure';
-import {PartGathering, partBytes, splitMessage} from '@dogwooddeck/mesh/parts';
+import {PartAssembler, partBytes, splitMessage} from '@dogwooddeck/mesh/parts';
 
 const lengths: ReadonlyArray<{readonly name: string; readonly bytes: number; readonly parts: number}> = [
 	{name: 'an empty message', bytes: 0, parts: 1},
@@ -15,7 +15,7 @@
 for (const {name, bytes, parts: count} of lengths) {
 	test(`parts: ${name} is split and reassembled`, () => {
 		const message = Buffer.from(Array.from({length: bytes}, (_, position) => position % 251));
-		const gathering = new PartGathering(10 * partBytes);
+		const gathering = new PartAssembler(10 * partBytes);
 		for (const round of [1, 2]) {
 			const parts = splitMessage(message);
 			assert.equal(parts.length, count);
@@ -34,7 +34,7 @@
 
 for (const {name, parts, kind} of refused) {
 	test(`parts: ${name} is refused as ${kind}`, () => {
-		const gathering = new PartGathering(99);
+		const gathering = new PartAssembler(99);
 		const results = parts.map(part => gathering.take(part));
 		const last = results.at(-1)!;
 		assert.ok(last.isErr);
