--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -167,7 +167,7 @@
 				}
 
 				listener.onPart();
-				const message = gathering.take(part).andThen(whole => whole === undefined ? ok(undefined) : readMessage(whole));
+				const message = gathering.add(part).andThen(whole => whole === undefined ? ok(undefined) : readMessage(whole));
 				if (message.isErr) {
 					stream.cancel();
 					end(message.error);
--- a/packages/mesh/src/parts.ts
+++ b/packages/mesh/src/parts.ts
@@ -37,7 +37,7 @@
 	}
 
 	/** Adds a part and returns the message if it is complete. Fails with `tooLarge` if the message is too long, and with `malformed` if the bytes are not a part. */
-	take(part: Buffer): Result<Buffer | undefined, Failure> {
+	add(part: Buffer): Result<Buffer | undefined, Failure> {
 		const mark = part[0];
 		if (mark !== PartMark.more && mark !== PartMark.last) {
 			return err(failure(FailureKind.malformed, 'the stream delivered bytes that are not part of a message'));
--- a/packages/mesh/test/test-parts.ts
+++ b/packages/mesh/test/test-parts.ts
@@ -19,7 +19,7 @@
 		for (const round of [1, 2]) {
 			const parts = splitMessage(message);
 			assert.equal(parts.length, count);
-			const taken = parts.map(part => gathering.take(part).unwrapOr(undefined));
+			const taken = parts.map(part => gathering.add(part).unwrapOr(undefined));
 			assert.deepEqual(taken.slice(0, -1).filter(Boolean), [], `round ${round}`);
 			assert.deepEqual(taken.at(-1), message);
 		}
@@ -35,7 +35,7 @@
 for (const {name, parts, kind} of refused) {
 	test(`parts: ${name} is refused as ${kind}`, () => {
 		const gathering = new PartAssembler(99);
-		const results = parts.map(part => gathering.take(part));
+		const results = parts.map(part => gathering.add(part));
 		const last = results.at(-1)!;
 		assert.ok(last.isErr);
 		assert.equal(last.error.kind, kind);
