--- a/packages/mesh/src/parts.ts
+++ b/packages/mesh/src/parts.ts
@@ -27,13 +27,13 @@
 
 /** Reassembles the messages of a stream from their parts. Mutable. */
 export class PartAssembler {
-	readonly #mostBytes: number;
+	readonly #maximumBytes: number;
 	#parts: Buffer[] = [];
 	#bytes = 0;
 
 	/** `mostBytes`: the maximum length of a message. */
 	constructor(mostBytes: number) {
-		this.#mostBytes = mostBytes;
+		this.#maximumBytes = mostBytes;
 	}
 
 	/** Adds a part and returns the message if it is complete. Fails with `tooLarge` if the message is too long, and with `malformed` if the bytes are not a part. */
@@ -45,8 +45,8 @@
 
 		this.#parts.push(part.subarray(1));
 		this.#bytes += part.length - 1;
-		if (this.#bytes > this.#mostBytes) {
-			return err(failure(FailureKind.tooLarge, `the message is longer than ${this.#mostBytes} bytes`));
+		if (this.#bytes > this.#maximumBytes) {
+			return err(failure(FailureKind.tooLarge, `the message is longer than ${this.#maximumBytes} bytes`));
 		}
 
 		if (mark === PartMark.more) {
