--- a/packages/mesh/src/parts.ts
+++ b/packages/mesh/src/parts.ts
@@ -32,8 +32,8 @@
 	#bytes = 0;
 
 	/** `mostBytes`: the maximum length of a message. */
-	constructor(mostBytes: number) {
-		this.#maximumBytes = mostBytes;
+	constructor(maximumBytes: number) {
+		this.#maximumBytes = maximumBytes;
 	}
 
 	/** Adds a part and returns the message if it is complete. Fails with `tooLarge` if the message is too long, and with `malformed` if the bytes are not a part. */
