--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -160,14 +160,14 @@
 				}
 			};
 
-			const gathering = new PartAssembler(largestMessageBytes);
+			const assembler = new PartAssembler(largestMessageBytes);
 			stream.on('data', (part: Buffer) => {
 				if (isOver) {
 					return;
 				}
 
 				listener.onPart();
-				const message = gathering.add(part).andThen(whole => whole === undefined ? ok(undefined) : readMessage(whole));
+				const message = assembler.add(part).andThen(whole => whole === undefined ? ok(undefined) : readMessage(whole));
 				if (message.isErr) {
 					stream.cancel();
 					end(message.error);
