--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -85,9 +85,9 @@
 	const channels = new Map<string, Channel>();
 
 	function channelOf(address: string): Channel {
-		const known = channels.get(address);
-		if (known !== undefined) {
-			return known;
+		const existing = channels.get(address);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const made = {client: new Client(address, credentials.createInsecure(), channelOptions), session: undefined, timeouts: 0};
