--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -90,9 +90,9 @@
 			return existing;
 		}
 
-		const made = {client: new Client(address, credentials.createInsecure(), channelOptions), session: undefined, timeouts: 0};
-		channels.set(address, made);
-		return made;
+		const created = {client: new Client(address, credentials.createInsecure(), channelOptions), session: undefined, timeouts: 0};
+		channels.set(address, created);
+		return created;
 	}
 
 	function reopen(address: string): void {
