--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -112,12 +112,12 @@
 	function sessionOf(channel: Channel): Session {
 		if (channel.session === undefined) {
 			const stream = channel.client.makeBidiStreamRequest<unknown, unknown>(sessionMethod.path, sessionMethod.requestSerialize, sessionMethod.responseDeserialize);
-			const made = openSession(stream, () => {
-				if (channel.session === made) {
+			const opened = openSession(stream, () => {
+				if (channel.session === opened) {
 					channel.session = undefined;
 				}
 			});
-			channel.session = made;
+			channel.session = opened;
 		}
 
 		return channel.session;
