--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -102,7 +102,7 @@
 		channel?.client.close();
 	}
 
-	function noteTimeout(address: string, channel: Channel): void {
+	function recordTimeout(address: string, channel: Channel): void {
 		channel.timeouts += 1;
 		if (channel.timeouts >= timeoutsBeforeReopening && channels.get(address) === channel) {
 			reopen(address);
@@ -139,7 +139,7 @@
 			const text = JSON.stringify(request);
 			const replied = await (text.length > partBytes ? callAlone(channel, call, text, timeoutMilliseconds) : sessionOf(channel).call(call, text, timeoutMilliseconds));
 			if (replied.isErr) {
-				noteTimeout(address, channel);
+				recordTimeout(address, channel);
 			} else {
 				channel.timeouts = 0;
 			}
