--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -124,7 +124,7 @@
 	}
 
 	/** Makes a call on a stream of its own: a long message would delay all other calls of a session. */
-	async function callAlone({client}: Channel, call: MeshCall, request: string, timeoutMilliseconds: Milliseconds): Promise<Result<Reply<unknown>, Failure>> {
+	async function callUnary({client}: Channel, call: MeshCall, request: string, timeoutMilliseconds: Milliseconds): Promise<Result<Reply<unknown>, Failure>> {
 		const method = methodOf(call);
 		return new Promise(resolve => {
 			client.makeUnaryRequest(method.path, method.requestSerialize, method.responseDeserialize, encodeText(request), {deadline: Date.now() + timeoutMilliseconds}, (error, value) => {
@@ -137,7 +137,7 @@
 		async call(address, call, request, timeoutMilliseconds) {
 			const channel = channelOf(address);
 			const text = JSON.stringify(request);
-			const replied = await (text.length > partBytes ? callAlone(channel, call, text, timeoutMilliseconds) : sessionOf(channel).call(call, text, timeoutMilliseconds));
+			const replied = await (text.length > partBytes ? callUnary(channel, call, text, timeoutMilliseconds) : sessionOf(channel).call(call, text, timeoutMilliseconds));
 			if (replied.isErr) {
 				recordTimeout(address, channel);
 			} else {
