--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -8,7 +8,7 @@
 import {Distance, distanceOf} from '@dogwooddeck/gateway/selection';
 import {type UpstreamIncarnation, incarnationText} from '@dogwooddeck/key-lease/range';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
-import {type Following, type MeshClients} from '@dogwooddeck/mesh/client';
+import {type FollowStream, type MeshClients} from '@dogwooddeck/mesh/client';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {
 	type LogIndex, type Milliseconds, type MonotonicTime, type RegionName, type ZoneName,
@@ -101,7 +101,7 @@
 	return isServed ? Wanted.nothing : Wanted.changes;
 }
 
-type Stream = {following?: Following; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; heardAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
+type Stream = {following?: FollowStream; distance?: Distance; wanted: Wanted; freshAt: MonotonicTime; heardAt: MonotonicTime; isOpen: boolean; hasHeard: boolean; entries: number};
 
 /** Starts to follow. */
 export function followDirectory({
--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -44,7 +44,7 @@
 const timeoutsBeforeReopening = 2;
 
 /** An open stream of messages from a control instance. */
-export type Following = {readonly stop: () => void};
+export type FollowStream = {readonly stop: () => void};
 
 /** The callbacks of a follower. */
 export type FollowListener = {
@@ -59,7 +59,7 @@
 export type MeshClients = {
 	/** Fails with `unreachable` if there is no answer in time, or with the failure that the other instance returned. */
 	readonly call: <Call extends MeshCall>(address: string, call: Call, request: MeshCalls[Call]['request'], timeoutMilliseconds: Milliseconds) => Promise<Result<MeshCalls[Call]['answer'], Failure>>;
-	readonly follow: (address: string, request: FollowRequest, listener: FollowListener) => Following;
+	readonly follow: (address: string, request: FollowRequest, listener: FollowListener) => FollowStream;
 	/** Retires the connection to an address; the next call opens a new one. */
 	readonly reopen: (address: string) => void;
 	readonly close: () => void;
