--- a/packages/mesh/src/encoding.ts
+++ b/packages/mesh/src/encoding.ts
@@ -10,7 +10,7 @@
 export const largestMessageBytes = 33_554_432;
 
 /** Shorter messages are sent uncompressed: setting up the compression would cost more than it saves. */
-const leastCompressedBytes = 2048;
+const minimumCompressedBytes = 2048;
 
 /** The first byte of a compressed message. JSON never starts with it. */
 const compressedMark = 0x01;
@@ -23,7 +23,7 @@
 /** Encodes JSON text as a message. */
 export function encodeText(text: string): Buffer {
 	const bytes = Buffer.from(text);
-	return bytes.length < leastCompressedBytes
+	return bytes.length < minimumCompressedBytes
 		? bytes
 		: Buffer.concat([Buffer.of(compressedMark), deflateRawSync(bytes, {level: constants.Z_BEST_SPEED})]);
 }
