--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -33,9 +33,9 @@
 /** A listening server. */
 export type MeshServer = {readonly close: () => void};
 
-type Answering = (request: unknown) => Promise<Result<unknown, Failure>>;
+type UntypedHandler = (request: unknown) => Promise<Result<unknown, Failure>>;
 
-async function replyTo(answering: Answering, request: unknown): Promise<Reply<unknown>> {
+async function replyTo(answering: UntypedHandler, request: unknown): Promise<Reply<unknown>> {
 	try {
 		const answer = await answering(request);
 		return answer.isOk ? {answer: answer.value} : {failure: answer.error};
@@ -44,7 +44,7 @@
 	}
 }
 
-function unary(answering: Answering) {
+function unary(answering: UntypedHandler) {
 	return async (call: ServerUnaryCall<unknown, unknown>, respond: sendUnaryData<unknown>) => {
 		respond(null, await replyTo(answering, call.request));
 	};
@@ -62,7 +62,7 @@
 			},
 			on: call.on.bind(call),
 		}, async (name, request) => {
-			const handler = handlers[name] as Answering | undefined;
+			const handler = handlers[name] as UntypedHandler | undefined;
 			return handler === undefined ? {failure: failure(FailureKind.malformed, `unknown call ${name}`)} : replyTo(handler, request);
 		});
 	};
@@ -98,7 +98,7 @@
 /** Listens on an address. Fails with `unreachable` if it can't be bound. */
 export async function startMeshServer(address: string, handlers: MeshHandlers, follow: (follower: Follower) => void): Promise<Result<MeshServer, Failure>> {
 	const server = new Server({'grpc.max_receive_message_length': largestMessageBytes, 'grpc.max_send_message_length': largestMessageBytes});
-	const table = Object.fromEntries(meshCalls.map(call => [call, unary(handlers[call] as Answering)]));
+	const table = Object.fromEntries(meshCalls.map(call => [call, unary(handlers[call] as UntypedHandler)]));
 	server.addService(meshService, {...table, follow: streaming(follow) as never, session: inSession(handlers) as never});
 	return new Promise(resolve => {
 		server.bindAsync(address, ServerCredentials.createInsecure(), error => {
