--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -35,7 +35,7 @@
 
 type UntypedHandler = (request: unknown) => Promise<Result<unknown, Failure>>;
 
-async function replyTo(answering: UntypedHandler, request: unknown): Promise<Reply<unknown>> {
+async function callHandler(answering: UntypedHandler, request: unknown): Promise<Reply<unknown>> {
 	try {
 		const answer = await answering(request);
 		return answer.isOk ? {answer: answer.value} : {failure: answer.error};
@@ -46,7 +46,7 @@
 
 function unary(answering: UntypedHandler) {
 	return async (call: ServerUnaryCall<unknown, unknown>, respond: sendUnaryData<unknown>) => {
-		respond(null, await replyTo(answering, call.request));
+		respond(null, await callHandler(answering, call.request));
 	};
 }
 
@@ -63,7 +63,7 @@
 			on: call.on.bind(call),
 		}, async (name, request) => {
 			const handler = handlers[name] as UntypedHandler | undefined;
-			return handler === undefined ? {failure: failure(FailureKind.malformed, `unknown call ${name}`)} : replyTo(handler, request);
+			return handler === undefined ? {failure: failure(FailureKind.malformed, `unknown call ${name}`)} : callHandler(handler, request);
 		});
 	};
 }
