--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -44,7 +44,7 @@
 	}
 }
 
-function unary(answering: UntypedHandler) {
+function unaryHandler(answering: UntypedHandler) {
 	return async (call: ServerUnaryCall<unknown, unknown>, respond: sendUnaryData<unknown>) => {
 		respond(null, await callHandler(answering, call.request));
 	};
@@ -98,7 +98,7 @@
 /** Listens on an address. Fails with `unreachable` if it can't be bound. */
 export async function startMeshServer(address: string, handlers: MeshHandlers, follow: (follower: Follower) => void): Promise<Result<MeshServer, Failure>> {
 	const server = new Server({'grpc.max_receive_message_length': largestMessageBytes, 'grpc.max_send_message_length': largestMessageBytes});
-	const table = Object.fromEntries(meshCalls.map(call => [call, unary(handlers[call] as UntypedHandler)]));
+	const table = Object.fromEntries(meshCalls.map(call => [call, unaryHandler(handlers[call] as UntypedHandler)]));
 	server.addService(meshService, {...table, follow: streaming(follow) as never, session: inSession(handlers) as never});
 	return new Promise(resolve => {
 		server.bindAsync(address, ServerCredentials.createInsecure(), error => {
