--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -68,7 +68,7 @@
 	};
 }
 
-function streaming(follow: (follower: Follower) => void) {
+function followHandler(follow: (follower: Follower) => void) {
 	return (call: ServerWritableStream<FollowRequest, Buffer>) => {
 		let hasRoom = true;
 		call.on('drain', () => {
@@ -99,7 +99,7 @@
 export async function startMeshServer(address: string, handlers: MeshHandlers, follow: (follower: Follower) => void): Promise<Result<MeshServer, Failure>> {
 	const server = new Server({'grpc.max_receive_message_length': largestMessageBytes, 'grpc.max_send_message_length': largestMessageBytes});
 	const table = Object.fromEntries(meshCalls.map(call => [call, unaryHandler(handlers[call] as UntypedHandler)]));
-	server.addService(meshService, {...table, follow: streaming(follow) as never, session: sessionHandler(handlers) as never});
+	server.addService(meshService, {...table, follow: followHandler(follow) as never, session: sessionHandler(handlers) as never});
 	return new Promise(resolve => {
 		server.bindAsync(address, ServerCredentials.createInsecure(), error => {
 			resolve(error === null
