--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -35,9 +35,9 @@
 
 type UntypedHandler = (request: unknown) => Promise<Result<unknown, Failure>>;
 
-async function callHandler(answering: UntypedHandler, request: unknown): Promise<Reply<unknown>> {
+async function callHandler(handler: UntypedHandler, request: unknown): Promise<Reply<unknown>> {
 	try {
-		const answer = await answering(request);
+		const answer = await handler(request);
 		return answer.isOk ? {answer: answer.value} : {failure: answer.error};
 	} catch (error) {
 		return {failure: toFailure(error)};
