--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -44,9 +44,9 @@
 	}
 }
 
-function unaryHandler(answering: UntypedHandler) {
+function unaryHandler(handler: UntypedHandler) {
 	return async (call: ServerUnaryCall<unknown, unknown>, respond: sendUnaryData<unknown>) => {
-		respond(null, await callHandler(answering, call.request));
+		respond(null, await callHandler(handler, call.request));
 	};
 }
 
