--- a/packages/mesh/src/service.ts
+++ b/packages/mesh/src/service.ts
@@ -18,12 +18,12 @@
 }
 
 /** Which directions of a method are streamed. */
-export type Streams = {readonly request: boolean; readonly response: boolean};
+export type StreamDirections = {readonly request: boolean; readonly response: boolean};
 
-const noStreams: Streams = {request: false, response: false};
+const noStreams: StreamDirections = {request: false, response: false};
 
 /** Returns the definition of a method. */
-export function methodOf(name: string, {request, response}: Streams = noStreams): MethodDefinition<unknown, unknown> {
+export function methodOf(name: string, {request, response}: StreamDirections = noStreams): MethodDefinition<unknown, unknown> {
 	return {
 		path: `/dogwooddeck.Mesh/${name}`,
 		requestStream: request,
