--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -40,7 +40,7 @@
 export class FrameWriter {
 	readonly #write: (message: Buffer) => boolean;
 	#frames = new Map<number, string>();
-	#isDue = false;
+	#isScheduled = false;
 	#hasRoom = true;
 
 	/** `write` returns `false` if the write buffer of the stream is full. */
@@ -66,10 +66,10 @@
 	}
 
 	#schedule(): void {
-		if (!this.#isDue && this.#hasRoom && this.#frames.size > 0) {
-			this.#isDue = true;
+		if (!this.#isScheduled && this.#hasRoom && this.#frames.size > 0) {
+			this.#isScheduled = true;
 			setImmediate(() => {
-				this.#isDue = false;
+				this.#isScheduled = false;
 				this.#flush();
 			});
 		}
