--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -101,15 +101,15 @@
 	const waiting = new Map<number, (outcome: Result<Reply<unknown>, Failure>) => void>();
 	const writer = new FrameWriter(message => stream.write(message));
 	let calls = 0;
-	let over: Failure | undefined;
+	let endFailure: Failure | undefined;
 	let isRetired = false;
 
 	function end(failed: Failure): void {
-		if (over !== undefined) {
+		if (endFailure !== undefined) {
 			return;
 		}
 
-		over = failed;
+		endFailure = failed;
 		for (const settle of waiting.values()) {
 			settle(err(failed));
 		}
@@ -146,8 +146,8 @@
 	});
 	return {
 		async call(call, request, timeoutMilliseconds) {
-			if (over !== undefined) {
-				return err(over);
+			if (endFailure !== undefined) {
+				return err(endFailure);
 			}
 
 			calls += 1;
