--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -98,7 +98,7 @@
 
 /** Opens a session on a stream. `ended` is called once when the stream ends. */
 export function openSession(stream: SessionStream, ended: () => void): Session {
-	const waiting = new Map<number, (outcome: Result<Reply<unknown>, Failure>) => void>();
+	const pendingCalls = new Map<number, (outcome: Result<Reply<unknown>, Failure>) => void>();
 	const writer = new FrameWriter(message => stream.write(message));
 	let calls = 0;
 	let endFailure: Failure | undefined;
@@ -110,7 +110,7 @@
 		}
 
 		endFailure = failed;
-		for (const settle of waiting.values()) {
+		for (const settle of pendingCalls.values()) {
 			settle(err(failed));
 		}
 
@@ -118,7 +118,7 @@
 	}
 
 	function endIfIdle(): void {
-		if (isRetired && waiting.size === 0) {
+		if (isRetired && pendingCalls.size === 0) {
 			stream.cancel();
 		}
 	}
@@ -132,7 +132,7 @@
 		}
 
 		for (const [number, reply] of frames.value) {
-			waiting.get(number)?.(ok(reply));
+			pendingCalls.get(number)?.(ok(reply));
 		}
 	});
 	stream.on('drain', () => {
@@ -155,7 +155,7 @@
 			return new Promise(resolve => {
 				const settle = (outcome: Result<Reply<unknown>, Failure>) => {
 					clearTimeout(timer);
-					waiting.delete(number);
+					pendingCalls.delete(number);
 					writer.drop(number);
 					resolve(outcome);
 					endIfIdle();
@@ -164,7 +164,7 @@
 				const timer = setTimeout(() => {
 					settle(err(failure(FailureKind.unreachable, `no answer within ${timeoutMilliseconds} ms`)));
 				}, timeoutMilliseconds);
-				waiting.set(number, settle);
+				pendingCalls.set(number, settle);
 				writer.add(number, `[${number},${JSON.stringify(call)},${request}]`);
 			});
 		},
