--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -179,7 +179,7 @@
 export function serveSession(stream: SessionStream, answer: (call: MeshCall, request: unknown) => Promise<Reply<unknown>>): void {
 	const writer = new FrameWriter(message => stream.write(message));
 
-	async function take([number, call, request]: CallFrame): Promise<void> {
+	async function answerCall([number, call, request]: CallFrame): Promise<void> {
 		writer.add(number, JSON.stringify([number, await answer(call, request)]));
 	}
 
@@ -191,7 +191,7 @@
 		}
 
 		for (const frame of frames.value) {
-			void take(frame);
+			void answerCall(frame);
 		}
 	});
 	stream.on('drain', () => {
