--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -97,7 +97,7 @@
 }
 
 /** Opens a session on a stream. `ended` is called once when the stream ends. */
-export function openSession(stream: SessionStream, ended: () => void): Session {
+export function openSession(stream: SessionStream, onEnd: () => void): Session {
 	const pendingCalls = new Map<number, (outcome: Result<Reply<unknown>, Failure>) => void>();
 	const writer = new FrameWriter(message => stream.write(message));
 	let calls = 0;
@@ -114,7 +114,7 @@
 			settle(err(failed));
 		}
 
-		ended();
+		onEnd();
 	}
 
 	function endIfIdle(): void {
