--- a/packages/mesh/test/test-parts.ts
+++ b/packages/mesh/test/test-parts.ts
@@ -15,11 +15,11 @@
 for (const {name, bytes, parts: count} of lengths) {
 	test(`parts: ${name} is split and reassembled`, () => {
 		const message = Buffer.from(Array.from({length: bytes}, (_, position) => position % 251));
-		const gathering = new PartAssembler(10 * partBytes);
+		const assembler = new PartAssembler(10 * partBytes);
 		for (const round of [1, 2]) {
 			const parts = splitMessage(message);
 			assert.equal(parts.length, count);
-			const taken = parts.map(part => gathering.add(part).unwrapOr(undefined));
+			const taken = parts.map(part => assembler.add(part).unwrapOr(undefined));
 			assert.deepEqual(taken.slice(0, -1).filter(Boolean), [], `round ${round}`);
 			assert.deepEqual(taken.at(-1), message);
 		}
