--- a/packages/mesh/test/test-parts.ts
+++ b/packages/mesh/test/test-parts.ts
@@ -34,8 +34,8 @@
 
 for (const {name, parts, kind} of refused) {
 	test(`parts: ${name} is refused as ${kind}`, () => {
-		const gathering = new PartAssembler(99);
-		const results = parts.map(part => gathering.add(part));
+		const assembler = new PartAssembler(99);
+		const results = parts.map(part => assembler.add(part));
 		const last = results.at(-1)!;
 		assert.ok(last.isErr);
 		assert.equal(last.error.kind, kind);
