--- a/packages/mesh/test/test-parts.ts
+++ b/packages/mesh/test/test-parts.ts
@@ -19,9 +19,9 @@
 		for (const round of [1, 2]) {
 			const parts = splitMessage(message);
 			assert.equal(parts.length, count);
-			const taken = parts.map(part => assembler.add(part).unwrapOr(undefined));
-			assert.deepEqual(taken.slice(0, -1).filter(Boolean), [], `round ${round}`);
-			assert.deepEqual(taken.at(-1), message);
+			const assembled = parts.map(part => assembler.add(part).unwrapOr(undefined));
+			assert.deepEqual(assembled.slice(0, -1).filter(Boolean), [], `round ${round}`);
+			assert.deepEqual(assembled.at(-1), message);
 		}
 	});
 }
