--- a/packages/mesh/test/test-encoding.ts
+++ b/packages/mesh/test/test-encoding.ts
@@ -15,13 +15,13 @@
 	return {body: {kind: 'command', payload: JSON.stringify([{kind: 'itemsChanged', changes}])}};
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly value: unknown; readonly mostShare: number}> = [
-	{name: 'a short message', value: {kind: 'preVoteAnswered', term: 3, granted: true}, mostShare: 1},
-	{name: 'a change of 500 routes', value: change(500), mostShare: 0.2},
-	{name: 'text with multibyte characters', value: {text: 'é€𝄞'.repeat(1000)}, mostShare: 0.2},
+const cases: ReadonlyArray<{readonly name: string; readonly value: unknown; readonly maximumShare: number}> = [
+	{name: 'a short message', value: {kind: 'preVoteAnswered', term: 3, granted: true}, maximumShare: 1},
+	{name: 'a change of 500 routes', value: change(500), maximumShare: 0.2},
+	{name: 'text with multibyte characters', value: {text: 'é€𝄞'.repeat(1000)}, maximumShare: 0.2},
 ];
 
-for (const {name, value, mostShare} of cases) {
+for (const {name, value, maximumShare: mostShare} of cases) {
 	test(`encoding: ${name} is decoded to the same value, and its encoded size is at most ${mostShare} of its JSON`, () => {
 		const bytes = encodeMessage(value);
 		assert.deepEqual(decodeMessage(bytes), value);
