--- a/packages/mesh/test/test-encoding.ts
+++ b/packages/mesh/test/test-encoding.ts
@@ -21,11 +21,11 @@
 	{name: 'text with multibyte characters', value: {text: 'é€𝄞'.repeat(1000)}, maximumShare: 0.2},
 ];
 
-for (const {name, value, maximumShare: mostShare} of cases) {
-	test(`encoding: ${name} is decoded to the same value, and its encoded size is at most ${mostShare} of its JSON`, () => {
+for (const {name, value, maximumShare: maximumShare} of cases) {
+	test(`encoding: ${name} is decoded to the same value, and its encoded size is at most ${maximumShare} of its JSON`, () => {
 		const bytes = encodeMessage(value);
 		assert.deepEqual(decodeMessage(bytes), value);
-		assert.ok(bytes.length <= mostShare * Buffer.byteLength(JSON.stringify(value)), `${bytes.length}`);
+		assert.ok(bytes.length <= maximumShare * Buffer.byteLength(JSON.stringify(value)), `${bytes.length}`);
 	});
 }
 
