--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -78,7 +78,7 @@
 	};
 }
 
-type Scene = {
+type Scenario = {
 	readonly address: string;
 	readonly clients: MeshClients;
 	readonly relay: Relay;
@@ -88,7 +88,7 @@
 };
 
 /** Runs with a server that answers `confirm` with a count and `depart` after `born` milliseconds, and refuses `declare`. */
-async function inScene(run: (scene: Scene) => Promise<void>): Promise<void> {
+async function inScene(run: (scene: Scenario) => Promise<void>): Promise<void> {
 	const taken: MeshCall[] = [];
 	const handlers = {
 		async confirm() {
