--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -88,7 +88,7 @@
 };
 
 /** Runs with a server that answers `confirm` with a count and `depart` after `born` milliseconds, and refuses `declare`. */
-async function inScene(run: (scene: Scenario) => Promise<void>): Promise<void> {
+async function withScenario(run: (scene: Scenario) => Promise<void>): Promise<void> {
 	const taken: MeshCall[] = [];
 	const handlers = {
 		async confirm() {
@@ -133,7 +133,7 @@
 
 const life = (milliseconds: number) => ({life: {id: 'u', born: milliseconds}});
 
-test('calls: a thousand calls to one instance open one stream', async () => inScene(async ({address, clients, taken, streams}) => {
+test('calls: a thousand calls to one instance open one stream', async () => withScenario(async ({address, clients, taken, streams}) => {
 	for (let round = 0; round < 10; round += 1) {
 		const answers = await Promise.all(Array.from({length: 100}, async () => clients.call(address, 'confirm', {}, 2000)));
 		assert.ok(answers.every(({isOk}) => isOk));
@@ -143,7 +143,7 @@
 	assert.equal(streams(), 1);
 }));
 
-test('calls: each call gets its own answer, regardless of their order', async () => inScene(async ({address, clients}) => {
+test('calls: each call gets its own answer, regardless of their order', async () => withScenario(async ({address, clients}) => {
 	const ended: string[] = [];
 	const call = async (name: string, asked: Promise<unknown>) => {
 		await asked;
@@ -161,7 +161,7 @@
 	assert.deepEqual(ended, ['quick', 'slow']);
 }));
 
-test('calls: a call that times out doesn\'t affect the others', async () => inScene(async ({address, clients}) => {
+test('calls: a call that times out doesn\'t affect the others', async () => withScenario(async ({address, clients}) => {
 	const [late, inTime] = await Promise.all([
 		clients.call(address, 'depart', life(500), 100),
 		clients.call(address, 'depart', life(300), 2000),
@@ -170,7 +170,7 @@
 	assert.ok(inTime.isOk);
 }));
 
-test('calls: consecutive timeouts don\'t end the calls that are pending', async () => inScene(async ({address, clients}) => {
+test('calls: consecutive timeouts don\'t end the calls that are pending', async () => withScenario(async ({address, clients}) => {
 	const slow = clients.call(address, 'depart', life(900), 2000);
 	for (let count = 0; count < 4; count += 1) {
 		const late = await clients.call(address, 'depart', life(500), 100);
@@ -181,7 +181,7 @@
 	assert.ok(ended.isOk);
 }));
 
-test('calls: a lost connection fails the pending calls at once, and the next call opens another', async () => inScene(async ({address, clients, relay}) => {
+test('calls: a lost connection fails the pending calls at once, and the next call opens another', async () => withScenario(async ({address, clients, relay}) => {
 	await clients.call(address, 'confirm', {}, 2000);
 	const startedAt = Date.now();
 	const cut = clients.call(address, 'depart', life(3000), 5000);
@@ -198,7 +198,7 @@
 	assert.ok(next.isOk);
 }));
 
-test('calls: a long message doesn\'t delay short ones', async () => inScene(async ({address, clients, streams}) => {
+test('calls: a long message doesn\'t delay short ones', async () => withScenario(async ({address, clients, streams}) => {
 	const long = {services: [{service: 's', counts: Array.from({length: 100_000}, (_, key) => [key, 1] as const), answers: []}]};
 	const [first, second] = await Promise.all([clients.call(address, 'reportLoad', long, 5000), clients.call(address, 'confirm', {}, 5000)]);
 	assert.ok(first.isOk);
