--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -88,7 +88,7 @@
 };
 
 /** Runs with a server that answers `confirm` with a count and `depart` after `born` milliseconds, and refuses `declare`. */
-async function withScenario(run: (scene: Scenario) => Promise<void>): Promise<void> {
+async function withScenario(run: (scenario: Scenario) => Promise<void>): Promise<void> {
 	const taken: MeshCall[] = [];
 	const handlers = {
 		async confirm() {
