--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -89,23 +89,23 @@
 
 /** Runs with a server that answers `confirm` with a count and `depart` after `born` milliseconds, and refuses `declare`. */
 async function withScenario(run: (scenario: Scenario) => Promise<void>): Promise<void> {
-	const taken: MeshCall[] = [];
+	const received: MeshCall[] = [];
 	const handlers = {
 		async confirm() {
-			taken.push('confirm');
-			return ok({index: taken.length});
+			received.push('confirm');
+			return ok({index: received.length});
 		},
 		async depart({life}: {readonly life: {readonly born: number}}) {
-			taken.push('depart');
+			received.push('depart');
 			await pause(life.born);
 			return ok({});
 		},
 		async declare() {
-			taken.push('declare');
+			received.push('declare');
 			return err(failure(FailureKind.notLeader, 'another instance is the leader'));
 		},
 		async reportLoad({services}: {readonly services: readonly unknown[]}) {
-			taken.push('reportLoad');
+			received.push('reportLoad');
 			return ok({length: JSON.stringify(services).length});
 		},
 	} as unknown as MeshHandlers;
@@ -119,7 +119,7 @@
 	const clients = createMeshClients();
 	try {
 		await run({
-			address: `127.0.0.1:${relay.port}`, clients, relay, received: taken, streams: () => relay.counts.reduce((sum, {streams}) => sum + streams, 0),
+			address: `127.0.0.1:${relay.port}`, clients, relay, received: received, streams: () => relay.counts.reduce((sum, {streams}) => sum + streams, 0),
 		});
 	} finally {
 		clients.close();
