--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -131,7 +131,7 @@
 	}
 }
 
-const life = (milliseconds: number) => ({life: {id: 'u', born: milliseconds}});
+const departRequest = (milliseconds: number) => ({life: {id: 'u', born: milliseconds}});
 
 test('calls: a thousand calls to one instance open one stream', async () => withScenario(async ({address, clients, received: received, streams}) => {
 	for (let round = 0; round < 10; round += 1) {
@@ -151,8 +151,8 @@
 	};
 
 	await Promise.all([
-		call('slow', clients.call(address, 'depart', life(300), 2000)),
-		call('quick', clients.call(address, 'depart', life(1), 2000)),
+		call('slow', clients.call(address, 'depart', departRequest(300), 2000)),
+		call('quick', clients.call(address, 'depart', departRequest(1), 2000)),
 		(async () => {
 			const refused = await clients.call(address, 'declare', {changes: []}, 2000);
 			assert.ok(refused.isErr && refused.error.kind === FailureKind.notLeader);
@@ -163,17 +163,17 @@
 
 test('calls: a call that times out doesn\'t affect the others', async () => withScenario(async ({address, clients}) => {
 	const [late, inTime] = await Promise.all([
-		clients.call(address, 'depart', life(500), 100),
-		clients.call(address, 'depart', life(300), 2000),
+		clients.call(address, 'depart', departRequest(500), 100),
+		clients.call(address, 'depart', departRequest(300), 2000),
 	]);
 	assert.ok(late.isErr && late.error.kind === FailureKind.unreachable);
 	assert.ok(inTime.isOk);
 }));
 
 test('calls: consecutive timeouts don\'t end the calls that are pending', async () => withScenario(async ({address, clients}) => {
-	const slow = clients.call(address, 'depart', life(900), 2000);
+	const slow = clients.call(address, 'depart', departRequest(900), 2000);
 	for (let count = 0; count < 4; count += 1) {
-		const late = await clients.call(address, 'depart', life(500), 100);
+		const late = await clients.call(address, 'depart', departRequest(500), 100);
 		assert.ok(late.isErr);
 	}
 
@@ -184,7 +184,7 @@
 test('calls: a lost connection fails the pending calls at once, and the next call opens another', async () => withScenario(async ({address, clients, relay}) => {
 	await clients.call(address, 'confirm', {}, 2000);
 	const startedAt = Date.now();
-	const cut = clients.call(address, 'depart', life(3000), 5000);
+	const cut = clients.call(address, 'depart', departRequest(3000), 5000);
 	await pause(100);
 	for (const socket of relay.sockets) {
 		socket.destroy();
