--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -49,11 +49,11 @@
 async function startRelay(port: number): Promise<Relay> {
 	const counts: StreamCount[] = [];
 	const sockets = new Set<Socket>();
-	const server = createServer(near => {
+	const server = createServer(clientSocket => {
 		const count = new StreamCount();
 		const far = connect(port, '127.0.0.1');
 		counts.push(count);
-		for (const [socket, other] of [[near, far], [far, near]] as const) {
+		for (const [socket, other] of [[clientSocket, far], [far, clientSocket]] as const) {
 			sockets.add(socket);
 			socket.on('error', () => {
 				other.destroy();
@@ -63,12 +63,12 @@
 			});
 		}
 
-		near.on('data', bytes => {
+		clientSocket.on('data', bytes => {
 			count.read(bytes);
 			far.write(bytes);
 		});
 		far.on('data', bytes => {
-			near.write(bytes);
+			clientSocket.write(bytes);
 		});
 	});
 	server.listen(0, '127.0.0.1');
