--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -51,9 +51,9 @@
 	const sockets = new Set<Socket>();
 	const server = createServer(clientSocket => {
 		const count = new StreamCount();
-		const far = connect(port, '127.0.0.1');
+		const serverSocket = connect(port, '127.0.0.1');
 		counts.push(count);
-		for (const [socket, other] of [[clientSocket, far], [far, clientSocket]] as const) {
+		for (const [socket, other] of [[clientSocket, serverSocket], [serverSocket, clientSocket]] as const) {
 			sockets.add(socket);
 			socket.on('error', () => {
 				other.destroy();
@@ -65,9 +65,9 @@
 
 		clientSocket.on('data', bytes => {
 			count.read(bytes);
-			far.write(bytes);
+			serverSocket.write(bytes);
 		});
-		far.on('data', bytes => {
+		serverSocket.on('data', bytes => {
 			clientSocket.write(bytes);
 		});
 	});
