--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -184,13 +184,13 @@
 test('calls: a lost connection fails the pending calls at once, and the next call opens another', async () => withScenario(async ({address, clients, relay}) => {
 	await clients.call(address, 'confirm', {}, 2000);
 	const startedAt = Date.now();
-	const cut = clients.call(address, 'depart', departRequest(3000), 5000);
+	const pending = clients.call(address, 'depart', departRequest(3000), 5000);
 	await pause(100);
 	for (const socket of relay.sockets) {
 		socket.destroy();
 	}
 
-	const ended = await cut;
+	const ended = await pending;
 	assert.ok(ended.isErr && ended.error.kind === FailureKind.unreachable);
 	assert.ok(Date.now() - startedAt < 1000);
 	await pause(500);
