--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -7,11 +7,11 @@
 /** The report of a control instance expires after this long. */
 const memoryMilliseconds: Milliseconds = 3000;
 
-type Told = {readonly entries: readonly InstanceName[]; readonly at: MonotonicTime};
+type EntryReport = {readonly entries: readonly InstanceName[]; readonly at: MonotonicTime};
 
 /** The number of entries. Mutable. */
 export class EntryCount {
-	readonly #told = new Map<string, Told>();
+	readonly #told = new Map<string, EntryReport>();
 	#total = 1;
 
 	/** Records the entries that follow a control instance, this one or another. */
