--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -11,13 +11,13 @@
 
 /** The number of entries. Mutable. */
 export class EntryCount {
-	readonly #told = new Map<string, EntryReport>();
+	readonly #reports = new Map<string, EntryReport>();
 	#total = 1;
 
 	/** Records the entries that follow a control instance, this one or another. */
 	note(control: string, entries: readonly InstanceName[], now: MonotonicTime): void {
-		this.#told.set(control, {entries, at: now});
-		const recent = [...this.#told.values()].filter(({at}) => now - at <= memoryMilliseconds);
+		this.#reports.set(control, {entries, at: now});
+		const recent = [...this.#reports.values()].filter(({at}) => now - at <= memoryMilliseconds);
 		this.#total = Math.max(1, new Set(recent.flatMap(told => told.entries)).size);
 	}
 
