--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -209,7 +209,7 @@
 		},
 		async sight({voter: seen, entries}) {
 			noteSighting(seen);
-			entryCount.note(seen.name, entries, monotonicNow());
+			entryCount.record(seen.name, entries, monotonicNow());
 			const leader = leaderAddress();
 			return ok({members: own.voter?.members() ?? [], entryCount: entryCount.total(), ...(leader === undefined ? {} : {leader})});
 		},
@@ -267,7 +267,7 @@
 		const sighting = {voter: running.identity, entries: followers.names()};
 		if (running.isLeader()) {
 			noteSighting(running.identity);
-			entryCount.note(settings.address, sighting.entries, monotonicNow());
+			entryCount.record(settings.address, sighting.entries, monotonicNow());
 			return;
 		}
 
--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -15,7 +15,7 @@
 	#total = 1;
 
 	/** Records the entries that follow a control instance, this one or another. */
-	note(control: string, entries: readonly InstanceName[], now: MonotonicTime): void {
+	record(control: string, entries: readonly InstanceName[], now: MonotonicTime): void {
 		this.#reports.set(control, {entries, at: now});
 		const recent = [...this.#reports.values()].filter(({at}) => now - at <= memoryMilliseconds);
 		this.#total = Math.max(1, new Set(recent.flatMap(told => told.entries)).size);
