--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -275,7 +275,7 @@
 		const others = [...new Set([...seeds, ...running.members()])].filter(address => address !== settings.address);
 		const asked = leader === undefined ? others : [leader];
 		const answers = await Promise.all(asked.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
-		entryCount.learn(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
+		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
 		const told = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
 		const unasked = told.filter(address => !asked.includes(address) && address !== settings.address);
 		await Promise.all([...new Set(unasked)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -22,7 +22,7 @@
 	}
 
 	/** Adopts the total that the leader reported. Without an answer of the leader the last total is kept. */
-	learn(totals: readonly number[]): void {
+	adoptTotal(totals: readonly number[]): void {
 		this.#total = totals.length === 0 ? this.#total : Math.max(1, ...totals);
 	}
 
