--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -5,7 +5,7 @@
 import {type InstanceName, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** The report of a control instance expires after this long. */
-const memoryMilliseconds: Milliseconds = 3000;
+const reportLifetimeMilliseconds: Milliseconds = 3000;
 
 type EntryReport = {readonly entries: readonly InstanceName[]; readonly at: MonotonicTime};
 
@@ -17,7 +17,7 @@
 	/** Records the entries that follow a control instance, this one or another. */
 	record(control: string, entries: readonly InstanceName[], now: MonotonicTime): void {
 		this.#reports.set(control, {entries, at: now});
-		const recent = [...this.#reports.values()].filter(({at}) => now - at <= memoryMilliseconds);
+		const recent = [...this.#reports.values()].filter(({at}) => now - at <= reportLifetimeMilliseconds);
 		this.#total = Math.max(1, new Set(recent.flatMap(told => told.entries)).size);
 	}
 
