--- a/packages/control-node/src/entry-count.ts
+++ b/packages/control-node/src/entry-count.ts
@@ -18,7 +18,7 @@
 	record(control: string, entries: readonly InstanceName[], now: MonotonicTime): void {
 		this.#reports.set(control, {entries, at: now});
 		const recent = [...this.#reports.values()].filter(({at}) => now - at <= reportLifetimeMilliseconds);
-		this.#total = Math.max(1, new Set(recent.flatMap(told => told.entries)).size);
+		this.#total = Math.max(1, new Set(recent.flatMap(report => report.entries)).size);
 	}
 
 	/** Adopts the total that the leader reported. Without an answer of the leader the last total is kept. */
