--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -10,7 +10,7 @@
 import {type DirectoryHolder} from './directory-voter.js';
 
 /** The fields of each message other than the changes. */
-export type Pulse = Omit<FollowMessage, 'catchUp'>;
+export type Heartbeat = Omit<FollowMessage, 'catchUp'>;
 
 /** Changes within this window are sent together: each message is written to every follower. */
 const gatherMilliseconds: Milliseconds = 40;
@@ -29,7 +29,7 @@
 };
 
 /** Creates the list of followers. */
-export function createFollowers(holder: DirectoryHolder, pulse: () => Pulse): Followers {
+export function createFollowers(holder: DirectoryHolder, pulse: () => Heartbeat): Followers {
 	const followed = new Set<Followed>();
 	let isFlushing = false;
 
