--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -29,13 +29,13 @@
 };
 
 /** Creates the list of followers. */
-export function createFollowers(holder: DirectoryHolder, pulse: () => Heartbeat): Followers {
+export function createFollowers(holder: DirectoryHolder, heartbeat: () => Heartbeat): Followers {
 	const followed = new Set<Followed>();
 	let isFlushing = false;
 
 	function messageFor(sent: LogIndex): FollowMessage {
 		const catchUp = holder.after(sent);
-		return {...pulse(), ...(catchUp.state !== undefined || catchUp.entries.length > 0 ? {catchUp} : {})};
+		return {...heartbeat(), ...(catchUp.state !== undefined || catchUp.entries.length > 0 ? {catchUp} : {})};
 	}
 
 	/** Followers at the same log index get the same message, which is encoded once. */
@@ -43,7 +43,7 @@
 		const encoded = new Map<LogIndex | undefined, Buffer>();
 		for (const one of some) {
 			const lacks = one.follower.request.wantsChanges ? one.sent : undefined;
-			const message = encoded.get(lacks) ?? encodeMessage(lacks === undefined ? pulse() : messageFor(lacks));
+			const message = encoded.get(lacks) ?? encodeMessage(lacks === undefined ? heartbeat() : messageFor(lacks));
 			encoded.set(lacks, message);
 			if (one.follower.send(message)) {
 				one.sent = holder.state().applied;
