--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -16,7 +16,7 @@
 const gatherMilliseconds: Milliseconds = 40;
 
 /** Interval of the heartbeats. Entries treat three missed messages as loss of contact. */
-export const pulseMilliseconds: Milliseconds = 250;
+export const heartbeatMilliseconds: Milliseconds = 250;
 
 type Followed = {readonly follower: Follower; sent: LogIndex};
 
@@ -62,7 +62,7 @@
 	});
 	const pulsing = setInterval(() => {
 		sendTo(followed);
-	}, pulseMilliseconds);
+	}, heartbeatMilliseconds);
 	return {
 		add(follower) {
 			const one = {follower, sent: follower.request.applied};
