--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -60,7 +60,7 @@
 			}, gatherMilliseconds);
 		}
 	});
-	const pulsing = setInterval(() => {
+	const heartbeatTimer = setInterval(() => {
 		sendTo(followed);
 	}, heartbeatMilliseconds);
 	return {
@@ -74,7 +74,7 @@
 		},
 		names: () => [...new Set([...followed].map(({follower}) => follower.request.entry))],
 		stop() {
-			clearInterval(pulsing);
+			clearInterval(heartbeatTimer);
 		},
 	};
 }
