--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -13,7 +13,7 @@
 export type Heartbeat = Omit<FollowMessage, 'catchUp'>;
 
 /** Changes within this window are sent together: each message is written to every follower. */
-const gatherMilliseconds: Milliseconds = 40;
+const batchMilliseconds: Milliseconds = 40;
 
 /** Interval of the heartbeats. Entries treat three missed messages as loss of contact. */
 export const heartbeatMilliseconds: Milliseconds = 250;
@@ -57,7 +57,7 @@
 			setTimeout(() => {
 				isFlushing = false;
 				sendTo([...followed].filter(({follower}) => follower.request.wantsChanges));
-			}, gatherMilliseconds);
+			}, batchMilliseconds);
 		}
 	});
 	const heartbeatTimer = setInterval(() => {
