--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -18,7 +18,7 @@
 /** Interval of the heartbeats. Entries treat three missed messages as loss of contact. */
 export const heartbeatMilliseconds: Milliseconds = 250;
 
-type Followed = {readonly follower: Follower; sent: LogIndex};
+type FollowerState = {readonly follower: Follower; sent: LogIndex};
 
 /** The followers of this instance. */
 export type Followers = {
@@ -30,7 +30,7 @@
 
 /** Creates the list of followers. */
 export function createFollowers(holder: DirectoryHolder, heartbeat: () => Heartbeat): Followers {
-	const followed = new Set<Followed>();
+	const followed = new Set<FollowerState>();
 	let isFlushing = false;
 
 	function messageFor(sent: LogIndex): FollowMessage {
@@ -39,7 +39,7 @@
 	}
 
 	/** Followers at the same log index get the same message, which is encoded once. */
-	function sendTo(some: Iterable<Followed>): void {
+	function sendTo(some: Iterable<FollowerState>): void {
 		const encoded = new Map<LogIndex | undefined, Buffer>();
 		for (const one of some) {
 			const lacks = one.follower.request.wantsChanges ? one.sent : undefined;
