--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -30,7 +30,7 @@
 
 /** Creates the list of followers. */
 export function createFollowers(holder: DirectoryHolder, heartbeat: () => Heartbeat): Followers {
-	const followed = new Set<FollowerState>();
+	const followerStates = new Set<FollowerState>();
 	let isFlushing = false;
 
 	function messageFor(sent: LogIndex): FollowMessage {
@@ -56,23 +56,23 @@
 			isFlushing = true;
 			setTimeout(() => {
 				isFlushing = false;
-				sendTo([...followed].filter(({follower}) => follower.request.wantsChanges));
+				sendTo([...followerStates].filter(({follower}) => follower.request.wantsChanges));
 			}, batchMilliseconds);
 		}
 	});
 	const heartbeatTimer = setInterval(() => {
-		sendTo(followed);
+		sendTo(followerStates);
 	}, heartbeatMilliseconds);
 	return {
 		add(follower) {
 			const one = {follower, sent: follower.request.applied};
-			followed.add(one);
+			followerStates.add(one);
 			follower.onEnd(() => {
-				followed.delete(one);
+				followerStates.delete(one);
 			});
 			sendTo([one]);
 		},
-		names: () => [...new Set([...followed].map(({follower}) => follower.request.entry))],
+		names: () => [...new Set([...followerStates].map(({follower}) => follower.request.entry))],
 		stop() {
 			clearInterval(heartbeatTimer);
 		},
