--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -42,9 +42,9 @@
 	function sendTo(some: Iterable<FollowerState>): void {
 		const encoded = new Map<LogIndex | undefined, Buffer>();
 		for (const one of some) {
-			const lacks = one.follower.request.wantsChanges ? one.sent : undefined;
-			const message = encoded.get(lacks) ?? encodeMessage(lacks === undefined ? heartbeat() : messageFor(lacks));
-			encoded.set(lacks, message);
+			const sentIndex = one.follower.request.wantsChanges ? one.sent : undefined;
+			const message = encoded.get(sentIndex) ?? encodeMessage(sentIndex === undefined ? heartbeat() : messageFor(sentIndex));
+			encoded.set(sentIndex, message);
 			if (one.follower.send(message)) {
 				one.sent = holder.state().applied;
 			}
