--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -39,9 +39,9 @@
 	}
 
 	/** Followers at the same log index get the same message, which is encoded once. */
-	function sendTo(some: Iterable<FollowerState>): void {
+	function sendTo(recipients: Iterable<FollowerState>): void {
 		const encoded = new Map<LogIndex | undefined, Buffer>();
-		for (const one of some) {
+		for (const one of recipients) {
 			const sentIndex = one.follower.request.wantsChanges ? one.sent : undefined;
 			const message = encoded.get(sentIndex) ?? encodeMessage(sentIndex === undefined ? heartbeat() : messageFor(sentIndex));
 			encoded.set(sentIndex, message);
