--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -58,18 +58,18 @@
 const seeds = 2 ** 31;
 
 /** How the recipient treats a message: as a request to answer, as an answer, or as a notification without an answer. */
-const Turn = {question: 'question', answer: 'answer', word: 'word'} as const;
-type Turn = (typeof Turn)[keyof typeof Turn];
-
-const turns: Readonly<Record<ConsensusMessage['kind'], Turn>> = {
-	preVoteRequested: Turn.question,
-	preVoteAnswered: Turn.answer,
-	voteRequested: Turn.question,
-	voteAnswered: Turn.answer,
-	appendRequested: Turn.question,
-	appendAnswered: Turn.answer,
-	snapshotSent: Turn.question,
-	electionInvited: Turn.word,
+const MessageRole = {question: 'question', answer: 'answer', word: 'word'} as const;
+type MessageRole = (typeof MessageRole)[keyof typeof MessageRole];
+
+const turns: Readonly<Record<ConsensusMessage['kind'], MessageRole>> = {
+	preVoteRequested: MessageRole.question,
+	preVoteAnswered: MessageRole.answer,
+	voteRequested: MessageRole.question,
+	voteAnswered: MessageRole.answer,
+	appendRequested: MessageRole.question,
+	appendAnswered: MessageRole.answer,
+	snapshotSent: MessageRole.question,
+	electionInvited: MessageRole.word,
 };
 
 function seedOf(text: string): number {
@@ -100,7 +100,7 @@
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<unknown, Failure>> {
 		const {kind} = envelope.message;
-		if (turns[kind] === Turn.answer && rides.take(envelope)) {
+		if (turns[kind] === MessageRole.answer && rides.take(envelope)) {
 			measures.counter(MeasureName.replicationMessages, {kind, outcome: 'rode'}).value += 1;
 			return ok(undefined);
 		}
@@ -150,7 +150,7 @@
 		...voter,
 		identity,
 		async deliver(envelope) {
-			if (turns[envelope.message.kind] !== Turn.question) {
+			if (turns[envelope.message.kind] !== MessageRole.question) {
 				return voter.receive(envelope).map(() => ({}));
 			}
 
