--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -61,7 +61,7 @@
 const MessageRole = {question: 'question', answer: 'answer', word: 'word'} as const;
 type MessageRole = (typeof MessageRole)[keyof typeof MessageRole];
 
-const turns: Readonly<Record<ConsensusMessage['kind'], MessageRole>> = {
+const messageRoles: Readonly<Record<ConsensusMessage['kind'], MessageRole>> = {
 	preVoteRequested: MessageRole.question,
 	preVoteAnswered: MessageRole.answer,
 	voteRequested: MessageRole.question,
@@ -100,7 +100,7 @@
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<unknown, Failure>> {
 		const {kind} = envelope.message;
-		if (turns[kind] === MessageRole.answer && rides.take(envelope)) {
+		if (messageRoles[kind] === MessageRole.answer && rides.take(envelope)) {
 			measures.counter(MeasureName.replicationMessages, {kind, outcome: 'rode'}).value += 1;
 			return ok(undefined);
 		}
@@ -150,7 +150,7 @@
 		...voter,
 		identity,
 		async deliver(envelope) {
-			if (turns[envelope.message.kind] !== MessageRole.question) {
+			if (messageRoles[envelope.message.kind] !== MessageRole.question) {
 				return voter.receive(envelope).map(() => ({}));
 			}
 
