--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -58,17 +58,17 @@
 const seeds = 2 ** 31;
 
 /** How the recipient treats a message: as a request to answer, as an answer, or as a notification without an answer. */
-const MessageRole = {question: 'question', answer: 'answer', word: 'word'} as const;
+const MessageRole = {request: 'question', answer: 'answer', word: 'word'} as const;
 type MessageRole = (typeof MessageRole)[keyof typeof MessageRole];
 
 const messageRoles: Readonly<Record<ConsensusMessage['kind'], MessageRole>> = {
-	preVoteRequested: MessageRole.question,
+	preVoteRequested: MessageRole.request,
 	preVoteAnswered: MessageRole.answer,
-	voteRequested: MessageRole.question,
+	voteRequested: MessageRole.request,
 	voteAnswered: MessageRole.answer,
-	appendRequested: MessageRole.question,
+	appendRequested: MessageRole.request,
 	appendAnswered: MessageRole.answer,
-	snapshotSent: MessageRole.question,
+	snapshotSent: MessageRole.request,
 	electionInvited: MessageRole.word,
 };
 
@@ -150,7 +150,7 @@
 		...voter,
 		identity,
 		async deliver(envelope) {
-			if (messageRoles[envelope.message.kind] !== MessageRole.question) {
+			if (messageRoles[envelope.message.kind] !== MessageRole.request) {
 				return voter.receive(envelope).map(() => ({}));
 			}
 
