--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -58,7 +58,7 @@
 const seeds = 2 ** 31;
 
 /** How the recipient treats a message: as a request to answer, as an answer, or as a notification without an answer. */
-const MessageRole = {request: 'question', answer: 'answer', word: 'word'} as const;
+const MessageRole = {request: 'question', answer: 'answer', notification: 'word'} as const;
 type MessageRole = (typeof MessageRole)[keyof typeof MessageRole];
 
 const messageRoles: Readonly<Record<ConsensusMessage['kind'], MessageRole>> = {
@@ -69,7 +69,7 @@
 	appendRequested: MessageRole.request,
 	appendAnswered: MessageRole.answer,
 	snapshotSent: MessageRole.request,
-	electionInvited: MessageRole.word,
+	electionInvited: MessageRole.notification,
 };
 
 function seedOf(text: string): number {
