--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -76,8 +76,8 @@
 	return [...text].reduce((sum, character) => ((sum * 31) + character.codePointAt(0)!) % seeds, Date.now() % seeds);
 }
 
-async function savedState({settings}: VoterParts, folder: OpenFolder, isFounder: boolean): Promise<SavedState> {
-	if (!folder.fresh || !isFounder) {
+async function savedState({settings}: VoterParts, folder: OpenFolder, isBootstrapSeed: boolean): Promise<SavedState> {
+	if (!folder.fresh || !isBootstrapSeed) {
 		return folder.saved;
 	}
 
