--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -115,14 +115,14 @@
 		return sent;
 	}
 
-	const isFounder = settings.founding && settings.seeds.includes(settings.address);
-	const opened = await openFolder(settings.dataFolder, {found: isFounder, locking: FolderLocking.byOthers});
+	const isBootstrapSeed = settings.founding && settings.seeds.includes(settings.address);
+	const opened = await openFolder(settings.dataFolder, {found: isBootstrapSeed, locking: FolderLocking.byOthers});
 	if (opened.isErr) {
 		throw new FailureError(opened.error);
 	}
 
 	const folder = opened.value;
-	const saved = await savedState(parts, folder, isFounder);
+	const saved = await savedState(parts, folder, isBootstrapSeed);
 	if (saved.snapshot !== undefined) {
 		holder.restore(saved.snapshot.index, saved.snapshot.data);
 	}
