--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -81,13 +81,13 @@
 		return folder.saved;
 	}
 
-	const founded = bootstrapCluster(settings.seeds);
-	const persisted = await folder.storage.persist({hardState: founded.hardState, entries: founded.entries});
+	const bootstrapped = bootstrapCluster(settings.seeds);
+	const persisted = await folder.storage.persist({hardState: bootstrapped.hardState, entries: bootstrapped.entries});
 	if (persisted.isErr) {
 		throw new FailureError(persisted.error);
 	}
 
-	return founded;
+	return bootstrapped;
 }
 
 /** Opens the data folder and starts the voter. Throws a `FailureError` if the folder can't be opened or written. */
