--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -36,7 +36,7 @@
 };
 
 /** The collaborators and settings of the voter. */
-export type VoterParts = {
+export type VoterDependencies = {
 	readonly settings: ControlSettings;
 	readonly holder: DirectoryHolder;
 	readonly clients: MeshClients;
@@ -76,7 +76,7 @@
 	return [...text].reduce((sum, character) => ((sum * 31) + character.codePointAt(0)!) % seeds, Date.now() % seeds);
 }
 
-async function savedState({settings}: VoterParts, folder: OpenFolder, isBootstrapSeed: boolean): Promise<SavedState> {
+async function savedState({settings}: VoterDependencies, folder: OpenFolder, isBootstrapSeed: boolean): Promise<SavedState> {
 	if (!folder.fresh || !isBootstrapSeed) {
 		return folder.saved;
 	}
@@ -91,7 +91,7 @@
 }
 
 /** Opens the data folder and starts the voter. Throws a `FailureError` if the folder can't be opened or written. */
-export async function startDirectoryVoter(parts: VoterParts): Promise<DirectoryVoter> {
+export async function startDirectoryVoter(parts: VoterDependencies): Promise<DirectoryVoter> {
 	const {
 		settings, holder, clients, log, measures,
 	} = parts;
