--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -55,7 +55,7 @@
 const firstElectionMilliseconds: Milliseconds = 250;
 
 const entriesBeforeSnapshot = 1000;
-const seeds = 2 ** 31;
+const seedCount = 2 ** 31;
 
 /** How the recipient treats a message: as a request to answer, as an answer, or as a notification without an answer. */
 const MessageRole = {request: 'question', answer: 'answer', notification: 'word'} as const;
@@ -73,7 +73,7 @@
 };
 
 function seedOf(text: string): number {
-	return [...text].reduce((sum, character) => ((sum * 31) + character.codePointAt(0)!) % seeds, Date.now() % seeds);
+	return [...text].reduce((sum, character) => ((sum * 31) + character.codePointAt(0)!) % seedCount, Date.now() % seedCount);
 }
 
 async function savedState({settings}: VoterDependencies, folder: OpenFolder, isBootstrapSeed: boolean): Promise<SavedState> {
