--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -96,11 +96,11 @@
 		settings, holder, clients, log, measures,
 	} = parts;
 
-	const rides = new AnswerRides();
+	const piggybackedAnswers = new AnswerRides();
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<unknown, Failure>> {
 		const {kind} = envelope.message;
-		if (messageRoles[kind] === MessageRole.answer && rides.take(envelope)) {
+		if (messageRoles[kind] === MessageRole.answer && piggybackedAnswers.take(envelope)) {
 			measures.counter(MeasureName.replicationMessages, {kind, outcome: 'rode'}).value += 1;
 			return ok(undefined);
 		}
@@ -154,7 +154,7 @@
 				return voter.receive(envelope).map(() => ({}));
 			}
 
-			const ride = rides.begin(envelope.from.name);
+			const ride = piggybackedAnswers.begin(envelope.from.name);
 			const received = voter.receive(envelope);
 			if (received.isErr) {
 				ride.leave();
