--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -154,14 +154,14 @@
 				return voter.receive(envelope).map(() => ({}));
 			}
 
-			const ride = piggybackedAnswers.begin(envelope.from.name);
+			const waitingCall = piggybackedAnswers.begin(envelope.from.name);
 			const received = voter.receive(envelope);
 			if (received.isErr) {
-				ride.leave();
+				waitingCall.leave();
 				return err(received.error);
 			}
 
-			const answer = await ride.answer;
+			const answer = await waitingCall.answer;
 			return ok(answer === undefined ? {} : {envelope: answer});
 		},
 		members: () => [...new Set([...membersOf(voter.voterSet()).map(({name}) => name), settings.address])],
