--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -17,7 +17,7 @@
 };
 
 /** The calls that wait for an answer, by the voter that made them. */
-export class AnswerRides {
+export class PiggybackedAnswers {
 	readonly #rides = new Map<string, Ride[]>();
 
 	/** Registers a call that waits for the next answer to a voter. */
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -20,7 +20,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
-import {AnswerRides} from './answer-rides.js';
+import {PiggybackedAnswers} from './answer-rides.js';
 import {type ControlSettings} from './settings.js';
 
 /** Holds this process's copy of the directory. */
@@ -96,7 +96,7 @@
 		settings, holder, clients, log, measures,
 	} = parts;
 
-	const piggybackedAnswers = new AnswerRides();
+	const piggybackedAnswers = new PiggybackedAnswers();
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<unknown, Failure>> {
 		const {kind} = envelope.message;
--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type ConsensusEnvelope} from '@dogwooddeck/consensus/message';
-import {AnswerRides} from '@dogwooddeck/control-node/answer-rides';
+import {PiggybackedAnswers} from '@dogwooddeck/control-node/answer-rides';
 
 function answerTo(name: string, round: number): ConsensusEnvelope {
 	return {
@@ -23,7 +23,7 @@
 for (const {name, steps, taken} of cases) {
 	test(`piggybacked answers: ${name}`, async context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
-		const rides = new AnswerRides();
+		const rides = new PiggybackedAnswers();
 		const waiting: Array<Promise<ConsensusEnvelope | undefined>> = [];
 		for (const step of steps) {
 			if ('begins' in step) {
