--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -10,7 +10,7 @@
 const longestRideMilliseconds: Milliseconds = 40;
 
 /** A call that waits for an answer. */
-export type Ride = {
+export type WaitingCall = {
 	/** The answer to return; undefined if none was ready in time. */
 	readonly answer: Promise<ConsensusEnvelope | undefined>;
 	readonly leave: (envelope?: ConsensusEnvelope) => void;
@@ -18,17 +18,17 @@
 
 /** The calls that wait for an answer, by the voter that made them. */
 export class PiggybackedAnswers {
-	readonly #rides = new Map<string, Ride[]>();
+	readonly #rides = new Map<string, WaitingCall[]>();
 
 	/** Registers a call that waits for the next answer to a voter. */
-	begin(voter: string): Ride {
+	begin(voter: string): WaitingCall {
 		const rides = this.#rides.get(voter) ?? [];
 		this.#rides.set(voter, rides);
 		let resolve: (envelope?: ConsensusEnvelope) => void = () => undefined;
 		const answer = new Promise<ConsensusEnvelope | undefined>(_resolve => {
 			resolve = _resolve;
 		});
-		const ride: Ride = {
+		const ride: WaitingCall = {
 			answer,
 			leave(envelope) {
 				clearTimeout(timer);
