--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -21,7 +21,7 @@
 	readonly #rides = new Map<string, WaitingCall[]>();
 
 	/** Registers a call that waits for the next answer to a voter. */
-	begin(voter: string): WaitingCall {
+	waitForAnswer(voter: string): WaitingCall {
 		const rides = this.#rides.get(voter) ?? [];
 		this.#rides.set(voter, rides);
 		let resolve: (envelope?: ConsensusEnvelope) => void = () => undefined;
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -154,7 +154,7 @@
 				return voter.receive(envelope).map(() => ({}));
 			}
 
-			const waitingCall = piggybackedAnswers.begin(envelope.from.name);
+			const waitingCall = piggybackedAnswers.waitForAnswer(envelope.from.name);
 			const received = voter.receive(envelope);
 			if (received.isErr) {
 				waitingCall.leave();
--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -27,7 +27,7 @@
 		const waiting: Array<Promise<ConsensusEnvelope | undefined>> = [];
 		for (const step of steps) {
 			if ('begins' in step) {
-				waiting.push(rides.begin(step.begins).answer);
+				waiting.push(rides.waitForAnswer(step.begins).answer);
 			} else if ('answers' in step) {
 				assert.equal(rides.take(answerTo(...step.answers)), step.rides);
 			} else {
