--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -48,7 +48,7 @@
 	}
 
 	/** Passes an answer to the call that has waited longest. Returns `false` if none is waiting. */
-	take(envelope: ConsensusEnvelope): boolean {
+	deliver(envelope: ConsensusEnvelope): boolean {
 		const [first] = this.#rides.get(envelope.to.name) ?? [];
 		first?.leave(envelope);
 		return first !== undefined;
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -100,7 +100,7 @@
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<unknown, Failure>> {
 		const {kind} = envelope.message;
-		if (messageRoles[kind] === MessageRole.answer && piggybackedAnswers.take(envelope)) {
+		if (messageRoles[kind] === MessageRole.answer && piggybackedAnswers.deliver(envelope)) {
 			measures.counter(MeasureName.replicationMessages, {kind, outcome: 'rode'}).value += 1;
 			return ok(undefined);
 		}
--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -29,7 +29,7 @@
 			if ('begins' in step) {
 				waiting.push(rides.waitForAnswer(step.begins).answer);
 			} else if ('answers' in step) {
-				assert.equal(rides.take(answerTo(...step.answers)), step.rides);
+				assert.equal(rides.deliver(answerTo(...step.answers)), step.rides);
 			} else {
 				context.mock.timers.tick(step.waits);
 			}
