--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -13,7 +13,7 @@
 export type WaitingCall = {
 	/** The answer to return; undefined if none was ready in time. */
 	readonly answer: Promise<ConsensusEnvelope | undefined>;
-	readonly leave: (envelope?: ConsensusEnvelope) => void;
+	readonly complete: (envelope?: ConsensusEnvelope) => void;
 };
 
 /** The calls that wait for an answer, by the voter that made them. */
@@ -30,7 +30,7 @@
 		});
 		const ride: WaitingCall = {
 			answer,
-			leave(envelope) {
+			complete(envelope) {
 				clearTimeout(timer);
 				if (rides.includes(ride)) {
 					rides.splice(rides.indexOf(ride), 1);
@@ -41,7 +41,7 @@
 		};
 
 		const timer = setTimeout(() => {
-			ride.leave();
+			ride.complete();
 		}, longestRideMilliseconds);
 		rides.push(ride);
 		return ride;
@@ -50,7 +50,7 @@
 	/** Passes an answer to the call that has waited longest. Returns `false` if none is waiting. */
 	deliver(envelope: ConsensusEnvelope): boolean {
 		const [first] = this.#rides.get(envelope.to.name) ?? [];
-		first?.leave(envelope);
+		first?.complete(envelope);
 		return first !== undefined;
 	}
 }
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -157,7 +157,7 @@
 			const waitingCall = piggybackedAnswers.waitForAnswer(envelope.from.name);
 			const received = voter.receive(envelope);
 			if (received.isErr) {
-				waitingCall.leave();
+				waitingCall.complete();
 				return err(received.error);
 			}
 
