--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -7,7 +7,7 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
 /** An answer waits for the disk. One that takes longer is sent in a separate call, so that the response isn't delayed further. */
-const longestRideMilliseconds: Milliseconds = 40;
+const maximumWaitMilliseconds: Milliseconds = 40;
 
 /** A call that waits for an answer. */
 export type WaitingCall = {
@@ -42,7 +42,7 @@
 
 		const timer = setTimeout(() => {
 			ride.complete();
-		}, longestRideMilliseconds);
+		}, maximumWaitMilliseconds);
 		rides.push(ride);
 		return ride;
 	}
