--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -18,12 +18,12 @@
 
 /** The calls that wait for an answer, by the voter that made them. */
 export class PiggybackedAnswers {
-	readonly #rides = new Map<string, WaitingCall[]>();
+	readonly #waitingCalls = new Map<string, WaitingCall[]>();
 
 	/** Registers a call that waits for the next answer to a voter. */
 	waitForAnswer(voter: string): WaitingCall {
-		const rides = this.#rides.get(voter) ?? [];
-		this.#rides.set(voter, rides);
+		const rides = this.#waitingCalls.get(voter) ?? [];
+		this.#waitingCalls.set(voter, rides);
 		let resolve: (envelope?: ConsensusEnvelope) => void = () => undefined;
 		const answer = new Promise<ConsensusEnvelope | undefined>(_resolve => {
 			resolve = _resolve;
@@ -49,7 +49,7 @@
 
 	/** Passes an answer to the call that has waited longest. Returns `false` if none is waiting. */
 	deliver(envelope: ConsensusEnvelope): boolean {
-		const [first] = this.#rides.get(envelope.to.name) ?? [];
+		const [first] = this.#waitingCalls.get(envelope.to.name) ?? [];
 		first?.complete(envelope);
 		return first !== undefined;
 	}
