--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -22,8 +22,8 @@
 
 	/** Registers a call that waits for the next answer to a voter. */
 	waitForAnswer(voter: string): WaitingCall {
-		const rides = this.#waitingCalls.get(voter) ?? [];
-		this.#waitingCalls.set(voter, rides);
+		const waitingCalls = this.#waitingCalls.get(voter) ?? [];
+		this.#waitingCalls.set(voter, waitingCalls);
 		let resolve: (envelope?: ConsensusEnvelope) => void = () => undefined;
 		const answer = new Promise<ConsensusEnvelope | undefined>(_resolve => {
 			resolve = _resolve;
@@ -32,8 +32,8 @@
 			answer,
 			complete(envelope) {
 				clearTimeout(timer);
-				if (rides.includes(ride)) {
-					rides.splice(rides.indexOf(ride), 1);
+				if (waitingCalls.includes(ride)) {
+					waitingCalls.splice(waitingCalls.indexOf(ride), 1);
 				}
 
 				resolve(envelope);
@@ -43,7 +43,7 @@
 		const timer = setTimeout(() => {
 			ride.complete();
 		}, maximumWaitMilliseconds);
-		rides.push(ride);
+		waitingCalls.push(ride);
 		return ride;
 	}
 
