--- a/packages/control-node/src/answer-rides.ts
+++ b/packages/control-node/src/answer-rides.ts
@@ -28,12 +28,12 @@
 		const answer = new Promise<ConsensusEnvelope | undefined>(_resolve => {
 			resolve = _resolve;
 		});
-		const ride: WaitingCall = {
+		const waitingCall: WaitingCall = {
 			answer,
 			complete(envelope) {
 				clearTimeout(timer);
-				if (waitingCalls.includes(ride)) {
-					waitingCalls.splice(waitingCalls.indexOf(ride), 1);
+				if (waitingCalls.includes(waitingCall)) {
+					waitingCalls.splice(waitingCalls.indexOf(waitingCall), 1);
 				}
 
 				resolve(envelope);
@@ -41,10 +41,10 @@
 		};
 
 		const timer = setTimeout(() => {
-			ride.complete();
+			waitingCall.complete();
 		}, maximumWaitMilliseconds);
-		waitingCalls.push(ride);
-		return ride;
+		waitingCalls.push(waitingCall);
+		return waitingCall;
 	}
 
 	/** Passes an answer to the call that has waited longest. Returns `false` if none is waiting. */
