--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -23,13 +23,13 @@
 for (const {name, steps, taken} of cases) {
 	test(`piggybacked answers: ${name}`, async context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
-		const rides = new PiggybackedAnswers();
+		const piggybackedAnswers = new PiggybackedAnswers();
 		const waiting: Array<Promise<ConsensusEnvelope | undefined>> = [];
 		for (const step of steps) {
 			if ('begins' in step) {
-				waiting.push(rides.waitForAnswer(step.begins).answer);
+				waiting.push(piggybackedAnswers.waitForAnswer(step.begins).answer);
 			} else if ('answers' in step) {
-				assert.equal(rides.deliver(answerTo(...step.answers)), step.rides);
+				assert.equal(piggybackedAnswers.deliver(answerTo(...step.answers)), step.rides);
 			} else {
 				context.mock.timers.tick(step.waits);
 			}
