--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -11,13 +11,13 @@
 	};
 }
 
-type Step = {readonly begins: string} | {readonly answers: readonly [string, number]; readonly rides: boolean} | {readonly waits: number};
+type Step = {readonly begins: string} | {readonly answers: readonly [string, number]; readonly isPiggybacked: boolean} | {readonly waits: number};
 
 const cases: ReadonlyArray<{readonly name: string; readonly steps: readonly Step[]; readonly taken: ReadonlyArray<number | undefined>}> = [
-	{name: 'an answer is returned by the waiting call', steps: [{begins: 'a'}, {answers: ['a', 1], rides: true}], taken: [1]},
-	{name: 'each call returns one answer, the longest waiting first', steps: [{begins: 'a'}, {begins: 'a'}, {answers: ['a', 1], rides: true}, {answers: ['a', 2], rides: true}, {answers: ['a', 3], rides: false}], taken: [1, 2]},
-	{name: 'an answer to another voter is sent separately', steps: [{begins: 'a'}, {answers: ['b', 1], rides: false}, {waits: 40}], taken: [undefined]},
-	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], rides: false}], taken: [undefined]},
+	{name: 'an answer is returned by the waiting call', steps: [{begins: 'a'}, {answers: ['a', 1], isPiggybacked: true}], taken: [1]},
+	{name: 'each call returns one answer, the longest waiting first', steps: [{begins: 'a'}, {begins: 'a'}, {answers: ['a', 1], isPiggybacked: true}, {answers: ['a', 2], isPiggybacked: true}, {answers: ['a', 3], isPiggybacked: false}], taken: [1, 2]},
+	{name: 'an answer to another voter is sent separately', steps: [{begins: 'a'}, {answers: ['b', 1], isPiggybacked: false}, {waits: 40}], taken: [undefined]},
+	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], isPiggybacked: false}], taken: [undefined]},
 ];
 
 for (const {name, steps, taken} of cases) {
@@ -29,7 +29,7 @@
 			if ('begins' in step) {
 				waiting.push(piggybackedAnswers.waitForAnswer(step.begins).answer);
 			} else if ('answers' in step) {
-				assert.equal(piggybackedAnswers.deliver(answerTo(...step.answers)), step.rides);
+				assert.equal(piggybackedAnswers.deliver(answerTo(...step.answers)), step.isPiggybacked);
 			} else {
 				context.mock.timers.tick(step.waits);
 			}
