--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -13,14 +13,14 @@
 
 type Step = {readonly begins: string} | {readonly answers: readonly [string, number]; readonly isPiggybacked: boolean} | {readonly waits: number};
 
-const cases: ReadonlyArray<{readonly name: string; readonly steps: readonly Step[]; readonly taken: ReadonlyArray<number | undefined>}> = [
-	{name: 'an answer is returned by the waiting call', steps: [{begins: 'a'}, {answers: ['a', 1], isPiggybacked: true}], taken: [1]},
-	{name: 'each call returns one answer, the longest waiting first', steps: [{begins: 'a'}, {begins: 'a'}, {answers: ['a', 1], isPiggybacked: true}, {answers: ['a', 2], isPiggybacked: true}, {answers: ['a', 3], isPiggybacked: false}], taken: [1, 2]},
-	{name: 'an answer to another voter is sent separately', steps: [{begins: 'a'}, {answers: ['b', 1], isPiggybacked: false}, {waits: 40}], taken: [undefined]},
-	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], isPiggybacked: false}], taken: [undefined]},
+const cases: ReadonlyArray<{readonly name: string; readonly steps: readonly Step[]; readonly received: ReadonlyArray<number | undefined>}> = [
+	{name: 'an answer is returned by the waiting call', steps: [{begins: 'a'}, {answers: ['a', 1], isPiggybacked: true}], received: [1]},
+	{name: 'each call returns one answer, the longest waiting first', steps: [{begins: 'a'}, {begins: 'a'}, {answers: ['a', 1], isPiggybacked: true}, {answers: ['a', 2], isPiggybacked: true}, {answers: ['a', 3], isPiggybacked: false}], received: [1, 2]},
+	{name: 'an answer to another voter is sent separately', steps: [{begins: 'a'}, {answers: ['b', 1], isPiggybacked: false}, {waits: 40}], received: [undefined]},
+	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], isPiggybacked: false}], received: [undefined]},
 ];
 
-for (const {name, steps, taken} of cases) {
+for (const {name, steps, received: taken} of cases) {
 	test(`piggybacked answers: ${name}`, async context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
 		const piggybackedAnswers = new PiggybackedAnswers();
