--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -20,7 +20,7 @@
 	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], isPiggybacked: false}], received: [undefined]},
 ];
 
-for (const {name, steps, received: taken} of cases) {
+for (const {name, steps, received: received} of cases) {
 	test(`piggybacked answers: ${name}`, async context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
 		const piggybackedAnswers = new PiggybackedAnswers();
@@ -36,6 +36,6 @@
 		}
 
 		const answers = await Promise.all(waiting);
-		assert.deepEqual(answers.map(answer => answer?.message.kind === 'appendAnswered' ? answer.message.round : undefined), taken);
+		assert.deepEqual(answers.map(answer => answer?.message.kind === 'appendAnswered' ? answer.message.round : undefined), received);
 	});
 }
