--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -31,7 +31,7 @@
 const keptMilliseconds: Milliseconds = 350;
 
 /** The incarnations that have to be notified of a change of their keys: keys granted to them, or keys to release. */
-const livesWithNews = memoize((ranges: readonly KeyRange[]): ReadonlySet<string> =>
+const incarnationsToNotify = memoize((ranges: readonly KeyRange[]): ReadonlySet<string> =>
 	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [incarnationText(range.holder)] : [])));
 
 /** Creates the announcement coordinator. */
@@ -44,7 +44,7 @@
 		}
 
 		keys = state.keys;
-		const lives = Object.values(state.keys).map(ranges => livesWithNews(ranges));
+		const lives = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
 		for (const [life, goOn] of kept) {
 			if (lives.some(some => some.has(life))) {
 				goOn();
@@ -53,7 +53,7 @@
 	});
 
 	function hasNews({upstream, keys: {life}}: Announcement): boolean {
-		return livesWithNews(rangesOf(holder.state().keys, upstream.service)).has(incarnationText(life));
+		return incarnationsToNotify(rangesOf(holder.state().keys, upstream.service)).has(incarnationText(life));
 	}
 
 	/**
