--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -28,7 +28,7 @@
 };
 
 /** Maximum time to hold an announcement: its answer has to arrive within a second, and forwarding and confirming it take up to 0.4 s between regions. */
-const keptMilliseconds: Milliseconds = 350;
+const maximumDelayMilliseconds: Milliseconds = 350;
 
 /** The incarnations that have to be notified of a change of their keys: keys granted to them, or keys to release. */
 const incarnationsToNotify = memoize((ranges: readonly KeyRange[]): ReadonlySet<string> =>
@@ -74,7 +74,7 @@
 				resolve();
 			};
 
-			const timer = setTimeout(goOn, keptMilliseconds);
+			const timer = setTimeout(goOn, maximumDelayMilliseconds);
 			kept.get(key)?.();
 			kept.set(key, goOn);
 		});
