--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -36,16 +36,16 @@
 
 /** Creates the announcement coordinator. */
 export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, passOn}: AnnouncementDeskParts): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
-	const kept = new Map<string, () => void>();
+	const delayed = new Map<string, () => void>();
 	let keys: DirectoryState['keys'] | undefined;
 	holder.listen(state => {
-		if (kept.size === 0 || state.keys === keys) {
+		if (delayed.size === 0 || state.keys === keys) {
 			return;
 		}
 
 		keys = state.keys;
 		const lives = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
-		for (const [life, goOn] of kept) {
+		for (const [life, goOn] of delayed) {
 			if (lives.some(some => some.has(life))) {
 				goOn();
 			}
@@ -67,16 +67,16 @@
 		await new Promise<void>(resolve => {
 			const goOn = () => {
 				clearTimeout(timer);
-				if (kept.get(key) === goOn) {
-					kept.delete(key);
+				if (delayed.get(key) === goOn) {
+					delayed.delete(key);
 				}
 
 				resolve();
 			};
 
 			const timer = setTimeout(goOn, maximumDelayMilliseconds);
-			kept.get(key)?.();
-			kept.set(key, goOn);
+			delayed.get(key)?.();
+			delayed.set(key, goOn);
 		});
 	}
 
