--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -62,7 +62,7 @@
 	 * not with its next announcement. An upstream that is releasing keys announces
 	 * itself often until it is done, and is not held.
 	 */
-	async function keep({keys: {life}}: Announcement): Promise<void> {
+	async function delay({keys: {life}}: Announcement): Promise<void> {
 		const key = incarnationText(life);
 		await new Promise<void>(resolve => {
 			const goOn = () => {
@@ -91,7 +91,7 @@
 			const isQuiet = isRecorded(holder.state(), upstream) && upstream.state === UpstreamState.ready && announced.released.length === 0;
 			const isKept = isKeyed && isQuiet && !hasNews(announcement);
 			if (isKept) {
-				await keep(announcement);
+				await delay(announcement);
 			}
 
 			const state = holder.state();
