--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -45,9 +45,9 @@
 
 		keys = state.keys;
 		const lives = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
-		for (const [life, goOn] of delayed) {
+		for (const [life, resume] of delayed) {
 			if (lives.some(some => some.has(life))) {
-				goOn();
+				resume();
 			}
 		}
 	});
