--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -65,18 +65,18 @@
 	async function delay({keys: {life}}: Announcement): Promise<void> {
 		const key = incarnationText(life);
 		await new Promise<void>(resolve => {
-			const goOn = () => {
+			const resume = () => {
 				clearTimeout(timer);
-				if (delayed.get(key) === goOn) {
+				if (delayed.get(key) === resume) {
 					delayed.delete(key);
 				}
 
 				resolve();
 			};
 
-			const timer = setTimeout(goOn, maximumDelayMilliseconds);
+			const timer = setTimeout(resume, maximumDelayMilliseconds);
 			delayed.get(key)?.();
-			delayed.set(key, goOn);
+			delayed.set(key, resume);
 		});
 	}
 
