--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -89,8 +89,8 @@
 
 			const isKeyed = holder.state().items.service[upstream.service]?.value?.keyed === true;
 			const isQuiet = isRecorded(holder.state(), upstream) && upstream.state === UpstreamState.ready && announced.released.length === 0;
-			const isKept = isKeyed && isQuiet && !hasNews(announcement);
-			if (isKept) {
+			const isDelayed = isKeyed && isQuiet && !hasNews(announcement);
+			if (isDelayed) {
 				await delay(announcement);
 			}
 
