--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -88,8 +88,8 @@
 			}
 
 			const isKeyed = holder.state().items.service[upstream.service]?.value?.keyed === true;
-			const isQuiet = isRecorded(holder.state(), upstream) && upstream.state === UpstreamState.ready && announced.released.length === 0;
-			const isDelayed = isKeyed && isQuiet && !hasNews(announcement);
+			const reportsNoChange = isRecorded(holder.state(), upstream) && upstream.state === UpstreamState.ready && announced.released.length === 0;
+			const isDelayed = isKeyed && reportsNoChange && !hasNews(announcement);
 			if (isDelayed) {
 				await delay(announcement);
 			}
@@ -100,7 +100,7 @@
 			const outcome = await passOn({
 				...(isRecorded(state, upstream) ? {} : {upstream}),
 				keys: report,
-				isUrgent: !isQuiet || hasNews(announcement),
+				isUrgent: !reportsNoChange || hasNews(announcement),
 			});
 			return outcome.map(({keyed, rows, holdMilliseconds: held}) => keyed
 				? {holdMilliseconds: held, holds: rows ?? rowsFor(ranges, report)}
