--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -52,7 +52,7 @@
 		}
 	});
 
-	function hasNews({upstream, keys: {life}}: Announcement): boolean {
+	function mustNotify({upstream, keys: {life}}: Announcement): boolean {
 		return incarnationsToNotify(rangesOf(holder.state().keys, upstream.service)).has(incarnationText(life));
 	}
 
@@ -89,7 +89,7 @@
 
 			const isKeyed = holder.state().items.service[upstream.service]?.value?.keyed === true;
 			const reportsNoChange = isRecorded(holder.state(), upstream) && upstream.state === UpstreamState.ready && announced.released.length === 0;
-			const isDelayed = isKeyed && reportsNoChange && !hasNews(announcement);
+			const isDelayed = isKeyed && reportsNoChange && !mustNotify(announcement);
 			if (isDelayed) {
 				await delay(announcement);
 			}
@@ -100,7 +100,7 @@
 			const outcome = await passOn({
 				...(isRecorded(state, upstream) ? {} : {upstream}),
 				keys: report,
-				isUrgent: !reportsNoChange || hasNews(announcement),
+				isUrgent: !reportsNoChange || mustNotify(announcement),
 			});
 			return outcome.map(({keyed, rows, holdMilliseconds: held}) => keyed
 				? {holdMilliseconds: held, holds: rows ?? rowsFor(ranges, report)}
