--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -24,7 +24,7 @@
 	/** Whether this instance's directory is recent: it is the confirmed leader, or in contact with the leader and not behind. */
 	readonly isFresh: () => boolean;
 	readonly holdMilliseconds: Milliseconds;
-	readonly passOn: (report: AnnouncementReport) => Promise<Result<AnnouncementOutcome, Failure>>;
+	readonly forward: (report: AnnouncementReport) => Promise<Result<AnnouncementOutcome, Failure>>;
 };
 
 /** Maximum time to hold an announcement: its answer has to arrive within a second, and forwarding and confirming it take up to 0.4 s between regions. */
@@ -35,7 +35,7 @@
 	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [incarnationText(range.holder)] : [])));
 
 /** Creates the announcement coordinator. */
-export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, passOn}: AnnouncementDeskParts): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
+export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, forward: passOn}: AnnouncementDeskParts): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
 	const delayed = new Map<string, () => void>();
 	let keys: DirectoryState['keys'] | undefined;
 	holder.listen(state => {
--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -173,7 +173,7 @@
 		holder,
 		isFresh,
 		holdMilliseconds: settings.holdMilliseconds,
-		passOn: createAnnouncementBatch(async batch => {
+		forward: createAnnouncementBatch(async batch => {
 			const answered = await toLeader('announce', {announcements: batch}, async () => ok({answers: await answerAll(batch)}));
 			return answered.map(({answers}) => answers);
 		}),
--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -65,7 +65,7 @@
 		kind: 'itemsChanged', changes: [{kind: 'service', name: 's', item: {version: 1, value: {keyed: true, maxConnections: 10}, document: '{}'}}],
 	}]);
 	const {announce} = createAnnouncementDesk({
-		holder, isFresh: () => true, holdMilliseconds: 5000, passOn: desk.announce,
+		holder, isFresh: () => true, holdMilliseconds: 5000, forward: desk.announce,
 	});
 	return {
 		announce,
