--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -19,7 +19,7 @@
 import {type DirectoryHolder} from './directory-voter.js';
 
 /** The collaborators and options of the announcement coordinator. */
-export type AnnouncementDeskParts = {
+export type AnnouncementCoordinatorDependencies = {
 	readonly holder: DirectoryHolder;
 	/** Whether this instance's directory is recent: it is the confirmed leader, or in contact with the leader and not behind. */
 	readonly isFresh: () => boolean;
@@ -35,7 +35,7 @@
 	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [incarnationText(range.holder)] : [])));
 
 /** Creates the announcement coordinator. */
-export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, forward: passOn}: AnnouncementDeskParts): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
+export function createAnnouncementDesk({holder, isFresh, holdMilliseconds, forward: passOn}: AnnouncementCoordinatorDependencies): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
 	const delayed = new Map<string, () => void>();
 	let keys: DirectoryState['keys'] | undefined;
 	holder.listen(state => {
