--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -28,7 +28,7 @@
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
 import {createAnnouncementBatch} from './announcement-batch.js';
-import {createAnnouncementDesk} from './announcement-desk.js';
+import {createAnnouncementCoordinator} from './announcement-desk.js';
 import {countCalls} from './call-counts.js';
 import {type DirectoryVoter, startDirectoryVoter} from './directory-voter.js';
 import {EntryCount} from './entry-count.js';
@@ -169,7 +169,7 @@
 		return outcomes.map(outcome => outcome.isOk ? {answer: outcome.value} : {failure: outcome.error});
 	}
 
-	const announcements = createAnnouncementDesk({
+	const announcements = createAnnouncementCoordinator({
 		holder,
 		isFresh,
 		holdMilliseconds: settings.holdMilliseconds,
--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -12,7 +12,7 @@
 import {createMeasures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder, type DirectoryVoter} from '@dogwooddeck/control-node/directory-voter';
-import {createAnnouncementDesk} from '@dogwooddeck/control-node/announcement-desk';
+import {createAnnouncementCoordinator} from '@dogwooddeck/control-node/announcement-desk';
 import {createLeaderDesk} from '@dogwooddeck/control-node/leader-desk';
 
 const silent: Log = {
@@ -64,7 +64,7 @@
 	commit([{
 		kind: 'itemsChanged', changes: [{kind: 'service', name: 's', item: {version: 1, value: {keyed: true, maxConnections: 10}, document: '{}'}}],
 	}]);
-	const {announce} = createAnnouncementDesk({
+	const {announce} = createAnnouncementCoordinator({
 		holder, isFresh: () => true, holdMilliseconds: 5000, forward: desk.announce,
 	});
 	return {
