--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -44,9 +44,9 @@
 		}
 
 		keys = state.keys;
-		const lives = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
+		const incarnationSets = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
 		for (const [life, resume] of delayed) {
-			if (lives.some(some => some.has(life))) {
+			if (incarnationSets.some(some => some.has(life))) {
 				resume();
 			}
 		}
