--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -45,8 +45,8 @@
 
 		keys = state.keys;
 		const incarnationSets = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
-		for (const [life, resume] of delayed) {
-			if (incarnationSets.some(some => some.has(life))) {
+		for (const [incarnation, resume] of delayed) {
+			if (incarnationSets.some(some => some.has(incarnation))) {
 				resume();
 			}
 		}
