--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -52,8 +52,8 @@
 		}
 	});
 
-	function mustNotify({upstream, keys: {life}}: Announcement): boolean {
-		return incarnationsToNotify(rangesOf(holder.state().keys, upstream.service)).has(incarnationText(life));
+	function mustNotify({upstream, keys: {life: incarnation}}: Announcement): boolean {
+		return incarnationsToNotify(rangesOf(holder.state().keys, upstream.service)).has(incarnationText(incarnation));
 	}
 
 	/**
