--- a/packages/control-node/src/announcement-desk.ts
+++ b/packages/control-node/src/announcement-desk.ts
@@ -62,8 +62,8 @@
 	 * not with its next announcement. An upstream that is releasing keys announces
 	 * itself often until it is done, and is not held.
 	 */
-	async function delay({keys: {life}}: Announcement): Promise<void> {
-		const key = incarnationText(life);
+	async function delay({keys: {life: incarnation}}: Announcement): Promise<void> {
+		const key = incarnationText(incarnation);
 		await new Promise<void>(resolve => {
 			const resume = () => {
 				clearTimeout(timer);
