--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -38,7 +38,7 @@
 import {createProposals} from './proposals.js';
 
 /** The calls that the leader alone answers. */
-export type LeaderDesk = {
+export type LeaderCoordinator = {
 	readonly announce: (report: AnnouncementReport) => Promise<Result<AnnouncementOutcome, Failure>>;
 	readonly depart: (request: MeshCalls['depart']['request']) => Promise<Result<Record<string, never>, Failure>>;
 	readonly declare: (request: MeshCalls['declare']['request']) => Promise<Result<{readonly index: LogIndex}, Failure>>;
@@ -79,7 +79,7 @@
 }
 
 /** Creates the leader coordinator. */
-export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: DeskParts): LeaderDesk {
+export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: DeskParts): LeaderCoordinator {
 	let granting: GrantingState = beginGranting(monotonicNow());
 	let loads = new LoadCounts();
 	let planning: NodeJS.Timeout | undefined;
