--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -53,7 +53,7 @@
 };
 
 /** The collaborators and options of the leader coordinator. */
-export type DeskParts = {
+export type LeaderDependencies = {
 	readonly holder: DirectoryHolder;
 	readonly voter: () => DirectoryVoter;
 	readonly terms: GrantingTerms;
@@ -79,7 +79,7 @@
 }
 
 /** Creates the leader coordinator. */
-export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: DeskParts): LeaderCoordinator {
+export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: LeaderDependencies): LeaderCoordinator {
 	let granting: GrantingState = beginGranting(monotonicNow());
 	let loads = new LoadCounts();
 	let planning: NodeJS.Timeout | undefined;
