--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -34,7 +34,7 @@
 import {EntryCount} from './entry-count.js';
 import {createFollowers} from './followers.js';
 import {isRecent} from './freshness.js';
-import {createLeaderDesk} from './leader-desk.js';
+import {createLeaderCoordinator} from './leader-desk.js';
 import {createLoadRelay} from './load-relay.js';
 import {type ReplicationWatch, startReplicationWatch} from './replication-watch.js';
 import {type ControlSettings} from './settings.js';
@@ -92,7 +92,7 @@
 	const own: {voter?: DirectoryVoter; replication?: ReplicationWatch} = {};
 	let isChangingVoters = false;
 	let {seeds} = settings;
-	const desk = createLeaderDesk({
+	const desk = createLeaderCoordinator({
 		holder, voter: () => own.voter!, terms: {holdMilliseconds: settings.holdMilliseconds, clockDrift: settings.clockDrift}, mostRanges: settings.mostRanges, log, measures,
 	});
 
--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -79,7 +79,7 @@
 }
 
 /** Creates the leader coordinator. */
-export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: LeaderDependencies): LeaderCoordinator {
+export function createLeaderCoordinator({holder, voter, terms, mostRanges, log, measures}: LeaderDependencies): LeaderCoordinator {
 	let granting: GrantingState = beginGranting(monotonicNow());
 	let loads = new LoadCounts();
 	let planning: NodeJS.Timeout | undefined;
--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -13,7 +13,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder, type DirectoryVoter} from '@dogwooddeck/control-node/directory-voter';
 import {createAnnouncementCoordinator} from '@dogwooddeck/control-node/announcement-desk';
-import {createLeaderDesk} from '@dogwooddeck/control-node/leader-desk';
+import {createLeaderCoordinator} from '@dogwooddeck/control-node/leader-desk';
 
 const silent: Log = {
 	event: () => undefined, warning: () => undefined, error: () => undefined,
@@ -58,7 +58,7 @@
 		},
 		quorumHeardAt: () => leads.value ? now : undefined,
 	} as unknown as DirectoryVoter;
-	const desk = createLeaderDesk({
+	const desk = createLeaderCoordinator({
 		holder, voter: () => voter, terms: {holdMilliseconds: 5000, clockDrift: 0.02}, mostRanges: 150, log: silent, measures: createMeasures(),
 	});
 	commit([{
