--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -66,7 +66,7 @@
 const planMilliseconds: Milliseconds = 250;
 
 /** Delay from a change that requires a new plan to that plan, which covers all changes received meanwhile. */
-const gatherChangesMilliseconds: Milliseconds = 30;
+const changeBatchMilliseconds: Milliseconds = 30;
 
 /** Announcements received within this window are confirmed by one read round of the log; urgent ones have a shorter window. */
 const gatherConfirmsMilliseconds: Milliseconds = 120;
@@ -268,7 +268,7 @@
 			planningSoon ??= setTimeout(() => {
 				planningSoon = undefined;
 				planNow();
-			}, gatherChangesMilliseconds);
+			}, changeBatchMilliseconds);
 		}
 	}
 
