--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -70,7 +70,7 @@
 
 /** Announcements received within this window are confirmed by one read round of the log; urgent ones have a shorter window. */
 const confirmBatchMilliseconds: Milliseconds = 120;
-const gatherUrgentMilliseconds: Milliseconds = 10;
+const urgentBatchMilliseconds: Milliseconds = 10;
 
 const lapseLinesPerSecond = 10;
 
@@ -159,7 +159,7 @@
 
 	/** Confirms that this instance is still the leader, with one round for all announcements of a batching window: each round crosses regions. */
 	async function confirmTogether(isUrgent: boolean): Promise<Result<LogIndex, Failure>> {
-		const milliseconds = isUrgent ? gatherUrgentMilliseconds : confirmBatchMilliseconds;
+		const milliseconds = isUrgent ? urgentBatchMilliseconds : confirmBatchMilliseconds;
 		const known = confirming.get(milliseconds) ?? confirmAfter(milliseconds);
 		confirming.set(milliseconds, known);
 		return known;
