--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -63,7 +63,7 @@
 	readonly measures: Measures;
 };
 
-const planMilliseconds: Milliseconds = 250;
+const planIntervalMilliseconds: Milliseconds = 250;
 
 /** Delay from a change that requires a new plan to that plan, which covers all changes received meanwhile. */
 const changeBatchMilliseconds: Milliseconds = 30;
@@ -348,7 +348,7 @@
 			loads = new LoadCounts();
 			joinedAt = monotonicNow();
 			clearInterval(planning);
-			planning = setInterval(planNow, planMilliseconds);
+			planning = setInterval(planNow, planIntervalMilliseconds);
 		},
 		end() {
 			clearInterval(planning);
