--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -131,7 +131,7 @@
 	}
 
 	/** Logs and counts keys that were reported to an upstream as held and that it no longer lists. */
-	function noteLapse({service}: UpstreamRecord, keys: KeyReport, receivedAt: MonotonicTime): void {
+	function recordLapse({service}: UpstreamRecord, keys: KeyReport, receivedAt: MonotonicTime): void {
 		const lapsed = lapsedRows(granting, rangesOf(holder.state().keys, service), keys);
 		if (lapsed.length === 0) {
 			return;
@@ -215,7 +215,7 @@
 			joinedAt = receivedAt;
 		}
 
-		noteLapse(upstream, keys, receivedAt);
+		recordLapse(upstream, keys, receivedAt);
 		granting = recordContact(granting, keys.life, receivedAt, terms);
 		const commands = [...recorded.value, ...evidenceOf(upstream, keys)];
 		const confirmed = commands.length === 0 ? await confirmTogether(isUrgent) : await propose(commands);
