--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -117,10 +117,10 @@
 		granting = recordAnswer(granting, {
 			life, sequence, receivedAt, index: holder.state().applied,
 		}, terms);
-		const untold = rows.filter(({told}) => !told);
+		const unreported = rows.filter(({told}) => !told);
 		const stopped = rangesHeldBy(ranges, life).filter(({told, releasingSince}) => told && releasingSince !== undefined);
 		const commands: readonly DirectoryCommand[] = [
-			...(untold.length === 0 ? [] : [{kind: 'keysTold', service, rows: spansOf(untold, life)} as const]),
+			...(unreported.length === 0 ? [] : [{kind: 'keysTold', service, rows: spansOf(unreported, life)} as const]),
 			...(stopped.length === 0 ? [] : [{kind: 'keysStopped', service, rows: spansOf(stopped, life)} as const]),
 		];
 		if (commands.length > 0) {
