--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -160,9 +160,9 @@
 	/** Confirms that this instance is still the leader, with one round for all announcements of a batching window: each round crosses regions. */
 	async function confirmTogether(isUrgent: boolean): Promise<Result<LogIndex, Failure>> {
 		const milliseconds = isUrgent ? urgentBatchMilliseconds : confirmBatchMilliseconds;
-		const known = confirming.get(milliseconds) ?? confirmAfter(milliseconds);
-		confirming.set(milliseconds, known);
-		return known;
+		const pending = confirming.get(milliseconds) ?? confirmAfter(milliseconds);
+		confirming.set(milliseconds, pending);
+		return pending;
 	}
 
 	async function waitForExpiry(): Promise<Result<unknown, Failure>> {
