--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -185,9 +185,9 @@
 		}
 
 		const text = JSON.stringify(changes);
-		const known = declaring.get(text) ?? propose([{kind: 'itemsChanged', changes}]);
-		declaring.set(text, known);
-		const proposed = await known;
+		const pending = declaring.get(text) ?? propose([{kind: 'itemsChanged', changes}]);
+		declaring.set(text, pending);
+		const proposed = await pending;
 		declaring.delete(text);
 		return proposed;
 	}
