--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -311,15 +311,15 @@
 	return {
 		announce,
 		async depart({life}) {
-			const known = holder.state().upstreams[life.id];
-			if (known === undefined || (life.born !== undefined && life.born !== known.born)) {
+			const recorded = holder.state().upstreams[life.id];
+			if (recorded === undefined || (life.born !== undefined && life.born !== recorded.born)) {
 				const confirmed = await voter().read();
 				return confirmed.map(() => ({}));
 			}
 
-			const proposed = await propose([{kind: 'upstreamDeparted', life: {id: known.id, born: known.born}}]);
+			const proposed = await propose([{kind: 'upstreamDeparted', life: {id: recorded.id, born: recorded.born}}]);
 			log.event(EventName.upstreamLeft, {
-				upstream: known.id, born: known.born, service: known.service, index: proposed.unwrapOr(0),
+				upstream: recorded.id, born: recorded.born, service: recorded.service, index: proposed.unwrapOr(0),
 			});
 			return proposed.map(() => ({}));
 		},
