--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -86,7 +86,7 @@
 	let planningSoon: NodeJS.Timeout | undefined;
 	let isProposing = false;
 	/** The pending proposal that vacates keys of holders whose lease expired: no lease may be renewed until its outcome is known. */
-	let expiring: Promise<unknown> | undefined;
+	let pendingExpiry: Promise<unknown> | undefined;
 	let shares: readonly HolderShare[] = [];
 	let joinedAt: MonotonicTime = -Infinity;
 	/** Read rounds that have not started yet, by the length of their batching window. */
@@ -166,11 +166,11 @@
 	}
 
 	async function waitForExpiry(): Promise<Result<unknown, Failure>> {
-		if (expiring === undefined) {
+		if (pendingExpiry === undefined) {
 			return ok(undefined);
 		}
 
-		await expiring;
+		await pendingExpiry;
 		const confirmed = await voter().read();
 		return confirmed.isErr ? confirmed : waitForExpiry();
 	}
@@ -249,9 +249,9 @@
 	async function proposePlan(commands: readonly DirectoryCommand[]): Promise<void> {
 		isProposing = true;
 		const proposing = propose(commands);
-		expiring = commands.some(({kind}) => kind === 'keysVacated') ? proposing : undefined;
+		pendingExpiry = commands.some(({kind}) => kind === 'keysVacated') ? proposing : undefined;
 		const proposed = await proposing;
-		expiring = undefined;
+		pendingExpiry = undefined;
 		isProposing = false;
 		for (const command of commands) {
 			log.event(EventName.keysPlanned, {command: command.kind, rows: describe(command), index: proposed.unwrapOr(0)});
