--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -82,7 +82,7 @@
 export function createLeaderCoordinator({holder, voter, terms, mostRanges, log, measures}: LeaderDependencies): LeaderCoordinator {
 	let granting: GrantingState = beginGranting(monotonicNow());
 	let loads = new LoadCounts();
-	let planning: NodeJS.Timeout | undefined;
+	let planTimer: NodeJS.Timeout | undefined;
 	let planningSoon: NodeJS.Timeout | undefined;
 	let isProposing = false;
 	/** The pending proposal that vacates keys of holders whose lease expired: no lease may be renewed until its outcome is known. */
@@ -264,7 +264,7 @@
 
 	/** Schedules a plan shortly, so that changes in quick succession share one plan. */
 	function plan(): void {
-		if (planning !== undefined) {
+		if (planTimer !== undefined) {
 			planningSoon ??= setTimeout(() => {
 				planningSoon = undefined;
 				planNow();
@@ -282,7 +282,7 @@
 	}
 
 	function planNow(): void {
-		if (isProposing || planning === undefined || voter().quorumHeardAt(monotonicNow()) === undefined) {
+		if (isProposing || planTimer === undefined || voter().quorumHeardAt(monotonicNow()) === undefined) {
 			return;
 		}
 
@@ -347,13 +347,13 @@
 			granting = beginGranting(monotonicNow());
 			loads = new LoadCounts();
 			joinedAt = monotonicNow();
-			clearInterval(planning);
-			planning = setInterval(planNow, planIntervalMilliseconds);
+			clearInterval(planTimer);
+			planTimer = setInterval(planNow, planIntervalMilliseconds);
 		},
 		end() {
-			clearInterval(planning);
+			clearInterval(planTimer);
 			clearTimeout(planningSoon);
-			planning = undefined;
+			planTimer = undefined;
 			planningSoon = undefined;
 			shares = [];
 		},
