--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -83,7 +83,7 @@
 	let granting: GrantingState = beginGranting(monotonicNow());
 	let loads = new LoadCounts();
 	let planTimer: NodeJS.Timeout | undefined;
-	let planningSoon: NodeJS.Timeout | undefined;
+	let scheduledPlan: NodeJS.Timeout | undefined;
 	let isProposing = false;
 	/** The pending proposal that vacates keys of holders whose lease expired: no lease may be renewed until its outcome is known. */
 	let pendingExpiry: Promise<unknown> | undefined;
@@ -265,8 +265,8 @@
 	/** Schedules a plan shortly, so that changes in quick succession share one plan. */
 	function plan(): void {
 		if (planTimer !== undefined) {
-			planningSoon ??= setTimeout(() => {
-				planningSoon = undefined;
+			scheduledPlan ??= setTimeout(() => {
+				scheduledPlan = undefined;
 				planNow();
 			}, changeBatchMilliseconds);
 		}
@@ -352,9 +352,9 @@
 		},
 		end() {
 			clearInterval(planTimer);
-			clearTimeout(planningSoon);
+			clearTimeout(scheduledPlan);
 			planTimer = undefined;
-			planningSoon = undefined;
+			scheduledPlan = undefined;
 			shares = [];
 		},
 	};
