--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -235,7 +235,7 @@
 				commands: commands.map(({kind}) => kind).join(','),
 				index: confirmed.value,
 			});
-			plan();
+			schedulePlan();
 		}
 
 		const settled = await waitForExpiry();
@@ -258,12 +258,12 @@
 		}
 
 		if (proposed.isOk) {
-			plan();
+			schedulePlan();
 		}
 	}
 
 	/** Schedules a plan shortly, so that changes in quick succession share one plan. */
-	function plan(): void {
+	function schedulePlan(): void {
 		if (planTimer !== undefined) {
 			scheduledPlan ??= setTimeout(() => {
 				scheduledPlan = undefined;
