--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -273,7 +273,7 @@
 	}
 
 	/** The overloaded upstreams of a service. */
-	function overloadsOf(service: string, rates: readonly KeyRate[], now: MonotonicTime): readonly HolderShare[] {
+	function overloadedHolders(service: string, rates: readonly KeyRate[], now: MonotonicTime): readonly HolderShare[] {
 		const {keys, upstreams} = holder.state();
 		const meanLatency = loads.meanLatency(service, now);
 		return holderShares(rangesOf(keys, service), rates, ({id}) => processedPerSecond({
@@ -302,7 +302,7 @@
 				speedOf: upstream => loads.speed(upstream, service, now),
 			}),
 		});
-		shares = [...rates].flatMap(([service, counted]) => overloadsOf(service, counted, now));
+		shares = [...rates].flatMap(([service, counted]) => overloadedHolders(service, counted, now));
 		if (commands.length > 0) {
 			void proposePlan(commands);
 		}
