--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -90,7 +90,7 @@
 	let shares: readonly HolderShare[] = [];
 	let joinedAt: MonotonicTime = -Infinity;
 	/** Read rounds that have not started yet, by the length of their batching window. */
-	const confirming = new Map<Milliseconds, Promise<Result<LogIndex, Failure>>>();
+	const pendingConfirms = new Map<Milliseconds, Promise<Result<LogIndex, Failure>>>();
 	/** Pending proposals of item changes, by the JSON of the changes. */
 	const declaring = new Map<string, Promise<Result<LogIndex, Failure>>>();
 	const lapseLines = new LineBudget(lapseLinesPerSecond);
@@ -153,15 +153,15 @@
 
 	async function confirmAfter(milliseconds: Milliseconds): Promise<Result<LogIndex, Failure>> {
 		await pause(milliseconds);
-		confirming.delete(milliseconds);
+		pendingConfirms.delete(milliseconds);
 		return voter().read();
 	}
 
 	/** Confirms that this instance is still the leader, with one round for all announcements of a batching window: each round crosses regions. */
 	async function confirmTogether(isUrgent: boolean): Promise<Result<LogIndex, Failure>> {
 		const milliseconds = isUrgent ? urgentBatchMilliseconds : confirmBatchMilliseconds;
-		const pending = confirming.get(milliseconds) ?? confirmAfter(milliseconds);
-		confirming.set(milliseconds, pending);
+		const pending = pendingConfirms.get(milliseconds) ?? confirmAfter(milliseconds);
+		pendingConfirms.set(milliseconds, pending);
 		return pending;
 	}
 
