--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -92,7 +92,7 @@
 	/** Read rounds that have not started yet, by the length of their batching window. */
 	const pendingConfirms = new Map<Milliseconds, Promise<Result<LogIndex, Failure>>>();
 	/** Pending proposals of item changes, by the JSON of the changes. */
-	const declaring = new Map<string, Promise<Result<LogIndex, Failure>>>();
+	const pendingDeclarations = new Map<string, Promise<Result<LogIndex, Failure>>>();
 	const lapseLines = new LineBudget(lapseLinesPerSecond);
 	const propose = createProposals(async payload => voter().propose(payload));
 
@@ -185,10 +185,10 @@
 		}
 
 		const text = JSON.stringify(changes);
-		const pending = declaring.get(text) ?? propose([{kind: 'itemsChanged', changes}]);
-		declaring.set(text, pending);
+		const pending = pendingDeclarations.get(text) ?? propose([{kind: 'itemsChanged', changes}]);
+		pendingDeclarations.set(text, pending);
 		const proposed = await pending;
-		declaring.delete(text);
+		pendingDeclarations.delete(text);
 		return proposed;
 	}
 
