--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -287,7 +287,7 @@
 		}
 
 		const now = monotonicNow();
-		const keyed = standing(holder.state().items.service).filter(([, {keyed: isDivided}]) => isDivided);
+		const keyed = standing(holder.state().items.service).filter(([, {keyed: hasKeys}]) => hasKeys);
 		const rates = new Map(keyed.map(([service]) => [service, loads.rates(service, now)]));
 		const commands = planDirectory({
 			state: holder.state(),
