--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -100,7 +100,7 @@
 		return holder.state().items.service[service]?.value?.keyed ?? false;
 	}
 
-	function evidenceOf({service}: UpstreamRecord, keys: KeyReport): readonly DirectoryCommand[] {
+	function vacateCommands({service}: UpstreamRecord, keys: KeyReport): readonly DirectoryCommand[] {
 		const rows = vacatedByAnnouncement(granting, rangesOf(holder.state().keys, service), keys);
 		return rows.length === 0 ? [] : [{kind: 'keysVacated', service, rows}];
 	}
@@ -217,7 +217,7 @@
 
 		recordLapse(upstream, keys, receivedAt);
 		granting = recordContact(granting, keys.life, receivedAt, terms);
-		const commands = [...recorded.value, ...evidenceOf(upstream, keys)];
+		const commands = [...recorded.value, ...vacateCommands(upstream, keys)];
 		const confirmed = commands.length === 0 ? await confirmTogether(isUrgent) : await propose(commands);
 		if (confirmed.isErr) {
 			return err(confirmed.error);
