--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -242,7 +242,7 @@
 		return settled.map(() => answerKeys(upstream, keys, receivedAt));
 	}
 
-	function describe(command: DirectoryCommand): string {
+	function describeRows(command: DirectoryCommand): string {
 		return 'rows' in command ? command.rows.map(({from, to, holder: life}) => `${from}-${to}:${life.id}`).join(',').slice(0, 400) : command.kind;
 	}
 
@@ -254,7 +254,7 @@
 		pendingExpiry = undefined;
 		isProposing = false;
 		for (const command of commands) {
-			log.event(EventName.keysPlanned, {command: command.kind, rows: describe(command), index: proposed.unwrapOr(0)});
+			log.event(EventName.keysPlanned, {command: command.kind, rows: describeRows(command), index: proposed.unwrapOr(0)});
 		}
 
 		if (proposed.isOk) {
