--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -111,17 +111,17 @@
 			return {holdMilliseconds, keyed: false};
 		}
 
-		const {life, sequence} = keys;
+		const {life: incarnation, sequence} = keys;
 		const ranges = rangesOf(holder.state().keys, service);
-		const rows = rowsOf(ranges, life);
+		const rows = rowsOf(ranges, incarnation);
 		granting = recordAnswer(granting, {
-			life, sequence, receivedAt, index: holder.state().applied,
+			life: incarnation, sequence, receivedAt, index: holder.state().applied,
 		}, terms);
 		const unreported = rows.filter(({told}) => !told);
-		const stopped = rangesHeldBy(ranges, life).filter(({told, releasingSince}) => told && releasingSince !== undefined);
+		const stopped = rangesHeldBy(ranges, incarnation).filter(({told, releasingSince}) => told && releasingSince !== undefined);
 		const commands: readonly DirectoryCommand[] = [
-			...(unreported.length === 0 ? [] : [{kind: 'keysTold', service, rows: spansOf(unreported, life)} as const]),
-			...(stopped.length === 0 ? [] : [{kind: 'keysStopped', service, rows: spansOf(stopped, life)} as const]),
+			...(unreported.length === 0 ? [] : [{kind: 'keysTold', service, rows: spansOf(unreported, incarnation)} as const]),
+			...(stopped.length === 0 ? [] : [{kind: 'keysStopped', service, rows: spansOf(stopped, incarnation)} as const]),
 		];
 		if (commands.length > 0) {
 			void propose(commands);
