--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -193,9 +193,9 @@
 	}
 
 	/** The upstream record of an announcement; undefined if the sender's directory was older and the one here records another incarnation. */
-	function recordOf({upstream, keys: {life}}: AnnouncementReport): UpstreamRecord | undefined {
-		const recorded = holder.state().upstreams[life.id];
-		return upstream ?? (sameIncarnation(recorded, life) ? recorded : undefined);
+	function recordOf({upstream, keys: {life: incarnation}}: AnnouncementReport): UpstreamRecord | undefined {
+		const recorded = holder.state().upstreams[incarnation.id];
+		return upstream ?? (sameIncarnation(recorded, incarnation) ? recorded : undefined);
 	}
 
 	async function announce(report: AnnouncementReport): Promise<Result<AnnouncementOutcome, Failure>> {
