--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -243,7 +243,7 @@
 	}
 
 	function describeRows(command: DirectoryCommand): string {
-		return 'rows' in command ? command.rows.map(({from, to, holder: life}) => `${from}-${to}:${life.id}`).join(',').slice(0, 400) : command.kind;
+		return 'rows' in command ? command.rows.map(({from, to, holder: incarnation}) => `${from}-${to}:${incarnation.id}`).join(',').slice(0, 400) : command.kind;
 	}
 
 	async function proposePlan(commands: readonly DirectoryCommand[]): Promise<void> {
