--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -310,9 +310,9 @@
 
 	return {
 		announce,
-		async depart({life}) {
-			const recorded = holder.state().upstreams[life.id];
-			if (recorded === undefined || (life.born !== undefined && life.born !== recorded.born)) {
+		async depart({life: incarnation}) {
+			const recorded = holder.state().upstreams[incarnation.id];
+			if (recorded === undefined || (incarnation.born !== undefined && incarnation.born !== recorded.born)) {
 				const confirmed = await voter().read();
 				return confirmed.map(() => ({}));
 			}
