--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -56,7 +56,7 @@
 };
 
 /** The collaborators and settings of a control instance. */
-export type ControlNodeParts = {
+export type ControlNodeDependencies = {
 	readonly settings: ControlSettings;
 	readonly log: Log;
 	readonly measures: Measures;
@@ -82,7 +82,7 @@
 type MeshAnswer<Call extends MeshCall> = Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 
 /** Starts a control instance. Throws a `FailureError` if its data folder or address can't be used. */
-export async function startControlNode({settings, log, measures, failed}: ControlNodeParts): Promise<ControlNode> {
+export async function startControlNode({settings, log, measures, failed}: ControlNodeDependencies): Promise<ControlNode> {
 	const calls = countCalls(measures);
 	const clients = createMeshClients(calls.made);
 	const holder = createStateHolder(directoryMachine);
