--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -50,7 +50,7 @@
 	/** Reads the newest items, confirmed by a majority. */
 	readonly readItems: () => Promise<Result<Items, Failure>>;
 	/** Adds addresses of control instances from the settings to the seeds. */
-	readonly askAlso: (addresses: readonly string[]) => void;
+	readonly addSeeds: (addresses: readonly string[]) => void;
 	/** Hands over leadership and stops. */
 	readonly stop: () => Promise<void>;
 };
@@ -325,7 +325,7 @@
 			const caughtUp = await waitForApplied(confirmed.value.index);
 			return caughtUp.map(() => holder.state().items);
 		},
-		askAlso(addresses) {
+		addSeeds(addresses) {
 			seeds = [...new Set([...seeds, ...addresses])];
 		},
 		async stop() {
