--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -77,7 +77,7 @@
 const catchUpMilliseconds: Milliseconds = 700;
 const catchUpStepMilliseconds: Milliseconds = 5;
 
-const nobodyLeads = failure(FailureKind.noQuorum, 'no leader is currently known');
+const noLeader = failure(FailureKind.noQuorum, 'no leader is currently known');
 
 type MeshAnswer<Call extends MeshCall> = Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 
@@ -157,7 +157,7 @@
 		}
 
 		const leader = leaderAddress();
-		return leader === undefined ? err(nobodyLeads) : clients.call(leader, call, request, forwardMilliseconds);
+		return leader === undefined ? err(noLeader) : clients.call(leader, call, request, forwardMilliseconds);
 	}
 
 	async function onlyLeading<Answer>(local: () => Promise<Result<Answer, Failure>>): Promise<Result<Answer, Failure>> {
