--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -86,7 +86,7 @@
 	const calls = countCalls(measures);
 	const clients = createMeshClients(calls.made);
 	const holder = createStateHolder(directoryMachine);
-	const sightings = new Map<string, VoterObservation>();
+	const observations = new Map<string, VoterObservation>();
 	const entryCount = new EntryCount();
 	/** Set after the server has started: the other voters reach this one through it. */
 	const own: {voter?: DirectoryVoter; replication?: ReplicationWatch} = {};
@@ -98,9 +98,9 @@
 
 	const roleHandlers: Readonly<Record<Role, () => void>> = {
 		[Role.leader]() {
-			sightings.clear();
+			observations.clear();
 			for (const member of own.voter?.voterSet().voters ?? []) {
-				sightings.set(`${member.name} ${member.folder}`, {voter: member, heardAt: monotonicNow()});
+				observations.set(`${member.name} ${member.folder}`, {voter: member, heardAt: monotonicNow()});
 			}
 
 			desk.begin();
@@ -127,7 +127,7 @@
 
 	async function changeVoters(leading: DirectoryVoter): Promise<void> {
 		const voterSet = nextVoterSet({
-			now: monotonicNow(), self: leading.identity, voterSet: leading.voterSet(), sightings: [...sightings.values()], wantedVoters: (2 * settings.toleratedLosses) + 1,
+			now: monotonicNow(), self: leading.identity, voterSet: leading.voterSet(), sightings: [...observations.values()], wantedVoters: (2 * settings.toleratedLosses) + 1,
 		});
 		if (voterSet === undefined || isChangingVoters) {
 			return;
@@ -145,7 +145,7 @@
 	}
 
 	function noteSighting(seen: VoterIdentity): void {
-		sightings.set(`${seen.name} ${seen.folder}`, {voter: seen, heardAt: monotonicNow()});
+		observations.set(`${seen.name} ${seen.folder}`, {voter: seen, heardAt: monotonicNow()});
 		if (own.voter?.isLeader() === true) {
 			void changeVoters(own.voter);
 		}
