--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -144,7 +144,7 @@
 		});
 	}
 
-	function noteSighting(seen: VoterIdentity): void {
+	function recordObservation(seen: VoterIdentity): void {
 		observations.set(`${seen.name} ${seen.folder}`, {voter: seen, heardAt: monotonicNow()});
 		if (own.voter?.isLeader() === true) {
 			void changeVoters(own.voter);
@@ -208,7 +208,7 @@
 			return own.voter?.deliver(envelope) ?? err(failure(FailureKind.notReady, 'the voter has not started'));
 		},
 		async sight({voter: seen, entries}) {
-			noteSighting(seen);
+			recordObservation(seen);
 			entryCount.record(seen.name, entries, monotonicNow());
 			const leader = leaderAddress();
 			return ok({members: own.voter?.members() ?? [], entryCount: entryCount.total(), ...(leader === undefined ? {} : {leader})});
@@ -266,7 +266,7 @@
 	async function showItself(): Promise<void> {
 		const sighting = {voter: running.identity, entries: followers.names()};
 		if (running.isLeader()) {
-			noteSighting(running.identity);
+			recordObservation(running.identity);
 			entryCount.record(settings.address, sighting.entries, monotonicNow());
 			return;
 		}
