--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -151,7 +151,7 @@
 		}
 	}
 
-	async function toLeader<Call extends MeshCall>(call: Call, request: MeshCalls[Call]['request'], local: () => MeshAnswer<Call>): MeshAnswer<Call> {
+	async function callLeader<Call extends MeshCall>(call: Call, request: MeshCalls[Call]['request'], local: () => MeshAnswer<Call>): MeshAnswer<Call> {
 		if (own.voter?.isLeader() === true) {
 			return local();
 		}
@@ -174,7 +174,7 @@
 		isFresh,
 		holdMilliseconds: settings.holdMilliseconds,
 		forward: createAnnouncementBatch(async batch => {
-			const answered = await toLeader('announce', {announcements: batch}, async () => ok({answers: await answerAll(batch)}));
+			const answered = await callLeader('announce', {announcements: batch}, async () => ok({answers: await answerAll(batch)}));
 			return answered.map(({answers}) => answers);
 		}),
 	});
@@ -314,10 +314,10 @@
 			recordDuration(measures.histogram(MeasureName.announcementLatency, {}), monotonicNow() - startedAt);
 			return answer;
 		},
-		depart: async life => toLeader('depart', {life}, async () => desk.depart({life})),
-		declare: async changes => toLeader('declare', {changes}, async () => desk.declare({changes})),
+		depart: async life => callLeader('depart', {life}, async () => desk.depart({life})),
+		declare: async changes => callLeader('declare', {changes}, async () => desk.declare({changes})),
 		async readItems() {
-			const confirmed = await toLeader('confirm', {}, desk.confirm);
+			const confirmed = await callLeader('confirm', {}, desk.confirm);
 			if (confirmed.isErr) {
 				return err(confirmed.error);
 			}
