--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -160,7 +160,7 @@
 		return leader === undefined ? err(noLeader) : clients.call(leader, call, request, forwardMilliseconds);
 	}
 
-	async function onlyLeading<Answer>(local: () => Promise<Result<Answer, Failure>>): Promise<Result<Answer, Failure>> {
+	async function requireLeader<Answer>(local: () => Promise<Result<Answer, Failure>>): Promise<Result<Answer, Failure>> {
 		return own.voter?.isLeader() === true ? local() : err(failure(FailureKind.notLeader, 'this instance does not lead'));
 	}
 
@@ -213,10 +213,10 @@
 			const leader = leaderAddress();
 			return ok({members: own.voter?.members() ?? [], entryCount: entryCount.total(), ...(leader === undefined ? {} : {leader})});
 		},
-		announce: async ({announcements}) => onlyLeading(async () => ok({answers: await answerAll(announcements)})),
-		depart: async request => onlyLeading(async () => desk.depart(request)),
-		declare: async request => onlyLeading(async () => desk.declare(request)),
-		confirm: async () => onlyLeading(desk.confirm),
+		announce: async ({announcements}) => requireLeader(async () => ok({answers: await answerAll(announcements)})),
+		depart: async request => requireLeader(async () => desk.depart(request)),
+		declare: async request => requireLeader(async () => desk.declare(request)),
+		confirm: async () => requireLeader(desk.confirm),
 		async reportLoad(report) {
 			relay.add(report);
 			return ok({});
