--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -179,11 +179,11 @@
 		}),
 	});
 	/** The overloaded upstreams that the leader last reported. */
-	let told: {readonly shares: readonly HolderShare[]; readonly at: MonotonicTime} = {shares: [], at: -Infinity};
+	let reportedShares: {readonly shares: readonly HolderShare[]; readonly at: MonotonicTime} = {shares: [], at: -Infinity};
 
 	async function relayTo(leader: string, report: LoadReport): Promise<void> {
 		const answer = await clients.call(leader, 'relayLoad', report, relayMilliseconds);
-		told = answer.isOk ? {shares: answer.value.shares, at: monotonicNow()} : told;
+		reportedShares = answer.isOk ? {shares: answer.value.shares, at: monotonicNow()} : reportedShares;
 	}
 
 	const relay = createLoadRelay(report => {
@@ -200,7 +200,7 @@
 			return desk.shares();
 		}
 
-		return monotonicNow() - told.at <= sharesMilliseconds ? told.shares : [];
+		return monotonicNow() - reportedShares.at <= sharesMilliseconds ? reportedShares.shares : [];
 	}
 
 	const handlers: MeshHandlers = calls.taken({
