--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -276,8 +276,8 @@
 		const asked = leader === undefined ? others : [leader];
 		const answers = await Promise.all(asked.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
 		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
-		const told = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
-		const unasked = told.filter(address => !asked.includes(address) && address !== settings.address);
+		const reportedLeaders = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
+		const unasked = reportedLeaders.filter(address => !asked.includes(address) && address !== settings.address);
 		await Promise.all([...new Set(unasked)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
 	}
 
