--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -273,11 +273,11 @@
 
 		const leader = leaderAddress();
 		const others = [...new Set([...seeds, ...running.members()])].filter(address => address !== settings.address);
-		const asked = leader === undefined ? others : [leader];
-		const answers = await Promise.all(asked.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
+		const recipients = leader === undefined ? others : [leader];
+		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
 		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
 		const reportedLeaders = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
-		const unasked = reportedLeaders.filter(address => !asked.includes(address) && address !== settings.address);
+		const unasked = reportedLeaders.filter(address => !recipients.includes(address) && address !== settings.address);
 		await Promise.all([...new Set(unasked)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
 	}
 
