--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -277,8 +277,8 @@
 		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
 		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
 		const reportedLeaders = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
-		const unasked = reportedLeaders.filter(address => !recipients.includes(address) && address !== settings.address);
-		await Promise.all([...new Set(unasked)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
+		const newLeaders = reportedLeaders.filter(address => !recipients.includes(address) && address !== settings.address);
+		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
 	}
 
 	const showing = setInterval(() => {
