--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -263,7 +263,7 @@
 	own.replication = replication;
 	const load = startLoadWatch(log, measures, calls.sinceLast);
 
-	async function showItself(): Promise<void> {
+	async function reportLiveness(): Promise<void> {
 		const sighting = {voter: running.identity, entries: followers.names()};
 		if (running.isLeader()) {
 			recordObservation(running.identity);
@@ -282,7 +282,7 @@
 	}
 
 	const showing = setInterval(() => {
-		void showItself();
+		void reportLiveness();
 	}, sightMilliseconds);
 
 	async function waitForApplied(index: LogIndex): Promise<Result<undefined, Failure>> {
