--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -264,21 +264,21 @@
 	const load = startLoadWatch(log, measures, calls.sinceLast);
 
 	async function reportLiveness(): Promise<void> {
-		const sighting = {voter: running.identity, entries: followers.names()};
+		const report = {voter: running.identity, entries: followers.names()};
 		if (running.isLeader()) {
 			recordObservation(running.identity);
-			entryCount.record(settings.address, sighting.entries, monotonicNow());
+			entryCount.record(settings.address, report.entries, monotonicNow());
 			return;
 		}
 
 		const leader = leaderAddress();
 		const others = [...new Set([...seeds, ...running.members()])].filter(address => address !== settings.address);
 		const recipients = leader === undefined ? others : [leader];
-		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
+		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', report, sightTimeoutMilliseconds)));
 		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
 		const reportedLeaders = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
 		const newLeaders = reportedLeaders.filter(address => !recipients.includes(address) && address !== settings.address);
-		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
+		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', report, sightTimeoutMilliseconds)));
 	}
 
 	const showing = setInterval(() => {
