--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -281,7 +281,7 @@
 		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', report, sightTimeoutMilliseconds)));
 	}
 
-	const showing = setInterval(() => {
+	const livenessTimer = setInterval(() => {
 		void reportLiveness();
 	}, sightMilliseconds);
 
@@ -329,7 +329,7 @@
 			seeds = [...new Set([...seeds, ...addresses])];
 		},
 		async stop() {
-			clearInterval(showing);
+			clearInterval(livenessTimer);
 			if (running.isLeader()) {
 				await waitForHandOver();
 			}
