--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -70,7 +70,7 @@
 const relayMilliseconds: Milliseconds = 450;
 /** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
 const sharesMilliseconds: Milliseconds = 1500;
-const sightMilliseconds: Milliseconds = 600;
+const livenessIntervalMilliseconds: Milliseconds = 600;
 const sightTimeoutMilliseconds: Milliseconds = 700;
 const handOverMilliseconds: Milliseconds = 400;
 /** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
@@ -283,7 +283,7 @@
 
 	const livenessTimer = setInterval(() => {
 		void reportLiveness();
-	}, sightMilliseconds);
+	}, livenessIntervalMilliseconds);
 
 	async function waitForApplied(index: LogIndex): Promise<Result<undefined, Failure>> {
 		const until = monotonicNow() + catchUpMilliseconds;
