--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -71,7 +71,7 @@
 /** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
 const sharesMilliseconds: Milliseconds = 1500;
 const livenessIntervalMilliseconds: Milliseconds = 600;
-const sightTimeoutMilliseconds: Milliseconds = 700;
+const livenessTimeoutMilliseconds: Milliseconds = 700;
 const handOverMilliseconds: Milliseconds = 400;
 /** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
 const catchUpMilliseconds: Milliseconds = 700;
@@ -274,11 +274,11 @@
 		const leader = leaderAddress();
 		const others = [...new Set([...seeds, ...running.members()])].filter(address => address !== settings.address);
 		const recipients = leader === undefined ? others : [leader];
-		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', report, sightTimeoutMilliseconds)));
+		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', report, livenessTimeoutMilliseconds)));
 		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
 		const reportedLeaders = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
 		const newLeaders = reportedLeaders.filter(address => !recipients.includes(address) && address !== settings.address);
-		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', report, sightTimeoutMilliseconds)));
+		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', report, livenessTimeoutMilliseconds)));
 	}
 
 	const livenessTimer = setInterval(() => {
