--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -144,8 +144,8 @@
 		});
 	}
 
-	function recordObservation(seen: VoterIdentity): void {
-		observations.set(`${seen.name} ${seen.folder}`, {voter: seen, heardAt: monotonicNow()});
+	function recordObservation(identity: VoterIdentity): void {
+		observations.set(`${identity.name} ${identity.folder}`, {voter: identity, heardAt: monotonicNow()});
 		if (own.voter?.isLeader() === true) {
 			void changeVoters(own.voter);
 		}
