--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -207,9 +207,9 @@
 		async deliver(envelope) {
 			return own.voter?.deliver(envelope) ?? err(failure(FailureKind.notReady, 'the voter has not started'));
 		},
-		async sight({voter: seen, entries}) {
-			recordObservation(seen);
-			entryCount.record(seen.name, entries, monotonicNow());
+		async sight({voter: identity, entries}) {
+			recordObservation(identity);
+			entryCount.record(identity.name, entries, monotonicNow());
 			const leader = leaderAddress();
 			return ok({members: own.voter?.members() ?? [], entryCount: entryCount.total(), ...(leader === undefined ? {} : {leader})});
 		},
