--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -92,7 +92,7 @@
 	const own: {voter?: DirectoryVoter; replication?: ReplicationWatch} = {};
 	let isChangingVoters = false;
 	let {seeds} = settings;
-	const desk = createLeaderCoordinator({
+	const leaderCoordinator = createLeaderCoordinator({
 		holder, voter: () => own.voter!, terms: {holdMilliseconds: settings.holdMilliseconds, clockDrift: settings.clockDrift}, mostRanges: settings.mostRanges, log, measures,
 	});
 
@@ -103,11 +103,11 @@
 				observations.set(`${member.name} ${member.folder}`, {voter: member, heardAt: monotonicNow()});
 			}
 
-			desk.begin();
+			leaderCoordinator.begin();
 		},
-		[Role.follower]: desk.end,
-		[Role.candidate]: desk.end,
-		[Role.learner]: desk.end,
+		[Role.follower]: leaderCoordinator.end,
+		[Role.candidate]: leaderCoordinator.end,
+		[Role.learner]: leaderCoordinator.end,
 	};
 
 	function leaderAddress(): string | undefined {
@@ -165,7 +165,7 @@
 	}
 
 	async function answerAll(announcements: readonly AnnouncementReport[]): Promise<ReadonlyArray<Reply<AnnouncementOutcome>>> {
-		const outcomes = await Promise.all(announcements.map(async report => desk.announce(report)));
+		const outcomes = await Promise.all(announcements.map(async report => leaderCoordinator.announce(report)));
 		return outcomes.map(outcome => outcome.isOk ? {answer: outcome.value} : {failure: outcome.error});
 	}
 
@@ -189,7 +189,7 @@
 	const relay = createLoadRelay(report => {
 		const leader = leaderAddress();
 		if (own.voter?.isLeader() === true) {
-			desk.reportLoad(report);
+			leaderCoordinator.reportLoad(report);
 		} else if (leader !== undefined) {
 			void relayTo(leader, report);
 		}
@@ -197,7 +197,7 @@
 
 	function shares(): readonly HolderShare[] {
 		if (own.voter?.isLeader() === true) {
-			return desk.shares();
+			return leaderCoordinator.shares();
 		}
 
 		return monotonicNow() - reportedShares.at <= sharesMilliseconds ? reportedShares.shares : [];
@@ -214,16 +214,16 @@
 			return ok({members: own.voter?.members() ?? [], entryCount: entryCount.total(), ...(leader === undefined ? {} : {leader})});
 		},
 		announce: async ({announcements}) => requireLeader(async () => ok({answers: await answerAll(announcements)})),
-		depart: async request => requireLeader(async () => desk.depart(request)),
-		declare: async request => requireLeader(async () => desk.declare(request)),
-		confirm: async () => requireLeader(desk.confirm),
+		depart: async request => requireLeader(async () => leaderCoordinator.depart(request)),
+		declare: async request => requireLeader(async () => leaderCoordinator.declare(request)),
+		confirm: async () => requireLeader(leaderCoordinator.confirm),
 		async reportLoad(report) {
 			relay.add(report);
 			return ok({});
 		},
 		async relayLoad(report) {
-			desk.reportLoad(report);
-			return ok({shares: desk.shares()});
+			leaderCoordinator.reportLoad(report);
+			return ok({shares: leaderCoordinator.shares()});
 		},
 	});
 
@@ -314,10 +314,10 @@
 			recordDuration(measures.histogram(MeasureName.announcementLatency, {}), monotonicNow() - startedAt);
 			return answer;
 		},
-		depart: async life => callLeader('depart', {life}, async () => desk.depart({life})),
-		declare: async changes => callLeader('declare', {changes}, async () => desk.declare({changes})),
+		depart: async life => callLeader('depart', {life}, async () => leaderCoordinator.depart({life})),
+		declare: async changes => callLeader('declare', {changes}, async () => leaderCoordinator.declare({changes})),
 		async readItems() {
-			const confirmed = await callLeader('confirm', {}, desk.confirm);
+			const confirmed = await callLeader('confirm', {}, leaderCoordinator.confirm);
 			if (confirmed.isErr) {
 				return err(confirmed.error);
 			}
@@ -334,7 +334,7 @@
 				await waitForHandOver();
 			}
 
-			desk.end();
+			leaderCoordinator.end();
 			relay.stop();
 			replication.stop();
 			load.stop();
