--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -67,7 +67,7 @@
 /** A call of an upstream or operator is answered within a second; forwarding it must time out before that. */
 const forwardMilliseconds: Milliseconds = 800;
 /** A load report that takes longer is useless: the next one follows. */
-const relayMilliseconds: Milliseconds = 450;
+const relayTimeoutMilliseconds: Milliseconds = 450;
 /** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
 const sharesMilliseconds: Milliseconds = 1500;
 const livenessIntervalMilliseconds: Milliseconds = 600;
@@ -182,7 +182,7 @@
 	let reportedShares: {readonly shares: readonly HolderShare[]; readonly at: MonotonicTime} = {shares: [], at: -Infinity};
 
 	async function relayTo(leader: string, report: LoadReport): Promise<void> {
-		const answer = await clients.call(leader, 'relayLoad', report, relayMilliseconds);
+		const answer = await clients.call(leader, 'relayLoad', report, relayTimeoutMilliseconds);
 		reportedShares = answer.isOk ? {shares: answer.value.shares, at: monotonicNow()} : reportedShares;
 	}
 
