--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -69,7 +69,7 @@
 /** A load report that takes longer is useless: the next one follows. */
 const relayTimeoutMilliseconds: Milliseconds = 450;
 /** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
-const sharesMilliseconds: Milliseconds = 1500;
+const sharesLifetimeMilliseconds: Milliseconds = 1500;
 const livenessIntervalMilliseconds: Milliseconds = 600;
 const livenessTimeoutMilliseconds: Milliseconds = 700;
 const handOverMilliseconds: Milliseconds = 400;
@@ -200,7 +200,7 @@
 			return leaderCoordinator.shares();
 		}
 
-		return monotonicNow() - reportedShares.at <= sharesMilliseconds ? reportedShares.shares : [];
+		return monotonicNow() - reportedShares.at <= sharesLifetimeMilliseconds ? reportedShares.shares : [];
 	}
 
 	const handlers: MeshHandlers = calls.taken({
