--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -65,7 +65,7 @@
 };
 
 /** A call of an upstream or operator is answered within a second; forwarding it must time out before that. */
-const forwardMilliseconds: Milliseconds = 800;
+const forwardTimeoutMilliseconds: Milliseconds = 800;
 /** A load report that takes longer is useless: the next one follows. */
 const relayTimeoutMilliseconds: Milliseconds = 450;
 /** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
@@ -157,7 +157,7 @@
 		}
 
 		const leader = leaderAddress();
-		return leader === undefined ? err(noLeader) : clients.call(leader, call, request, forwardMilliseconds);
+		return leader === undefined ? err(noLeader) : clients.call(leader, call, request, forwardTimeoutMilliseconds);
 	}
 
 	async function requireLeader<Answer>(local: () => Promise<Result<Answer, Failure>>): Promise<Result<Answer, Failure>> {
