--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -72,7 +72,7 @@
 const sharesLifetimeMilliseconds: Milliseconds = 1500;
 const livenessIntervalMilliseconds: Milliseconds = 600;
 const livenessTimeoutMilliseconds: Milliseconds = 700;
-const handOverMilliseconds: Milliseconds = 400;
+const handOverTimeoutMilliseconds: Milliseconds = 400;
 /** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
 const catchUpMilliseconds: Milliseconds = 700;
 const catchUpStepMilliseconds: Milliseconds = 5;
@@ -299,7 +299,7 @@
 	}
 
 	async function waitForHandOver(): Promise<void> {
-		const until = monotonicNow() + handOverMilliseconds;
+		const until = monotonicNow() + handOverTimeoutMilliseconds;
 		running.handOver();
 		while (running.isLeader() && monotonicNow() < until) {
 			await pause(catchUpStepMilliseconds);
