--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -74,7 +74,7 @@
 const livenessTimeoutMilliseconds: Milliseconds = 700;
 const handOverTimeoutMilliseconds: Milliseconds = 400;
 /** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
-const catchUpMilliseconds: Milliseconds = 700;
+const catchUpTimeoutMilliseconds: Milliseconds = 700;
 const catchUpStepMilliseconds: Milliseconds = 5;
 
 const noLeader = failure(FailureKind.noQuorum, 'no leader is currently known');
@@ -286,7 +286,7 @@
 	}, livenessIntervalMilliseconds);
 
 	async function waitForApplied(index: LogIndex): Promise<Result<undefined, Failure>> {
-		const until = monotonicNow() + catchUpMilliseconds;
+		const until = monotonicNow() + catchUpTimeoutMilliseconds;
 		while (holder.state().applied < index) {
 			if (monotonicNow() > until) {
 				return err(failure(FailureKind.notReady, 'this instance has not caught up yet'));
