--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -75,7 +75,7 @@
 const handOverTimeoutMilliseconds: Milliseconds = 400;
 /** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
 const catchUpTimeoutMilliseconds: Milliseconds = 700;
-const catchUpStepMilliseconds: Milliseconds = 5;
+const pollMilliseconds: Milliseconds = 5;
 
 const noLeader = failure(FailureKind.noQuorum, 'no leader is currently known');
 
@@ -292,7 +292,7 @@
 				return err(failure(FailureKind.notReady, 'this instance has not caught up yet'));
 			}
 
-			await pause(catchUpStepMilliseconds);
+			await pause(pollMilliseconds);
 		}
 
 		return ok(undefined);
@@ -302,7 +302,7 @@
 		const until = monotonicNow() + handOverTimeoutMilliseconds;
 		running.handOver();
 		while (running.isLeader() && monotonicNow() < until) {
-			await pause(catchUpStepMilliseconds);
+			await pause(pollMilliseconds);
 		}
 	}
 
