--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -44,7 +44,7 @@
 	/** Handles the announcement of an upstream. */
 	readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>;
 	/** Records that an upstream has left. */
-	readonly depart: (life: MeshCalls['depart']['request']['life']) => Promise<Result<unknown, Failure>>;
+	readonly depart: (incarnation: MeshCalls['depart']['request']['life']) => Promise<Result<unknown, Failure>>;
 	/** Applies an operator's changes of items. */
 	readonly declare: (changes: readonly ItemChange[]) => Promise<Result<{readonly index: LogIndex}, Failure>>;
 	/** Reads the newest items, confirmed by a majority. */
