--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -314,7 +314,7 @@
 			recordDuration(measures.histogram(MeasureName.announcementLatency, {}), monotonicNow() - startedAt);
 			return answer;
 		},
-		depart: async life => callLeader('depart', {life}, async () => leaderCoordinator.depart({life})),
+		depart: async incarnation => callLeader('depart', {life: incarnation}, async () => leaderCoordinator.depart({life: incarnation})),
 		declare: async changes => callLeader('declare', {changes}, async () => leaderCoordinator.declare({changes})),
 		async readItems() {
 			const confirmed = await callLeader('confirm', {}, leaderCoordinator.confirm);
