--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -5,7 +5,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** After this long without contact, the leader may have been replaced. */
-export const leaderSilentMilliseconds: Milliseconds = 500;
+export const leaderContactTimeoutMilliseconds: Milliseconds = 500;
 
 /**
  * A replica that has lacked committed log entries for this long counts as behind: entry instances take
@@ -31,5 +31,5 @@
 export function isRecent({
 	now, leads, leaderHeardAt, lacksFor,
 }: Recency): boolean {
-	return leads || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderSilentMilliseconds && lacksFor < behindMilliseconds);
+	return leads || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
 }
