--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -14,7 +14,7 @@
 export const behindMilliseconds: Milliseconds = 500;
 
 /** The inputs that determine whether a control instance's directory is recent. */
-export type Recency = {
+export type RecencyInputs = {
 	readonly now: MonotonicTime;
 	/** Whether this instance is the leader and a majority has recently confirmed it. */
 	readonly leads: boolean;
@@ -30,6 +30,6 @@
  */
 export function isRecent({
 	now, leads, leaderHeardAt, lacksFor,
-}: Recency): boolean {
+}: RecencyInputs): boolean {
 	return leads || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
 }
--- a/packages/control-node/test/test-freshness.ts
+++ b/packages/control-node/test/test-freshness.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {isRecent, type Recency} from '@dogwooddeck/control-node/freshness';
+import {isRecent, type RecencyInputs} from '@dogwooddeck/control-node/freshness';
 
-const recency: Recency = {
+const recency: RecencyInputs = {
 	now: 10_000, leads: false, leaderHeardAt: 9900, lacksFor: 0,
 };
 
-const cases: ReadonlyArray<{readonly name: string; readonly fields: Partial<Recency>; readonly isRecent: boolean}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly fields: Partial<RecencyInputs>; readonly isRecent: boolean}> = [
 	{name: 'a follower in contact with its leader and up to date', fields: {}, isRecent: true},
 	{name: 'the leader', fields: {leads: true, leaderHeardAt: undefined}, isRecent: true},
 	{name: 'a follower without contact to its leader', fields: {leaderHeardAt: 9400}, isRecent: false},
