--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -120,7 +120,7 @@
 		return voter !== undefined && replication !== undefined && isRecent({
 			now,
 			leads: voter.isLeader() && voter.quorumHeardAt(now) !== undefined,
-			leaderHeardAt: voter.isLeader() || voter.leader() === undefined ? undefined : voter.leaderHeardAt(),
+			leaderContactAt: voter.isLeader() || voter.leader() === undefined ? undefined : voter.leaderHeardAt(),
 			lacksFor: replication.ownLag(),
 		});
 	}
--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -19,7 +19,7 @@
 	/** Whether this instance is the leader and a majority has recently confirmed it. */
 	readonly leads: boolean;
 	/** Time of the last contact with the leader; undefined if no leader is known or this instance leads. */
-	readonly leaderHeardAt: MonotonicTime | undefined;
+	readonly leaderContactAt: MonotonicTime | undefined;
 	/** How long the directory has lacked an entry that is known to be committed. */
 	readonly lacksFor: Milliseconds;
 };
@@ -29,7 +29,7 @@
  * arriving while log entries don't.
  */
 export function isRecent({
-	now, leads, leaderHeardAt, lacksFor,
+	now, leads, leaderContactAt: leaderHeardAt, lacksFor,
 }: RecencyInputs): boolean {
 	return leads || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
 }
