--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -119,7 +119,7 @@
 		const {voter, replication} = own;
 		return voter !== undefined && replication !== undefined && isRecent({
 			now,
-			leads: voter.isLeader() && voter.quorumHeardAt(now) !== undefined,
+			isConfirmedLeader: voter.isLeader() && voter.quorumHeardAt(now) !== undefined,
 			leaderContactAt: voter.isLeader() || voter.leader() === undefined ? undefined : voter.leaderHeardAt(),
 			lacksFor: replication.ownLag(),
 		});
--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -17,7 +17,7 @@
 export type RecencyInputs = {
 	readonly now: MonotonicTime;
 	/** Whether this instance is the leader and a majority has recently confirmed it. */
-	readonly leads: boolean;
+	readonly isConfirmedLeader: boolean;
 	/** Time of the last contact with the leader; undefined if no leader is known or this instance leads. */
 	readonly leaderContactAt: MonotonicTime | undefined;
 	/** How long the directory has lacked an entry that is known to be committed. */
@@ -29,7 +29,7 @@
  * arriving while log entries don't.
  */
 export function isRecent({
-	now, leads, leaderContactAt: leaderHeardAt, lacksFor,
+	now, isConfirmedLeader: leads, leaderContactAt: leaderHeardAt, lacksFor,
 }: RecencyInputs): boolean {
 	return leads || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
 }
