--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -121,7 +121,7 @@
 			now,
 			isConfirmedLeader: voter.isLeader() && voter.quorumHeardAt(now) !== undefined,
 			leaderContactAt: voter.isLeader() || voter.leader() === undefined ? undefined : voter.leaderHeardAt(),
-			lacksFor: replication.ownLag(),
+			lagMilliseconds: replication.ownLag(),
 		});
 	}
 
--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -21,7 +21,7 @@
 	/** Time of the last contact with the leader; undefined if no leader is known or this instance leads. */
 	readonly leaderContactAt: MonotonicTime | undefined;
 	/** How long the directory has lacked an entry that is known to be committed. */
-	readonly lacksFor: Milliseconds;
+	readonly lagMilliseconds: Milliseconds;
 };
 
 /**
@@ -29,7 +29,7 @@
  * arriving while log entries don't.
  */
 export function isRecent({
-	now, isConfirmedLeader: leads, leaderContactAt: leaderHeardAt, lacksFor,
+	now, isConfirmedLeader: leads, leaderContactAt: leaderHeardAt, lagMilliseconds: lacksFor,
 }: RecencyInputs): boolean {
 	return leads || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
 }
