--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -29,7 +29,7 @@
  * arriving while log entries don't.
  */
 export function isRecent({
-	now, isConfirmedLeader: isConfirmedLeader, leaderContactAt: leaderHeardAt, lagMilliseconds: lacksFor,
+	now, isConfirmedLeader: isConfirmedLeader, leaderContactAt: leaderContactAt, lagMilliseconds: lacksFor,
 }: RecencyInputs): boolean {
-	return isConfirmedLeader || (leaderHeardAt !== undefined && now - leaderHeardAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
+	return isConfirmedLeader || (leaderContactAt !== undefined && now - leaderContactAt < leaderContactTimeoutMilliseconds && lacksFor < behindMilliseconds);
 }
