--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -6,7 +6,7 @@
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
 /** Interval of the aggregated reports: a key gets hot within a second. */
-const relayMilliseconds: Milliseconds = 300;
+const relayIntervalMilliseconds: Milliseconds = 300;
 
 type ServiceReport = LoadReport['services'][number];
 type Gathered = {readonly counts: Map<number, number>; readonly answers: Map<string, readonly [number, number]>};
@@ -48,7 +48,7 @@
 		send(report);
 	}
 
-	const relaying = setInterval(flush, relayMilliseconds);
+	const relaying = setInterval(flush, relayIntervalMilliseconds);
 	return {
 		add(report) {
 			for (const reported of report.services) {
