--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -9,7 +9,7 @@
 const relayIntervalMilliseconds: Milliseconds = 300;
 
 type ServiceReport = LoadReport['services'][number];
-type Gathered = {readonly counts: Map<number, number>; readonly answers: Map<string, readonly [number, number]>};
+type ServiceTotals = {readonly counts: Map<number, number>; readonly answers: Map<string, readonly [number, number]>};
 
 /** Aggregates load reports. */
 export type LoadRelay = {
@@ -17,7 +17,7 @@
 	readonly stop: () => void;
 };
 
-function gather(into: Gathered, {counts, answers}: ServiceReport): void {
+function gather(into: ServiceTotals, {counts, answers}: ServiceReport): void {
 	for (const [key, count] of counts) {
 		into.counts.set(key, (into.counts.get(key) ?? 0) + count);
 	}
@@ -30,7 +30,7 @@
 
 /** Starts the relay. Each interval, `send` is called with the aggregate of the reports since the last one, if there were any. */
 export function createLoadRelay(send: (report: LoadReport) => void): LoadRelay {
-	let services = new Map<string, Gathered>();
+	let services = new Map<string, ServiceTotals>();
 
 	function flush(): void {
 		if (services.size === 0) {
