--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -17,7 +17,7 @@
 	readonly stop: () => void;
 };
 
-function gather(into: ServiceTotals, {counts, answers}: ServiceReport): void {
+function addReport(into: ServiceTotals, {counts, answers}: ServiceReport): void {
 	for (const [key, count] of counts) {
 		into.counts.set(key, (into.counts.get(key) ?? 0) + count);
 	}
@@ -53,7 +53,7 @@
 		add(report) {
 			for (const reported of report.services) {
 				const known = services.get(reported.service) ?? {counts: new Map<number, number>(), answers: new Map<string, readonly [number, number]>()};
-				gather(known, reported);
+				addReport(known, reported);
 				services.set(reported.service, known);
 			}
 		},
