--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -52,9 +52,9 @@
 	return {
 		add(report) {
 			for (const reported of report.services) {
-				const known = services.get(reported.service) ?? {counts: new Map<number, number>(), answers: new Map<string, readonly [number, number]>()};
-				addReport(known, reported);
-				services.set(reported.service, known);
+				const totals = services.get(reported.service) ?? {counts: new Map<number, number>(), answers: new Map<string, readonly [number, number]>()};
+				addReport(totals, reported);
+				services.set(reported.service, totals);
 			}
 		},
 		stop() {
