--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -48,7 +48,7 @@
 		send(report);
 	}
 
-	const relaying = setInterval(flush, relayIntervalMilliseconds);
+	const relayTimer = setInterval(flush, relayIntervalMilliseconds);
 	return {
 		add(report) {
 			for (const reported of report.services) {
@@ -58,7 +58,7 @@
 			}
 		},
 		stop() {
-			clearInterval(relaying);
+			clearInterval(relayTimer);
 		},
 	};
 }
