--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -23,8 +23,8 @@
 	}
 
 	for (const [upstream, count, milliseconds] of answers) {
-		const [counted, together] = into.answers.get(upstream) ?? [0, 0];
-		into.answers.set(upstream, [counted + count, together + milliseconds]);
+		const [counted, total] = into.answers.get(upstream) ?? [0, 0];
+		into.answers.set(upstream, [counted + count, total + milliseconds]);
 	}
 }
 
