--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -24,19 +24,19 @@
 /** A measured speed replaces the current estimate if it differs by more than this many standard deviations: each change of speed moves keys. */
 const speedSignificance = 2.5;
 
-type Answers = {readonly count: number; readonly milliseconds: Milliseconds};
+type AnswerTotals = {readonly count: number; readonly milliseconds: Milliseconds};
 
 type Counts = {
 	readonly keys: KeyCounts;
-	answers: ReadonlyMap<string, Answers>;
+	answers: ReadonlyMap<string, AnswerTotals>;
 	/** The sum over all upstreams. */
-	answersTogether: Answers;
+	answersTogether: AnswerTotals;
 	/** The current speed estimates of upstreams whose estimate has changed from the initial 1. */
 	readonly speeds: Map<string, number>;
 	decayedAt: MonotonicTime;
 };
 
-function sumOf(answers: ReadonlyMap<string, Answers>): Answers {
+function sumOf(answers: ReadonlyMap<string, AnswerTotals>): AnswerTotals {
 	const sums = [...answers.values()];
 	return {
 		count: sums.reduce((sum, one) => sum + one.count, 0),
