--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -26,7 +26,7 @@
 
 type AnswerTotals = {readonly count: number; readonly milliseconds: Milliseconds};
 
-type Counts = {
+type ServiceCounts = {
 	readonly keys: KeyCounts;
 	answers: ReadonlyMap<string, AnswerTotals>;
 	/** The sum over all upstreams. */
@@ -46,7 +46,7 @@
 
 /** The counts of all services. Mutable, since there are thousands of counts. */
 export class LoadCounts {
-	readonly #services = new Map<string, Counts>();
+	readonly #services = new Map<string, ServiceCounts>();
 
 	/** Adds a load report. */
 	add(report: LoadReport, now: MonotonicTime): void {
@@ -98,10 +98,10 @@
 		return measured;
 	}
 
-	#decayed(service: string, now: MonotonicTime): Counts {
+	#decayed(service: string, now: MonotonicTime): ServiceCounts {
 		const known = this.#services.get(service);
 		if (known === undefined) {
-			const made: Counts = {
+			const made: ServiceCounts = {
 				keys: new KeyCounts(), answers: new Map(), answersTogether: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
 			};
 			this.#services.set(service, made);
