--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -30,7 +30,7 @@
 	readonly keys: KeyCounts;
 	answers: ReadonlyMap<string, AnswerTotals>;
 	/** The sum over all upstreams. */
-	answersTogether: AnswerTotals;
+	allAnswers: AnswerTotals;
 	/** The current speed estimates of upstreams whose estimate has changed from the initial 1. */
 	readonly speeds: Map<string, number>;
 	decayedAt: MonotonicTime;
@@ -65,7 +65,7 @@
 			}
 
 			known.answers = sums;
-			known.answersTogether = sumOf(sums);
+			known.allAnswers = sumOf(sums);
 		}
 	}
 
@@ -76,13 +76,13 @@
 
 	/** The mean answer time of the upstreams of a service; undefined if no answers were counted. */
 	meanLatency(service: string, now: MonotonicTime): Milliseconds | undefined {
-		const {count, milliseconds} = this.#decayed(service, now).answersTogether;
+		const {count, milliseconds} = this.#decayed(service, now).allAnswers;
 		return count === 0 ? undefined : milliseconds / count;
 	}
 
 	/** The speed of an upstream relative to the mean of its service; 1 if there are too few answers. It changes only if the difference is statistically significant. */
 	speed(upstream: string, service: string, now: MonotonicTime): number {
-		const {answers, answersTogether: {count, milliseconds}, speeds} = this.#decayed(service, now);
+		const {answers, allAnswers: {count, milliseconds}, speeds} = this.#decayed(service, now);
 		const own = answers.get(upstream);
 		if (own === undefined || own.count < leastAnswers) {
 			return 1;
@@ -102,7 +102,7 @@
 		const known = this.#services.get(service);
 		if (known === undefined) {
 			const made: ServiceCounts = {
-				keys: new KeyCounts(), answers: new Map(), answersTogether: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
+				keys: new KeyCounts(), answers: new Map(), allAnswers: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
 			};
 			this.#services.set(service, made);
 			return made;
@@ -113,7 +113,7 @@
 			const factor = Math.exp(-passed / longMemoryMilliseconds);
 			known.decayedAt = now;
 			known.answers = new Map([...known.answers].map(([upstream, {count, milliseconds}]) => [upstream, {count: count * factor, milliseconds: milliseconds * factor}]));
-			known.answersTogether = sumOf(known.answers);
+			known.allAnswers = sumOf(known.answers);
 		}
 
 		return known;
