--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -13,7 +13,7 @@
 
 /** Bounds of the speed of an upstream relative to the others of its service. */
 const minimumSpeed = 0.2;
-const fastestSpeed = 2;
+const maximumSpeed = 2;
 
 /** Minimum decayed count of answers from an upstream before its speed is used. */
 const leastAnswers = 5;
@@ -89,7 +89,7 @@
 		}
 
 		const believed = speeds.get(upstream) ?? 1;
-		const measured = Math.min(fastestSpeed, Math.max(minimumSpeed, (milliseconds / count) / (own.milliseconds / own.count)));
+		const measured = Math.min(maximumSpeed, Math.max(minimumSpeed, (milliseconds / count) / (own.milliseconds / own.count)));
 		if (Math.abs(measured - believed) <= speedSignificance * believed * answerDeviation / Math.sqrt(own.count)) {
 			return believed;
 		}
