--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -16,7 +16,7 @@
 const maximumSpeed = 2;
 
 /** Minimum decayed count of answers from an upstream before its speed is used. */
-const leastAnswers = 5;
+const minimumAnswers = 5;
 
 /** Standard deviation of answer times, relative to their mean. */
 const answerDeviation = 1;
@@ -84,7 +84,7 @@
 	speed(upstream: string, service: string, now: MonotonicTime): number {
 		const {answers, allAnswers: {count, milliseconds}, speeds} = this.#decayed(service, now);
 		const own = answers.get(upstream);
-		if (own === undefined || own.count < leastAnswers) {
+		if (own === undefined || own.count < minimumAnswers) {
 			return 1;
 		}
 
