--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -51,7 +51,7 @@
 	/** Adds a load report. */
 	add(report: LoadReport, now: MonotonicTime): void {
 		for (const {service, counts, answers} of report.services) {
-			const known = this.#decayed(service, now);
+			const known = this.#decayedCounts(service, now);
 			for (const [key, count] of counts) {
 				if (key >= 0 && key < keyCount) {
 					known.keys.add(key, count, now);
@@ -71,18 +71,18 @@
 
 	/** Requests per second of the keys of a service that are not idle, in key order. */
 	rates(service: string, now: MonotonicTime): readonly KeyRate[] {
-		return this.#decayed(service, now).keys.rates(now);
+		return this.#decayedCounts(service, now).keys.rates(now);
 	}
 
 	/** The mean answer time of the upstreams of a service; undefined if no answers were counted. */
 	meanLatency(service: string, now: MonotonicTime): Milliseconds | undefined {
-		const {count, milliseconds} = this.#decayed(service, now).allAnswers;
+		const {count, milliseconds} = this.#decayedCounts(service, now).allAnswers;
 		return count === 0 ? undefined : milliseconds / count;
 	}
 
 	/** The speed of an upstream relative to the mean of its service; 1 if there are too few answers. It changes only if the difference is statistically significant. */
 	speed(upstream: string, service: string, now: MonotonicTime): number {
-		const {answers, allAnswers: {count, milliseconds}, speeds} = this.#decayed(service, now);
+		const {answers, allAnswers: {count, milliseconds}, speeds} = this.#decayedCounts(service, now);
 		const own = answers.get(upstream);
 		if (own === undefined || own.count < minimumAnswers) {
 			return 1;
@@ -98,7 +98,7 @@
 		return measured;
 	}
 
-	#decayed(service: string, now: MonotonicTime): ServiceCounts {
+	#decayedCounts(service: string, now: MonotonicTime): ServiceCounts {
 		const known = this.#services.get(service);
 		if (known === undefined) {
 			const made: ServiceCounts = {
