--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -51,21 +51,21 @@
 	/** Adds a load report. */
 	add(report: LoadReport, now: MonotonicTime): void {
 		for (const {service, counts, answers} of report.services) {
-			const known = this.#decayedCounts(service, now);
+			const serviceCounts = this.#decayedCounts(service, now);
 			for (const [key, count] of counts) {
 				if (key >= 0 && key < keyCount) {
-					known.keys.add(key, count, now);
+					serviceCounts.keys.add(key, count, now);
 				}
 			}
 
-			const sums = new Map(known.answers);
+			const sums = new Map(serviceCounts.answers);
 			for (const [upstream, count, milliseconds] of answers) {
 				const sum = sums.get(upstream) ?? {count: 0, milliseconds: 0};
 				sums.set(upstream, {count: sum.count + count, milliseconds: sum.milliseconds + milliseconds});
 			}
 
-			known.answers = sums;
-			known.allAnswers = sumOf(sums);
+			serviceCounts.answers = sums;
+			serviceCounts.allAnswers = sumOf(sums);
 		}
 	}
 
