--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -99,8 +99,8 @@
 	}
 
 	#decayedCounts(service: string, now: MonotonicTime): ServiceCounts {
-		const known = this.#services.get(service);
-		if (known === undefined) {
+		const existing = this.#services.get(service);
+		if (existing === undefined) {
 			const made: ServiceCounts = {
 				keys: new KeyCounts(), answers: new Map(), allAnswers: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
 			};
@@ -108,14 +108,14 @@
 			return made;
 		}
 
-		const passed = now - known.decayedAt;
+		const passed = now - existing.decayedAt;
 		if (passed > 0) {
 			const factor = Math.exp(-passed / longMemoryMilliseconds);
-			known.decayedAt = now;
-			known.answers = new Map([...known.answers].map(([upstream, {count, milliseconds}]) => [upstream, {count: count * factor, milliseconds: milliseconds * factor}]));
-			known.allAnswers = sumOf(known.answers);
+			existing.decayedAt = now;
+			existing.answers = new Map([...existing.answers].map(([upstream, {count, milliseconds}]) => [upstream, {count: count * factor, milliseconds: milliseconds * factor}]));
+			existing.allAnswers = sumOf(existing.answers);
 		}
 
-		return known;
+		return existing;
 	}
 }
