--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -101,11 +101,11 @@
 	#decayedCounts(service: string, now: MonotonicTime): ServiceCounts {
 		const existing = this.#services.get(service);
 		if (existing === undefined) {
-			const made: ServiceCounts = {
+			const created: ServiceCounts = {
 				keys: new KeyCounts(), answers: new Map(), allAnswers: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
 			};
-			this.#services.set(service, made);
-			return made;
+			this.#services.set(service, created);
+			return created;
 		}
 
 		const passed = now - existing.decayedAt;
