--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -88,10 +88,10 @@
 			return 1;
 		}
 
-		const believed = speeds.get(upstream) ?? 1;
+		const current = speeds.get(upstream) ?? 1;
 		const measured = Math.min(maximumSpeed, Math.max(minimumSpeed, (milliseconds / count) / (own.milliseconds / own.count)));
-		if (Math.abs(measured - believed) <= speedSignificance * believed * answerDeviation / Math.sqrt(own.count)) {
-			return believed;
+		if (Math.abs(measured - current) <= speedSignificance * current * answerDeviation / Math.sqrt(own.count)) {
+			return current;
 		}
 
 		speeds.set(upstream, measured);
