--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -19,7 +19,7 @@
 const minimumAnswers = 5;
 
 /** Standard deviation of answer times, relative to their mean. */
-const answerDeviation = 1;
+const relativeDeviation = 1;
 
 /** A measured speed replaces the current estimate if it differs by more than this many standard deviations: each change of speed moves keys. */
 const speedSignificance = 2.5;
@@ -90,7 +90,7 @@
 
 		const current = speeds.get(upstream) ?? 1;
 		const measured = Math.min(maximumSpeed, Math.max(minimumSpeed, (milliseconds / count) / (own.milliseconds / own.count)));
-		if (Math.abs(measured - current) <= speedSignificance * current * answerDeviation / Math.sqrt(own.count)) {
+		if (Math.abs(measured - current) <= speedSignificance * current * relativeDeviation / Math.sqrt(own.count)) {
 			return current;
 		}
 
