--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -18,7 +18,7 @@
 const keysInRun = 32;
 
 /** A key with a lower decayed count is treated as idle. */
-const leastRemembered = 0.1;
+const minimumCount = 0.1;
 
 const millisecondsPerSecond = 1000;
 
@@ -87,7 +87,7 @@
 				short += shorts[key]! * shortLeft;
 			}
 
-			if (long <= leastRemembered) {
+			if (long <= minimumCount) {
 				continue;
 			}
 
@@ -95,7 +95,7 @@
 			for (let key = first; key < first + keysInRun; key += 1) {
 				const byLong = longs[key]! * longLeft;
 				const byShort = shorts[key]! * shortLeft;
-				if (byLong > leastRemembered) {
+				if (byLong > minimumCount) {
 					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortMemoryMilliseconds : byLong / longMemoryMilliseconds;
 					rates.push({key, rate: perMillisecond * millisecondsPerSecond});
 				}
