--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -23,7 +23,7 @@
 const millisecondsPerSecond = 1000;
 
 /** Weights of new counts grow by at most `e` to this power before all counts are rescaled. */
-const mostGrowth = 100;
+const maximumExponent = 100;
 
 /** Exponentially decaying counts. Instead of scaling down old counts, new ones get a higher weight. */
 class Memory {
@@ -37,7 +37,7 @@
 	}
 
 	add(key: number, count: number, now: MonotonicTime): void {
-		if (now - this.#since > mostGrowth * this.#milliseconds) {
+		if (now - this.#since > maximumExponent * this.#milliseconds) {
 			const left = this.left(now);
 			for (let other = 0; other < keyCount; other += 1) {
 				this.weighted[other]! *= left;
