--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -26,7 +26,7 @@
 const maximumExponent = 100;
 
 /** Exponentially decaying counts. Instead of scaling down old counts, new ones get a higher weight. */
-class Memory {
+class DecayingCounts {
 	/** The weighted counts by key; multiply by `left` for the decayed count. */
 	readonly weighted = new Float64Array(keyCount);
 	readonly #milliseconds: Milliseconds;
@@ -63,8 +63,8 @@
 
 /** The counts of one service. Mutable. */
 export class KeyCounts {
-	readonly #long = new Memory(longMemoryMilliseconds);
-	readonly #short = new Memory(shortMemoryMilliseconds);
+	readonly #long = new DecayingCounts(longMemoryMilliseconds);
+	readonly #short = new DecayingCounts(shortMemoryMilliseconds);
 
 	/** Counts requests for a key. */
 	add(key: number, count: number, now: MonotonicTime): void {
