--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -38,7 +38,7 @@
 
 	add(key: number, count: number, now: MonotonicTime): void {
 		if (now - this.#since > maximumExponent * this.#milliseconds) {
-			const left = this.left(now);
+			const left = this.decayFactor(now);
 			for (let other = 0; other < keyCount; other += 1) {
 				this.weighted[other]! *= left;
 			}
@@ -46,11 +46,11 @@
 			this.#since = now;
 		}
 
-		this.weighted[key]! += count / this.left(now);
+		this.weighted[key]! += count / this.decayFactor(now);
 	}
 
 	/** The factor from a weighted count to the decayed count at a given time. */
-	left(now: MonotonicTime): number {
+	decayFactor(now: MonotonicTime): number {
 		return Math.exp((this.#since - now) / this.#milliseconds);
 	}
 }
@@ -76,8 +76,8 @@
 	rates(now: MonotonicTime): readonly KeyRate[] {
 		const {weighted: longs} = this.#long;
 		const {weighted: shorts} = this.#short;
-		const longLeft = this.#long.left(now);
-		const shortLeft = this.#short.left(now);
+		const longLeft = this.#long.decayFactor(now);
+		const shortLeft = this.#short.decayFactor(now);
 		const rates: KeyRate[] = [];
 		for (let first = 0; first < keyCount; first += keysInRun) {
 			let long = 0;
