--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -38,9 +38,9 @@
 
 	add(key: number, count: number, now: MonotonicTime): void {
 		if (now - this.#since > maximumExponent * this.#milliseconds) {
-			const left = this.decayFactor(now);
+			const decayFactor = this.decayFactor(now);
 			for (let other = 0; other < keyCount; other += 1) {
-				this.weighted[other]! *= left;
+				this.weighted[other]! *= decayFactor;
 			}
 
 			this.#since = now;
