--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -76,14 +76,14 @@
 	rates(now: MonotonicTime): readonly KeyRate[] {
 		const {weighted: longs} = this.#long;
 		const {weighted: shorts} = this.#short;
-		const longLeft = this.#long.decayFactor(now);
+		const longFactor = this.#long.decayFactor(now);
 		const shortLeft = this.#short.decayFactor(now);
 		const rates: KeyRate[] = [];
 		for (let first = 0; first < keyCount; first += keysInRun) {
 			let long = 0;
 			let short = 0;
 			for (let key = first; key < first + keysInRun; key += 1) {
-				long += longs[key]! * longLeft;
+				long += longs[key]! * longFactor;
 				short += shorts[key]! * shortLeft;
 			}
 
@@ -93,7 +93,7 @@
 
 			const isChanged = hasChanged(long, short);
 			for (let key = first; key < first + keysInRun; key += 1) {
-				const byLong = longs[key]! * longLeft;
+				const byLong = longs[key]! * longFactor;
 				const byShort = shorts[key]! * shortLeft;
 				if (byLong > minimumCount) {
 					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortMemoryMilliseconds : byLong / longMemoryMilliseconds;
