--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -77,14 +77,14 @@
 		const {weighted: longs} = this.#long;
 		const {weighted: shorts} = this.#short;
 		const longFactor = this.#long.decayFactor(now);
-		const shortLeft = this.#short.decayFactor(now);
+		const shortFactor = this.#short.decayFactor(now);
 		const rates: KeyRate[] = [];
 		for (let first = 0; first < keyCount; first += keysInRun) {
 			let long = 0;
 			let short = 0;
 			for (let key = first; key < first + keysInRun; key += 1) {
 				long += longs[key]! * longFactor;
-				short += shorts[key]! * shortLeft;
+				short += shorts[key]! * shortFactor;
 			}
 
 			if (long <= minimumCount) {
@@ -94,7 +94,7 @@
 			const isChanged = hasChanged(long, short);
 			for (let key = first; key < first + keysInRun; key += 1) {
 				const byLong = longs[key]! * longFactor;
-				const byShort = shorts[key]! * shortLeft;
+				const byShort = shorts[key]! * shortFactor;
 				if (byLong > minimumCount) {
 					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortMemoryMilliseconds : byLong / longMemoryMilliseconds;
 					rates.push({key, rate: perMillisecond * millisecondsPerSecond});
