--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -8,7 +8,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** Time constants: counts decay to 1/e of their weight within these times. */
-export const longMemoryMilliseconds: Milliseconds = 8000;
+export const longDecayMilliseconds: Milliseconds = 8000;
 export const shortMemoryMilliseconds: Milliseconds = 1000;
 
 /** The short-term rate replaces the long-term one if they differ by more than this many standard deviations. */
@@ -57,13 +57,13 @@
 
 /** Whether the short-term count is significantly above or below what the long-term one predicts. */
 function hasChanged(long: number, short: number): boolean {
-	const expected = long * shortMemoryMilliseconds / longMemoryMilliseconds;
+	const expected = long * shortMemoryMilliseconds / longDecayMilliseconds;
 	return Math.abs(short - expected) > significance * Math.sqrt(expected + 1);
 }
 
 /** The counts of one service. Mutable. */
 export class KeyCounts {
-	readonly #long = new DecayingCounts(longMemoryMilliseconds);
+	readonly #long = new DecayingCounts(longDecayMilliseconds);
 	readonly #short = new DecayingCounts(shortMemoryMilliseconds);
 
 	/** Counts requests for a key. */
@@ -96,7 +96,7 @@
 				const byLong = longs[key]! * longFactor;
 				const byShort = shorts[key]! * shortFactor;
 				if (byLong > minimumCount) {
-					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortMemoryMilliseconds : byLong / longMemoryMilliseconds;
+					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortMemoryMilliseconds : byLong / longDecayMilliseconds;
 					rates.push({key, rate: perMillisecond * millisecondsPerSecond});
 				}
 			}
--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -33,7 +33,7 @@
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
-import {longMemoryMilliseconds} from './key-counts.js';
+import {longDecayMilliseconds} from './key-counts.js';
 import {LoadCounts} from './load-counts.js';
 import {createProposals} from './proposals.js';
 
@@ -298,7 +298,7 @@
 			mostRanges,
 			workOf: service => ({
 				rates: rates.get(service) ?? [],
-				countedMilliseconds: longMemoryMilliseconds,
+				countedMilliseconds: longDecayMilliseconds,
 				speedOf: upstream => loads.speed(upstream, service, now),
 			}),
 		});
--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -9,7 +9,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {keyCount} from '@dogwooddeck/key-lease/range';
-import {KeyCounts, longMemoryMilliseconds} from './key-counts.js';
+import {KeyCounts, longDecayMilliseconds} from './key-counts.js';
 
 /** Bounds of the speed of an upstream relative to the others of its service. */
 const minimumSpeed = 0.2;
@@ -110,7 +110,7 @@
 
 		const passed = now - existing.decayedAt;
 		if (passed > 0) {
-			const factor = Math.exp(-passed / longMemoryMilliseconds);
+			const factor = Math.exp(-passed / longDecayMilliseconds);
 			existing.decayedAt = now;
 			existing.answers = new Map([...existing.answers].map(([upstream, {count, milliseconds}]) => [upstream, {count: count * factor, milliseconds: milliseconds * factor}]));
 			existing.allAnswers = sumOf(existing.answers);
