--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -9,7 +9,7 @@
 
 /** Time constants: counts decay to 1/e of their weight within these times. */
 export const longDecayMilliseconds: Milliseconds = 8000;
-export const shortMemoryMilliseconds: Milliseconds = 1000;
+export const shortDecayMilliseconds: Milliseconds = 1000;
 
 /** The short-term rate replaces the long-term one if they differ by more than this many standard deviations. */
 const significance = 3;
@@ -57,14 +57,14 @@
 
 /** Whether the short-term count is significantly above or below what the long-term one predicts. */
 function hasChanged(long: number, short: number): boolean {
-	const expected = long * shortMemoryMilliseconds / longDecayMilliseconds;
+	const expected = long * shortDecayMilliseconds / longDecayMilliseconds;
 	return Math.abs(short - expected) > significance * Math.sqrt(expected + 1);
 }
 
 /** The counts of one service. Mutable. */
 export class KeyCounts {
 	readonly #long = new DecayingCounts(longDecayMilliseconds);
-	readonly #short = new DecayingCounts(shortMemoryMilliseconds);
+	readonly #short = new DecayingCounts(shortDecayMilliseconds);
 
 	/** Counts requests for a key. */
 	add(key: number, count: number, now: MonotonicTime): void {
@@ -96,7 +96,7 @@
 				const byLong = longs[key]! * longFactor;
 				const byShort = shorts[key]! * shortFactor;
 				if (byLong > minimumCount) {
-					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortMemoryMilliseconds : byLong / longDecayMilliseconds;
+					const perMillisecond = isChanged || hasChanged(byLong, byShort) ? byShort / shortDecayMilliseconds : byLong / longDecayMilliseconds;
 					rates.push({key, rate: perMillisecond * millisecondsPerSecond});
 				}
 			}
