--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -14,7 +14,7 @@
 const watchMilliseconds: Milliseconds = 200;
 
 /** The collaborators of the replication watch. */
-export type ReplicationWatchParts = {
+export type ReplicationWatchDependencies = {
 	readonly holder: DirectoryHolder;
 	readonly voter: DirectoryVoter;
 	readonly log: Log;
@@ -33,7 +33,7 @@
 };
 
 /** Starts the watch. */
-export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchParts): ReplicationWatch {
+export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchDependencies): ReplicationWatch {
 	const own = new LagWatch(log);
 	let members = new Map<string, LagWatch>();
 
