--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -54,11 +54,11 @@
 		}
 	}
 
-	const watching = setInterval(watch, watchMilliseconds);
+	const watchTimer = setInterval(watch, watchMilliseconds);
 	return {
 		ownLag,
 		stop() {
-			clearInterval(watching);
+			clearInterval(watchTimer);
 		},
 	};
 }
