--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -34,11 +34,11 @@
 
 /** Starts the watch. */
 export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchDependencies): ReplicationWatch {
-	const own = new LagWatch(log);
+	const ownWatch = new LagWatch(log);
 	let members = new Map<string, LagWatch>();
 
 	function ownLag(): Milliseconds {
-		return own.note(holder.state().applied, voter.knownCommitted(), monotonicNow());
+		return ownWatch.note(holder.state().applied, voter.knownCommitted(), monotonicNow());
 	}
 
 	function watch(): void {
