--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -35,7 +35,7 @@
 /** Starts the watch. */
 export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchDependencies): ReplicationWatch {
 	const ownWatch = new LagWatch(log);
-	let members = new Map<string, LagWatch>();
+	let memberWatches = new Map<string, LagWatch>();
 
 	function ownLag(): Milliseconds {
 		return ownWatch.note(holder.state().applied, voter.knownCommitted(), monotonicNow());
@@ -48,9 +48,9 @@
 		measures.set(MeasureName.applied, holder.state().applied);
 		measures.set(MeasureName.committed, committed);
 		const positions = voter.memberPositions();
-		members = new Map(positions.map(({member}) => [nameOf(member), members.get(nameOf(member)) ?? new LagWatch(log, {member: member.name})]));
+		memberWatches = new Map(positions.map(({member}) => [nameOf(member), memberWatches.get(nameOf(member)) ?? new LagWatch(log, {member: member.name})]));
 		for (const {member, index} of positions) {
-			members.get(nameOf(member))!.note(index, committed, now);
+			memberWatches.get(nameOf(member))!.note(index, committed, now);
 		}
 	}
 
