--- a/packages/control-node/src/announcement-batch.ts
+++ b/packages/control-node/src/announcement-batch.ts
@@ -8,7 +8,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 
 /** Announcements within this window share a call. An urgent one sends the batch at once. */
-const gatherMilliseconds: Milliseconds = 25;
+const batchMilliseconds: Milliseconds = 25;
 
 type Outcome = Result<AnnouncementOutcome, Failure>;
 type Waiting = {readonly report: AnnouncementReport; readonly resolve: (outcome: Outcome) => void};
@@ -50,7 +50,7 @@
 		} else {
 			timer ??= setTimeout(() => {
 				void flush();
-			}, gatherMilliseconds);
+			}, batchMilliseconds);
 		}
 	});
 }
