--- a/packages/control-node/src/announcement-batch.ts
+++ b/packages/control-node/src/announcement-batch.ts
@@ -11,7 +11,7 @@
 const batchMilliseconds: Milliseconds = 25;
 
 type Outcome = Result<AnnouncementOutcome, Failure>;
-type Waiting = {readonly report: AnnouncementReport; readonly resolve: (outcome: Outcome) => void};
+type PendingAnnouncement = {readonly report: AnnouncementReport; readonly resolve: (outcome: Outcome) => void};
 
 /** Sends announcements in one call. The replies are in the same order. */
 export type SendAnnouncements = (announcements: readonly AnnouncementReport[]) => Promise<Result<ReadonlyArray<Reply<AnnouncementOutcome>>, Failure>>;
@@ -29,7 +29,7 @@
 
 /** Creates a function that forwards an announcement to the leader as part of a batch. */
 export function createAnnouncementBatch(send: SendAnnouncements): (report: AnnouncementReport) => Promise<Outcome> {
-	let waiting: readonly Waiting[] = [];
+	let waiting: readonly PendingAnnouncement[] = [];
 	let timer: NodeJS.Timeout | undefined;
 
 	async function flush(): Promise<void> {
