--- a/packages/control-node/src/announcement-batch.ts
+++ b/packages/control-node/src/announcement-batch.ts
@@ -29,14 +29,14 @@
 
 /** Creates a function that forwards an announcement to the leader as part of a batch. */
 export function createAnnouncementBatch(send: SendAnnouncements): (report: AnnouncementReport) => Promise<Outcome> {
-	let waiting: readonly PendingAnnouncement[] = [];
+	let pending: readonly PendingAnnouncement[] = [];
 	let timer: NodeJS.Timeout | undefined;
 
 	async function flush(): Promise<void> {
 		clearTimeout(timer);
 		timer = undefined;
-		const sending = waiting;
-		waiting = [];
+		const sending = pending;
+		pending = [];
 		const sent = await send(sending.map(({report}) => report));
 		for (const [position, {resolve}] of sending.entries()) {
 			resolve(outcomeOf(sent, position));
@@ -44,7 +44,7 @@
 	}
 
 	return async report => new Promise(resolve => {
-		waiting = [...waiting, {report, resolve}];
+		pending = [...pending, {report, resolve}];
 		if (report.isUrgent) {
 			void flush();
 		} else {
