--- a/packages/control-node/src/announcement-batch.ts
+++ b/packages/control-node/src/announcement-batch.ts
@@ -28,7 +28,7 @@
 }
 
 /** Creates a function that forwards an announcement to the leader as part of a batch. */
-export function createAnnouncementBatch(send: SendAnnouncements): (report: AnnouncementReport) => Promise<Outcome> {
+export function createAnnouncementBatcher(send: SendAnnouncements): (report: AnnouncementReport) => Promise<Outcome> {
 	let pending: readonly PendingAnnouncement[] = [];
 	let timer: NodeJS.Timeout | undefined;
 
--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -27,7 +27,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
-import {createAnnouncementBatch} from './announcement-batch.js';
+import {createAnnouncementBatcher} from './announcement-batch.js';
 import {createAnnouncementCoordinator} from './announcement-desk.js';
 import {countCalls} from './call-counts.js';
 import {type DirectoryVoter, startDirectoryVoter} from './directory-voter.js';
@@ -173,7 +173,7 @@
 		holder,
 		isFresh,
 		holdMilliseconds: settings.holdMilliseconds,
-		forward: createAnnouncementBatch(async batch => {
+		forward: createAnnouncementBatcher(async batch => {
 			const answered = await callLeader('announce', {announcements: batch}, async () => ok({answers: await answerAll(batch)}));
 			return answered.map(({answers}) => answers);
 		}),
--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-gathering.ts
@@ -3,7 +3,7 @@
 import {type AnnouncementReport, type LoadReport} from '@dogwooddeck/mesh/calls';
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {err, ok} from 'true-myth/result';
-import {createAnnouncementBatch} from '@dogwooddeck/control-node/announcement-batch';
+import {createAnnouncementBatcher} from '@dogwooddeck/control-node/announcement-batch';
 import {createLoadRelay} from '@dogwooddeck/control-node/load-relay';
 
 function report(id: string, isUrgent = false): AnnouncementReport {
@@ -31,7 +31,7 @@
 	test(`announcement batch: ${name}`, context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
 		const seen: string[] = [];
-		const passOn = createAnnouncementBatch(async batch => {
+		const passOn = createAnnouncementBatcher(async batch => {
 			seen.push(batch.map(({keys}) => keys.life.id).join(','));
 			return ok([]);
 		});
@@ -47,7 +47,7 @@
 test('announcement batch: each gets its own answer, or a failure if there is none', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const refused = failure(FailureKind.notFound, 'there is no service');
-	const passOn = createAnnouncementBatch(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
+	const passOn = createAnnouncementBatcher(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
 	const outcomes = Promise.all([report('a'), report('b'), report('c')].map(async one => passOn(one)));
 	context.mock.timers.tick(25);
 	const settled = await outcomes;
@@ -57,7 +57,7 @@
 
 test('announcement batch: all fail if the leader is unreachable', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
-	const passOn = createAnnouncementBatch(async () => err(failure(FailureKind.unreachable, 'no answer')));
+	const passOn = createAnnouncementBatcher(async () => err(failure(FailureKind.unreachable, 'no answer')));
 	const outcomes = Promise.all([report('a'), report('b')].map(async one => passOn(one)));
 	context.mock.timers.tick(25);
 	const settled = await outcomes;
