--- a/packages/control-node/src/proposals.ts
+++ b/packages/control-node/src/proposals.ts
@@ -9,7 +9,7 @@
 import {type DirectoryVoter} from './directory-voter.js';
 
 /** Commands proposed within this window share one log entry. */
-const gatherCommandsMilliseconds: Milliseconds = 5;
+const batchMilliseconds: Milliseconds = 5;
 
 type Proposed = {readonly commands: readonly DirectoryCommand[]; readonly resolve: (result: Result<LogIndex, Failure>) => void};
 
@@ -33,7 +33,7 @@
 		if (gathered.length === 0) {
 			setTimeout(() => {
 				void flush();
-			}, gatherCommandsMilliseconds);
+			}, batchMilliseconds);
 		}
 
 		gathered = [...gathered, {commands, resolve}];
