--- a/packages/control-node/src/proposals.ts
+++ b/packages/control-node/src/proposals.ts
@@ -15,11 +15,11 @@
 
 /** Creates a function that proposes commands. It returns the index of their log entry, or the failure of the first of its commands that was refused. */
 export function createProposals(send: DirectoryVoter['propose']): (commands: readonly DirectoryCommand[]) => Promise<Result<LogIndex, Failure>> {
-	let gathered: readonly Proposed[] = [];
+	let pending: readonly Proposed[] = [];
 
 	async function flush(): Promise<void> {
-		const proposed = gathered;
-		gathered = [];
+		const proposed = pending;
+		pending = [];
 		const committed = await send(encodeCommands(proposed.flatMap(({commands}) => commands)));
 		let next = 0;
 		for (const {commands, resolve} of proposed) {
@@ -30,13 +30,13 @@
 	}
 
 	return async commands => new Promise(resolve => {
-		if (gathered.length === 0) {
+		if (pending.length === 0) {
 			setTimeout(() => {
 				void flush();
 			}, batchMilliseconds);
 		}
 
-		gathered = [...gathered, {commands, resolve}];
+		pending = [...pending, {commands, resolve}];
 	});
 }
 
