--- a/packages/control-node/src/proposals.ts
+++ b/packages/control-node/src/proposals.ts
@@ -11,11 +11,11 @@
 /** Commands proposed within this window share one log entry. */
 const batchMilliseconds: Milliseconds = 5;
 
-type Proposed = {readonly commands: readonly DirectoryCommand[]; readonly resolve: (result: Result<LogIndex, Failure>) => void};
+type PendingProposal = {readonly commands: readonly DirectoryCommand[]; readonly resolve: (result: Result<LogIndex, Failure>) => void};
 
 /** Creates a function that proposes commands. It returns the index of their log entry, or the failure of the first of its commands that was refused. */
 export function createProposals(send: DirectoryVoter['propose']): (commands: readonly DirectoryCommand[]) => Promise<Result<LogIndex, Failure>> {
-	let pending: readonly Proposed[] = [];
+	let pending: readonly PendingProposal[] = [];
 
 	async function flush(): Promise<void> {
 		const proposed = pending;
