--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-desk.ts
@@ -35,7 +35,7 @@
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
 import {longDecayMilliseconds} from './key-counts.js';
 import {LoadCounts} from './load-counts.js';
-import {createProposals} from './proposals.js';
+import {createProposalBatcher} from './proposals.js';
 
 /** The calls that the leader alone answers. */
 export type LeaderCoordinator = {
@@ -94,7 +94,7 @@
 	/** Pending proposals of item changes, by the JSON of the changes. */
 	const pendingDeclarations = new Map<string, Promise<Result<LogIndex, Failure>>>();
 	const lapseLines = new LineBudget(lapseLinesPerSecond);
-	const propose = createProposals(async payload => voter().propose(payload));
+	const propose = createProposalBatcher(async payload => voter().propose(payload));
 
 	function isKeyed(service: string): boolean {
 		return holder.state().items.service[service]?.value?.keyed ?? false;
--- a/packages/control-node/src/proposals.ts
+++ b/packages/control-node/src/proposals.ts
@@ -14,7 +14,7 @@
 type PendingProposal = {readonly commands: readonly DirectoryCommand[]; readonly resolve: (result: Result<LogIndex, Failure>) => void};
 
 /** Creates a function that proposes commands. It returns the index of their log entry, or the failure of the first of its commands that was refused. */
-export function createProposals(send: DirectoryVoter['propose']): (commands: readonly DirectoryCommand[]) => Promise<Result<LogIndex, Failure>> {
+export function createProposalBatcher(send: DirectoryVoter['propose']): (commands: readonly DirectoryCommand[]) => Promise<Result<LogIndex, Failure>> {
 	let pending: readonly PendingProposal[] = [];
 
 	async function flush(): Promise<void> {
