--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -23,7 +23,7 @@
 export function countCalls(measures: Measures): CallCounts {
 	const counts = new Map<MeshCall, Count>(meshCalls.map(call => [call, {taken: 0, made: 0, failed: 0}]));
 
-	function countTaken<Call extends MeshCall>(call: Call, handler: MeshHandlers[Call]): MeshHandlers[Call] {
+	function countReceivedCalls<Call extends MeshCall>(call: Call, handler: MeshHandlers[Call]): MeshHandlers[Call] {
 		const counter = measures.counter(MeasureName.callsTaken, {call});
 		return (async request => {
 			counter.value += 1;
@@ -39,7 +39,7 @@
 			count.failed += outcome.isOk ? 0 : 1;
 			measures.counter(MeasureName.callsMade, {call, outcome: outcome.isOk ? 'answered' : outcome.error.kind}).value += 1;
 		},
-		taken: handlers => Object.fromEntries(meshCalls.map(call => [call, countTaken(call, handlers[call])])) as MeshHandlers,
+		taken: handlers => Object.fromEntries(meshCalls.map(call => [call, countReceivedCalls(call, handlers[call])])) as MeshHandlers,
 		sinceLast() {
 			const used = [...counts].filter(([, {taken, made}]) => taken + made > 0);
 			const fields = Object.fromEntries(used.map(([call, {taken, made, failed}]) => [call, `${taken}/${made}/${failed}`]));
