--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -10,7 +10,7 @@
 
 /** The counts of one instance. */
 export type CallCounts = {
-	readonly made: CallListener;
+	readonly onCall: CallListener;
 	/** Wraps handlers so that they count the calls they receive. */
 	readonly taken: (handlers: MeshHandlers) => MeshHandlers;
 	/** Counts since the last call of this function, by kind of call, as `received/made/failed`. */
@@ -33,7 +33,7 @@
 	}
 
 	return {
-		made(call, outcome) {
+		onCall(call, outcome) {
 			const count = counts.get(call)!;
 			count.made += 1;
 			count.failed += outcome.isOk ? 0 : 1;
--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -84,7 +84,7 @@
 /** Starts a control instance. Throws a `FailureError` if its data folder or address can't be used. */
 export async function startControlNode({settings, log, measures, failed}: ControlNodeDependencies): Promise<ControlNode> {
 	const calls = countCalls(measures);
-	const clients = createMeshClients(calls.made);
+	const clients = createMeshClients(calls.onCall);
 	const holder = createStateHolder(directoryMachine);
 	const observations = new Map<string, VoterObservation>();
 	const entryCount = new EntryCount();
