--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -12,7 +12,7 @@
 export type CallCounts = {
 	readonly onCall: CallListener;
 	/** Wraps handlers so that they count the calls they receive. */
-	readonly taken: (handlers: MeshHandlers) => MeshHandlers;
+	readonly countReceived: (handlers: MeshHandlers) => MeshHandlers;
 	/** Counts since the last call of this function, by kind of call, as `received/made/failed`. */
 	readonly sinceLast: () => Fields;
 };
@@ -39,7 +39,7 @@
 			count.failed += outcome.isOk ? 0 : 1;
 			measures.counter(MeasureName.callsMade, {call, outcome: outcome.isOk ? 'answered' : outcome.error.kind}).value += 1;
 		},
-		taken: handlers => Object.fromEntries(meshCalls.map(call => [call, countReceivedCalls(call, handlers[call])])) as MeshHandlers,
+		countReceived: handlers => Object.fromEntries(meshCalls.map(call => [call, countReceivedCalls(call, handlers[call])])) as MeshHandlers,
 		sinceLast() {
 			const used = [...counts].filter(([, {taken, made}]) => taken + made > 0);
 			const fields = Object.fromEntries(used.map(([call, {taken, made, failed}]) => [call, `${taken}/${made}/${failed}`]));
--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -203,7 +203,7 @@
 		return monotonicNow() - reportedShares.at <= sharesLifetimeMilliseconds ? reportedShares.shares : [];
 	}
 
-	const handlers: MeshHandlers = calls.taken({
+	const handlers: MeshHandlers = calls.countReceived({
 		async deliver(envelope) {
 			return own.voter?.deliver(envelope) ?? err(failure(FailureKind.notReady, 'the voter has not started'));
 		},
