--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -17,7 +17,7 @@
 	readonly sinceLast: () => Fields;
 };
 
-type Count = {taken: number; made: number; failed: number};
+type Count = {received: number; made: number; failed: number};
 
 /** Creates the counts. */
 export function countCalls(measures: Measures): CallCounts {
@@ -27,7 +27,7 @@
 		const counter = measures.counter(MeasureName.callsTaken, {call});
 		return (async request => {
 			counter.value += 1;
-			counts.get(call)!.taken += 1;
+			counts.get(call)!.received += 1;
 			return handler(request);
 		}) as MeshHandlers[Call];
 	}
@@ -41,10 +41,10 @@
 		},
 		countReceived: handlers => Object.fromEntries(meshCalls.map(call => [call, countReceivedCalls(call, handlers[call])])) as MeshHandlers,
 		sinceLast() {
-			const used = [...counts].filter(([, {taken, made}]) => taken + made > 0);
-			const fields = Object.fromEntries(used.map(([call, {taken, made, failed}]) => [call, `${taken}/${made}/${failed}`]));
+			const used = [...counts].filter(([, {received: taken, made}]) => taken + made > 0);
+			const fields = Object.fromEntries(used.map(([call, {received: taken, made, failed}]) => [call, `${taken}/${made}/${failed}`]));
 			for (const call of meshCalls) {
-				counts.set(call, {taken: 0, made: 0, failed: 0});
+				counts.set(call, {received: 0, made: 0, failed: 0});
 			}
 
 			return fields;
