--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -21,7 +21,7 @@
 
 /** Creates the counts. */
 export function countCalls(measures: Measures): CallCounts {
-	const counts = new Map<MeshCall, Count>(meshCalls.map(call => [call, {taken: 0, made: 0, failed: 0}]));
+	const counts = new Map<MeshCall, Count>(meshCalls.map(call => [call, {received: 0, made: 0, failed: 0}]));
 
 	function countReceivedCalls<Call extends MeshCall>(call: Call, handler: MeshHandlers[Call]): MeshHandlers[Call] {
 		const counter = measures.counter(MeasureName.callsTaken, {call});
