--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -41,7 +41,7 @@
 		},
 		countReceived: handlers => Object.fromEntries(meshCalls.map(call => [call, countReceivedCalls(call, handlers[call])])) as MeshHandlers,
 		sinceLast() {
-			const used = [...counts].filter(([, {received: taken, made}]) => taken + made > 0);
+			const used = [...counts].filter(([, {received: received, made}]) => received + made > 0);
 			const fields = Object.fromEntries(used.map(([call, {received: taken, made, failed}]) => [call, `${taken}/${made}/${failed}`]));
 			for (const call of meshCalls) {
 				counts.set(call, {received: 0, made: 0, failed: 0});
