--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -19,7 +19,7 @@
 	event: () => undefined, warning: () => undefined, error: () => undefined,
 };
 
-type Scene = {
+type Scenario = {
 	readonly declare: (changes: readonly ItemChange[]) => Promise<Result<{readonly index: number}, Failure>>;
 	readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>;
 	readonly holder: DirectoryHolder;
@@ -33,7 +33,7 @@
 };
 
 /** A leader whose log commits at once by default. Time only passes when it is advanced. */
-function startScene(context: TestContext): Scene {
+function startScene(context: TestContext): Scenario {
 	let now = 1000;
 	context.mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	context.mock.method(performance, 'now', () => now);
@@ -104,7 +104,7 @@
 	answered.value = await asked;
 }
 
-function ask({announce}: Scene, asked: Announcement): Answered {
+function ask({announce}: Scenario, asked: Announcement): Answered {
 	const answered: Answered = {};
 	void keepAnswer(announce(asked), answered);
 	return answered;
@@ -113,7 +113,7 @@
 const held = {from: 0, to: 65_535, holder: {id: '1', born: 1}};
 
 /** Upstream 1 has announced itself, holds all keys and has been notified of them. */
-async function startHeld(context: TestContext): Promise<Scene> {
+async function startHeld(context: TestContext): Promise<Scenario> {
 	const scene = startScene(context);
 	ask(scene, announcement('1', 1));
 	await scene.advance(700);
@@ -121,7 +121,7 @@
 	return scene;
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly happens: (scene: Scene) => void; readonly isAnsweredWithin: number; readonly rows: number | undefined}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly happens: (scene: Scenario) => void; readonly isAnsweredWithin: number; readonly rows: number | undefined}> = [
 	{
 		name: 'without news is delayed, then renewed', happens: () => undefined, isAnsweredWithin: 600, rows: 1,
 	},
