--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -33,7 +33,7 @@
 };
 
 /** A leader whose log commits at once by default. Time only passes when it is advanced. */
-function startScene(context: TestContext): Scenario {
+function startScenario(context: TestContext): Scenario {
 	let now = 1000;
 	context.mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	context.mock.method(performance, 'now', () => now);
@@ -114,7 +114,7 @@
 
 /** Upstream 1 has announced itself, holds all keys and has been notified of them. */
 async function startHeld(context: TestContext): Promise<Scenario> {
-	const scene = startScene(context);
+	const scene = startScenario(context);
 	ask(scene, announcement('1', 1));
 	await scene.advance(700);
 	scene.commit([{kind: 'keysGranted', service: 's', rows: [held]}, {kind: 'keysTold', service: 's', rows: [held]}]);
@@ -197,7 +197,7 @@
 
 for (const {name, together, entries} of declarations) {
 	test(`leader coordinator: a change ${name} creates ${entries} log ${entries === 1 ? 'entry' : 'entries'}`, async context => {
-		const scene = startScene(context);
+		const scene = startScenario(context);
 		const before = scene.holder.state().applied;
 		for (const declared of together) {
 			const asked = Promise.all(declared.map(async ({changes}) => scene.declare(changes)));
@@ -211,7 +211,7 @@
 }
 
 test('leader coordinator: a change that is sent again while it is pending creates one log entry', async context => {
-	const scene = startScene(context);
+	const scene = startScenario(context);
 	const before = scene.holder.state().applied;
 	scene.commitMilliseconds.value = 300;
 	const first = scene.declare([service('t', 2)]);
