--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -113,7 +113,7 @@
 const held = {from: 0, to: 65_535, holder: {id: '1', born: 1}};
 
 /** Upstream 1 has announced itself, holds all keys and has been notified of them. */
-async function startHeld(context: TestContext): Promise<Scenario> {
+async function startWithHeldKeys(context: TestContext): Promise<Scenario> {
 	const scene = startScenario(context);
 	ask(scene, announcement('1', 1));
 	await scene.advance(700);
@@ -140,7 +140,7 @@
 
 for (const {name, happens, isAnsweredWithin, rows} of cases) {
 	test(`leader coordinator: an announcement ${name}`, async context => {
-		const scene = await startHeld(context);
+		const scene = await startWithHeldKeys(context);
 		const answered = ask(scene, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
 		await scene.advance(300);
 		assert.deepEqual(answered, {});
@@ -151,7 +151,7 @@
 }
 
 test('leader coordinator: an announcement received by a leader that has since been replaced renews nothing', async context => {
-	const scene = await startHeld(context);
+	const scene = await startWithHeldKeys(context);
 	const answered = ask(scene, announcement('1', 2));
 	scene.leads.value = false;
 	await scene.advance(700);
@@ -159,7 +159,7 @@
 });
 
 test('leader coordinator: an announcement is answered in time even if the read round of the leader is slow', async context => {
-	const scene = await startHeld(context);
+	const scene = await startWithHeldKeys(context);
 	scene.roundMilliseconds.value = 200;
 	const answered = ask(scene, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
 	await scene.advance(700);
@@ -167,7 +167,7 @@
 });
 
 test('leader coordinator: the announcement of a draining upstream is not delayed', async context => {
-	const scene = await startHeld(context);
+	const scene = await startWithHeldKeys(context);
 	const answered = ask(scene, announcement('1', 2, {}, UpstreamState.draining));
 	await scene.advance(30);
 	assert.equal(answered.value?.isOk, true);
