--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -114,11 +114,11 @@
 
 /** Upstream 1 has announced itself, holds all keys and has been notified of them. */
 async function startWithHeldKeys(context: TestContext): Promise<Scenario> {
-	const scene = startScenario(context);
-	ask(scene, announcement('1', 1));
-	await scene.advance(700);
-	scene.commit([{kind: 'keysGranted', service: 's', rows: [held]}, {kind: 'keysTold', service: 's', rows: [held]}]);
-	return scene;
+	const scenario = startScenario(context);
+	ask(scenario, announcement('1', 1));
+	await scenario.advance(700);
+	scenario.commit([{kind: 'keysGranted', service: 's', rows: [held]}, {kind: 'keysTold', service: 's', rows: [held]}]);
+	return scenario;
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly happens: (scene: Scenario) => void; readonly isAnsweredWithin: number; readonly rows: number | undefined}> = [
