--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -121,7 +121,7 @@
 	return scenario;
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly happens: (scene: Scenario) => void; readonly isAnsweredWithin: number; readonly rows: number | undefined}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly happens: (scenario: Scenario) => void; readonly isAnsweredWithin: number; readonly rows: number | undefined}> = [
 	{
 		name: 'without news is delayed, then renewed', happens: () => undefined, isAnsweredWithin: 600, rows: 1,
 	},
