--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -140,12 +140,12 @@
 
 for (const {name, happens, isAnsweredWithin, rows} of cases) {
 	test(`leader coordinator: an announcement ${name}`, async context => {
-		const scene = await startWithHeldKeys(context);
-		const answered = ask(scene, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
-		await scene.advance(300);
+		const scenario = await startWithHeldKeys(context);
+		const answered = ask(scenario, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
+		await scenario.advance(300);
 		assert.deepEqual(answered, {});
-		happens(scene);
-		await scene.advance(isAnsweredWithin);
+		happens(scenario);
+		await scenario.advance(isAnsweredWithin);
 		assert.equal(answered.value?.map(({holds}) => holds?.length).unwrapOr(undefined), rows);
 	});
 }
