--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -151,10 +151,10 @@
 }
 
 test('leader coordinator: an announcement received by a leader that has since been replaced renews nothing', async context => {
-	const scene = await startWithHeldKeys(context);
-	const answered = ask(scene, announcement('1', 2));
-	scene.leads.value = false;
-	await scene.advance(700);
+	const scenario = await startWithHeldKeys(context);
+	const answered = ask(scenario, announcement('1', 2));
+	scenario.leads.value = false;
+	await scenario.advance(700);
 	assert.equal(answered.value?.isErr, true);
 });
 
