--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -159,10 +159,10 @@
 });
 
 test('leader coordinator: an announcement is answered in time even if the read round of the leader is slow', async context => {
-	const scene = await startWithHeldKeys(context);
-	scene.roundMilliseconds.value = 200;
-	const answered = ask(scene, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
-	await scene.advance(700);
+	const scenario = await startWithHeldKeys(context);
+	scenario.roundMilliseconds.value = 200;
+	const answered = ask(scenario, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
+	await scenario.advance(700);
 	assert.equal(answered.value?.isOk, true);
 });
 
