--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -167,11 +167,11 @@
 });
 
 test('leader coordinator: the announcement of a draining upstream is not delayed', async context => {
-	const scene = await startWithHeldKeys(context);
-	const answered = ask(scene, announcement('1', 2, {}, UpstreamState.draining));
-	await scene.advance(30);
+	const scenario = await startWithHeldKeys(context);
+	const answered = ask(scenario, announcement('1', 2, {}, UpstreamState.draining));
+	await scenario.advance(30);
 	assert.equal(answered.value?.isOk, true);
-	assert.equal(scene.holder.state().upstreams['1']?.state, UpstreamState.draining);
+	assert.equal(scenario.holder.state().upstreams['1']?.state, UpstreamState.draining);
 });
 
 function service(name: string, version: number, maxConnections = 10): ItemChange {
