--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -197,16 +197,16 @@
 
 for (const {name, together, entries} of declarations) {
 	test(`leader coordinator: a change ${name} creates ${entries} log ${entries === 1 ? 'entry' : 'entries'}`, async context => {
-		const scene = startScenario(context);
-		const before = scene.holder.state().applied;
+		const scenario = startScenario(context);
+		const before = scenario.holder.state().applied;
 		for (const declared of together) {
-			const asked = Promise.all(declared.map(async ({changes}) => scene.declare(changes)));
-			await scene.advance(50);
+			const asked = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
+			await scenario.advance(50);
 			const answers = await asked;
 			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isTaken}) => isTaken));
 		}
 
-		assert.equal(scene.holder.state().applied - before, entries);
+		assert.equal(scenario.holder.state().applied - before, entries);
 	});
 }
 
