--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -211,14 +211,14 @@
 }
 
 test('leader coordinator: a change that is sent again while it is pending creates one log entry', async context => {
-	const scene = startScenario(context);
-	const before = scene.holder.state().applied;
-	scene.commitMilliseconds.value = 300;
-	const first = scene.declare([service('t', 2)]);
-	await scene.advance(100);
-	const second = scene.declare([service('t', 2)]);
-	await scene.advance(700);
+	const scenario = startScenario(context);
+	const before = scenario.holder.state().applied;
+	scenario.commitMilliseconds.value = 300;
+	const first = scenario.declare([service('t', 2)]);
+	await scenario.advance(100);
+	const second = scenario.declare([service('t', 2)]);
+	await scenario.advance(700);
 	const answers = await Promise.all([first, second]);
 	assert.deepEqual(answers.map(({isOk}) => isOk), [true, true]);
-	assert.equal(scene.holder.state().applied - before, 1);
+	assert.equal(scenario.holder.state().applied - before, 1);
 });
