--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -178,20 +178,20 @@
 	return {kind: 'service', name, item: {version, value: {keyed: false, maxConnections}, document: String(maxConnections)}};
 }
 
-type Declared = {readonly changes: readonly ItemChange[]; readonly isTaken: boolean};
+type Declared = {readonly changes: readonly ItemChange[]; readonly isAccepted: boolean};
 
 const declarations: ReadonlyArray<{readonly name: string; readonly together: ReadonlyArray<readonly Declared[]>; readonly entries: number}> = [
 	{
-		name: 'sent twice concurrently', together: [[{changes: [service('t', 2)], isTaken: true}, {changes: [service('t', 2)], isTaken: true}]], entries: 1,
+		name: 'sent twice concurrently', together: [[{changes: [service('t', 2)], isAccepted: true}, {changes: [service('t', 2)], isAccepted: true}]], entries: 1,
 	},
 	{
-		name: 'sent again later', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 2)], isTaken: true}]], entries: 1,
+		name: 'sent again later', together: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 2)], isAccepted: true}]], entries: 1,
 	},
 	{
-		name: 'sent again after a later one', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 3)], isTaken: true}], [{changes: [service('t', 2)], isTaken: true}]], entries: 2,
+		name: 'sent again after a later one', together: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 3)], isAccepted: true}], [{changes: [service('t', 2)], isAccepted: true}]], entries: 2,
 	},
 	{
-		name: 'followed by other content under its version', together: [[{changes: [service('t', 2)], isTaken: true}], [{changes: [service('t', 2, 11)], isTaken: false}]], entries: 2,
+		name: 'followed by other content under its version', together: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 2, 11)], isAccepted: false}]], entries: 2,
 	},
 ];
 
@@ -203,7 +203,7 @@
 			const asked = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
 			await scenario.advance(50);
 			const answers = await asked;
-			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isTaken}) => isTaken));
+			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isAccepted: isTaken}) => isTaken));
 		}
 
 		assert.equal(scenario.holder.state().applied - before, entries);
