--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -203,7 +203,7 @@
 			const asked = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
 			await scenario.advance(50);
 			const answers = await asked;
-			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isAccepted: isTaken}) => isTaken));
+			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isAccepted: isAccepted}) => isAccepted));
 		}
 
 		assert.equal(scenario.holder.state().applied - before, entries);
