--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -104,7 +104,7 @@
 	answered.value = await asked;
 }
 
-function ask({announce}: Scenario, asked: Announcement): Answered {
+function startAnnouncement({announce}: Scenario, asked: Announcement): Answered {
 	const answered: Answered = {};
 	void keepAnswer(announce(asked), answered);
 	return answered;
@@ -115,7 +115,7 @@
 /** Upstream 1 has announced itself, holds all keys and has been notified of them. */
 async function startWithHeldKeys(context: TestContext): Promise<Scenario> {
 	const scenario = startScenario(context);
-	ask(scenario, announcement('1', 1));
+	startAnnouncement(scenario, announcement('1', 1));
 	await scenario.advance(700);
 	scenario.commit([{kind: 'keysGranted', service: 's', rows: [held]}, {kind: 'keysTold', service: 's', rows: [held]}]);
 	return scenario;
@@ -141,7 +141,7 @@
 for (const {name, happens, isAnsweredWithin, rows} of cases) {
 	test(`leader coordinator: an announcement ${name}`, async context => {
 		const scenario = await startWithHeldKeys(context);
-		const answered = ask(scenario, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
+		const answered = startAnnouncement(scenario, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
 		await scenario.advance(300);
 		assert.deepEqual(answered, {});
 		happens(scenario);
@@ -152,7 +152,7 @@
 
 test('leader coordinator: an announcement received by a leader that has since been replaced renews nothing', async context => {
 	const scenario = await startWithHeldKeys(context);
-	const answered = ask(scenario, announcement('1', 2));
+	const answered = startAnnouncement(scenario, announcement('1', 2));
 	scenario.leads.value = false;
 	await scenario.advance(700);
 	assert.equal(answered.value?.isErr, true);
@@ -161,14 +161,14 @@
 test('leader coordinator: an announcement is answered in time even if the read round of the leader is slow', async context => {
 	const scenario = await startWithHeldKeys(context);
 	scenario.roundMilliseconds.value = 200;
-	const answered = ask(scenario, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
+	const answered = startAnnouncement(scenario, announcement('1', 2, {holds: [{from: 0, to: 65_535, fence: 3}]}));
 	await scenario.advance(700);
 	assert.equal(answered.value?.isOk, true);
 });
 
 test('leader coordinator: the announcement of a draining upstream is not delayed', async context => {
 	const scenario = await startWithHeldKeys(context);
-	const answered = ask(scenario, announcement('1', 2, {}, UpstreamState.draining));
+	const answered = startAnnouncement(scenario, announcement('1', 2, {}, UpstreamState.draining));
 	await scenario.advance(30);
 	assert.equal(answered.value?.isOk, true);
 	assert.equal(scenario.holder.state().upstreams['1']?.state, UpstreamState.draining);
