--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -98,14 +98,14 @@
 	};
 }
 
-type Answered = {value?: Result<AnnouncementAnswer, Failure>};
+type PendingAnswer = {value?: Result<AnnouncementAnswer, Failure>};
 
-async function keepAnswer(asked: Promise<Result<AnnouncementAnswer, Failure>>, answered: Answered): Promise<void> {
+async function keepAnswer(asked: Promise<Result<AnnouncementAnswer, Failure>>, answered: PendingAnswer): Promise<void> {
 	answered.value = await asked;
 }
 
-function startAnnouncement({announce}: Scenario, asked: Announcement): Answered {
-	const answered: Answered = {};
+function startAnnouncement({announce}: Scenario, asked: Announcement): PendingAnswer {
+	const answered: PendingAnswer = {};
 	void keepAnswer(announce(asked), answered);
 	return answered;
 }
