--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -100,13 +100,13 @@
 
 type PendingAnswer = {value?: Result<AnnouncementAnswer, Failure>};
 
-async function keepAnswer(asked: Promise<Result<AnnouncementAnswer, Failure>>, answered: PendingAnswer): Promise<void> {
+async function recordAnswer(asked: Promise<Result<AnnouncementAnswer, Failure>>, answered: PendingAnswer): Promise<void> {
 	answered.value = await asked;
 }
 
 function startAnnouncement({announce}: Scenario, asked: Announcement): PendingAnswer {
 	const answered: PendingAnswer = {};
-	void keepAnswer(announce(asked), answered);
+	void recordAnswer(announce(asked), answered);
 	return answered;
 }
 
