--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -100,8 +100,8 @@
 
 type PendingAnswer = {value?: Result<AnnouncementAnswer, Failure>};
 
-async function recordAnswer(asked: Promise<Result<AnnouncementAnswer, Failure>>, answered: PendingAnswer): Promise<void> {
-	answered.value = await asked;
+async function recordAnswer(pending: Promise<Result<AnnouncementAnswer, Failure>>, answered: PendingAnswer): Promise<void> {
+	answered.value = await pending;
 }
 
 function startAnnouncement({announce}: Scenario, asked: Announcement): PendingAnswer {
