--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -104,9 +104,9 @@
 	answered.value = await pending;
 }
 
-function startAnnouncement({announce}: Scenario, asked: Announcement): PendingAnswer {
+function startAnnouncement({announce}: Scenario, sent: Announcement): PendingAnswer {
 	const answered: PendingAnswer = {};
-	void recordAnswer(announce(asked), answered);
+	void recordAnswer(announce(sent), answered);
 	return answered;
 }
 
