--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -180,22 +180,22 @@
 
 type Declared = {readonly changes: readonly ItemChange[]; readonly isAccepted: boolean};
 
-const declarations: ReadonlyArray<{readonly name: string; readonly together: ReadonlyArray<readonly Declared[]>; readonly entries: number}> = [
+const declarations: ReadonlyArray<{readonly name: string; readonly rounds: ReadonlyArray<readonly Declared[]>; readonly entries: number}> = [
 	{
-		name: 'sent twice concurrently', together: [[{changes: [service('t', 2)], isAccepted: true}, {changes: [service('t', 2)], isAccepted: true}]], entries: 1,
+		name: 'sent twice concurrently', rounds: [[{changes: [service('t', 2)], isAccepted: true}, {changes: [service('t', 2)], isAccepted: true}]], entries: 1,
 	},
 	{
-		name: 'sent again later', together: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 2)], isAccepted: true}]], entries: 1,
+		name: 'sent again later', rounds: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 2)], isAccepted: true}]], entries: 1,
 	},
 	{
-		name: 'sent again after a later one', together: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 3)], isAccepted: true}], [{changes: [service('t', 2)], isAccepted: true}]], entries: 2,
+		name: 'sent again after a later one', rounds: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 3)], isAccepted: true}], [{changes: [service('t', 2)], isAccepted: true}]], entries: 2,
 	},
 	{
-		name: 'followed by other content under its version', together: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 2, 11)], isAccepted: false}]], entries: 2,
+		name: 'followed by other content under its version', rounds: [[{changes: [service('t', 2)], isAccepted: true}], [{changes: [service('t', 2, 11)], isAccepted: false}]], entries: 2,
 	},
 ];
 
-for (const {name, together, entries} of declarations) {
+for (const {name, rounds: together, entries} of declarations) {
 	test(`leader coordinator: a change ${name} creates ${entries} log ${entries === 1 ? 'entry' : 'entries'}`, async context => {
 		const scenario = startScenario(context);
 		const before = scenario.holder.state().applied;
