--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -195,11 +195,11 @@
 	},
 ];
 
-for (const {name, rounds: together, entries} of declarations) {
+for (const {name, rounds: rounds, entries} of declarations) {
 	test(`leader coordinator: a change ${name} creates ${entries} log ${entries === 1 ? 'entry' : 'entries'}`, async context => {
 		const scenario = startScenario(context);
 		const before = scenario.holder.state().applied;
-		for (const declared of together) {
+		for (const declared of rounds) {
 			const asked = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
 			await scenario.advance(50);
 			const answers = await asked;
