--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -24,7 +24,7 @@
 	readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>;
 	readonly holder: DirectoryHolder;
 	readonly commit: (commands: readonly DirectoryCommand[]) => void;
-	readonly leads: {value: boolean};
+	readonly isLeading: {value: boolean};
 	/** Duration of a read round of the log. */
 	readonly roundMilliseconds: {value: number};
 	/** Duration of a commit. */
@@ -72,7 +72,7 @@
 		declare: async changes => desk.declare({changes}),
 		holder,
 		commit,
-		leads,
+		isLeading: leads,
 		roundMilliseconds,
 		commitMilliseconds,
 		async advance(milliseconds) {
@@ -153,7 +153,7 @@
 test('leader coordinator: an announcement received by a leader that has since been replaced renews nothing', async context => {
 	const scenario = await startWithHeldKeys(context);
 	const answered = startAnnouncement(scenario, announcement('1', 2));
-	scenario.leads.value = false;
+	scenario.isLeading.value = false;
 	await scenario.advance(700);
 	assert.equal(answered.value?.isErr, true);
 });
