--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -200,9 +200,9 @@
 		const scenario = startScenario(context);
 		const before = scenario.holder.state().applied;
 		for (const declared of rounds) {
-			const asked = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
+			const declaring = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
 			await scenario.advance(50);
-			const answers = await asked;
+			const answers = await declaring;
 			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isAccepted: isAccepted}) => isAccepted));
 		}
 
