--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -202,8 +202,8 @@
 		for (const declared of rounds) {
 			const declaring = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
 			await scenario.advance(50);
-			const answers = await declaring;
-			assert.deepEqual(answers.map(({isOk}) => isOk), declared.map(({isAccepted: isAccepted}) => isAccepted));
+			const results = await declaring;
+			assert.deepEqual(results.map(({isOk}) => isOk), declared.map(({isAccepted: isAccepted}) => isAccepted));
 		}
 
 		assert.equal(scenario.holder.state().applied - before, entries);
