--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-gathering.ts
@@ -31,12 +31,12 @@
 	test(`announcement batch: ${name}`, context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
 		const seen: string[] = [];
-		const passOn = createAnnouncementBatcher(async batch => {
+		const forward = createAnnouncementBatcher(async batch => {
 			seen.push(batch.map(({keys}) => keys.life.id).join(','));
 			return ok([]);
 		});
 		for (const one of reports) {
-			void passOn(one);
+			void forward(one);
 		}
 
 		context.mock.timers.tick(afterMilliseconds);
