--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-gathering.ts
@@ -47,8 +47,8 @@
 test('announcement batch: each gets its own answer, or a failure if there is none', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const refused = failure(FailureKind.notFound, 'there is no service');
-	const passOn = createAnnouncementBatcher(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
-	const outcomes = Promise.all([report('a'), report('b'), report('c')].map(async one => passOn(one)));
+	const forward = createAnnouncementBatcher(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
+	const outcomes = Promise.all([report('a'), report('b'), report('c')].map(async one => forward(one)));
 	context.mock.timers.tick(25);
 	const settled = await outcomes;
 	const kinds = settled.map(outcome => outcome.isOk ? 'taken' : outcome.error.kind);
