--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-gathering.ts
@@ -57,8 +57,8 @@
 
 test('announcement batch: all fail if the leader is unreachable', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
-	const passOn = createAnnouncementBatcher(async () => err(failure(FailureKind.unreachable, 'no answer')));
-	const outcomes = Promise.all([report('a'), report('b')].map(async one => passOn(one)));
+	const forward = createAnnouncementBatcher(async () => err(failure(FailureKind.unreachable, 'no answer')));
+	const outcomes = Promise.all([report('a'), report('b')].map(async one => forward(one)));
 	context.mock.timers.tick(25);
 	const settled = await outcomes;
 	assert.deepEqual(settled.map(({isErr}) => isErr), [true, true]);
