--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-gathering.ts
@@ -67,8 +67,8 @@
 test('load relay: reports of entries are summed and forwarded once', context => {
 	context.mock.timers.enable({apis: ['setInterval']});
 	const sent: LoadReport[] = [];
-	const relay = createLoadRelay(told => {
-		sent.push(told);
+	const relay = createLoadRelay(aggregate => {
+		sent.push(aggregate);
 	});
 	relay.add({services: [{service: 's', counts: [[1, 2], [5, 1]], answers: [['u', 2, 100]]}]});
 	relay.add({services: [{service: 's', counts: [[1, 3]], answers: [['u', 1, 20]]}, {service: 't', counts: [[9, 1]], answers: []}]});
