--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -56,7 +56,7 @@
 	return declared.isOk;
 }
 
-async function declareUntilTaken(node: ControlNode): Promise<void> {
+async function declareUntilAccepted(node: ControlNode): Promise<void> {
 	for (let tried = 0; tried < 100; tried += 1) {
 		if (await declare(node, 1)) {
 			return;
@@ -79,7 +79,7 @@
 const mostAnswersAlone = 0.2;
 
 test('control nodes: followers answer the leader without separate calls', async () => withNodes(async running => {
-	await declareUntilTaken(running[0]!.node);
+	await declareUntilAccepted(running[0]!.node);
 	const before = running.map(one => deliverCalls(one));
 	for (let version = 2; version < 60; version += 1) {
 		assert.ok(await declare(running[0]!.node, version));
