--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -76,7 +76,7 @@
 }
 
 /** Maximum ratio of `deliver` calls that a follower makes to those it receives: answers are piggybacked on the responses. */
-const mostAnswersAlone = 0.2;
+const maximumSeparateCalls = 0.2;
 
 test('control nodes: followers answer the leader without separate calls', async () => withNodes(async running => {
 	await declareUntilAccepted(running[0]!.node);
@@ -93,6 +93,6 @@
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
 	for (const {taken, made} of followers) {
-		assert.ok(made <= taken * mostAnswersAlone, `${made} calls made, ${taken} received`);
+		assert.ok(made <= taken * maximumSeparateCalls, `${made} calls made, ${taken} received`);
 	}
 }));
