--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -68,9 +68,9 @@
 	assert.fail('no leader within 5 s');
 }
 
-function deliverCalls({measures}: Running): {readonly taken: number; readonly made: number} {
+function deliverCalls({measures}: Running): {readonly received: number; readonly made: number} {
 	return {
-		taken: measures.counter(MeasureName.callsTaken, {call: 'deliver'}).value,
+		received: measures.counter(MeasureName.callsTaken, {call: 'deliver'}).value,
 		made: measures.counter(MeasureName.callsMade, {call: 'deliver', outcome: 'answered'}).value,
 	};
 }
@@ -87,8 +87,8 @@
 
 	await pause(500);
 	const during = running.map((one, position) => {
-		const {taken, made} = deliverCalls(one);
-		return {taken: taken - before[position]!.taken, made: made - before[position]!.made};
+		const {received: taken, made} = deliverCalls(one);
+		return {taken: taken - before[position]!.received, made: made - before[position]!.made};
 	});
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
