--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -87,8 +87,8 @@
 
 	await pause(500);
 	const during = running.map((one, position) => {
-		const {received: taken, made} = deliverCalls(one);
-		return {taken: taken - before[position]!.received, made: made - before[position]!.made};
+		const {received: received, made} = deliverCalls(one);
+		return {taken: received - before[position]!.received, made: made - before[position]!.made};
 	});
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
