--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -88,11 +88,11 @@
 	await pause(500);
 	const during = running.map((one, position) => {
 		const {received: received, made} = deliverCalls(one);
-		return {taken: received - before[position]!.received, made: made - before[position]!.made};
+		return {received: received - before[position]!.received, made: made - before[position]!.made};
 	});
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
-	for (const {taken, made} of followers) {
+	for (const {received: taken, made} of followers) {
 		assert.ok(made <= taken * maximumSeparateCalls, `${made} calls made, ${taken} received`);
 	}
 }));
