--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -92,7 +92,7 @@
 	});
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
-	for (const {received: taken, made} of followers) {
-		assert.ok(made <= taken * maximumSeparateCalls, `${made} calls made, ${taken} received`);
+	for (const {received: received, made} of followers) {
+		assert.ok(made <= received * maximumSeparateCalls, `${made} calls made, ${received} received`);
 	}
 }));
