--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -19,24 +19,24 @@
 	return counts.rates('s', now).find(counted => counted.key === key)?.rate ?? 0;
 }
 
-const quiet = Array.from({length: 60}, () => 0);
+const idle = Array.from({length: 60}, () => 0);
 const steady = Array.from({length: 60}, () => 2);
 
 const cases: ReadonlyArray<{readonly name: string; readonly requests: readonly number[]; readonly least: number; readonly most: number}> = [
 	{
-		name: 'nothing', requests: quiet, least: 0, most: 0,
+		name: 'nothing', requests: idle, least: 0, most: 0,
 	},
 	{
 		name: 'a steady rate', requests: steady, least: 3.2, most: 4.8,
 	},
 	{
-		name: 'one request by chance', requests: [...quiet, 1], least: 0.05, most: 0.2,
+		name: 'one request by chance', requests: [...idle, 1], least: 0.05, most: 0.2,
 	},
 	{
-		name: 'a key that gets hot, after a second', requests: [...quiet, 10, 10], least: 8, most: 25,
+		name: 'a key that gets hot, after a second', requests: [...idle, 10, 10], least: 8, most: 25,
 	},
 	{
-		name: 'a key that was hot has less than half its rate two seconds later', requests: [...quiet, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], least: 0, most: 10,
+		name: 'a key that was hot has less than half its rate two seconds later', requests: [...idle, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], least: 0, most: 10,
 	},
 ];
 
