--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -22,25 +22,25 @@
 const idle = Array.from({length: 60}, () => 0);
 const steady = Array.from({length: 60}, () => 2);
 
-const cases: ReadonlyArray<{readonly name: string; readonly requests: readonly number[]; readonly minimum: number; readonly most: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly requests: readonly number[]; readonly minimum: number; readonly maximum: number}> = [
 	{
-		name: 'nothing', requests: idle, minimum: 0, most: 0,
+		name: 'nothing', requests: idle, minimum: 0, maximum: 0,
 	},
 	{
-		name: 'a steady rate', requests: steady, minimum: 3.2, most: 4.8,
+		name: 'a steady rate', requests: steady, minimum: 3.2, maximum: 4.8,
 	},
 	{
-		name: 'one request by chance', requests: [...idle, 1], minimum: 0.05, most: 0.2,
+		name: 'one request by chance', requests: [...idle, 1], minimum: 0.05, maximum: 0.2,
 	},
 	{
-		name: 'a key that gets hot, after a second', requests: [...idle, 10, 10], minimum: 8, most: 25,
+		name: 'a key that gets hot, after a second', requests: [...idle, 10, 10], minimum: 8, maximum: 25,
 	},
 	{
-		name: 'a key that was hot has less than half its rate two seconds later', requests: [...idle, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], minimum: 0, most: 10,
+		name: 'a key that was hot has less than half its rate two seconds later', requests: [...idle, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], minimum: 0, maximum: 10,
 	},
 ];
 
-for (const {name, requests, minimum: least, most} of cases) {
+for (const {name, requests, minimum: least, maximum: most} of cases) {
 	test(`load counts: ${name}`, () => {
 		const rate = ratesAfter(requests, 7);
 		assert.ok(rate >= least && rate <= most, `${rate} requests a second`);
