--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -78,7 +78,7 @@
 const many = 8 * few;
 
 /** Linear growth would be 8, quadratic growth 64. */
-const mostGrowth = 20;
+const maximumGrowth = 20;
 
 function timeOfSpeeds(count: number): number {
 	const upstreams = Array.from({length: count}, (_, position) => `i-${position}`);
@@ -95,7 +95,7 @@
 test('load counts: the cost of computing speeds grows about linearly with the number of upstreams', () => {
 	const times = Array.from({length: 5}, () => ({small: timeOfSpeeds(few), large: timeOfSpeeds(many)})).slice(1);
 	const growth = Math.min(...times.map(({large}) => large)) / Math.min(...times.map(({small}) => small));
-	assert.ok(growth < mostGrowth, `${growth.toFixed(1)} times`);
+	assert.ok(growth < maximumGrowth, `${growth.toFixed(1)} times`);
 });
 
 /** Draws an exponentially distributed answer time: its standard deviation equals its mean. */
