--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -109,14 +109,14 @@
 type Fleet = {readonly counts: LoadCounts; readonly generator: RandomGenerator; now: number};
 
 /** Simulates reports in which each upstream answers four times a second, with the mean answer time `meanOf`. */
-function answer(playing: Fleet, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
+function answer(simulation: Fleet, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
 	for (let period = 0; period < periods; period += 1) {
-		playing.now += reportMilliseconds;
+		simulation.now += reportMilliseconds;
 		const answers = fleet.map(upstream => {
-			const times = Array.from({length: answersPerPeriod}, () => drawTime(playing.generator, meanOf(upstream)));
+			const times = Array.from({length: answersPerPeriod}, () => drawTime(simulation.generator, meanOf(upstream)));
 			return [upstream, answersPerPeriod, times.reduce((sum, time) => sum + time, 0)] as const;
 		});
-		playing.counts.add({services: [{service: 's', counts: [], answers}]}, playing.now);
+		simulation.counts.add({services: [{service: 's', counts: [], answers}]}, simulation.now);
 		each();
 	}
 }
