--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -125,18 +125,18 @@
 
 for (const seed of speedSeeds) {
 	test(`load counts: speeds don't change by chance, but do when an upstream becomes slow, seed ${seed}`, () => {
-		const playing: Fleet = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
-		const speedsNow = () => fleet.map(upstream => playing.counts.speed(upstream, 's', playing.now));
-		answer(playing, 40, () => 200, () => undefined);
+		const simulation: Fleet = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
+		const speedsNow = () => fleet.map(upstream => simulation.counts.speed(upstream, 's', simulation.now));
+		answer(simulation, 40, () => 200, () => undefined);
 		let changes = 0;
 		let before = speedsNow();
-		answer(playing, 40, () => 200, () => {
+		answer(simulation, 40, () => 200, () => {
 			const now = speedsNow();
 			changes += now.filter((speed, position) => speed !== before[position]).length;
 			before = now;
 		});
 		assert.ok(changes <= 80, `${changes} changes of 200 speeds in 20 s`);
-		answer(playing, 6, upstream => upstream === 'i-7' ? 1000 : 200, () => undefined);
-		assert.ok(playing.counts.speed('i-7', 's', playing.now) < 0.7);
+		answer(simulation, 6, upstream => upstream === 'i-7' ? 1000 : 200, () => undefined);
+		assert.ok(simulation.counts.speed('i-7', 's', simulation.now) < 0.7);
 	});
 }
