--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -106,10 +106,10 @@
 const fleet = Array.from({length: 200}, (_, position) => `i-${position}`);
 const answersPerPeriod = 2;
 
-type Fleet = {readonly counts: LoadCounts; readonly generator: RandomGenerator; now: number};
+type Simulation = {readonly counts: LoadCounts; readonly generator: RandomGenerator; now: number};
 
 /** Simulates reports in which each upstream answers four times a second, with the mean answer time `meanOf`. */
-function answer(simulation: Fleet, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
+function answer(simulation: Simulation, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
 	for (let period = 0; period < periods; period += 1) {
 		simulation.now += reportMilliseconds;
 		const answers = fleet.map(upstream => {
@@ -125,7 +125,7 @@
 
 for (const seed of speedSeeds) {
 	test(`load counts: speeds don't change by chance, but do when an upstream becomes slow, seed ${seed}`, () => {
-		const simulation: Fleet = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
+		const simulation: Simulation = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
 		const speedsNow = () => fleet.map(upstream => simulation.counts.speed(upstream, 's', simulation.now));
 		answer(simulation, 40, () => 200, () => undefined);
 		let changes = 0;
