--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -91,10 +91,10 @@
 }
 
 /** Opens the data folder and starts the voter. Throws a `FailureError` if the folder can't be opened or written. */
-export async function startDirectoryVoter(parts: VoterDependencies): Promise<DirectoryVoter> {
+export async function startDirectoryVoter(dependencies: VoterDependencies): Promise<DirectoryVoter> {
 	const {
 		settings, holder, clients, log, measures,
-	} = parts;
+	} = dependencies;
 
 	const piggybackedAnswers = new PiggybackedAnswers();
 
@@ -122,7 +122,7 @@
 	}
 
 	const folder = opened.value;
-	const saved = await savedState(parts, folder, isBootstrapSeed);
+	const saved = await savedState(dependencies, folder, isBootstrapSeed);
 	if (saved.snapshot !== undefined) {
 		holder.restore(saved.snapshot.index, saved.snapshot.data);
 	}
@@ -143,8 +143,8 @@
 		holder,
 		log,
 		send,
-		roleChanged: parts.roleChanged,
-		failed: parts.failed,
+		roleChanged: dependencies.roleChanged,
+		failed: dependencies.failed,
 	});
 	return {
 		...voter,
