--- a/packages/control-node/test/test-freshness.ts
+++ b/packages/control-node/test/test-freshness.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {isRecent, type RecencyInputs} from '@dogwooddeck/control-node/freshness';
 
-const recency: RecencyInputs = {
+const inputs: RecencyInputs = {
 	now: 10_000, isConfirmedLeader: false, leaderContactAt: 9900, lagMilliseconds: 0,
 };
 
@@ -17,6 +17,6 @@
 
 for (const {name, fields, isRecent: expected} of cases) {
 	test(`freshness: ${name} is ${expected ? '' : 'not '}recent`, () => {
-		assert.equal(isRecent({...recency, ...fields}), expected);
+		assert.equal(isRecent({...inputs, ...fields}), expected);
 	});
 }
