--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -34,7 +34,7 @@
 import {EntryCount} from './entry-count.js';
 import {createFollowers} from './followers.js';
 import {isRecent} from './freshness.js';
-import {createLeaderCoordinator} from './leader-desk.js';
+import {createLeaderCoordinator} from './leader-coordinator.js';
 import {createLoadRelay} from './load-relay.js';
 import {type ReplicationWatch, startReplicationWatch} from './replication-watch.js';
 import {type ControlSettings} from './settings.js';
--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -13,7 +13,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder, type DirectoryVoter} from '@dogwooddeck/control-node/directory-voter';
 import {createAnnouncementCoordinator} from '@dogwooddeck/control-node/announcement-desk';
-import {createLeaderCoordinator} from '@dogwooddeck/control-node/leader-desk';
+import {createLeaderCoordinator} from '@dogwooddeck/control-node/leader-coordinator';
 
 const silent: Log = {
 	event: () => undefined, warning: () => undefined, error: () => undefined,
