--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -28,7 +28,7 @@
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
 import {createAnnouncementBatcher} from './announcement-batch.js';
-import {createAnnouncementCoordinator} from './announcement-desk.js';
+import {createAnnouncementCoordinator} from './announcement-coordinator.js';
 import {countCalls} from './call-counts.js';
 import {type DirectoryVoter, startDirectoryVoter} from './directory-voter.js';
 import {EntryCount} from './entry-count.js';
--- a/packages/control-node/test/test-leader-desk.ts
+++ b/packages/control-node/test/test-leader-desk.ts
@@ -12,7 +12,7 @@
 import {createMeasures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder, type DirectoryVoter} from '@dogwooddeck/control-node/directory-voter';
-import {createAnnouncementCoordinator} from '@dogwooddeck/control-node/announcement-desk';
+import {createAnnouncementCoordinator} from '@dogwooddeck/control-node/announcement-coordinator';
 import {createLeaderCoordinator} from '@dogwooddeck/control-node/leader-coordinator';
 
 const silent: Log = {
