--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -20,7 +20,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
-import {PiggybackedAnswers} from './answer-rides.js';
+import {PiggybackedAnswers} from './piggybacked-answers.js';
 import {type ControlSettings} from './settings.js';
 
 /** Holds this process's copy of the directory. */
--- a/packages/control-node/test/test-answer-rides.ts
+++ b/packages/control-node/test/test-answer-rides.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type ConsensusEnvelope} from '@dogwooddeck/consensus/message';
-import {PiggybackedAnswers} from '@dogwooddeck/control-node/answer-rides';
+import {PiggybackedAnswers} from '@dogwooddeck/control-node/piggybacked-answers';
 
 function answerTo(name: string, round: number): ConsensusEnvelope {
 	return {
