--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -27,7 +27,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
-import {createAnnouncementBatcher} from './announcement-batch.js';
+import {createAnnouncementBatcher} from './announcement-batcher.js';
 import {createAnnouncementCoordinator} from './announcement-coordinator.js';
 import {countCalls} from './call-counts.js';
 import {type DirectoryVoter, startDirectoryVoter} from './directory-voter.js';
--- a/packages/control-node/test/test-batching.ts
+++ b/packages/control-node/test/test-batching.ts
@@ -3,7 +3,7 @@
 import {type AnnouncementReport, type LoadReport} from '@dogwooddeck/mesh/calls';
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {err, ok} from 'true-myth/result';
-import {createAnnouncementBatcher} from '@dogwooddeck/control-node/announcement-batch';
+import {createAnnouncementBatcher} from '@dogwooddeck/control-node/announcement-batcher';
 import {createLoadRelay} from '@dogwooddeck/control-node/load-relay';
 
 function report(id: string, isUrgent = false): AnnouncementReport {
