--- a/packages/control-node/src/leader-coordinator.ts
+++ b/packages/control-node/src/leader-coordinator.ts
@@ -35,7 +35,7 @@
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
 import {longDecayMilliseconds} from './key-counts.js';
 import {LoadCounts} from './load-counts.js';
-import {createProposalBatcher} from './proposals.js';
+import {createProposalBatcher} from './proposal-batcher.js';
 
 /** The calls that the leader alone answers. */
 export type LeaderCoordinator = {
