--- a/packages/control-node/src/announcement-coordinator.ts
+++ b/packages/control-node/src/announcement-coordinator.ts
@@ -35,7 +35,7 @@
 	new Set(ranges.flatMap(range => range.holder !== undefined && !isSettled(range) ? [incarnationText(range.holder)] : [])));
 
 /** Creates the announcement coordinator. */
-export function createAnnouncementCoordinator({holder, isFresh, holdMilliseconds, forward: forward}: AnnouncementCoordinatorDependencies): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
+export function createAnnouncementCoordinator({holder, isFresh, holdMilliseconds, forward}: AnnouncementCoordinatorDependencies): {readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>} {
 	const delayed = new Map<string, () => void>();
 	let keys: DirectoryState['keys'] | undefined;
 	holder.listen(state => {
--- a/packages/control-node/src/call-counts.ts
+++ b/packages/control-node/src/call-counts.ts
@@ -41,8 +41,8 @@
 		},
 		countReceived: handlers => Object.fromEntries(meshCalls.map(call => [call, countReceivedCalls(call, handlers[call])])) as MeshHandlers,
 		sinceLast() {
-			const used = [...counts].filter(([, {received: received, made}]) => received + made > 0);
-			const fields = Object.fromEntries(used.map(([call, {received: received, made, failed}]) => [call, `${received}/${made}/${failed}`]));
+			const used = [...counts].filter(([, {received, made}]) => received + made > 0);
+			const fields = Object.fromEntries(used.map(([call, {received, made, failed}]) => [call, `${received}/${made}/${failed}`]));
 			for (const call of meshCalls) {
 				counts.set(call, {received: 0, made: 0, failed: 0});
 			}
--- a/packages/control-node/src/freshness.ts
+++ b/packages/control-node/src/freshness.ts
@@ -29,7 +29,7 @@
  * arriving while log entries don't.
  */
 export function isRecent({
-	now, isConfirmedLeader: isConfirmedLeader, leaderContactAt: leaderContactAt, lagMilliseconds: lagMilliseconds,
+	now, isConfirmedLeader, leaderContactAt, lagMilliseconds,
 }: RecencyInputs): boolean {
 	return isConfirmedLeader || (leaderContactAt !== undefined && now - leaderContactAt < leaderContactTimeoutMilliseconds && lagMilliseconds < behindMilliseconds);
 }
--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -87,12 +87,12 @@
 
 	await pause(500);
 	const during = running.map((one, position) => {
-		const {received: received, made} = deliverCalls(one);
+		const {received, made} = deliverCalls(one);
 		return {received: received - before[position]!.received, made: made - before[position]!.made};
 	});
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
-	for (const {received: received, made} of followers) {
+	for (const {received, made} of followers) {
 		assert.ok(made <= received * maximumSeparateCalls, `${made} calls made, ${received} received`);
 	}
 }));
--- a/packages/control-node/test/test-leader-coordinator.ts
+++ b/packages/control-node/test/test-leader-coordinator.ts
@@ -195,7 +195,7 @@
 	},
 ];
 
-for (const {name, rounds: rounds, entries} of declarations) {
+for (const {name, rounds, entries} of declarations) {
 	test(`leader coordinator: a change ${name} creates ${entries} log ${entries === 1 ? 'entry' : 'entries'}`, async context => {
 		const scenario = startScenario(context);
 		const before = scenario.holder.state().applied;
@@ -203,7 +203,7 @@
 			const declaring = Promise.all(declared.map(async ({changes}) => scenario.declare(changes)));
 			await scenario.advance(50);
 			const results = await declaring;
-			assert.deepEqual(results.map(({isOk}) => isOk), declared.map(({isAccepted: isAccepted}) => isAccepted));
+			assert.deepEqual(results.map(({isOk}) => isOk), declared.map(({isAccepted}) => isAccepted));
 		}
 
 		assert.equal(scenario.holder.state().applied - before, entries);
--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -40,7 +40,7 @@
 	},
 ];
 
-for (const {name, requests, minimum: minimum, maximum: maximum} of cases) {
+for (const {name, requests, minimum, maximum} of cases) {
 	test(`load counts: ${name}`, () => {
 		const rate = ratesAfter(requests, 7);
 		assert.ok(rate >= minimum && rate <= maximum, `${rate} requests a second`);
--- a/packages/control-node/test/test-piggybacked-answers.ts
+++ b/packages/control-node/test/test-piggybacked-answers.ts
@@ -20,7 +20,7 @@
 	{name: 'a call stops waiting after 40 ms', steps: [{begins: 'a'}, {waits: 40}, {answers: ['a', 1], isPiggybacked: false}], received: [undefined]},
 ];
 
-for (const {name, steps, received: received} of cases) {
+for (const {name, steps, received} of cases) {
 	test(`piggybacked answers: ${name}`, async context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
 		const piggybackedAnswers = new PiggybackedAnswers();
