--- a/packages/control-node/src/announcement-coordinator.ts
+++ b/packages/control-node/src/announcement-coordinator.ts
@@ -27,7 +27,7 @@
 	readonly forward: (report: AnnouncementReport) => Promise<Result<AnnouncementOutcome, Failure>>;
 };
 
-/** Maximum time to hold an announcement: its answer has to arrive within a second, and forwarding and confirming it take up to 0.4 s between regions. */
+/** Maximum time to delay an announcement: its answer has to arrive within a second, and forwarding and confirming it take up to 0.4 s between regions. */
 const maximumDelayMilliseconds: Milliseconds = 350;
 
 /** The incarnations that have to be notified of a change of their keys: keys granted to them, or keys to release. */
@@ -46,7 +46,7 @@
 		keys = state.keys;
 		const incarnationSets = Object.values(state.keys).map(ranges => incarnationsToNotify(ranges));
 		for (const [incarnation, resume] of delayed) {
-			if (incarnationSets.some(some => some.has(incarnation))) {
+			if (incarnationSets.some(incarnations => incarnations.has(incarnation))) {
 				resume();
 			}
 		}
@@ -57,10 +57,10 @@
 	}
 
 	/**
-	 * Holds an announcement that reports nothing new for a moment, so that an
+	 * Delays an announcement that reports nothing new for a moment, so that an
 	 * upstream that is granted keys or has to release some is notified at once and
 	 * not with its next announcement. An upstream that is releasing keys announces
-	 * itself often until it is done, and is not held.
+	 * itself often until it is done, and is not delayed.
 	 */
 	async function delay({keys: {life: incarnation}}: Announcement): Promise<void> {
 		const key = incarnationText(incarnation);
--- a/packages/control-node/src/key-counts.ts
+++ b/packages/control-node/src/key-counts.ts
@@ -27,7 +27,7 @@
 
 /** Exponentially decaying counts. Instead of scaling down old counts, new ones get a higher weight. */
 class DecayingCounts {
-	/** The weighted counts by key; multiply by `left` for the decayed count. */
+	/** The weighted counts by key; multiply by `decayFactor` for the decayed count. */
 	readonly weighted = new Float64Array(keyCount);
 	readonly #milliseconds: Milliseconds;
 	#since: MonotonicTime = 0;
--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -80,7 +80,7 @@
 		return count === 0 ? undefined : milliseconds / count;
 	}
 
-	/** The speed of an upstream relative to the mean of its service; 1 if there are too few answers. It changes only if the difference is statistically significant. */
+	/** The speed of an upstream relative to the mean of its service, which is 1; also 1 if there are too few answers. It changes only if the difference is statistically significant. */
 	speed(upstream: string, service: string, now: MonotonicTime): number {
 		const {answers, allAnswers: {count, milliseconds}, speeds} = this.#decayedCounts(service, now);
 		const own = answers.get(upstream);
--- a/packages/mesh/src/calls.ts
+++ b/packages/mesh/src/calls.ts
@@ -53,7 +53,7 @@
 		request: {readonly voter: VoterIdentity; /** The names of the entries that follow the sender. */ readonly entries: readonly string[]};
 		answer: {readonly leader?: string; readonly members: readonly string[]; /** The number of entries of the whole deployment that the answering instance knows of. */ readonly entryCount: number};
 	};
-	announce: {request: {readonly announcements: readonly AnnouncementReport[]}; /** One for each announcement, in the same order. */ answer: {readonly answers: ReadonlyArray<Reply<AnnouncementOutcome>>}};
+	announce: {request: {readonly announcements: readonly AnnouncementReport[]}; /** One for each, in the same order. */ answer: {readonly answers: ReadonlyArray<Reply<AnnouncementOutcome>>}};
 	depart: {request: {readonly life: Partial<UpstreamIncarnation> & Pick<UpstreamIncarnation, 'id'>}; answer: Record<string, never>};
 	declare: {request: {readonly changes: readonly ItemChange[]}; answer: {readonly index: LogIndex}};
 	/** Returns the newest log index, confirmed by a majority. */
--- a/packages/mesh/src/parts.ts
+++ b/packages/mesh/src/parts.ts
@@ -31,7 +31,7 @@
 	#parts: Buffer[] = [];
 	#bytes = 0;
 
-	/** `mostBytes`: the maximum length of a message. */
+	/** `maximumBytes`: the maximum length of a message. */
 	constructor(maximumBytes: number) {
 		this.#maximumBytes = maximumBytes;
 	}
--- a/packages/mesh/src/session.ts
+++ b/packages/mesh/src/session.ts
@@ -96,7 +96,7 @@
 	}
 }
 
-/** Opens a session on a stream. `ended` is called once when the stream ends. */
+/** Opens a session on a stream. `onEnd` is called once when the stream ends. */
 export function openSession(stream: SessionStream, onEnd: () => void): Session {
 	const pendingCalls = new Map<number, (outcome: Result<Reply<unknown>, Failure>) => void>();
 	const writer = new FrameWriter(message => stream.write(message));
--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -119,7 +119,7 @@
 	const clients = createMeshClients();
 	try {
 		await run({
-			address: `127.0.0.1:${relay.port}`, clients, relay, received: received, streams: () => relay.counts.reduce((sum, {streams}) => sum + streams, 0),
+			address: `127.0.0.1:${relay.port}`, clients, relay, received, streams: () => relay.counts.reduce((sum, {streams}) => sum + streams, 0),
 		});
 	} finally {
 		clients.close();
@@ -133,7 +133,7 @@
 
 const departRequest = (milliseconds: number) => ({life: {id: 'u', born: milliseconds}});
 
-test('calls: a thousand calls to one instance open one stream', async () => withScenario(async ({address, clients, received: received, streams}) => {
+test('calls: a thousand calls to one instance open one stream', async () => withScenario(async ({address, clients, received, streams}) => {
 	for (let round = 0; round < 10; round += 1) {
 		const answers = await Promise.all(Array.from({length: 100}, async () => clients.call(address, 'confirm', {}, 2000)));
 		assert.ok(answers.every(({isOk}) => isOk));
--- a/packages/mesh/test/test-encoding.ts
+++ b/packages/mesh/test/test-encoding.ts
@@ -21,7 +21,7 @@
 	{name: 'text with multibyte characters', value: {text: 'é€𝄞'.repeat(1000)}, maximumShare: 0.2},
 ];
 
-for (const {name, value, maximumShare: maximumShare} of cases) {
+for (const {name, value, maximumShare} of cases) {
 	test(`encoding: ${name} is decoded to the same value, and its encoded size is at most ${maximumShare} of its JSON`, () => {
 		const bytes = encodeMessage(value);
 		assert.deepEqual(decodeMessage(bytes), value);
