--- a/packages/control-node/test/test-leader-coordinator.ts
+++ b/packages/control-node/test/test-leader-coordinator.ts
@@ -58,18 +58,18 @@
 		},
 		quorumHeardAt: () => leads.value ? now : undefined,
 	} as unknown as DirectoryVoter;
-	const desk = createLeaderCoordinator({
+	const coordinator = createLeaderCoordinator({
 		holder, voter: () => voter, terms: {holdMilliseconds: 5000, clockDrift: 0.02}, mostRanges: 150, log: silent, measures: createMeasures(),
 	});
 	commit([{
 		kind: 'itemsChanged', changes: [{kind: 'service', name: 's', item: {version: 1, value: {keyed: true, maxConnections: 10}, document: '{}'}}],
 	}]);
 	const {announce} = createAnnouncementCoordinator({
-		holder, isFresh: () => true, holdMilliseconds: 5000, forward: desk.announce,
+		holder, isFresh: () => true, holdMilliseconds: 5000, forward: coordinator.announce,
 	});
 	return {
 		announce,
-		declare: async changes => desk.declare({changes}),
+		declare: async changes => coordinator.declare({changes}),
 		holder,
 		commit,
 		isLeading: leads,
