--- a/packages/control-node/test/test-leader-coordinator.ts
+++ b/packages/control-node/test/test-leader-coordinator.ts
@@ -41,7 +41,7 @@
 	const leads = {value: true};
 	const roundMilliseconds = {value: 0};
 	const commitMilliseconds = {value: 0};
-	const lost = failure(FailureKind.notLeader, 'another voter leads');
+	const notLeader = failure(FailureKind.notLeader, 'another voter leads');
 	const commit = (commands: readonly DirectoryCommand[]) => holder.apply(holder.state().applied + 1, encodeCommands(commands));
 	const voter = {
 		async propose(payload: string) {
@@ -50,11 +50,11 @@
 			}
 
 			const index = holder.state().applied + 1;
-			return leads.value ? ok({index, answers: holder.apply(index, payload) ?? []}) : err(lost);
+			return leads.value ? ok({index, answers: holder.apply(index, payload) ?? []}) : err(notLeader);
 		},
 		async read() {
 			await pause(roundMilliseconds.value);
-			return leads.value ? ok(holder.state().applied) : err(lost);
+			return leads.value ? ok(holder.state().applied) : err(notLeader);
 		},
 		quorumHeardAt: () => leads.value ? now : undefined,
 	} as unknown as DirectoryVoter;
