--- a/packages/control-node/test/test-batching.ts
+++ b/packages/control-node/test/test-batching.ts
@@ -30,9 +30,9 @@
 for (const {name, reports, afterMilliseconds, sent} of batches) {
 	test(`announcement batch: ${name}`, context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
-		const seen: string[] = [];
+		const sentBatches: string[] = [];
 		const forward = createAnnouncementBatcher(async batch => {
-			seen.push(batch.map(({keys}) => keys.life.id).join(','));
+			sentBatches.push(batch.map(({keys}) => keys.life.id).join(','));
 			return ok([]);
 		});
 		for (const one of reports) {
@@ -40,7 +40,7 @@
 		}
 
 		context.mock.timers.tick(afterMilliseconds);
-		assert.deepEqual(seen, sent);
+		assert.deepEqual(sentBatches, sent);
 	});
 }
 
