--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -145,8 +145,8 @@
 
 test('calls: each call gets its own answer, regardless of their order', async () => withScenario(async ({address, clients}) => {
 	const ended: string[] = [];
-	const call = async (name: string, asked: Promise<unknown>) => {
-		await asked;
+	const call = async (name: string, pendingCall: Promise<unknown>) => {
+		await pendingCall;
 		ended.push(name);
 	};
 
