--- a/packages/control-node/test/test-leader-coordinator.ts
+++ b/packages/control-node/test/test-leader-coordinator.ts
@@ -38,7 +38,7 @@
 	context.mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	context.mock.method(performance, 'now', () => now);
 	const holder = createStateHolder(directoryMachine);
-	const leads = {value: true};
+	const isLeading = {value: true};
 	const roundMilliseconds = {value: 0};
 	const commitMilliseconds = {value: 0};
 	const notLeader = failure(FailureKind.notLeader, 'another voter leads');
@@ -50,13 +50,13 @@
 			}
 
 			const index = holder.state().applied + 1;
-			return leads.value ? ok({index, answers: holder.apply(index, payload) ?? []}) : err(notLeader);
+			return isLeading.value ? ok({index, answers: holder.apply(index, payload) ?? []}) : err(notLeader);
 		},
 		async read() {
 			await pause(roundMilliseconds.value);
-			return leads.value ? ok(holder.state().applied) : err(notLeader);
+			return isLeading.value ? ok(holder.state().applied) : err(notLeader);
 		},
-		quorumHeardAt: () => leads.value ? now : undefined,
+		quorumHeardAt: () => isLeading.value ? now : undefined,
 	} as unknown as DirectoryVoter;
 	const coordinator = createLeaderCoordinator({
 		holder, voter: () => voter, terms: {holdMilliseconds: 5000, clockDrift: 0.02}, mostRanges: 150, log: silent, measures: createMeasures(),
@@ -72,7 +72,7 @@
 		declare: async changes => coordinator.declare({changes}),
 		holder,
 		commit,
-		isLeading: leads,
+		isLeading: isLeading,
 		roundMilliseconds,
 		commitMilliseconds,
 		async advance(milliseconds) {
