--- a/packages/control-node/test/test-leader-coordinator.ts
+++ b/packages/control-node/test/test-leader-coordinator.ts
@@ -72,7 +72,7 @@
 		declare: async changes => coordinator.declare({changes}),
 		holder,
 		commit,
-		isLeading: isLeading,
+		isLeading,
 		roundMilliseconds,
 		commitMilliseconds,
 		async advance(milliseconds) {
