--- a/packages/control-node/src/control-node.ts
+++ b/packages/control-node/src/control-node.ts
@@ -1,7 +1,7 @@
 /**
- * A control instance: a voter or a standby of the replicated log, and what
- * upstreams, operators and entries ask of it. What only the leader can answer
- * is passed on to it.
+ * A control instance: a voter or learner of the replicated log that serves
+ * requests of upstreams, operators and entries. Requests that only the leader
+ * can answer are forwarded to it.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -27,87 +27,87 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures, recordDuration} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
-import {createAnnouncementBatch} from './announcement-batch.js';
-import {createAnnouncementDesk} from './announcement-desk.js';
+import {createAnnouncementBatcher} from './announcement-batcher.js';
+import {createAnnouncementCoordinator} from './announcement-coordinator.js';
 import {countCalls} from './call-counts.js';
 import {type DirectoryVoter, startDirectoryVoter} from './directory-voter.js';
 import {EntryCount} from './entry-count.js';
 import {createFollowers} from './followers.js';
 import {isRecent} from './freshness.js';
-import {createLeaderDesk} from './leader-desk.js';
+import {createLeaderCoordinator} from './leader-coordinator.js';
 import {createLoadRelay} from './load-relay.js';
 import {type ReplicationWatch, startReplicationWatch} from './replication-watch.js';
 import {type ControlSettings} from './settings.js';
 
-/** A control instance that runs. */
+/** A running control instance. */
 export type ControlNode = {
-	/** An upstream announced itself. */
+	/** Handles the announcement of an upstream. */
 	readonly announce: (announcement: Announcement) => Promise<Result<AnnouncementAnswer, Failure>>;
-	/** An upstream says that it is gone. */
-	readonly depart: (life: MeshCalls['depart']['request']['life']) => Promise<Result<unknown, Failure>>;
-	/** An operator changes items. */
+	/** Records that an upstream has left. */
+	readonly depart: (incarnation: MeshCalls['depart']['request']['life']) => Promise<Result<unknown, Failure>>;
+	/** Applies an operator's changes of items. */
 	readonly declare: (changes: readonly ItemChange[]) => Promise<Result<{readonly index: LogIndex}, Failure>>;
-	/** The newest items, confirmed by a majority. */
+	/** Reads the newest items, confirmed by a majority. */
 	readonly readItems: () => Promise<Result<Items, Failure>>;
-	/** The settings name further control instances. */
-	readonly askAlso: (addresses: readonly string[]) => void;
-	/** Passes leadership on and ends. */
+	/** Adds addresses of control instances from the settings to the seeds. */
+	readonly addSeeds: (addresses: readonly string[]) => void;
+	/** Hands over leadership and stops. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What the node tells and needs beside its settings. */
-export type ControlNodeParts = {
+/** The collaborators and settings of a control instance. */
+export type ControlNodeDependencies = {
 	readonly settings: ControlSettings;
 	readonly log: Log;
 	readonly measures: Measures;
-	/** The durable state can't be written: the process has to end. */
+	/** Called when the durable state can't be written: the process has to exit. */
 	readonly failed: (failure: Failure) => void;
 };
 
-/** A call of an upstream or operator is answered within a second; passing it on must fail before. */
-const forwardMilliseconds: Milliseconds = 800;
-/** A report of requests that takes longer is of no use: the next one follows. */
-const relayMilliseconds: Milliseconds = 450;
-/** What the leader told of overloads is out of date after this long: a key is hot for seconds. */
-const sharesMilliseconds: Milliseconds = 1500;
-const sightMilliseconds: Milliseconds = 600;
-const sightTimeoutMilliseconds: Milliseconds = 700;
-const handOverMilliseconds: Milliseconds = 400;
-/** How long a change of the directory may take to reach this instance after the leader confirmed it. */
-const catchUpMilliseconds: Milliseconds = 700;
-const catchUpStepMilliseconds: Milliseconds = 5;
-
-const nobodyLeads = failure(FailureKind.noQuorum, 'no leader is known at this moment');
+/** A call of an upstream or operator is answered within a second; forwarding it must time out before that. */
+const forwardTimeoutMilliseconds: Milliseconds = 800;
+/** A load report that takes longer is useless: the next one follows. */
+const relayTimeoutMilliseconds: Milliseconds = 450;
+/** The leader's list of overloaded upstreams expires after this long: a key stays hot for seconds. */
+const sharesLifetimeMilliseconds: Milliseconds = 1500;
+const livenessIntervalMilliseconds: Milliseconds = 600;
+const livenessTimeoutMilliseconds: Milliseconds = 700;
+const handOverTimeoutMilliseconds: Milliseconds = 400;
+/** Maximum wait for this instance to apply a directory change that the leader has confirmed. */
+const catchUpTimeoutMilliseconds: Milliseconds = 700;
+const pollMilliseconds: Milliseconds = 5;
+
+const noLeader = failure(FailureKind.noQuorum, 'no leader is currently known');
 
 type MeshAnswer<Call extends MeshCall> = Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 
-/** Starts a control instance. Throws a `FailureError` where its folder or address can't be used. */
-export async function startControlNode({settings, log, measures, failed}: ControlNodeParts): Promise<ControlNode> {
+/** Starts a control instance. Throws a `FailureError` if its data folder or address can't be used. */
+export async function startControlNode({settings, log, measures, failed}: ControlNodeDependencies): Promise<ControlNode> {
 	const calls = countCalls(measures);
-	const clients = createMeshClients(calls.made);
+	const clients = createMeshClients(calls.onCall);
 	const holder = createStateHolder(directoryMachine);
-	const sightings = new Map<string, VoterObservation>();
+	const observations = new Map<string, VoterObservation>();
 	const entryCount = new EntryCount();
-	/** The voter starts after the server through which the others reach it. */
+	/** Set after the server has started: the other voters reach this one through it. */
 	const own: {voter?: DirectoryVoter; replication?: ReplicationWatch} = {};
 	let isChangingVoters = false;
 	let {seeds} = settings;
-	const desk = createLeaderDesk({
+	const leaderCoordinator = createLeaderCoordinator({
 		holder, voter: () => own.voter!, terms: {holdMilliseconds: settings.holdMilliseconds, clockDrift: settings.clockDrift}, mostRanges: settings.mostRanges, log, measures,
 	});
 
 	const roleHandlers: Readonly<Record<Role, () => void>> = {
 		[Role.leader]() {
-			sightings.clear();
+			observations.clear();
 			for (const member of own.voter?.voterSet().voters ?? []) {
-				sightings.set(`${member.name} ${member.folder}`, {voter: member, lastContactAt: monotonicNow()});
+				observations.set(`${member.name} ${member.folder}`, {voter: member, lastContactAt: monotonicNow()});
 			}
 
-			desk.begin();
+			leaderCoordinator.begin();
 		},
-		[Role.follower]: desk.end,
-		[Role.candidate]: desk.end,
-		[Role.learner]: desk.end,
+		[Role.follower]: leaderCoordinator.end,
+		[Role.candidate]: leaderCoordinator.end,
+		[Role.learner]: leaderCoordinator.end,
 	};
 
 	function leaderAddress(): string | undefined {
@@ -119,15 +119,15 @@
 		const {voter, replication} = own;
 		return voter !== undefined && replication !== undefined && isRecent({
 			now,
-			leads: voter.isLeader() && voter.quorumContactAt(now) !== undefined,
-			leaderHeardAt: voter.isLeader() || voter.leader() === undefined ? undefined : voter.leaderContactAt(),
-			lacksFor: replication.ownLag(),
+			isConfirmedLeader: voter.isLeader() && voter.quorumContactAt(now) !== undefined,
+			leaderContactAt: voter.isLeader() || voter.leader() === undefined ? undefined : voter.leaderContactAt(),
+			lagMilliseconds: replication.ownLag(),
 		});
 	}
 
 	async function changeVoters(leading: DirectoryVoter): Promise<void> {
 		const voterSet = nextVoterSet({
-			now: monotonicNow(), self: leading.identity, voterSet: leading.voterSet(), observations: [...sightings.values()], targetVoterCount: (2 * settings.toleratedLosses) + 1,
+			now: monotonicNow(), self: leading.identity, voterSet: leading.voterSet(), observations: [...observations.values()], targetVoterCount: (2 * settings.toleratedLosses) + 1,
 		});
 		if (voterSet === undefined || isChangingVoters) {
 			return;
@@ -144,52 +144,52 @@
 		});
 	}
 
-	function noteSighting(seen: VoterIdentity): void {
-		sightings.set(`${seen.name} ${seen.folder}`, {voter: seen, lastContactAt: monotonicNow()});
+	function recordObservation(identity: VoterIdentity): void {
+		observations.set(`${identity.name} ${identity.folder}`, {voter: identity, lastContactAt: monotonicNow()});
 		if (own.voter?.isLeader() === true) {
 			void changeVoters(own.voter);
 		}
 	}
 
-	async function toLeader<Call extends MeshCall>(call: Call, request: MeshCalls[Call]['request'], local: () => MeshAnswer<Call>): MeshAnswer<Call> {
+	async function callLeader<Call extends MeshCall>(call: Call, request: MeshCalls[Call]['request'], local: () => MeshAnswer<Call>): MeshAnswer<Call> {
 		if (own.voter?.isLeader() === true) {
 			return local();
 		}
 
 		const leader = leaderAddress();
-		return leader === undefined ? err(nobodyLeads) : clients.call(leader, call, request, forwardMilliseconds);
+		return leader === undefined ? err(noLeader) : clients.call(leader, call, request, forwardTimeoutMilliseconds);
 	}
 
-	async function onlyLeading<Answer>(local: () => Promise<Result<Answer, Failure>>): Promise<Result<Answer, Failure>> {
+	async function requireLeader<Answer>(local: () => Promise<Result<Answer, Failure>>): Promise<Result<Answer, Failure>> {
 		return own.voter?.isLeader() === true ? local() : err(failure(FailureKind.notLeader, 'this instance does not lead'));
 	}
 
 	async function answerAll(announcements: readonly AnnouncementReport[]): Promise<ReadonlyArray<Reply<AnnouncementOutcome>>> {
-		const outcomes = await Promise.all(announcements.map(async report => desk.announce(report)));
+		const outcomes = await Promise.all(announcements.map(async report => leaderCoordinator.announce(report)));
 		return outcomes.map(outcome => outcome.isOk ? {answer: outcome.value} : {failure: outcome.error});
 	}
 
-	const announcements = createAnnouncementDesk({
+	const announcements = createAnnouncementCoordinator({
 		holder,
 		isFresh,
 		holdMilliseconds: settings.holdMilliseconds,
-		passOn: createAnnouncementBatch(async batch => {
-			const answered = await toLeader('announce', {announcements: batch}, async () => ok({answers: await answerAll(batch)}));
+		forward: createAnnouncementBatcher(async batch => {
+			const answered = await callLeader('announce', {announcements: batch}, async () => ok({answers: await answerAll(batch)}));
 			return answered.map(({answers}) => answers);
 		}),
 	});
-	/** What the leader last told of upstreams that have too much work. */
-	let told: {readonly shares: readonly HolderShare[]; readonly at: MonotonicTime} = {shares: [], at: -Infinity};
+	/** The overloaded upstreams that the leader last reported. */
+	let reportedShares: {readonly shares: readonly HolderShare[]; readonly at: MonotonicTime} = {shares: [], at: -Infinity};
 
 	async function relayTo(leader: string, report: LoadReport): Promise<void> {
-		const answer = await clients.call(leader, 'relayLoad', report, relayMilliseconds);
-		told = answer.isOk ? {shares: answer.value.shares, at: monotonicNow()} : told;
+		const answer = await clients.call(leader, 'relayLoad', report, relayTimeoutMilliseconds);
+		reportedShares = answer.isOk ? {shares: answer.value.shares, at: monotonicNow()} : reportedShares;
 	}
 
 	const relay = createLoadRelay(report => {
 		const leader = leaderAddress();
 		if (own.voter?.isLeader() === true) {
-			desk.reportLoad(report);
+			leaderCoordinator.reportLoad(report);
 		} else if (leader !== undefined) {
 			void relayTo(leader, report);
 		}
@@ -197,33 +197,33 @@
 
 	function shares(): readonly HolderShare[] {
 		if (own.voter?.isLeader() === true) {
-			return desk.shares();
+			return leaderCoordinator.shares();
 		}
 
-		return monotonicNow() - told.at <= sharesMilliseconds ? told.shares : [];
+		return monotonicNow() - reportedShares.at <= sharesLifetimeMilliseconds ? reportedShares.shares : [];
 	}
 
-	const handlers: MeshHandlers = calls.taken({
+	const handlers: MeshHandlers = calls.countReceived({
 		async deliver(envelope) {
 			return own.voter?.deliver(envelope) ?? err(failure(FailureKind.notReady, 'the voter has not started'));
 		},
-		async sight({voter: seen, entries}) {
-			noteSighting(seen);
-			entryCount.note(seen.name, entries, monotonicNow());
+		async sight({voter: identity, entries}) {
+			recordObservation(identity);
+			entryCount.record(identity.name, entries, monotonicNow());
 			const leader = leaderAddress();
 			return ok({members: own.voter?.members() ?? [], entryCount: entryCount.total(), ...(leader === undefined ? {} : {leader})});
 		},
-		announce: async ({announcements}) => onlyLeading(async () => ok({answers: await answerAll(announcements)})),
-		depart: async request => onlyLeading(async () => desk.depart(request)),
-		declare: async request => onlyLeading(async () => desk.declare(request)),
-		confirm: async () => onlyLeading(desk.confirm),
+		announce: async ({announcements}) => requireLeader(async () => ok({answers: await answerAll(announcements)})),
+		depart: async request => requireLeader(async () => leaderCoordinator.depart(request)),
+		declare: async request => requireLeader(async () => leaderCoordinator.declare(request)),
+		confirm: async () => requireLeader(leaderCoordinator.confirm),
 		async reportLoad(report) {
 			relay.add(report);
 			return ok({});
 		},
 		async relayLoad(report) {
-			desk.reportLoad(report);
-			return ok({shares: desk.shares()});
+			leaderCoordinator.reportLoad(report);
+			return ok({shares: leaderCoordinator.shares()});
 		},
 	});
 
@@ -263,46 +263,46 @@
 	own.replication = replication;
 	const load = startLoadWatch(log, measures, calls.sinceLast);
 
-	async function showItself(): Promise<void> {
-		const sighting = {voter: running.identity, entries: followers.names()};
+	async function reportLiveness(): Promise<void> {
+		const report = {voter: running.identity, entries: followers.names()};
 		if (running.isLeader()) {
-			noteSighting(running.identity);
-			entryCount.note(settings.address, sighting.entries, monotonicNow());
+			recordObservation(running.identity);
+			entryCount.record(settings.address, report.entries, monotonicNow());
 			return;
 		}
 
 		const leader = leaderAddress();
 		const others = [...new Set([...seeds, ...running.members()])].filter(address => address !== settings.address);
-		const asked = leader === undefined ? others : [leader];
-		const answers = await Promise.all(asked.map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
-		entryCount.learn(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
-		const told = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
-		const unasked = told.filter(address => !asked.includes(address) && address !== settings.address);
-		await Promise.all([...new Set(unasked)].map(async address => clients.call(address, 'sight', sighting, sightTimeoutMilliseconds)));
+		const recipients = leader === undefined ? others : [leader];
+		const answers = await Promise.all(recipients.map(async address => clients.call(address, 'sight', report, livenessTimeoutMilliseconds)));
+		entryCount.adoptTotal(answers.flatMap(answer => answer.isOk && answer.value.leader === leader ? [answer.value.entryCount] : []));
+		const reportedLeaders = answers.flatMap(answer => answer.isOk && answer.value.leader !== undefined ? [answer.value.leader] : []);
+		const newLeaders = reportedLeaders.filter(address => !recipients.includes(address) && address !== settings.address);
+		await Promise.all([...new Set(newLeaders)].map(async address => clients.call(address, 'sight', report, livenessTimeoutMilliseconds)));
 	}
 
-	const showing = setInterval(() => {
-		void showItself();
-	}, sightMilliseconds);
+	const livenessTimer = setInterval(() => {
+		void reportLiveness();
+	}, livenessIntervalMilliseconds);
 
 	async function waitForApplied(index: LogIndex): Promise<Result<undefined, Failure>> {
-		const until = monotonicNow() + catchUpMilliseconds;
+		const until = monotonicNow() + catchUpTimeoutMilliseconds;
 		while (holder.state().applied < index) {
 			if (monotonicNow() > until) {
 				return err(failure(FailureKind.notReady, 'this instance has not caught up yet'));
 			}
 
-			await pause(catchUpStepMilliseconds);
+			await pause(pollMilliseconds);
 		}
 
 		return ok(undefined);
 	}
 
 	async function waitForHandOver(): Promise<void> {
-		const until = monotonicNow() + handOverMilliseconds;
+		const until = monotonicNow() + handOverTimeoutMilliseconds;
 		running.handOver();
 		while (running.isLeader() && monotonicNow() < until) {
-			await pause(catchUpStepMilliseconds);
+			await pause(pollMilliseconds);
 		}
 	}
 
@@ -314,10 +314,10 @@
 			recordDuration(measures.histogram(MeasureName.announcementLatency, {}), monotonicNow() - startedAt);
 			return answer;
 		},
-		depart: async life => toLeader('depart', {life}, async () => desk.depart({life})),
-		declare: async changes => toLeader('declare', {changes}, async () => desk.declare({changes})),
+		depart: async incarnation => callLeader('depart', {life: incarnation}, async () => leaderCoordinator.depart({life: incarnation})),
+		declare: async changes => callLeader('declare', {changes}, async () => leaderCoordinator.declare({changes})),
 		async readItems() {
-			const confirmed = await toLeader('confirm', {}, desk.confirm);
+			const confirmed = await callLeader('confirm', {}, leaderCoordinator.confirm);
 			if (confirmed.isErr) {
 				return err(confirmed.error);
 			}
@@ -325,16 +325,16 @@
 			const caughtUp = await waitForApplied(confirmed.value.index);
 			return caughtUp.map(() => holder.state().items);
 		},
-		askAlso(addresses) {
+		addSeeds(addresses) {
 			seeds = [...new Set([...seeds, ...addresses])];
 		},
 		async stop() {
-			clearInterval(showing);
+			clearInterval(livenessTimer);
 			if (running.isLeader()) {
 				await waitForHandOver();
 			}
 
-			desk.end();
+			leaderCoordinator.end();
 			relay.stop();
 			replication.stop();
 			load.stop();
--- a/packages/control-node/src/directory-voter.ts
+++ b/packages/control-node/src/directory-voter.ts
@@ -1,6 +1,7 @@
 /**
- * This instance's voter: its data folder, its way to the other voters, and its
- * being seen by the leader, which decides who votes.
+ * The voter of this instance: opens its data folder, exchanges messages with the
+ * other voters, and applies the log to the directory. The instance reports the
+ * identity of its voter to the leader, which decides who votes.
  */
 import {bootstrapCluster} from '@dogwooddeck/consensus/bootstrap';
 import {type Role, type SavedState} from '@dogwooddeck/consensus/voter-interface';
@@ -19,87 +20,87 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
-import {AnswerRides} from './answer-rides.js';
+import {PiggybackedAnswers} from './piggybacked-answers.js';
 import {type ControlSettings} from './settings.js';
 
-/** The directory of this process. */
+/** Holds this process's copy of the directory. */
 export type DirectoryHolder = StateHolder<DirectoryState, DirectoryAccepted>;
 
 /** The voter whose log drives the directory. */
 export type DirectoryVoter = VoterRunner<DirectoryAccepted> & {
 	readonly identity: VoterIdentity;
-	/** Takes a message, and waits a moment for what this voter has to say to it. */
+	/** Delivers a message to this voter and waits briefly for its answer. */
 	readonly deliver: (envelope: ConsensusEnvelope) => Promise<Result<{readonly envelope?: ConsensusEnvelope}, Failure>>;
-	/** The addresses of all control instances that are known, this one among them. */
+	/** The addresses of all known control instances, including this one. */
 	readonly members: () => readonly string[];
 };
 
-/** What the voter works with. */
-export type VoterParts = {
+/** The collaborators and settings of the voter. */
+export type VoterDependencies = {
 	readonly settings: ControlSettings;
 	readonly holder: DirectoryHolder;
 	readonly clients: MeshClients;
 	readonly log: Log;
 	readonly measures: Measures;
 	readonly roleChanged: (role: Role) => void;
-	/** The durable state can't be written: the process has to end. */
+	/** Called when the durable state can't be written: the process has to exit. */
 	readonly failed: (failure: Failure) => void;
 };
 
-/** Above a round between regions (60 ms) with room for a slow turn of the loop. */
+/** Longer than a round trip between regions (60 ms) plus a delayed turn of the event loop. */
 const electionMilliseconds: Milliseconds = 750;
 const heartbeatMilliseconds: Milliseconds = 150;
 
-/** After a loss of all voters: twice a round between regions, and a slow start of the others. */
+/** The election timeout after the start, short for a restart after the loss of all voters: two round trips between regions, plus a slow start of the others. */
 const firstElectionMilliseconds: Milliseconds = 250;
 
 const entriesBeforeSnapshot = 1000;
-const seeds = 2 ** 31;
-
-/** What a message is to the voter that gets it. */
-const Turn = {question: 'question', answer: 'answer', word: 'word'} as const;
-type Turn = (typeof Turn)[keyof typeof Turn];
-
-const turns: Readonly<Record<ConsensusMessage['kind'], Turn>> = {
-	preVoteRequested: Turn.question,
-	preVoteAnswered: Turn.answer,
-	voteRequested: Turn.question,
-	voteAnswered: Turn.answer,
-	appendRequested: Turn.question,
-	appendAnswered: Turn.answer,
-	snapshotSent: Turn.question,
-	electionInvited: Turn.word,
+const seedCount = 2 ** 31;
+
+/** How the recipient treats a message: as a request to answer, as an answer, or as a notification without an answer. */
+const MessageRole = {request: 'question', answer: 'answer', notification: 'word'} as const;
+type MessageRole = (typeof MessageRole)[keyof typeof MessageRole];
+
+const messageRoles: Readonly<Record<ConsensusMessage['kind'], MessageRole>> = {
+	preVoteRequested: MessageRole.request,
+	preVoteAnswered: MessageRole.answer,
+	voteRequested: MessageRole.request,
+	voteAnswered: MessageRole.answer,
+	appendRequested: MessageRole.request,
+	appendAnswered: MessageRole.answer,
+	snapshotSent: MessageRole.request,
+	electionInvited: MessageRole.notification,
 };
 
 function seedOf(text: string): number {
-	return [...text].reduce((sum, character) => ((sum * 31) + character.codePointAt(0)!) % seeds, Date.now() % seeds);
+	return [...text].reduce((sum, character) => ((sum * 31) + character.codePointAt(0)!) % seedCount, Date.now() % seedCount);
 }
 
-async function savedState({settings}: VoterParts, folder: OpenFolder, isFounder: boolean): Promise<SavedState> {
-	if (!folder.fresh || !isFounder) {
+async function savedState({settings}: VoterDependencies, folder: OpenFolder, isBootstrapSeed: boolean): Promise<SavedState> {
+	if (!folder.fresh || !isBootstrapSeed) {
 		return folder.saved;
 	}
 
-	const founded = bootstrapCluster(settings.seeds);
-	const persisted = await folder.storage.persist({hardState: founded.hardState, entries: founded.entries});
+	const bootstrapped = bootstrapCluster(settings.seeds);
+	const persisted = await folder.storage.persist({hardState: bootstrapped.hardState, entries: bootstrapped.entries});
 	if (persisted.isErr) {
 		throw new FailureError(persisted.error);
 	}
 
-	return founded;
+	return bootstrapped;
 }
 
-/** Opens the data folder and starts the voter. Throws a `FailureError` where the folder can't be read. */
-export async function startDirectoryVoter(parts: VoterParts): Promise<DirectoryVoter> {
+/** Opens the data folder and starts the voter. Throws a `FailureError` if the folder can't be opened or written. */
+export async function startDirectoryVoter(dependencies: VoterDependencies): Promise<DirectoryVoter> {
 	const {
 		settings, holder, clients, log, measures,
-	} = parts;
+	} = dependencies;
 
-	const rides = new AnswerRides();
+	const piggybackedAnswers = new PiggybackedAnswers();
 
 	async function send(envelope: ConsensusEnvelope): Promise<Result<unknown, Failure>> {
 		const {kind} = envelope.message;
-		if (turns[kind] === Turn.answer && rides.take(envelope)) {
+		if (messageRoles[kind] === MessageRole.answer && piggybackedAnswers.deliver(envelope)) {
 			measures.counter(MeasureName.replicationMessages, {kind, outcome: 'rode'}).value += 1;
 			return ok(undefined);
 		}
@@ -114,14 +115,14 @@
 		return sent;
 	}
 
-	const isFounder = settings.founding && settings.seeds.includes(settings.address);
-	const opened = await openFolder(settings.dataFolder, {found: isFounder, locking: FolderLocking.byOthers});
+	const isBootstrapSeed = settings.founding && settings.seeds.includes(settings.address);
+	const opened = await openFolder(settings.dataFolder, {found: isBootstrapSeed, locking: FolderLocking.byOthers});
 	if (opened.isErr) {
 		throw new FailureError(opened.error);
 	}
 
 	const folder = opened.value;
-	const saved = await savedState(parts, folder, isFounder);
+	const saved = await savedState(dependencies, folder, isBootstrapSeed);
 	if (saved.snapshot !== undefined) {
 		holder.restore(saved.snapshot.index, saved.snapshot.data);
 	}
@@ -142,25 +143,25 @@
 		holder,
 		log,
 		send,
-		roleChanged: parts.roleChanged,
-		storageFailed: parts.failed,
+		roleChanged: dependencies.roleChanged,
+		storageFailed: dependencies.failed,
 	});
 	return {
 		...voter,
 		identity,
 		async deliver(envelope) {
-			if (turns[envelope.message.kind] !== Turn.question) {
+			if (messageRoles[envelope.message.kind] !== MessageRole.request) {
 				return voter.receive(envelope).map(() => ({}));
 			}
 
-			const ride = rides.begin(envelope.from.name);
+			const waitingCall = piggybackedAnswers.waitForAnswer(envelope.from.name);
 			const received = voter.receive(envelope);
 			if (received.isErr) {
-				ride.leave();
+				waitingCall.complete();
 				return err(received.error);
 			}
 
-			const answer = await ride.answer;
+			const answer = await waitingCall.answer;
 			return ok(answer === undefined ? {} : {envelope: answer});
 		},
 		members: () => [...new Set([...membersOf(voter.voterSet()).map(({name}) => name), settings.address])],
--- a/packages/control-node/src/followers.ts
+++ b/packages/control-node/src/followers.ts
@@ -1,6 +1,6 @@
 /**
- * The entries that follow this instance: each gets every change of the
- * directory, and a short message at least as often as it needs to notice silence.
+ * Streams to the entries that follow this instance: every change of the directory
+ * for those that request changes, and a heartbeat that lets each detect loss of contact.
  */
 import {type Buffer} from 'node:buffer';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
@@ -9,42 +9,42 @@
 import {type LogIndex, type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type DirectoryHolder} from './directory-voter.js';
 
-/** What each message says beside the changes. */
-export type Pulse = Omit<FollowMessage, 'catchUp'>;
+/** The fields of each message other than the changes. */
+export type Heartbeat = Omit<FollowMessage, 'catchUp'>;
 
-/** Changes that come within this time go out together: each message is written to every follower. */
-const gatherMilliseconds: Milliseconds = 40;
+/** Changes within this window are sent together: each message is written to every follower. */
+const batchMilliseconds: Milliseconds = 40;
 
-/** How often a follower hears something. Entries take three missed messages for silence. */
-export const pulseMilliseconds: Milliseconds = 250;
+/** Interval of the heartbeats. Entries treat three missed messages as loss of contact. */
+export const heartbeatMilliseconds: Milliseconds = 250;
 
-type Followed = {readonly follower: Follower; sent: LogIndex};
+type FollowerState = {readonly follower: Follower; sent: LogIndex};
 
 /** The followers of this instance. */
 export type Followers = {
 	readonly add: (follower: Follower) => void;
-	/** The names of the entries that follow. */
+	/** The names of the following entries. */
 	readonly names: () => readonly string[];
 	readonly stop: () => void;
 };
 
-/** Makes the list of followers. */
-export function createFollowers(holder: DirectoryHolder, pulse: () => Pulse): Followers {
-	const followed = new Set<Followed>();
+/** Creates the list of followers. */
+export function createFollowers(holder: DirectoryHolder, heartbeat: () => Heartbeat): Followers {
+	const followerStates = new Set<FollowerState>();
 	let isFlushing = false;
 
 	function messageFor(sent: LogIndex): FollowMessage {
 		const catchUp = holder.catchUpAfter(sent);
-		return {...pulse(), ...(catchUp.state !== undefined || catchUp.entries.length > 0 ? {catchUp} : {})};
+		return {...heartbeat(), ...(catchUp.state !== undefined || catchUp.entries.length > 0 ? {catchUp} : {})};
 	}
 
-	/** Followers that lack the same get the same message, which is encoded once. */
-	function sendTo(some: Iterable<Followed>): void {
+	/** Followers at the same log index get the same message, which is encoded once. */
+	function sendTo(recipients: Iterable<FollowerState>): void {
 		const encoded = new Map<LogIndex | undefined, Buffer>();
-		for (const one of some) {
-			const lacks = one.follower.request.wantsChanges ? one.sent : undefined;
-			const message = encoded.get(lacks) ?? encodeMessage(lacks === undefined ? pulse() : messageFor(lacks));
-			encoded.set(lacks, message);
+		for (const one of recipients) {
+			const sentIndex = one.follower.request.wantsChanges ? one.sent : undefined;
+			const message = encoded.get(sentIndex) ?? encodeMessage(sentIndex === undefined ? heartbeat() : messageFor(sentIndex));
+			encoded.set(sentIndex, message);
 			if (one.follower.send(message)) {
 				one.sent = holder.state().applied;
 			}
@@ -56,25 +56,25 @@
 			isFlushing = true;
 			setTimeout(() => {
 				isFlushing = false;
-				sendTo([...followed].filter(({follower}) => follower.request.wantsChanges));
-			}, gatherMilliseconds);
+				sendTo([...followerStates].filter(({follower}) => follower.request.wantsChanges));
+			}, batchMilliseconds);
 		}
 	});
-	const pulsing = setInterval(() => {
-		sendTo(followed);
-	}, pulseMilliseconds);
+	const heartbeatTimer = setInterval(() => {
+		sendTo(followerStates);
+	}, heartbeatMilliseconds);
 	return {
 		add(follower) {
 			const one = {follower, sent: follower.request.applied};
-			followed.add(one);
+			followerStates.add(one);
 			follower.onEnd(() => {
-				followed.delete(one);
+				followerStates.delete(one);
 			});
 			sendTo([one]);
 		},
-		names: () => [...new Set([...followed].map(({follower}) => follower.request.entry))],
+		names: () => [...new Set([...followerStates].map(({follower}) => follower.request.entry))],
 		stop() {
-			clearInterval(pulsing);
+			clearInterval(heartbeatTimer);
 		},
 	};
 }
--- a/packages/control-node/src/leader-desk.ts
+++ b/packages/control-node/src/leader-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * What the leader does: records announcements, answers them with the keys that
- * their senders are to hold, takes declarations, and plans who holds what.
+ * The work of the leader: records announcements, answers each with the keys that
+ * its sender is to hold, accepts declarations, and plans which upstream holds
+ * which keys.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -32,43 +33,44 @@
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {err, ok, type Result} from 'true-myth/result';
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
-import {longMemoryMilliseconds} from './key-counts.js';
+import {longDecayMilliseconds} from './key-counts.js';
 import {LoadCounts} from './load-counts.js';
-import {createProposals} from './proposals.js';
+import {createProposalBatcher} from './proposal-batcher.js';
 
 /** The calls that the leader alone answers. */
-export type LeaderDesk = {
+export type LeaderCoordinator = {
 	readonly announce: (report: AnnouncementReport) => Promise<Result<AnnouncementOutcome, Failure>>;
 	readonly depart: (request: MeshCalls['depart']['request']) => Promise<Result<Record<string, never>, Failure>>;
 	readonly declare: (request: MeshCalls['declare']['request']) => Promise<Result<{readonly index: LogIndex}, Failure>>;
 	readonly confirm: () => Promise<Result<{readonly index: LogIndex}, Failure>>;
 	readonly reportLoad: (report: LoadReport) => void;
-	/** The upstreams that have too much work, as they were when it was planned last. */
+	/** The overloaded upstreams as of the last plan. */
 	readonly shares: () => readonly HolderShare[];
-	/** This instance begins to lead, or ends. */
+	/** Called when this instance becomes leader. */
 	readonly begin: () => void;
+	/** Called when this instance takes any other role, and when it stops. */
 	readonly end: () => void;
 };
 
-/** What the desk works with. */
-export type DeskParts = {
+/** The collaborators and options of the leader coordinator. */
+export type LeaderDependencies = {
 	readonly holder: DirectoryHolder;
 	readonly voter: () => DirectoryVoter;
 	readonly terms: GrantingOptions;
-	/** The ranges of keys that one upstream may hold at most. */
+	/** The maximum number of key ranges that one upstream may hold. */
 	readonly mostRanges: number;
 	readonly log: Log;
 	readonly measures: Measures;
 };
 
-const planMilliseconds: Milliseconds = 250;
+const planIntervalMilliseconds: Milliseconds = 250;
 
-/** A change that calls for a plan is planned for after this long, with those that come meanwhile. */
-const gatherChangesMilliseconds: Milliseconds = 30;
+/** Delay from a change that requires a new plan to that plan, which covers all changes received meanwhile. */
+const changeBatchMilliseconds: Milliseconds = 30;
 
-/** Announcements that come within this time are confirmed by one round of the log, urgent ones sooner. */
-const gatherConfirmsMilliseconds: Milliseconds = 120;
-const gatherUrgentMilliseconds: Milliseconds = 10;
+/** Announcements received within this window are confirmed by one read round of the log; urgent ones have a shorter window. */
+const confirmBatchMilliseconds: Milliseconds = 120;
+const urgentBatchMilliseconds: Milliseconds = 10;
 
 const lapseLinesPerSecond = 10;
 
@@ -76,29 +78,29 @@
 	return ranges.map(({from, to}) => ({from, to, holder}));
 }
 
-/** Makes the desk. */
-export function createLeaderDesk({holder, voter, terms, mostRanges, log, measures}: DeskParts): LeaderDesk {
+/** Creates the leader coordinator. */
+export function createLeaderCoordinator({holder, voter, terms, mostRanges, log, measures}: LeaderDependencies): LeaderCoordinator {
 	let granting: GrantingState = createGrantingState(monotonicNow());
 	let loads = new LoadCounts();
-	let planning: NodeJS.Timeout | undefined;
-	let planningSoon: NodeJS.Timeout | undefined;
+	let planTimer: NodeJS.Timeout | undefined;
+	let scheduledPlan: NodeJS.Timeout | undefined;
 	let isProposing = false;
-	/** Keys are being taken from holders whose time is over: none of them may be renewed until it is known whether they were. */
-	let expiring: Promise<unknown> | undefined;
+	/** The pending proposal that vacates keys of holders whose lease expired: no lease may be renewed until its outcome is known. */
+	let pendingExpiry: Promise<unknown> | undefined;
 	let shares: readonly HolderShare[] = [];
 	let joinedAt: MonotonicTime = -Infinity;
-	/** The rounds that have not begun yet, by the time that announcements are gathered for. */
-	const confirming = new Map<Milliseconds, Promise<Result<LogIndex, Failure>>>();
-	/** The changes of items that are under way, by their text. */
-	const declaring = new Map<string, Promise<Result<LogIndex, Failure>>>();
+	/** Read rounds that have not started yet, by the length of their batching window. */
+	const pendingConfirms = new Map<Milliseconds, Promise<Result<LogIndex, Failure>>>();
+	/** Pending proposals of item changes, by the JSON of the changes. */
+	const pendingDeclarations = new Map<string, Promise<Result<LogIndex, Failure>>>();
 	const lapseLines = new LineBudget(lapseLinesPerSecond);
-	const propose = createProposals(async payload => voter().propose(payload));
+	const propose = createProposalBatcher(async payload => voter().propose(payload));
 
 	function isKeyed(service: string): boolean {
 		return holder.state().items.service[service]?.value?.keyed ?? false;
 	}
 
-	function evidenceOf({service}: UpstreamRecord, keys: KeyReport): readonly DirectoryCommand[] {
+	function vacateCommands({service}: UpstreamRecord, keys: KeyReport): readonly DirectoryCommand[] {
 		const rows = vacatedByAnnouncement(granting, rangesOf(holder.state().keys, service), keys);
 		return rows.length === 0 ? [] : [{kind: 'keysVacated', service, rows}];
 	}
@@ -109,17 +111,17 @@
 			return {holdMilliseconds, keyed: false};
 		}
 
-		const {life, sequence} = keys;
+		const {life: incarnation, sequence} = keys;
 		const ranges = rangesOf(holder.state().keys, service);
-		const rows = grantedRows(ranges, life);
+		const rows = grantedRows(ranges, incarnation);
 		granting = recordAnswer(granting, {
-			holder: life, sequence, receivedAt, index: holder.state().applied,
+			holder: incarnation, sequence, receivedAt, index: holder.state().applied,
 		}, terms);
-		const untold = rows.filter(({told}) => !told);
-		const stopped = rangesHeldBy(ranges, life).filter(({told, releasingSince}) => told && releasingSince !== undefined);
+		const unreported = rows.filter(({told}) => !told);
+		const stopped = rangesHeldBy(ranges, incarnation).filter(({told, releasingSince}) => told && releasingSince !== undefined);
 		const commands: readonly DirectoryCommand[] = [
-			...(untold.length === 0 ? [] : [{kind: 'keysTold', service, rows: spansOf(untold, life)} as const]),
-			...(stopped.length === 0 ? [] : [{kind: 'keysStopped', service, rows: spansOf(stopped, life)} as const]),
+			...(unreported.length === 0 ? [] : [{kind: 'keysTold', service, rows: spansOf(unreported, incarnation)} as const]),
+			...(stopped.length === 0 ? [] : [{kind: 'keysStopped', service, rows: spansOf(stopped, incarnation)} as const]),
 		];
 		if (commands.length > 0) {
 			void propose(commands);
@@ -128,8 +130,8 @@
 		return rowsDigest(rows) === keys.digest ? {holdMilliseconds, keyed: true} : {holdMilliseconds, keyed: true, rows: rowsToSend(ranges, keys)};
 	}
 
-	/** Tells of keys that an upstream was told to hold and doesn't list any more. */
-	function noteLapse({service}: UpstreamRecord, keys: KeyReport, receivedAt: MonotonicTime): void {
+	/** Logs and counts keys that were reported to an upstream as held and that it no longer lists. */
+	function recordLapse({service}: UpstreamRecord, keys: KeyReport, receivedAt: MonotonicTime): void {
 		const lapsed = lapsedRows(granting, rangesOf(holder.state().keys, service), keys);
 		if (lapsed.length === 0) {
 			return;
@@ -151,31 +153,31 @@
 
 	async function confirmAfter(milliseconds: Milliseconds): Promise<Result<LogIndex, Failure>> {
 		await pause(milliseconds);
-		confirming.delete(milliseconds);
+		pendingConfirms.delete(milliseconds);
 		return voter().read();
 	}
 
-	/** Confirms that this instance still leads, once for all announcements that came within a moment: each round crosses regions. */
+	/** Confirms that this instance is still the leader, with one round for all announcements of a batching window: each round crosses regions. */
 	async function confirmTogether(isUrgent: boolean): Promise<Result<LogIndex, Failure>> {
-		const milliseconds = isUrgent ? gatherUrgentMilliseconds : gatherConfirmsMilliseconds;
-		const known = confirming.get(milliseconds) ?? confirmAfter(milliseconds);
-		confirming.set(milliseconds, known);
-		return known;
+		const milliseconds = isUrgent ? urgentBatchMilliseconds : confirmBatchMilliseconds;
+		const pending = pendingConfirms.get(milliseconds) ?? confirmAfter(milliseconds);
+		pendingConfirms.set(milliseconds, pending);
+		return pending;
 	}
 
 	async function waitForExpiry(): Promise<Result<unknown, Failure>> {
-		if (expiring === undefined) {
+		if (pendingExpiry === undefined) {
 			return ok(undefined);
 		}
 
-		await expiring;
+		await pendingExpiry;
 		const confirmed = await voter().read();
 		return confirmed.isErr ? confirmed : waitForExpiry();
 	}
 
 	/**
-	 * Takes a change in, unless it is taken or under way already: operators send a
-	 * change again when they hear nothing, and each entry of the log goes to all instances.
+	 * Proposes a change unless it is already applied or pending: operators retry a
+	 * change when they receive no answer, and each log entry is sent to all instances.
 	 */
 	async function declareOnce(changes: readonly ItemChange[]): Promise<Result<LogIndex, Failure>> {
 		if (isNoOp(holder.state().items, changes)) {
@@ -183,17 +185,17 @@
 		}
 
 		const text = JSON.stringify(changes);
-		const known = declaring.get(text) ?? propose([{kind: 'itemsChanged', changes}]);
-		declaring.set(text, known);
-		const proposed = await known;
-		declaring.delete(text);
+		const pending = pendingDeclarations.get(text) ?? propose([{kind: 'itemsChanged', changes}]);
+		pendingDeclarations.set(text, pending);
+		const proposed = await pending;
+		pendingDeclarations.delete(text);
 		return proposed;
 	}
 
-	/** The record that an announcement is about; undefined where the sender's table was older and this one has another life. */
-	function recordOf({upstream, keys: {life}}: AnnouncementReport): UpstreamRecord | undefined {
-		const known = holder.state().upstreams[life.id];
-		return upstream ?? (sameIncarnation(known, life) ? known : undefined);
+	/** The upstream record of an announcement; undefined if the sender's directory was older and the one here records another incarnation. */
+	function recordOf({upstream, keys: {life: incarnation}}: AnnouncementReport): UpstreamRecord | undefined {
+		const recorded = holder.state().upstreams[incarnation.id];
+		return upstream ?? (sameIncarnation(recorded, incarnation) ? recorded : undefined);
 	}
 
 	async function announce(report: AnnouncementReport): Promise<Result<AnnouncementOutcome, Failure>> {
@@ -201,7 +203,7 @@
 		const {keys, isUrgent} = report;
 		const upstream = recordOf(report);
 		if (upstream === undefined) {
-			return err(failure(FailureKind.notReady, `there is no record of ${incarnationText(keys.life)} any more`));
+			return err(failure(FailureKind.notReady, `the directory no longer has a record of ${incarnationText(keys.life)}`));
 		}
 
 		const recorded = recordAnnouncement(holder.state(), upstream);
@@ -213,9 +215,9 @@
 			joinedAt = receivedAt;
 		}
 
-		noteLapse(upstream, keys, receivedAt);
+		recordLapse(upstream, keys, receivedAt);
 		granting = recordContact(granting, keys.life, receivedAt, terms);
-		const commands = [...recorded.value, ...evidenceOf(upstream, keys)];
+		const commands = [...recorded.value, ...vacateCommands(upstream, keys)];
 		const confirmed = commands.length === 0 ? await confirmTogether(isUrgent) : await propose(commands);
 		if (confirmed.isErr) {
 			return err(confirmed.error);
@@ -233,45 +235,45 @@
 				commands: commands.map(({kind}) => kind).join(','),
 				index: confirmed.value,
 			});
-			plan();
+			schedulePlan();
 		}
 
 		const settled = await waitForExpiry();
 		return settled.map(() => answerKeys(upstream, keys, receivedAt));
 	}
 
-	function describe(command: DirectoryCommand): string {
-		return 'rows' in command ? command.rows.map(({from, to, holder: life}) => `${from}-${to}:${life.id}`).join(',').slice(0, 400) : command.kind;
+	function describeRows(command: DirectoryCommand): string {
+		return 'rows' in command ? command.rows.map(({from, to, holder: incarnation}) => `${from}-${to}:${incarnation.id}`).join(',').slice(0, 400) : command.kind;
 	}
 
 	async function proposePlan(commands: readonly DirectoryCommand[]): Promise<void> {
 		isProposing = true;
 		const proposing = propose(commands);
-		expiring = commands.some(({kind}) => kind === 'keysVacated') ? proposing : undefined;
+		pendingExpiry = commands.some(({kind}) => kind === 'keysVacated') ? proposing : undefined;
 		const proposed = await proposing;
-		expiring = undefined;
+		pendingExpiry = undefined;
 		isProposing = false;
 		for (const command of commands) {
-			log.event(EventName.keysPlanned, {command: command.kind, rows: describe(command), index: proposed.unwrapOr(0)});
+			log.event(EventName.keysPlanned, {command: command.kind, rows: describeRows(command), index: proposed.unwrapOr(0)});
 		}
 
 		if (proposed.isOk) {
-			plan();
+			schedulePlan();
 		}
 	}
 
-	/** Plans soon: what changes within a moment is planned for once. */
-	function plan(): void {
-		if (planning !== undefined) {
-			planningSoon ??= setTimeout(() => {
-				planningSoon = undefined;
+	/** Schedules a plan shortly, so that changes in quick succession share one plan. */
+	function schedulePlan(): void {
+		if (planTimer !== undefined) {
+			scheduledPlan ??= setTimeout(() => {
+				scheduledPlan = undefined;
 				planNow();
-			}, gatherChangesMilliseconds);
+			}, changeBatchMilliseconds);
 		}
 	}
 
-	/** The upstreams of a service that have too much work. */
-	function overloadsOf(service: string, rates: readonly KeyRate[], now: MonotonicTime): readonly HolderShare[] {
+	/** The overloaded upstreams of a service. */
+	function overloadedHolders(service: string, rates: readonly KeyRate[], now: MonotonicTime): readonly HolderShare[] {
 		const {keys, upstreams} = holder.state();
 		const meanLatency = loads.meanLatency(service, now);
 		return holderShares(rangesOf(keys, service), rates, ({id}) => sustainableRate({
@@ -280,12 +282,12 @@
 	}
 
 	function planNow(): void {
-		if (isProposing || planning === undefined || voter().quorumContactAt(monotonicNow()) === undefined) {
+		if (isProposing || planTimer === undefined || voter().quorumContactAt(monotonicNow()) === undefined) {
 			return;
 		}
 
 		const now = monotonicNow();
-		const keyed = definedItems(holder.state().items.service).filter(([, {keyed: isDivided}]) => isDivided);
+		const keyed = definedItems(holder.state().items.service).filter(([, {keyed: hasKeys}]) => hasKeys);
 		const rates = new Map(keyed.map(([service]) => [service, loads.rates(service, now)]));
 		const commands = planDirectory({
 			state: holder.state(),
@@ -296,11 +298,11 @@
 			mostRanges,
 			workOf: service => ({
 				rates: rates.get(service) ?? [],
-				countedMilliseconds: longMemoryMilliseconds,
+				countedMilliseconds: longDecayMilliseconds,
 				relativeSpeedOf: upstream => loads.speed(upstream, service, now),
 			}),
 		});
-		shares = [...rates].flatMap(([service, counted]) => overloadsOf(service, counted, now));
+		shares = [...rates].flatMap(([service, counted]) => overloadedHolders(service, counted, now));
 		if (commands.length > 0) {
 			void proposePlan(commands);
 		}
@@ -308,16 +310,16 @@
 
 	return {
 		announce,
-		async depart({life}) {
-			const known = holder.state().upstreams[life.id];
-			if (known === undefined || (life.born !== undefined && life.born !== known.born)) {
+		async depart({life: incarnation}) {
+			const recorded = holder.state().upstreams[incarnation.id];
+			if (recorded === undefined || (incarnation.born !== undefined && incarnation.born !== recorded.born)) {
 				const confirmed = await voter().read();
 				return confirmed.map(() => ({}));
 			}
 
-			const proposed = await propose([{kind: 'upstreamDeparted', life: {id: known.id, born: known.born}}]);
+			const proposed = await propose([{kind: 'upstreamDeparted', life: {id: recorded.id, born: recorded.born}}]);
 			log.event(EventName.upstreamLeft, {
-				upstream: known.id, born: known.born, service: known.service, index: proposed.unwrapOr(0),
+				upstream: recorded.id, born: recorded.born, service: recorded.service, index: proposed.unwrapOr(0),
 			});
 			return proposed.map(() => ({}));
 		},
@@ -345,14 +347,14 @@
 			granting = createGrantingState(monotonicNow());
 			loads = new LoadCounts();
 			joinedAt = monotonicNow();
-			clearInterval(planning);
-			planning = setInterval(planNow, planMilliseconds);
+			clearInterval(planTimer);
+			planTimer = setInterval(planNow, planIntervalMilliseconds);
 		},
 		end() {
-			clearInterval(planning);
-			clearTimeout(planningSoon);
-			planning = undefined;
-			planningSoon = undefined;
+			clearInterval(planTimer);
+			clearTimeout(scheduledPlan);
+			planTimer = undefined;
+			scheduledPlan = undefined;
 			shares = [];
 		},
 	};
--- a/packages/control-node/src/load-counts.ts
+++ b/packages/control-node/src/load-counts.ts
@@ -1,42 +1,42 @@
 /**
- * The work of each service's keys and the speed of its upstreams, as the entries
- * report them.
+ * The request rates of each service's keys and the relative speeds of its
+ * upstreams, computed from the load reports of entries.
  *
- * Load patterns: with few requests, counts differ by chance, and need a long
- * memory; a run of keys gets hot within a second, and cools down as fast.
+ * Two load patterns matter. At low rates counts vary by chance and need a long
+ * time constant; a run of keys gets hot within a second and cools down as fast.
  */
 import {type LoadReport} from '@dogwooddeck/mesh/calls';
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {type KeyRate} from '@dogwooddeck/key-lease/planning';
 import {keyCount} from '@dogwooddeck/key-lease/range';
-import {KeyCounts, longMemoryMilliseconds} from './key-counts.js';
+import {KeyCounts, longDecayMilliseconds} from './key-counts.js';
 
-/** An upstream counts as this many times slower or faster than the others of its service at most. */
-const slowestSpeed = 0.2;
-const fastestSpeed = 2;
+/** Bounds of the speed of an upstream relative to the others of its service. */
+const minimumSpeed = 0.2;
+const maximumSpeed = 2;
 
-/** Answers that an upstream must have given before its speed is believed. */
-const leastAnswers = 5;
+/** Minimum decayed count of answers from an upstream before its speed is used. */
+const minimumAnswers = 5;
 
-/** Times of answers differ by about as much as their mean. */
-const answerDeviation = 1;
+/** Standard deviation of answer times, relative to their mean. */
+const relativeDeviation = 1;
 
-/** A speed takes the place of the one that is believed where it differs by so many standard deviations: keys move with it. */
+/** A measured speed replaces the current estimate if it differs by more than this many standard deviations: each change of speed moves keys. */
 const speedSignificance = 2.5;
 
-type Answers = {readonly count: number; readonly milliseconds: Milliseconds};
+type AnswerTotals = {readonly count: number; readonly milliseconds: Milliseconds};
 
-type Counts = {
+type ServiceCounts = {
 	readonly keys: KeyCounts;
-	answers: ReadonlyMap<string, Answers>;
-	/** Of all upstreams together. */
-	answersTogether: Answers;
-	/** The speeds that are believed, of upstreams whose speed is not 1. */
+	answers: ReadonlyMap<string, AnswerTotals>;
+	/** The sum over all upstreams. */
+	allAnswers: AnswerTotals;
+	/** The current speed estimates of upstreams whose estimate has changed from the initial 1. */
 	readonly speeds: Map<string, number>;
 	decayedAt: MonotonicTime;
 };
 
-function sumOf(answers: ReadonlyMap<string, Answers>): Answers {
+function sumOf(answers: ReadonlyMap<string, AnswerTotals>): AnswerTotals {
 	const sums = [...answers.values()];
 	return {
 		count: sums.reduce((sum, one) => sum + one.count, 0),
@@ -44,78 +44,78 @@
 	};
 }
 
-/** The counts of all services. They are updated in place: there are thousands. */
+/** The counts of all services. Mutable, since there are thousands of counts. */
 export class LoadCounts {
-	readonly #services = new Map<string, Counts>();
+	readonly #services = new Map<string, ServiceCounts>();
 
-	/** Adds what an entry counted. */
+	/** Adds a load report. */
 	add(report: LoadReport, now: MonotonicTime): void {
 		for (const {service, counts, answers} of report.services) {
-			const known = this.#decayed(service, now);
+			const serviceCounts = this.#decayedCounts(service, now);
 			for (const [key, count] of counts) {
 				if (key >= 0 && key < keyCount) {
-					known.keys.add(key, count, now);
+					serviceCounts.keys.add(key, count, now);
 				}
 			}
 
-			const sums = new Map(known.answers);
+			const sums = new Map(serviceCounts.answers);
 			for (const [upstream, count, milliseconds] of answers) {
 				const sum = sums.get(upstream) ?? {count: 0, milliseconds: 0};
 				sums.set(upstream, {count: sum.count + count, milliseconds: sum.milliseconds + milliseconds});
 			}
 
-			known.answers = sums;
-			known.answersTogether = sumOf(sums);
+			serviceCounts.answers = sums;
+			serviceCounts.allAnswers = sumOf(sums);
 		}
 	}
 
-	/** Requests a second for the keys of a service that had any, in order of the keys. */
+	/** Requests per second of the keys of a service that are not idle, in key order. */
 	rates(service: string, now: MonotonicTime): readonly KeyRate[] {
-		return this.#decayed(service, now).keys.rates(now);
+		return this.#decayedCounts(service, now).keys.rates(now);
 	}
 
-	/** How long the upstreams of a service take for an answer, in the mean; undefined where none was counted. */
+	/** The mean answer time of the upstreams of a service; undefined if no answers were counted. */
 	meanLatency(service: string, now: MonotonicTime): Milliseconds | undefined {
-		const {count, milliseconds} = this.#decayed(service, now).answersTogether;
+		const {count, milliseconds} = this.#decayedCounts(service, now).allAnswers;
 		return count === 0 ? undefined : milliseconds / count;
 	}
 
-	/** How fast an upstream answers beside the others of its service: 1 is as fast, or not known. It changes only by more than chance. */
+	/** The speed of an upstream relative to the mean of its service, which is 1; also 1 if there are too few answers. It changes only if the difference is statistically significant. */
 	speed(upstream: string, service: string, now: MonotonicTime): number {
-		const {answers, answersTogether: {count, milliseconds}, speeds} = this.#decayed(service, now);
+		const {answers, allAnswers: {count, milliseconds}, speeds} = this.#decayedCounts(service, now);
 		const own = answers.get(upstream);
-		if (own === undefined || own.count < leastAnswers) {
+		if (own === undefined || own.count < minimumAnswers) {
 			return 1;
 		}
 
-		const believed = speeds.get(upstream) ?? 1;
-		const measured = Math.min(fastestSpeed, Math.max(slowestSpeed, (milliseconds / count) / (own.milliseconds / own.count)));
-		if (Math.abs(measured - believed) <= speedSignificance * believed * answerDeviation / Math.sqrt(own.count)) {
-			return believed;
+		const current = speeds.get(upstream) ?? 1;
+		const measured = Math.min(maximumSpeed, Math.max(minimumSpeed, (milliseconds / count) / (own.milliseconds / own.count)));
+		if (Math.abs(measured - current) <= speedSignificance * current * relativeDeviation / Math.sqrt(own.count)) {
+			return current;
 		}
 
 		speeds.set(upstream, measured);
 		return measured;
 	}
 
-	#decayed(service: string, now: MonotonicTime): Counts {
-		const known = this.#services.get(service);
-		if (known === undefined) {
-			const made: Counts = {
-				keys: new KeyCounts(), answers: new Map(), answersTogether: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
+	#decayedCounts(service: string, now: MonotonicTime): ServiceCounts {
+		const existing = this.#services.get(service);
+		if (existing === undefined) {
+			const created: ServiceCounts = {
+				keys: new KeyCounts(), answers: new Map(), allAnswers: {count: 0, milliseconds: 0}, speeds: new Map(), decayedAt: now,
 			};
-			this.#services.set(service, made);
-			return made;
+			this.#services.set(service, created);
+			return created;
 		}
 
-		const passed = now - known.decayedAt;
+		const passed = now - existing.decayedAt;
 		if (passed > 0) {
-			const factor = Math.exp(-passed / longMemoryMilliseconds);
-			known.decayedAt = now;
-			known.answers = new Map([...known.answers].map(([upstream, {count, milliseconds}]) => [upstream, {count: count * factor, milliseconds: milliseconds * factor}]));
-			known.answersTogether = sumOf(known.answers);
+			const factor = Math.exp(-passed / longDecayMilliseconds);
+			existing.decayedAt = now;
+			existing.answers = new Map([...existing.answers].map(([upstream, {count, milliseconds}]) => [upstream, {count: count * factor, milliseconds: milliseconds * factor}]));
+			existing.allAnswers = sumOf(existing.answers);
 		}
 
-		return known;
+		return existing;
 	}
 }
--- a/packages/control-node/src/load-relay.ts
+++ b/packages/control-node/src/load-relay.ts
@@ -1,36 +1,36 @@
 /**
- * Gathers what entries counted and passes it on to the leader in one report: the
- * leader hears from each control instance, not from each entry.
+ * Aggregates the load reports of entries and forwards them to the leader, which so
+ * receives one report from each control instance, not one from each entry.
  */
 import {type LoadReport} from '@dogwooddeck/mesh/calls';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 
-/** How often reports are passed on: a key gets hot within a second. */
-const relayMilliseconds: Milliseconds = 300;
+/** Interval of the aggregated reports: a key gets hot within a second. */
+const relayIntervalMilliseconds: Milliseconds = 300;
 
 type ServiceReport = LoadReport['services'][number];
-type Gathered = {readonly counts: Map<number, number>; readonly answers: Map<string, readonly [number, number]>};
+type ServiceTotals = {readonly counts: Map<number, number>; readonly answers: Map<string, readonly [number, number]>};
 
-/** Gathers reports. */
+/** Aggregates load reports. */
 export type LoadRelay = {
 	readonly add: (report: LoadReport) => void;
 	readonly stop: () => void;
 };
 
-function gather(into: Gathered, {counts, answers}: ServiceReport): void {
+function addReport(into: ServiceTotals, {counts, answers}: ServiceReport): void {
 	for (const [key, count] of counts) {
 		into.counts.set(key, (into.counts.get(key) ?? 0) + count);
 	}
 
 	for (const [upstream, count, milliseconds] of answers) {
-		const [counted, together] = into.answers.get(upstream) ?? [0, 0];
-		into.answers.set(upstream, [counted + count, together + milliseconds]);
+		const [counted, total] = into.answers.get(upstream) ?? [0, 0];
+		into.answers.set(upstream, [counted + count, total + milliseconds]);
 	}
 }
 
-/** Starts to gather; `send` gets what came since the last time, if anything did. */
+/** Starts the relay. Each interval, `send` is called with the aggregate of the reports since the last one, if there were any. */
 export function createLoadRelay(send: (report: LoadReport) => void): LoadRelay {
-	let services = new Map<string, Gathered>();
+	let services = new Map<string, ServiceTotals>();
 
 	function flush(): void {
 		if (services.size === 0) {
@@ -48,17 +48,17 @@
 		send(report);
 	}
 
-	const relaying = setInterval(flush, relayMilliseconds);
+	const relayTimer = setInterval(flush, relayIntervalMilliseconds);
 	return {
 		add(report) {
 			for (const reported of report.services) {
-				const known = services.get(reported.service) ?? {counts: new Map<number, number>(), answers: new Map<string, readonly [number, number]>()};
-				gather(known, reported);
-				services.set(reported.service, known);
+				const totals = services.get(reported.service) ?? {counts: new Map<number, number>(), answers: new Map<string, readonly [number, number]>()};
+				addReport(totals, reported);
+				services.set(reported.service, totals);
 			}
 		},
 		stop() {
-			clearInterval(relaying);
+			clearInterval(relayTimer);
 		},
 	};
 }
--- a/packages/control-node/src/replication-watch.ts
+++ b/packages/control-node/src/replication-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches how far the copies of the directory are: this instance's own, and on
- * the leader those of the other voters and learners.
+ * Monitors the replica lag of the directory: that of this instance and, on the
+ * leader, of the other voters and learners.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type VoterIdentity} from '@dogwooddeck/consensus/message';
@@ -10,11 +10,11 @@
 import {MeasureName, type Measures} from '@dogwooddeck/telemetry/measure';
 import {type DirectoryHolder, type DirectoryVoter} from './directory-voter.js';
 
-/** How often the copies are looked at. */
+/** Interval of the lag checks. */
 const watchMilliseconds: Milliseconds = 200;
 
-/** What is watched. */
-export type ReplicationWatchParts = {
+/** The collaborators of the replication watch. */
+export type ReplicationWatchDependencies = {
 	readonly holder: DirectoryHolder;
 	readonly voter: DirectoryVoter;
 	readonly log: Log;
@@ -25,20 +25,20 @@
 	return `${name} ${folder}`;
 }
 
-/** A watch that runs. */
+/** A running watch. */
 export type ReplicationWatch = {
-	/** For how long this instance's copy has lacked something that is known to be committed. */
+	/** How long this instance's replica has lacked an entry that is known to be committed. */
 	readonly ownLag: () => Milliseconds;
 	readonly stop: () => void;
 };
 
-/** Starts to watch. */
-export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchParts): ReplicationWatch {
-	const own = new LagMonitor(log);
-	let members = new Map<string, LagMonitor>();
+/** Starts the watch. */
+export function startReplicationWatch({holder, voter, log, measures}: ReplicationWatchDependencies): ReplicationWatch {
+	const ownWatch = new LagMonitor(log);
+	let memberWatches = new Map<string, LagMonitor>();
 
 	function ownLag(): Milliseconds {
-		return own.record(holder.state().applied, voter.knownCommitted(), monotonicNow());
+		return ownWatch.record(holder.state().applied, voter.knownCommitted(), monotonicNow());
 	}
 
 	function watch(): void {
@@ -48,17 +48,17 @@
 		measures.set(MeasureName.applied, holder.state().applied);
 		measures.set(MeasureName.committed, committed);
 		const positions = voter.memberPositions();
-		members = new Map(positions.map(({member}) => [nameOf(member), members.get(nameOf(member)) ?? new LagMonitor(log, {member: member.name})]));
+		memberWatches = new Map(positions.map(({member}) => [nameOf(member), memberWatches.get(nameOf(member)) ?? new LagMonitor(log, {member: member.name})]));
 		for (const {member, index} of positions) {
-			members.get(nameOf(member))!.record(index, committed, now);
+			memberWatches.get(nameOf(member))!.record(index, committed, now);
 		}
 	}
 
-	const watching = setInterval(watch, watchMilliseconds);
+	const watchTimer = setInterval(watch, watchMilliseconds);
 	return {
 		ownLag,
 		stop() {
-			clearInterval(watching);
+			clearInterval(watchTimer);
 		},
 	};
 }
--- a/packages/control-node/test/test-gathering.ts
+++ b/packages/control-node/test/test-batching.ts
@@ -3,7 +3,7 @@
 import {type AnnouncementReport, type LoadReport} from '@dogwooddeck/mesh/calls';
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 import {err, ok} from 'true-myth/result';
-import {createAnnouncementBatch} from '@dogwooddeck/control-node/announcement-batch';
+import {createAnnouncementBatcher} from '@dogwooddeck/control-node/announcement-batcher';
 import {createLoadRelay} from '@dogwooddeck/control-node/load-relay';
 
 function report(id: string, isUrgent = false): AnnouncementReport {
@@ -17,58 +17,58 @@
 
 const batches: ReadonlyArray<{readonly name: string; readonly reports: readonly AnnouncementReport[]; readonly afterMilliseconds: number; readonly sent: readonly string[]}> = [
 	{
-		name: 'those of a moment go together', reports: [report('a'), report('b')], afterMilliseconds: 25, sent: ['a,b'],
+		name: 'announcements within the window share a call', reports: [report('a'), report('b')], afterMilliseconds: 25, sent: ['a,b'],
 	},
 	{
-		name: 'they are gathered first', reports: [report('a'), report('b')], afterMilliseconds: 10, sent: [],
+		name: 'nothing is sent before the window ends', reports: [report('a'), report('b')], afterMilliseconds: 10, sent: [],
 	},
 	{
-		name: 'an urgent one takes the others along at once', reports: [report('a'), report('b', true), report('c')], afterMilliseconds: 0, sent: ['a,b'],
+		name: 'an urgent announcement sends the waiting ones at once', reports: [report('a'), report('b', true), report('c')], afterMilliseconds: 0, sent: ['a,b'],
 	},
 ];
 
 for (const {name, reports, afterMilliseconds, sent} of batches) {
 	test(`announcement batch: ${name}`, context => {
 		context.mock.timers.enable({apis: ['setTimeout']});
-		const seen: string[] = [];
-		const passOn = createAnnouncementBatch(async batch => {
-			seen.push(batch.map(({keys}) => keys.life.id).join(','));
+		const sentBatches: string[] = [];
+		const forward = createAnnouncementBatcher(async batch => {
+			sentBatches.push(batch.map(({keys}) => keys.life.id).join(','));
 			return ok([]);
 		});
 		for (const one of reports) {
-			void passOn(one);
+			void forward(one);
 		}
 
 		context.mock.timers.tick(afterMilliseconds);
-		assert.deepEqual(seen, sent);
+		assert.deepEqual(sentBatches, sent);
 	});
 }
 
-test('announcement batch: each gets its own answer, and a failure where there is none', async context => {
+test('announcement batch: each gets its own answer, or a failure if there is none', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const refused = failure(FailureKind.notFound, 'there is no service');
-	const passOn = createAnnouncementBatch(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
-	const outcomes = Promise.all([report('a'), report('b'), report('c')].map(async one => passOn(one)));
+	const forward = createAnnouncementBatcher(async () => ok([{answer: {holdMilliseconds: 5, keyed: false}}, {failure: refused}]));
+	const outcomes = Promise.all([report('a'), report('b'), report('c')].map(async one => forward(one)));
 	context.mock.timers.tick(25);
 	const settled = await outcomes;
 	const kinds = settled.map(outcome => outcome.isOk ? 'taken' : outcome.error.kind);
 	assert.deepEqual(kinds, ['taken', FailureKind.notFound, FailureKind.malformed]);
 });
 
-test('announcement batch: all fail where the leader can not be reached', async context => {
+test('announcement batch: all fail if the leader is unreachable', async context => {
 	context.mock.timers.enable({apis: ['setTimeout']});
-	const passOn = createAnnouncementBatch(async () => err(failure(FailureKind.unreachable, 'no answer')));
-	const outcomes = Promise.all([report('a'), report('b')].map(async one => passOn(one)));
+	const forward = createAnnouncementBatcher(async () => err(failure(FailureKind.unreachable, 'no answer')));
+	const outcomes = Promise.all([report('a'), report('b')].map(async one => forward(one)));
 	context.mock.timers.tick(25);
 	const settled = await outcomes;
 	assert.deepEqual(settled.map(({isErr}) => isErr), [true, true]);
 });
 
-test('load relay: what entries counted is added up and passed on once', context => {
+test('load relay: reports of entries are summed and forwarded once', context => {
 	context.mock.timers.enable({apis: ['setInterval']});
 	const sent: LoadReport[] = [];
-	const relay = createLoadRelay(told => {
-		sent.push(told);
+	const relay = createLoadRelay(aggregate => {
+		sent.push(aggregate);
 	});
 	relay.add({services: [{service: 's', counts: [[1, 2], [5, 1]], answers: [['u', 2, 100]]}]});
 	relay.add({services: [{service: 's', counts: [[1, 3]], answers: [['u', 1, 20]]}, {service: 't', counts: [[9, 1]], answers: []}]});
--- a/packages/control-node/test/test-control-nodes.ts
+++ b/packages/control-node/test/test-control-nodes.ts
@@ -1,5 +1,5 @@
 /**
- * Control instances over real connections, with data folders of their own.
+ * Control instances that communicate over real connections, each with its own data folder.
  */
 import assert from 'node:assert/strict';
 import {mkdtemp, rm} from 'node:fs/promises';
@@ -56,7 +56,7 @@
 	return declared.isOk;
 }
 
-async function declareUntilTaken(node: ControlNode): Promise<void> {
+async function declareUntilAccepted(node: ControlNode): Promise<void> {
 	for (let tried = 0; tried < 100; tried += 1) {
 		if (await declare(node, 1)) {
 			return;
@@ -68,18 +68,18 @@
 	assert.fail('no leader within 5 s');
 }
 
-function deliverCalls({measures}: Running): {readonly taken: number; readonly made: number} {
+function deliverCalls({measures}: Running): {readonly received: number; readonly made: number} {
 	return {
-		taken: measures.counter(MeasureName.callsTaken, {call: 'deliver'}).value,
+		received: measures.counter(MeasureName.callsTaken, {call: 'deliver'}).value,
 		made: measures.counter(MeasureName.callsMade, {call: 'deliver', outcome: 'answered'}).value,
 	};
 }
 
-/** Of the calls of the log that followers take, at most this share is followed by one of their own: answers ride on the call. */
-const mostAnswersAlone = 0.2;
+/** Maximum ratio of `deliver` calls that a follower makes to those it receives: answers are piggybacked on the responses. */
+const maximumSeparateCalls = 0.2;
 
-test('control nodes: followers answer the leader without calls of their own', async () => withNodes(async running => {
-	await declareUntilTaken(running[0]!.node);
+test('control nodes: followers answer the leader without separate calls', async () => withNodes(async running => {
+	await declareUntilAccepted(running[0]!.node);
 	const before = running.map(one => deliverCalls(one));
 	for (let version = 2; version < 60; version += 1) {
 		assert.ok(await declare(running[0]!.node, version));
@@ -87,12 +87,12 @@
 
 	await pause(500);
 	const during = running.map((one, position) => {
-		const {taken, made} = deliverCalls(one);
-		return {taken: taken - before[position]!.taken, made: made - before[position]!.made};
+		const {received, made} = deliverCalls(one);
+		return {received: received - before[position]!.received, made: made - before[position]!.made};
 	});
 	const [leader, ...followers] = [...during].sort((one, other) => other.made - one.made);
 	assert.ok(leader!.made > 100);
-	for (const {taken, made} of followers) {
-		assert.ok(made <= taken * mostAnswersAlone, `${made} calls made, ${taken} taken`);
+	for (const {received, made} of followers) {
+		assert.ok(made <= received * maximumSeparateCalls, `${made} calls made, ${received} received`);
 	}
 }));
--- a/packages/control-node/test/test-load-counts.ts
+++ b/packages/control-node/test/test-load-counts.ts
@@ -7,7 +7,7 @@
 
 const reportMilliseconds = 500;
 
-/** Plays reports: each lists the requests for one key in half a second; a tenth of a request is one in ten reports. */
+/** Adds one report per half second, each with the requests for one key, and returns the resulting rate. */
 function ratesAfter(requests: readonly number[], key: number): number {
 	const counts = new LoadCounts();
 	let now = 0;
@@ -19,35 +19,35 @@
 	return counts.rates('s', now).find(counted => counted.key === key)?.rate ?? 0;
 }
 
-const quiet = Array.from({length: 60}, () => 0);
+const idle = Array.from({length: 60}, () => 0);
 const steady = Array.from({length: 60}, () => 2);
 
-const cases: ReadonlyArray<{readonly name: string; readonly requests: readonly number[]; readonly least: number; readonly most: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly requests: readonly number[]; readonly minimum: number; readonly maximum: number}> = [
 	{
-		name: 'nothing', requests: quiet, least: 0, most: 0,
+		name: 'nothing', requests: idle, minimum: 0, maximum: 0,
 	},
 	{
-		name: 'a steady rate', requests: steady, least: 3.2, most: 4.8,
+		name: 'a steady rate', requests: steady, minimum: 3.2, maximum: 4.8,
 	},
 	{
-		name: 'one request by chance', requests: [...quiet, 1], least: 0.05, most: 0.2,
+		name: 'one request by chance', requests: [...idle, 1], minimum: 0.05, maximum: 0.2,
 	},
 	{
-		name: 'a key that gets hot, after a second', requests: [...quiet, 10, 10], least: 8, most: 25,
+		name: 'a key that gets hot, after a second', requests: [...idle, 10, 10], minimum: 8, maximum: 25,
 	},
 	{
-		name: 'a key that was hot counts for less than half two seconds later', requests: [...quiet, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], least: 0, most: 10,
+		name: 'a key that was hot has less than half its rate two seconds later', requests: [...idle, 10, 10, 10, 10, 10, 10, 10, 10, 0, 0, 0, 0], minimum: 0, maximum: 10,
 	},
 ];
 
-for (const {name, requests, least, most} of cases) {
+for (const {name, requests, minimum, maximum} of cases) {
 	test(`load counts: ${name}`, () => {
 		const rate = ratesAfter(requests, 7);
-		assert.ok(rate >= least && rate <= most, `${rate} requests a second`);
+		assert.ok(rate >= minimum && rate <= maximum, `${rate} requests a second`);
 	});
 }
 
-test('load counts: a slow upstream counts for less, one that is hardly known for one', () => {
+test('load counts: a slow upstream has a lower speed, one with few answers has speed 1', () => {
 	const counts = new LoadCounts();
 	counts.add({services: [{service: 's', counts: [], answers: [['fast', 100, 5000], ['slow', 100, 15_000], ['new', 1, 900]]}]}, 0);
 	const speeds = ['fast', 'slow', 'new', 'unknown'].map(upstream => counts.speed(upstream, 's', 1).toFixed(1));
@@ -56,7 +56,7 @@
 
 const hotKeys = Array.from({length: 120}, (_, position) => 1000 + position);
 
-/** Each of many neighbours gets few requests; together they are a change. */
+/** Each of many adjacent keys gets few requests; only their sum shows the change. */
 test('load counts: a run of keys that gets hot together, a second later', () => {
 	const counts = new LoadCounts();
 	let now = 0;
@@ -77,8 +77,8 @@
 const few = 250;
 const many = 8 * few;
 
-/** In proportion it would be 8, by the square 64. */
-const mostGrowth = 20;
+/** Linear growth would be 8, quadratic growth 64. */
+const maximumGrowth = 20;
 
 function timeOfSpeeds(count: number): number {
 	const upstreams = Array.from({length: count}, (_, position) => `i-${position}`);
@@ -92,13 +92,13 @@
 	return performance.now() - startedAt;
 }
 
-test('load counts: the speeds of 8 times as many upstreams cost about as many times as much', () => {
+test('load counts: the cost of computing speeds grows about linearly with the number of upstreams', () => {
 	const times = Array.from({length: 5}, () => ({small: timeOfSpeeds(few), large: timeOfSpeeds(many)})).slice(1);
 	const growth = Math.min(...times.map(({large}) => large)) / Math.min(...times.map(({small}) => small));
-	assert.ok(growth < mostGrowth, `${growth.toFixed(1)} times`);
+	assert.ok(growth < maximumGrowth, `${growth.toFixed(1)} times`);
 });
 
-/** Answer times differ by as much as their mean. */
+/** Draws an exponentially distributed answer time: its standard deviation equals its mean. */
 function drawTime(generator: RandomGenerator, meanMilliseconds: number): number {
 	return -meanMilliseconds * Math.log((uniformInt(generator, 0, 999_999) + 0.5) / 1_000_000);
 }
@@ -106,17 +106,17 @@
 const fleet = Array.from({length: 200}, (_, position) => `i-${position}`);
 const answersPerPeriod = 2;
 
-type Fleet = {readonly counts: LoadCounts; readonly generator: RandomGenerator; now: number};
+type Simulation = {readonly counts: LoadCounts; readonly generator: RandomGenerator; now: number};
 
-/** Each upstream answers four times a second; `meanOf` tells how long that takes. */
-function answer(playing: Fleet, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
+/** Simulates reports in which each upstream answers four times a second, with the mean answer time `meanOf`. */
+function answer(simulation: Simulation, periods: number, meanOf: (upstream: string) => number, each: () => void): void {
 	for (let period = 0; period < periods; period += 1) {
-		playing.now += reportMilliseconds;
+		simulation.now += reportMilliseconds;
 		const answers = fleet.map(upstream => {
-			const times = Array.from({length: answersPerPeriod}, () => drawTime(playing.generator, meanOf(upstream)));
+			const times = Array.from({length: answersPerPeriod}, () => drawTime(simulation.generator, meanOf(upstream)));
 			return [upstream, answersPerPeriod, times.reduce((sum, time) => sum + time, 0)] as const;
 		});
-		playing.counts.add({services: [{service: 's', counts: [], answers}]}, playing.now);
+		simulation.counts.add({services: [{service: 's', counts: [], answers}]}, simulation.now);
 		each();
 	}
 }
@@ -124,19 +124,19 @@
 const speedSeeds = [1, 2, 3];
 
 for (const seed of speedSeeds) {
-	test(`load counts: speeds don't change by chance, and do when an upstream turns slow, seed ${seed}`, () => {
-		const playing: Fleet = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
-		const speedsNow = () => fleet.map(upstream => playing.counts.speed(upstream, 's', playing.now));
-		answer(playing, 40, () => 200, () => undefined);
+	test(`load counts: speeds don't change by chance, but do when an upstream becomes slow, seed ${seed}`, () => {
+		const simulation: Simulation = {counts: new LoadCounts(), generator: xoroshiro128plus(seed), now: 0};
+		const speedsNow = () => fleet.map(upstream => simulation.counts.speed(upstream, 's', simulation.now));
+		answer(simulation, 40, () => 200, () => undefined);
 		let changes = 0;
 		let before = speedsNow();
-		answer(playing, 40, () => 200, () => {
+		answer(simulation, 40, () => 200, () => {
 			const now = speedsNow();
 			changes += now.filter((speed, position) => speed !== before[position]).length;
 			before = now;
 		});
 		assert.ok(changes <= 80, `${changes} changes of 200 speeds in 20 s`);
-		answer(playing, 6, upstream => upstream === 'i-7' ? 1000 : 200, () => undefined);
-		assert.ok(playing.counts.speed('i-7', 's', playing.now) < 0.7);
+		answer(simulation, 6, upstream => upstream === 'i-7' ? 1000 : 200, () => undefined);
+		assert.ok(simulation.counts.speed('i-7', 's', simulation.now) < 0.7);
 	});
 }
--- a/packages/entry/src/directory-follower.ts
+++ b/packages/entry/src/directory-follower.ts
@@ -8,7 +8,7 @@
 import {Distance, distanceOf} from '@dogwooddeck/gateway/upstream-selection';
 import {type UpstreamIncarnation, incarnationText} from '@dogwooddeck/key-lease/range';
 import {type FollowMessage} from '@dogwooddeck/mesh/calls';
-import {type Following, type MeshClients} from '@dogwooddeck/mesh/client';
+import {type FollowStream, type MeshClients} from '@dogwooddeck/mesh/client';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {
 	type LogIndex, type Milliseconds, type MonotonicTime, type RegionName, type ZoneName,
@@ -101,7 +101,7 @@
 	return isServed ? FollowMode.nothing : FollowMode.changes;
 }
 
-type ControlStream = {following?: Following; distance?: Distance; mode: FollowMode; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
+type ControlStream = {following?: FollowStream; distance?: Distance; mode: FollowMode; leaderContactAt: MonotonicTime; lastContactAt: MonotonicTime; isOpen: boolean; hasReceived: boolean; entries: number};
 
 /** Starts to follow the control instances at `seeds`, and the members that they report. */
 export function followDirectory({
--- a/packages/mesh/src/client.ts
+++ b/packages/mesh/src/client.ts
@@ -1,6 +1,6 @@
 /**
- * Calls other instances. There is one channel for each address. Nothing is
- * sent again here: whoever calls decides what a failure means.
+ * The client side of the calls between instances, with one channel for each
+ * address. It doesn't retry: the caller decides how to handle a failure.
  */
 import {type Buffer} from 'node:buffer';
 import {
@@ -15,14 +15,14 @@
 	type FollowMessage, type FollowRequest, type MeshCall, type MeshCalls, type Reply,
 } from './calls.js';
 import {decodeMessage, encodeText, largestMessageBytes} from './encoding.js';
-import {PartGathering, partBytes} from './parts.js';
+import {PartAssembler, partBytes} from './parts.js';
 import {followMethod, methodOf, sessionMethod} from './service.js';
 import {openSession, type Session} from './session.js';
 
-/** A pause between attempts to connect, in milliseconds: short, since a peer may be back within a second. */
+/** Delay between connection attempts: short, since a peer may be back within a second. */
 const reconnectMilliseconds: Milliseconds = 200;
 
-/** A connection that answers no ping for this long is given up: partitions are silent. */
+/** A connection is closed if a ping isn't answered within the timeout: a network partition doesn't close it. */
 const keepaliveMilliseconds: Milliseconds = 1000;
 const keepaliveTimeoutMilliseconds: Milliseconds = 900;
 
@@ -40,32 +40,32 @@
 	'grpc.enable_channelz': 0,
 };
 
-/** How often calls to one address may time out in a row before its channel is made anew. */
+/** Number of consecutive timeouts of calls to an address after which its channel is reopened. */
 const timeoutsBeforeReopening = 2;
 
-/** A stream that is open. */
-export type Following = {readonly stop: () => void};
+/** An open stream of messages from a control instance. */
+export type FollowStream = {readonly stop: () => void};
 
-/** What a follower hears. */
+/** The callbacks of a follower. */
 export type FollowListener = {
-	/** The stream is alive: a part of a message has come. */
+	/** Called for each part of a message: the stream is alive. */
 	readonly onPart: () => void;
 	readonly onMessage: (message: FollowMessage) => void;
-	/** Called once, also after `stop`; with a failure where the stream broke off or can't be read. */
+	/** Called once, also after `stop`; with a failure if the stream broke off or can't be read. */
 	readonly onEnd: (failed?: Failure) => void;
 };
 
-/** Calls other instances by their address. */
+/** Calls other instances by address. */
 export type MeshClients = {
-	/** Fails with `unreachable` where no answer comes in time, and as the other instance fails. */
+	/** Fails with `unreachable` if there is no answer in time, or with the failure that the other instance returned. */
 	readonly call: <Call extends MeshCall>(address: string, call: Call, request: MeshCalls[Call]['request'], timeoutMilliseconds: Milliseconds) => Promise<Result<MeshCalls[Call]['answer'], Failure>>;
-	readonly follow: (address: string, request: FollowRequest, listener: FollowListener) => Following;
-	/** Gives up the connection to an address; the next call makes another. */
+	readonly follow: (address: string, request: FollowRequest, listener: FollowListener) => FollowStream;
+	/** Retires the connection to an address; the next call opens a new one. */
 	readonly reopen: (address: string) => void;
 	readonly close: () => void;
 };
 
-/** Hears how each call ended. */
+/** Called with the outcome of each call. */
 export type CallListener = (call: MeshCall, outcome: Result<unknown, Failure>) => void;
 
 type Channel = {readonly client: Client; session: Session | undefined; timeouts: number};
@@ -80,19 +80,19 @@
 	}
 }
 
-/** Makes the calls of one instance. */
+/** Creates the clients of one instance. */
 export function createMeshClients(onCall: CallListener = () => undefined): MeshClients {
 	const channels = new Map<string, Channel>();
 
 	function channelOf(address: string): Channel {
-		const known = channels.get(address);
-		if (known !== undefined) {
-			return known;
+		const existing = channels.get(address);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const made = {client: new Client(address, credentials.createInsecure(), channelOptions), session: undefined, timeouts: 0};
-		channels.set(address, made);
-		return made;
+		const created = {client: new Client(address, credentials.createInsecure(), channelOptions), session: undefined, timeouts: 0};
+		channels.set(address, created);
+		return created;
 	}
 
 	function reopen(address: string): void {
@@ -102,7 +102,7 @@
 		channel?.client.close();
 	}
 
-	function noteTimeout(address: string, channel: Channel): void {
+	function recordTimeout(address: string, channel: Channel): void {
 		channel.timeouts += 1;
 		if (channel.timeouts >= timeoutsBeforeReopening && channels.get(address) === channel) {
 			reopen(address);
@@ -112,19 +112,19 @@
 	function sessionOf(channel: Channel): Session {
 		if (channel.session === undefined) {
 			const stream = channel.client.makeBidiStreamRequest<unknown, unknown>(sessionMethod.path, sessionMethod.requestSerialize, sessionMethod.responseDeserialize);
-			const made = openSession(stream, () => {
-				if (channel.session === made) {
+			const opened = openSession(stream, () => {
+				if (channel.session === opened) {
 					channel.session = undefined;
 				}
 			});
-			channel.session = made;
+			channel.session = opened;
 		}
 
 		return channel.session;
 	}
 
-	/** Calls in a stream of its own: a long message would hold up all that share a session. */
-	async function callAlone({client}: Channel, call: MeshCall, request: string, timeoutMilliseconds: Milliseconds): Promise<Result<Reply<unknown>, Failure>> {
+	/** Makes a call on a stream of its own: a long message would delay all other calls of a session. */
+	async function callUnary({client}: Channel, call: MeshCall, request: string, timeoutMilliseconds: Milliseconds): Promise<Result<Reply<unknown>, Failure>> {
 		const method = methodOf(call);
 		return new Promise(resolve => {
 			client.makeUnaryRequest(method.path, method.requestSerialize, method.responseDeserialize, encodeText(request), {deadline: Date.now() + timeoutMilliseconds}, (error, value) => {
@@ -137,9 +137,9 @@
 		async call(address, call, request, timeoutMilliseconds) {
 			const channel = channelOf(address);
 			const text = JSON.stringify(request);
-			const replied = await (text.length > partBytes ? callAlone(channel, call, text, timeoutMilliseconds) : sessionOf(channel).call(call, text, timeoutMilliseconds));
+			const replied = await (text.length > partBytes ? callUnary(channel, call, text, timeoutMilliseconds) : sessionOf(channel).call(call, text, timeoutMilliseconds));
 			if (replied.isErr) {
-				noteTimeout(address, channel);
+				recordTimeout(address, channel);
 			} else {
 				channel.timeouts = 0;
 			}
@@ -160,14 +160,14 @@
 				}
 			};
 
-			const gathering = new PartGathering(largestMessageBytes);
+			const assembler = new PartAssembler(largestMessageBytes);
 			stream.on('data', (part: Buffer) => {
 				if (isOver) {
 					return;
 				}
 
 				listener.onPart();
-				const message = gathering.take(part).andThen(whole => whole === undefined ? ok(undefined) : readMessage(whole));
+				const message = assembler.add(part).andThen(whole => whole === undefined ? ok(undefined) : readMessage(whole));
 				if (message.isErr) {
 					stream.cancel();
 					end(message.error);
--- a/packages/mesh/src/server.ts
+++ b/packages/mesh/src/server.ts
@@ -1,5 +1,5 @@
 /**
- * Takes calls from other instances.
+ * The server side of the calls between instances.
  */
 import {type Buffer} from 'node:buffer';
 import {
@@ -17,40 +17,40 @@
 import {meshService} from './service.js';
 import {serveSession} from './session.js';
 
-/** What answers each call. */
+/** The handler of each call. */
 export type MeshHandlers = {
 	readonly [Call in MeshCall]: (request: MeshCalls[Call]['request']) => Promise<Result<MeshCalls[Call]['answer'], Failure>>;
 };
 
-/** One entry that follows this instance. */
+/** An entry that follows this instance. */
 export type Follower = {
 	readonly request: FollowRequest;
-	/** Sends a message, a `FollowMessage` that is encoded already. `false`: the follower does not read; what is sent now would pile up. */
+	/** Sends an encoded `FollowMessage`. Returns `false`, and sends nothing, if the write buffer of the stream is full because the follower doesn't read. */
 	readonly send: (message: Buffer) => boolean;
 	readonly onEnd: (ended: () => void) => void;
 };
 
-/** A server that listens. */
+/** A listening server. */
 export type MeshServer = {readonly close: () => void};
 
-type Answering = (request: unknown) => Promise<Result<unknown, Failure>>;
+type UntypedHandler = (request: unknown) => Promise<Result<unknown, Failure>>;
 
-async function replyTo(answering: Answering, request: unknown): Promise<Reply<unknown>> {
+async function callHandler(handler: UntypedHandler, request: unknown): Promise<Reply<unknown>> {
 	try {
-		const answer = await answering(request);
+		const answer = await handler(request);
 		return answer.isOk ? {answer: answer.value} : {failure: answer.error};
 	} catch (error) {
 		return {failure: toFailure(error)};
 	}
 }
 
-function unary(answering: Answering) {
+function unaryHandler(handler: UntypedHandler) {
 	return async (call: ServerUnaryCall<unknown, unknown>, respond: sendUnaryData<unknown>) => {
-		respond(null, await replyTo(answering, call.request));
+		respond(null, await callHandler(handler, call.request));
 	};
 }
 
-function inSession(handlers: MeshHandlers) {
+function sessionHandler(handlers: MeshHandlers) {
 	return (call: ServerDuplexStream<Buffer, Buffer>) => {
 		serveSession({
 			write: message => call.write(message),
@@ -62,13 +62,13 @@
 			},
 			on: call.on.bind(call),
 		}, async (name, request) => {
-			const handler = handlers[name] as Answering | undefined;
-			return handler === undefined ? {failure: failure(FailureKind.malformed, `there is no call ${name}`)} : replyTo(handler, request);
+			const handler = handlers[name] as UntypedHandler | undefined;
+			return handler === undefined ? {failure: failure(FailureKind.malformed, `unknown call ${name}`)} : callHandler(handler, request);
 		});
 	};
 }
 
-function streaming(follow: (follower: Follower) => void) {
+function followHandler(follow: (follower: Follower) => void) {
 	return (call: ServerWritableStream<FollowRequest, Buffer>) => {
 		let hasRoom = true;
 		call.on('drain', () => {
@@ -95,11 +95,11 @@
 	};
 }
 
-/** Listens at an address. Fails with `unreachable` where it can't be bound. */
+/** Listens on an address. Fails with `unreachable` if it can't be bound. */
 export async function startMeshServer(address: string, handlers: MeshHandlers, follow: (follower: Follower) => void): Promise<Result<MeshServer, Failure>> {
 	const server = new Server({'grpc.max_receive_message_length': largestMessageBytes, 'grpc.max_send_message_length': largestMessageBytes});
-	const table = Object.fromEntries(meshCalls.map(call => [call, unary(handlers[call] as Answering)]));
-	server.addService(meshService, {...table, follow: streaming(follow) as never, session: inSession(handlers) as never});
+	const table = Object.fromEntries(meshCalls.map(call => [call, unaryHandler(handlers[call] as UntypedHandler)]));
+	server.addService(meshService, {...table, follow: followHandler(follow) as never, session: sessionHandler(handlers) as never});
 	return new Promise(resolve => {
 		server.bindAsync(address, ServerCredentials.createInsecure(), error => {
 			resolve(error === null
--- a/packages/mesh/test/test-calls.ts
+++ b/packages/mesh/test/test-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls between two instances over a real connection, with a relay between them
- * that counts the HTTP/2 streams which the caller opens.
+ * Calls between two instances over a real connection. A TCP relay between them
+ * counts the HTTP/2 streams that the client opens.
  */
 import assert from 'node:assert/strict';
 import {type Buffer} from 'node:buffer';
@@ -20,7 +20,7 @@
 const frameHeadBytes = 9;
 const headersFrame = 1;
 
-/** Counts the frames of HTTP/2 that begin a stream. */
+/** Counts the HTTP/2 HEADERS frames, each of which opens a stream. */
 class StreamCount {
 	streams = 0;
 	#skip = prefaceBytes;
@@ -49,11 +49,11 @@
 async function startRelay(port: number): Promise<Relay> {
 	const counts: StreamCount[] = [];
 	const sockets = new Set<Socket>();
-	const server = createServer(near => {
+	const server = createServer(clientSocket => {
 		const count = new StreamCount();
-		const far = connect(port, '127.0.0.1');
+		const serverSocket = connect(port, '127.0.0.1');
 		counts.push(count);
-		for (const [socket, other] of [[near, far], [far, near]] as const) {
+		for (const [socket, other] of [[clientSocket, serverSocket], [serverSocket, clientSocket]] as const) {
 			sockets.add(socket);
 			socket.on('error', () => {
 				other.destroy();
@@ -63,12 +63,12 @@
 			});
 		}
 
-		near.on('data', bytes => {
+		clientSocket.on('data', bytes => {
 			count.read(bytes);
-			far.write(bytes);
+			serverSocket.write(bytes);
 		});
-		far.on('data', bytes => {
-			near.write(bytes);
+		serverSocket.on('data', bytes => {
+			clientSocket.write(bytes);
 		});
 	});
 	server.listen(0, '127.0.0.1');
@@ -78,34 +78,34 @@
 	};
 }
 
-type Scene = {
+type Scenario = {
 	readonly address: string;
 	readonly clients: MeshClients;
 	readonly relay: Relay;
-	/** The calls that were taken. */
-	readonly taken: MeshCall[];
+	/** The calls that the server received. */
+	readonly received: MeshCall[];
 	readonly streams: () => number;
 };
 
-/** Answers `confirm` with a count, `depart` after as many milliseconds as its life is old, and refuses `declare`. */
-async function inScene(run: (scene: Scene) => Promise<void>): Promise<void> {
-	const taken: MeshCall[] = [];
+/** Runs with a server that answers `confirm` with a count and `depart` after `born` milliseconds, and refuses `declare`. */
+async function withScenario(run: (scenario: Scenario) => Promise<void>): Promise<void> {
+	const received: MeshCall[] = [];
 	const handlers = {
 		async confirm() {
-			taken.push('confirm');
-			return ok({index: taken.length});
+			received.push('confirm');
+			return ok({index: received.length});
 		},
 		async depart({life}: {readonly life: {readonly born: number}}) {
-			taken.push('depart');
+			received.push('depart');
 			await pause(life.born);
 			return ok({});
 		},
 		async declare() {
-			taken.push('declare');
-			return err(failure(FailureKind.notLeader, 'another one leads'));
+			received.push('declare');
+			return err(failure(FailureKind.notLeader, 'another instance is the leader'));
 		},
 		async reportLoad({services}: {readonly services: readonly unknown[]}) {
-			taken.push('reportLoad');
+			received.push('reportLoad');
 			return ok({length: JSON.stringify(services).length});
 		},
 	} as unknown as MeshHandlers;
@@ -119,7 +119,7 @@
 	const clients = createMeshClients();
 	try {
 		await run({
-			address: `127.0.0.1:${relay.port}`, clients, relay, taken, streams: () => relay.counts.reduce((sum, {streams}) => sum + streams, 0),
+			address: `127.0.0.1:${relay.port}`, clients, relay, received, streams: () => relay.counts.reduce((sum, {streams}) => sum + streams, 0),
 		});
 	} finally {
 		clients.close();
@@ -131,28 +131,28 @@
 	}
 }
 
-const life = (milliseconds: number) => ({life: {id: 'u', born: milliseconds}});
+const departRequest = (milliseconds: number) => ({life: {id: 'u', born: milliseconds}});
 
-test('calls: a thousand calls to one instance open one stream', async () => inScene(async ({address, clients, taken, streams}) => {
+test('calls: a thousand calls to one instance open one stream', async () => withScenario(async ({address, clients, received, streams}) => {
 	for (let round = 0; round < 10; round += 1) {
 		const answers = await Promise.all(Array.from({length: 100}, async () => clients.call(address, 'confirm', {}, 2000)));
 		assert.ok(answers.every(({isOk}) => isOk));
 	}
 
-	assert.equal(taken.length, 1000);
+	assert.equal(received.length, 1000);
 	assert.equal(streams(), 1);
 }));
 
-test('calls: each call gets its own answer, in whatever order they come', async () => inScene(async ({address, clients}) => {
+test('calls: each call gets its own answer, regardless of their order', async () => withScenario(async ({address, clients}) => {
 	const ended: string[] = [];
-	const call = async (name: string, asked: Promise<unknown>) => {
-		await asked;
+	const call = async (name: string, pendingCall: Promise<unknown>) => {
+		await pendingCall;
 		ended.push(name);
 	};
 
 	await Promise.all([
-		call('slow', clients.call(address, 'depart', life(300), 2000)),
-		call('quick', clients.call(address, 'depart', life(1), 2000)),
+		call('slow', clients.call(address, 'depart', departRequest(300), 2000)),
+		call('quick', clients.call(address, 'depart', departRequest(1), 2000)),
 		(async () => {
 			const refused = await clients.call(address, 'declare', {changes: []}, 2000);
 			assert.ok(refused.isErr && refused.error.kind === FailureKind.notLeader);
@@ -161,19 +161,19 @@
 	assert.deepEqual(ended, ['quick', 'slow']);
 }));
 
-test('calls: a call that times out leaves the others as they are', async () => inScene(async ({address, clients}) => {
+test('calls: a call that times out doesn\'t affect the others', async () => withScenario(async ({address, clients}) => {
 	const [late, inTime] = await Promise.all([
-		clients.call(address, 'depart', life(500), 100),
-		clients.call(address, 'depart', life(300), 2000),
+		clients.call(address, 'depart', departRequest(500), 100),
+		clients.call(address, 'depart', departRequest(300), 2000),
 	]);
 	assert.ok(late.isErr && late.error.kind === FailureKind.unreachable);
 	assert.ok(inTime.isOk);
 }));
 
-test('calls: calls that time out one after the other don\'t end the ones that are under way', async () => inScene(async ({address, clients}) => {
-	const slow = clients.call(address, 'depart', life(900), 2000);
+test('calls: consecutive timeouts don\'t end the calls that are pending', async () => withScenario(async ({address, clients}) => {
+	const slow = clients.call(address, 'depart', departRequest(900), 2000);
 	for (let count = 0; count < 4; count += 1) {
-		const late = await clients.call(address, 'depart', life(500), 100);
+		const late = await clients.call(address, 'depart', departRequest(500), 100);
 		assert.ok(late.isErr);
 	}
 
@@ -181,16 +181,16 @@
 	assert.ok(ended.isOk);
 }));
 
-test('calls: a lost connection ends what is under way at once, and the next call finds another', async () => inScene(async ({address, clients, relay}) => {
+test('calls: a lost connection fails the pending calls at once, and the next call opens another', async () => withScenario(async ({address, clients, relay}) => {
 	await clients.call(address, 'confirm', {}, 2000);
 	const startedAt = Date.now();
-	const cut = clients.call(address, 'depart', life(3000), 5000);
+	const pending = clients.call(address, 'depart', departRequest(3000), 5000);
 	await pause(100);
 	for (const socket of relay.sockets) {
 		socket.destroy();
 	}
 
-	const ended = await cut;
+	const ended = await pending;
 	assert.ok(ended.isErr && ended.error.kind === FailureKind.unreachable);
 	assert.ok(Date.now() - startedAt < 1000);
 	await pause(500);
@@ -198,7 +198,7 @@
 	assert.ok(next.isOk);
 }));
 
-test('calls: a long message doesn\'t hold up short ones', async () => inScene(async ({address, clients, streams}) => {
+test('calls: a long message doesn\'t delay short ones', async () => withScenario(async ({address, clients, streams}) => {
 	const long = {services: [{service: 's', counts: Array.from({length: 100_000}, (_, key) => [key, 1] as const), answers: []}]};
 	const [first, second] = await Promise.all([clients.call(address, 'reportLoad', long, 5000), clients.call(address, 'confirm', {}, 5000)]);
 	assert.ok(first.isOk);
