--- a/packages/daemon/src/control-holder.ts
+++ b/packages/daemon/src/control-holder.ts
@@ -1,5 +1,5 @@
 /**
- * Holds the control state of this process.
+ * The replicated control state, as this process has applied it.
  */
 import {applyEntry} from '@dogwooddeck/control/apply';
 import {
@@ -9,13 +9,12 @@
 import {createStateHolder, type StateHolder} from '@dogwooddeck/replica/state-holder';
 import {type Result} from 'true-myth/result';
 
-/** The answers to the commands of one entry. */
+/** The results of the commands of one log entry. */
 export type EntryAnswers = ReadonlyArray<Result<ControlAccepted, Failure>>;
 
-/** The control state of this process. */
 export type ControlHolder = StateHolder<ControlState, ControlAccepted>;
 
-/** Makes a holder of the empty state. */
+/** Creates a holder with the empty state. */
 export function createControlHolder(): ControlHolder {
 	return createStateHolder({
 		empty: emptyControl, apply: applyEntry, encode: encodeControl, decode: decodeControl,
--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -1,6 +1,6 @@
 /**
- * This process's part in control: the leader's decisions while it leads, and
- * the way to the leader while it does not.
+ * Connects this process to the control group: runs the leader's decisions while
+ * its voter leads, and sends requests to the leader otherwise.
  */
 import {type ControlCommand, decodePassedOn, encodeCommands} from '@dogwooddeck/control/command';
 import {type ControlAccepted} from '@dogwooddeck/control/state';
@@ -20,22 +20,22 @@
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
 import {type CallLeader, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
 
-/** This process's part in control. */
+/** This process's access to the control group. */
 export type ControlRunner = {
-	/** Sends a command to the leader. Ends when it is accepted and applied there, or refused. */
+	/** Sends a command to the leader. Resolves when it is accepted and applied there, or rejected. */
 	readonly submit: (command: ControlCommand) => Promise<Result<ControlAccepted, Failure>>;
 	readonly callLeader: CallLeader;
 	readonly takeDelegation: LeaderHandlers['delegate'];
 	readonly takeSeat: LeaderHandlers['seat'];
 	readonly takeProposal: LeaderHandlers['propose'];
 	readonly takeVoter: TakeVoter;
-	/** The voter's role has changed. */
+	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly leader: () => InstanceName | undefined;
 	readonly stop: () => void;
 };
 
-/** What the runner needs. */
+/** Collaborators of the runner. */
 export type ControlSurroundings = {
 	readonly settings: InstanceSettings;
 	readonly terms: LeaseTerms;
@@ -43,7 +43,7 @@
 	readonly holder: ControlHolder;
 	readonly clients: PeerClients;
 	readonly log: Log;
-	/** Absent on instances that don't vote. */
+	/** Undefined on instances that don't vote. */
 	readonly voter: () => ControlVoter | undefined;
 };
 
@@ -65,7 +65,7 @@
 	};
 }
 
-/** Notes the stewards that ask the leader. */
+/** Records the stewards whose delegation requests the leader answered, so that they are notified of new entries. */
 function noting(part: LeaderPart, notices: StewardNotices): LeaderHandlers['delegate'] {
 	return async request => {
 		const answer = await part.takeDelegation(request);
@@ -77,7 +77,6 @@
 	};
 }
 
-/** Starts the runner. */
 export function startControl(surroundings: ControlSurroundings): ControlRunner {
 	const {
 		settings, holder, clients, log, voter,
--- a/packages/daemon/src/control-voter.ts
+++ b/packages/daemon/src/control-voter.ts
@@ -1,5 +1,5 @@
 /**
- * The voter of the control state, and the answers to what it commits.
+ * Types of the voter that replicates the control state, and of its commit results.
  */
 import {type ControlAccepted} from '@dogwooddeck/control/state';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -9,10 +9,10 @@
 /** A voter whose log drives the control state. */
 export type ControlVoter = VoterRunner<ControlAccepted>;
 
-/** A control command's place in the log and its answers. */
+/** The log index of a committed entry and the results of its commands. */
 export type ControlCommitted = Committed<ControlAccepted>;
 
-/** The first of an entry's answers. */
+/** Returns the result of an entry's first command. An entry without commands is accepted at its index. */
 export function firstAnswer({index, answers}: ControlCommitted): Result<ControlAccepted, Failure> {
 	return answers[0] ?? ok({index});
 }
--- a/packages/daemon/src/exit-code.ts
+++ b/packages/daemon/src/exit-code.ts
@@ -1,9 +1,8 @@
 /**
- * The exit codes of the daemon, by class of failure.
+ * The daemon's exit codes, by kind of failure.
  */
 import {FailureKind} from '@dogwooddeck/model/failure';
 
-/** The exit codes. */
 export const ExitCode = {
 	ok: 0,
 	internal: 1,
@@ -22,7 +21,7 @@
 	[FailureKind.unreachable]: ExitCode.addressUnavailable,
 };
 
-/** The exit code for a failure. */
+/** Returns the exit code for a kind of failure, `internal` for those without their own. */
 export function exitCodeOf(kind: FailureKind): number {
 	return codes[kind] ?? ExitCode.internal;
 }
--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -1,6 +1,6 @@
 /**
- * Founds a deployment: an operator's explicit act, on one voter and once. The
- * other voters join the founder.
+ * Bootstraps a deployment. An operator does it explicitly, once, on one voter;
+ * the other voters join that one.
  */
 import {hashToken} from '@dogwooddeck/configuration/authority';
 import {wallNow} from '@dogwooddeck/clock/monotonic';
@@ -28,7 +28,7 @@
 	const index = known.indexOf(true);
 	return index === -1
 		? ok(undefined)
-		: err(failure(FailureKind.conflict, `${others[index]!.name} knows a deployment already; start this instance without founding, and it joins`));
+		: err(failure(FailureKind.conflict, `${others[index]!.name} already belongs to a deployment; start this instance without founding, and it joins`));
 }
 
 async function writeFirst(storage: Storage, settings: InstanceSettings, folder: string, operatorToken: string): Promise<Result<undefined, Failure>> {
@@ -47,9 +47,10 @@
 }
 
 /**
- * Founds a deployment in an instance's empty data folder. Whoever holds the
- * operators' token has every right in it. Fails with `conflict` where the
- * folder or another voter knows a deployment already.
+ * Bootstraps a deployment in an instance's empty data folder. The holder of the
+ * operators' token has every right in it. Fails with `conflict` if the folder
+ * or another voter already belongs to a deployment, and with `settingsInvalid`
+ * if the instance isn't listed as a voter.
  */
 export async function found(settings: InstanceSettings, operatorToken: string): Promise<Result<undefined, Failure>> {
 	const {dataFolder} = settings.control;
@@ -70,7 +71,7 @@
 	const {storage, fresh, folderIdentity} = opened.value;
 	if (!fresh) {
 		await storage.close();
-		return err(failure(FailureKind.conflict, `${dataFolder} holds a deployment already`));
+		return err(failure(FailureKind.conflict, `${dataFolder} already holds a deployment`));
 	}
 
 	return writeFirst(storage, settings, folderIdentity, operatorToken);
--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance tells of itself: to the balancer, to operators, to metrics
- * and to the other instances.
+ * Reports an instance's state: readiness for the balancer, status for operators,
+ * metrics, and the member report for the other instances.
  */
 import {type StatusAnswer} from '@dogwooddeck/configuration/messages';
 import {type HealthApi, type Readiness} from '@dogwooddeck/front/api';
@@ -13,22 +13,22 @@
 import {type MemberReport} from './operator-surface.js';
 import {type ZoneRunner} from './zone-runner.js';
 
-/** The parts that are told of. */
+/** The components that the status is read from. */
 export type StatusParts = {
 	readonly self: InstanceRecord;
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly zone: ZoneRunner;
-	/** Absent on instances that don't vote. */
+	/** Undefined on instances that don't vote. */
 	readonly voter: () => ControlVoter | undefined;
 	readonly isStopping: () => boolean;
 	readonly measures: Measures;
 };
 
-/** What an instance tells of itself. */
+/** The reports about this instance. */
 export type InstanceStatus = HealthApi & {
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
-	/** Told to other instances. */
+	/** The report that other instances collect. */
 	readonly member: () => MemberReport;
 };
 
@@ -70,7 +70,7 @@
 	return measures.expose();
 }
 
-/** Makes what tells of the parts. */
+/** Creates the reports over an instance's components. */
 export function createInstanceStatus(parts: StatusParts): InstanceStatus {
 	return {
 		readiness: () => readinessOf(parts),
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -1,5 +1,6 @@
 /**
- * One instance: all parts put together, started and stopped in order.
+ * Composes an instance: creates its components, wires them together, and starts
+ * and stops them in order.
  */
 import {wallNow} from '@dogwooddeck/clock/monotonic';
 import {startCallerServer} from '@dogwooddeck/front/caller-server';
@@ -42,9 +43,9 @@
 import {taken} from './taken.js';
 import {startZone, type ZoneRunner} from './zone-runner.js';
 
-/** An instance that runs. */
+/** A running instance. */
 export type Instance = {
-	/** A planned stop: no request in flight is cut off. Ends when the instance has stopped. */
+	/** Shuts down gracefully, without closing a request in flight early. Resolves when the instance has stopped. */
 	readonly stop: () => Promise<void>;
 };
 
@@ -63,7 +64,10 @@
 	};
 }
 
-/** Starts an instance. Throws a `FailureError` when a part of it can't start. */
+/**
+ * Starts an instance. `failed` is called when its durable state can't be
+ * written. Throws a `FailureError` when one of its components can't start.
+ */
 export async function startInstance(settings: InstanceSettings, log: Log, failed: (failure: Failure) => void): Promise<Instance> {
 	const terms = defaultLeaseTerms;
 	const self = recordOf(settings);
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -1,6 +1,6 @@
 /**
- * Takes voters in that join: first as learners, then in place of an earlier
- * folder of the same name, one step of the voter set at a time.
+ * Adds joining voters to the voter set: first as learners, then in place of an
+ * earlier data folder of the same name, one single-member change at a time.
  */
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
 import {includesVoter, sameVoter} from '@dogwooddeck/consensus/voter-set';
@@ -12,12 +12,16 @@
 import {type ControlVoter} from './control-voter.js';
 import {type KnownLeader} from './known-leader.js';
 
-/** Takes the next step towards a joining folder's vote. Fails with `notLeader` and `forbidden`, and as the log does. */
+/**
+ * Makes the next membership change towards the vote of a joining data folder.
+ * Fails with `notLeader`, with `forbidden` for a name that the settings don't
+ * list, and as the log does.
+ */
 export type TakeVoter = (joining: VoterIdentity) => Promise<Result<undefined, Failure>>;
 
-/** What taking voters in needs. */
+/** Collaborators of the leader's handler for joining voters. */
 export type JoiningSurroundings = {
-	/** The names that the settings list as voters. */
+	/** Whether the settings list a name as a voter. */
 	readonly listed: (name: InstanceName) => boolean;
 	readonly voter: () => ControlVoter | undefined;
 	readonly known: KnownLeader;
@@ -36,7 +40,7 @@
 		: {voters: [...voters, joining], learners: learners.filter(learner => !sameVoter(learner, joining))};
 }
 
-/** The voter set after the next single step that takes a joining folder in, or undefined if nothing is left to do. */
+/** Returns the voter set after the next single-member change that adds a joining data folder, or undefined if it votes already. */
 function nextVoterSet(voterSet: VoterSet, joining: VoterIdentity): VoterSet | undefined {
 	if (includesVoter(voterSet.voters, joining)) {
 		return undefined;
@@ -45,7 +49,7 @@
 	return includesVoter(voterSet.learners, joining) ? asVoter(voterSet, joining) : asLearner(voterSet, joining);
 }
 
-/** Makes what the leader does with voters that join. */
+/** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createTakeVoter({
 	listed, voter, known, log,
 }: JoiningSurroundings): TakeVoter {
--- a/packages/daemon/src/known-leader.ts
+++ b/packages/daemon/src/known-leader.ts
@@ -1,20 +1,24 @@
 /**
- * Who leads control, as far as this process knows.
+ * Caches which instance leads the control group, as a hint for requests.
  */
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type InstanceName} from '@dogwooddeck/model/identifiers';
 import {type ControlVoter} from './control-voter.js';
 
-/** The leader that is known here. */
+/** The cached leader. */
 export type KnownLeader = {
 	readonly leader: () => InstanceName | undefined;
-	/** An instance answered as the leader. */
+	/** Records that an instance answered as the leader. */
 	readonly answered: (name: InstanceName) => void;
-	/** What a caller hears that takes this instance for the leader. */
+	/** Returns the failure for a request that needs the leader, with a hint to the leader if it is cached. */
 	readonly notLeader: () => Failure;
 };
 
-/** Knows the leader that the own voter follows, or else the last other one that answered: a voter that leads knows it. */
+/**
+ * Creates a cache that returns the leader that the local voter follows, or else
+ * the last other instance that answered. An earlier answer of this instance is
+ * ignored, because a voter that leads reports itself.
+ */
 export function createKnownLeader(self: InstanceName, voter: () => Pick<ControlVoter, 'leader'> | undefined): KnownLeader {
 	let last: InstanceName | undefined;
 
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the leader's decisions for as long as this process's voter leads: feeds
- * them requests and ticks, and proposes what they ask for.
+ * Runs the leader's state machine while this process's voter leads: feeds it
+ * requests and ticks, and proposes the commands that it emits.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type ControlCommand, encodeCommands} from '@dogwooddeck/control/command';
@@ -27,19 +27,19 @@
 import {type KnownLeader} from './known-leader.js';
 import {checkDelegation, checkLife} from './peer-check.js';
 
-/** The leader's part of this process. */
+/** The leader's side of the control group, idle while another voter leads. */
 export type LeaderPart = {
 	readonly isLeading: () => boolean;
-	/** Fails with `notLeader`, and as the checks of the request do. */
+	/** Fails with `notLeader`, and as the validation of the request does. */
 	readonly takeDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
-	/** Fails with `notLeader`, and as the checks of the request do. */
+	/** Fails with `notLeader`, and as the validation of the request does. */
 	readonly takeSeat: (request: SeatRequest) => Promise<Result<CatchUp, Failure>>;
-	/** The voter's role has changed. */
+	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly stop: () => void;
 };
 
-/** What the leader's part needs. */
+/** Collaborators of the leader runner. */
 export type LeaderPartSurroundings = {
 	readonly terms: LeaseTerms;
 	readonly hash: SlotHash;
@@ -50,7 +50,7 @@
 };
 
 const tickMilliseconds: Milliseconds = 50;
-/** The pause after a refused proposal. */
+/** The delay before the state machine continues after a failed proposal. */
 const refusedMilliseconds: Milliseconds = 50;
 
 function refusalsOf(proposed: Result<ControlCommitted, Failure>): readonly Failure[] {
@@ -58,13 +58,13 @@
 	return results.flatMap(result => result.isErr ? [result.error] : []);
 }
 
-/** Starts the leader's part. */
+/** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
 export function startLeaderPart(surroundings: LeaderPartSurroundings): LeaderPart {
 	const {
 		terms, hash, holder, known, log, voter,
 	} = surroundings;
 	let leading: LeaderState | undefined;
-	/** Runs while this voter leads. */
+	/** Set while this voter leads. */
 	let ticking: NodeJS.Timeout | undefined;
 	let delegationAnswer: DelegationAnswer | undefined;
 
--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the zone's steward for this instance's routing lease, again and again.
+ * Obtains and renews this instance's routing lease from its zone's steward.
  */
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -14,20 +14,21 @@
 import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
-/** Asks for leases. */
+/** Requests routing leases. */
 export type LeaseAsker = {
-	/** The routing lease as it stands. */
+	/** The current routing lease. */
 	readonly lease: () => LeaseState;
-	/** Looks at what is in flight, and asks if it is time to. */
+	/** Updates the drained index from the requests in flight, and requests a lease if one is due. */
 	readonly tick: (now: MonotonicTime) => void;
 	readonly dueAt: (now: MonotonicTime) => MonotonicTime;
 };
 
-/** The pause between two looks at what is in flight while the instance drains. */
+/** The interval between checks of the requests in flight while the instance drains. */
 const drainMilliseconds: Milliseconds = 20;
-/** The pause before a lease is asked for again that wasn't given. */
+/** The delay before the next request for a lease or a share that wasn't granted. */
 const lackingMilliseconds: Milliseconds = 60;
-/** Makes an asker that holds no lease. `changed` is called after each answer. */
+
+/** Creates a requester that holds no lease. `changed` is called after each answer. */
 export function createLeaseAsker(surroundings: ZoneSurroundings, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseAsker {
 	const {self, terms, holder, clients, flights} = surroundings;
 	let lease: LeaseState = createLease(terms);
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The command line of the daemon.
+ * The daemon's command line: `run` and `found`.
  */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -63,7 +63,7 @@
 
 const runCommand = command({
 	name: 'run',
-	description: 'Runs an instance until SIGTERM, which stops it without cutting off a request.',
+	description: 'Runs an instance until SIGTERM, which stops it without closing a request early.',
 	args: {settings: settingsOption},
 	async handler({settings: file}) {
 		const settings = await loadSettings(file);
@@ -95,7 +95,7 @@
 
 const foundCommand = command({
 	name: 'found',
-	description: 'Founds a deployment in the empty data folder of one voter. Done once in a deployment\'s life; the other voters join.',
+	description: 'Bootstraps a deployment in the empty data folder of one voter. Done once for a deployment; the other voters join.',
 	args: {
 		settings: settingsOption,
 		tokenFile: option({type: string, long: 'operator-token-file', description: 'a file with the operators\' token'}),
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -1,6 +1,6 @@
 /**
- * This instance's voter: its data folder, its way to the other voters, and its
- * joining for as long as the voter set doesn't name its folder.
+ * Starts this instance's voter: opens its data folder, sends its messages to the
+ * other voters, and requests to join while the voter set doesn't list its folder.
  */
 import {type ConsensusEnvelope} from '@dogwooddeck/consensus/message';
 import {includesVoter} from '@dogwooddeck/consensus/voter-set';
@@ -18,7 +18,7 @@
 import {type InstanceSettings} from './settings.js';
 import {taken} from './taken.js';
 
-/** What the voter works with. */
+/** Collaborators of the voter. */
 export type OwnVoterSurroundings = {
 	readonly settings: InstanceSettings;
 	readonly self: InstanceIdentity;
@@ -26,7 +26,7 @@
 	readonly control: ControlRunner;
 	readonly clients: PeerClients;
 	readonly log: Log;
-	/** The durable state can't be written: the process has to end. */
+	/** Called when the durable state can't be written; the process has to exit. */
 	readonly failed: (failure: Failure) => void;
 };
 
@@ -42,15 +42,15 @@
 		const {name} = envelope.to;
 		const address = addresses.get(name);
 		return address === undefined
-			? err(failure(FailureKind.notFound, `the settings give no address of the voter ${name}`))
+			? err(failure(FailureKind.notFound, `the settings list no address for the voter ${name}`))
 			: clients.call(address, 'deliver', envelope, deliveryTimeout(envelope.message));
 	};
 }
 
 /**
- * Opens the data folder and starts the voter with what it holds. Throws a
- * `FailureError` where the folder is held by another process, damaged or not
- * to be read.
+ * Opens the data folder, restores its snapshot and starts the voter on its log.
+ * Throws a `FailureError` if the folder is locked by another process, damaged
+ * or unreadable.
  */
 export async function startOwnVoter(surroundings: OwnVoterSurroundings): Promise<ControlVoter> {
 	const {settings, self, holder, control, log, failed} = surroundings;
--- a/packages/daemon/src/peer-check.ts
+++ b/packages/daemon/src/peer-check.ts
@@ -1,6 +1,6 @@
 /**
- * Whether the instance that calls may ask what it asks: a former life of a
- * seated instance may not, and neither may an instance of another zone.
+ * Validates calls of other instances: rejects those of an earlier incarnation of
+ * a seated instance, and those of an instance of another zone.
  */
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type InstanceIdentity, type ZoneName} from '@dogwooddeck/model/identifiers';
@@ -10,15 +10,15 @@
 
 type Checked = Result<undefined, Failure>;
 
-/** Fails with `superseded` where a later life of the instance has a seat. */
+/** Fails with `superseded` if a later incarnation of the instance has a seat. */
 export function checkLife(members: readonly InstanceIdentity[], {name, incarnation}: InstanceIdentity): Checked {
 	const later = members.find(member => member.name === name && member.incarnation > incarnation);
 	return later === undefined
 		? ok(undefined)
-		: err(failure(FailureKind.superseded, `a later life of ${name} has its seat: ${later.incarnation}`));
+		: err(failure(FailureKind.superseded, `a later incarnation of ${name} has its seat: ${later.incarnation}`));
 }
 
-/** Fails with `forbidden` for another zone than the one that is served here. */
+/** Fails with `forbidden` if the requested zone isn't this instance's own. */
 export function checkZone(own: ZoneName, asked: ZoneName): Checked {
 	return asked === own ? ok(undefined) : err(failure(FailureKind.forbidden, `this instance serves ${own}, not ${asked}`));
 }
@@ -26,13 +26,13 @@
 function checkIndexes({applied, drained}: DelegationRequest, known: number): Checked {
 	return drained <= applied && applied <= known
 		? ok(undefined)
-		: err(failure(FailureKind.malformed, `drained ${drained} and applied ${applied} can't be, as ${known} is the newest entry`));
+		: err(failure(FailureKind.malformed, `drained ${drained} and applied ${applied} are impossible: ${known} is the newest entry`));
 }
 
 /**
- * Checks a steward's request against what the leader has applied. Fails with
- * `forbidden` for a zone that has no roster, with `superseded`, and with
- * `malformed` for indexes past the log's end.
+ * Validates a steward's request against the entries that the leader has applied.
+ * Fails with `forbidden` for a zone without a roster, with `superseded`, and
+ * with `malformed` for indexes out of order or past the last applied entry.
  */
 export function checkDelegation(request: DelegationRequest, table: OwnershipState, applied: number): Checked {
 	const roster = Object.hasOwn(table.rosters, request.zone) ? table.rosters[request.zone] : undefined;
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance does with the calls of other instances.
+ * Handlers for the calls of other instances.
  */
 import {type PeerHandlers} from '@dogwooddeck/wire/server';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -12,10 +12,10 @@
 import {checkLife, checkZone} from './peer-check.js';
 import {type ZoneRunner} from './zone-runner.js';
 
-/** Answers what an instance is asked to tell of itself, as JSON. */
+/** Functions that return this instance's report on a subject, as JSON. */
 export type Collectors = Readonly<Record<string, () => string>>;
 
-/** The parts that answer calls. */
+/** The components that answer calls. */
 export type PeerParts = {
 	/** The zone that this instance serves. */
 	readonly ownZone: ZoneName;
@@ -27,7 +27,7 @@
 	readonly collectors: Collectors;
 };
 
-/** Makes the handlers. */
+/** Creates the handlers. Rejects lease and support requests of another zone or of a superseded incarnation. */
 export function createPeerHandlers(parts: PeerParts): PeerHandlers {
 	const {
 		ownZone, holder, control, claims, collectors,
--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -1,6 +1,7 @@
 /**
- * The planned stop of an instance: what it leads, holds and serves passes on to
- * others before its parts end, so that no request in flight is cut off.
+ * Graceful shutdown of an instance: hands leadership, seat, claims and callers
+ * over to other instances before its components stop, so that no request in
+ * flight is closed early.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -18,23 +19,23 @@
 import {type InstanceSettings} from './settings.js';
 import {type ZoneRunner} from './zone-runner.js';
 
-/** The parts of an instance that stops. */
+/** The components of a stopping instance. */
 export type StoppingInstance = {
 	readonly durations: InstanceSettings['stop'];
 	readonly log: Log;
-	/** Absent on an instance that doesn't vote. */
+	/** Undefined on an instance that doesn't vote. */
 	readonly voter: Pick<ControlVoter, 'handOver' | 'stop'> | undefined;
 	readonly zone: Pick<ZoneRunner, 'leave' | 'isSeated' | 'stop'>;
-	/** The number of seats of the instance's zone. */
+	/** The number of seats in the instance's zone. */
 	readonly seats: () => number;
 	readonly callers: FrontServer;
-	/** From now on, requests that may take longer than until then are refused. */
+	/** From now on, requests that may run past this time are refused. */
 	readonly endCallersAt: (end: MonotonicTime) => void;
 	readonly claims: Pick<ClaimRunner, 'handOver' | 'stop'>;
 	readonly operators: FrontServer;
 	readonly control: Pick<ControlRunner, 'stop'>;
 	readonly burn: Pick<BurnRunner, 'stop'>;
-	/** Gives the data folder up where no voter holds it. */
+	/** Releases the lock on the data folder of an instance that doesn't vote. */
 	readonly releaseFolder: () => Promise<void>;
 	readonly client: UpstreamClient;
 	readonly peers: PeerServer;
@@ -51,11 +52,11 @@
 	}
 }
 
-/** Waits for the balancer, gives leadership and the seat up, and lets requests in flight and copies of claims end. */
+/** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
 async function passOn({
 	durations, voter, zone, seats, callers, endCallersAt, claims,
 }: StoppingInstance): Promise<void> {
-	// The seat may take longer to give up; what is certain now is enough for those who come now.
+	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
 	endCallersAt(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
 	await pause(durations.balancerDelayMilliseconds);
 	voter?.handOver();
@@ -82,7 +83,7 @@
 	parts.clients.close();
 }
 
-/** Stops an instance that is no longer ready. Ends when all of its parts have ended. */
+/** Shuts down an instance that is no longer ready. Resolves when all its components have stopped. */
 export async function stopAsPlanned(instance: StoppingInstance): Promise<void> {
 	const {log} = instance;
 	log.event(EventName.stopRequested);
--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -1,6 +1,6 @@
 /**
- * Asks control to seat this instance in its zone's roster, or to take its seat
- * away for a planned stop.
+ * Requests this instance's seat (its membership in its zone's roster) from the
+ * control leader, and the removal of that seat for a graceful shutdown.
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {leaseEndsAt} from '@dogwooddeck/ownership/lease';
@@ -10,18 +10,18 @@
 import {type ZoneSurroundings} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
-/** Asks for seats. */
+/** Requests a seat, or its removal. */
 export type SeatAsker = {
-	/** Asks if it is time to. */
+	/** Sends a request if one is due. */
 	readonly tick: (now: MonotonicTime) => void;
 	readonly dueAt: () => MonotonicTime;
-	/** Gives the seat up, unless it is the zone's only one. */
+	/** Requests the seat's removal, unless it is the zone's only one. */
 	readonly leave: () => void;
 };
 
 const seatMilliseconds: Milliseconds = 300;
 
-/** What an asker needs beside the surroundings. */
+/** Collaborators beside the shared ones of the zone. */
 export type SeatParts = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
@@ -29,7 +29,7 @@
 	readonly fetcher: StateFetcher;
 };
 
-/** Makes an asker that hasn't asked yet. */
+/** Creates a requester that hasn't sent a request yet. */
 export function createSeatAsker({self, holder, control}: ZoneSurroundings, {zone, steward, leases, fetcher}: SeatParts): SeatAsker {
 	let askedAt = -Infinity;
 	let leaving = false;
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of one instance, read from a TOML file and checked before any
+ * Reads one instance's settings from a TOML file and validates them before any
  * port opens.
  */
 import {readFile} from 'node:fs/promises';
@@ -16,14 +16,14 @@
 import {err, ok, type Result} from 'true-myth/result';
 import * as v from 'valibot';
 
-/** Another instance that takes part in control. */
+/** An instance that votes in the control group. */
 export type VoterSettings = {
 	readonly name: InstanceName;
 	/** Its address for other instances, as `IP:port`. */
 	readonly peerAddress: string;
 };
 
-/** All that is fixed for an instance while it runs. */
+/** An instance's settings, constant while it runs. */
 export type InstanceSettings = {
 	readonly name: InstanceName;
 	readonly region: RegionName;
@@ -37,9 +37,9 @@
 		readonly peers: string;
 	};
 	readonly control: {
-		/** The instances that vote. This instance is a voter if it stands here. */
+		/** The instances that vote. This instance is a voter if it is listed here. */
 		readonly voters: readonly VoterSettings[];
-		/** Where the durable state lives. Voters need one. */
+		/** The folder of the durable state. Voters need one. */
 		readonly dataFolder?: string;
 	};
 	readonly keys: {
@@ -49,9 +49,9 @@
 		readonly announce: string;
 	};
 	readonly stop: {
-		/** From "not ready" until no more connections are taken. */
+		/** From "not ready" until no more connections are accepted. */
 		readonly balancerDelayMilliseconds: Milliseconds;
-		/** The longest time that requests in flight are waited for. */
+		/** The longest wait for requests in flight. */
 		readonly longestMilliseconds: Milliseconds;
 	};
 };
@@ -123,7 +123,7 @@
 			: []),
 		...(voter.peers === settings.addresses.peers
 			? []
-			: [{file, path: 'control.voters', reason: `${voter.name} stands here with ${voter.peers}, but addresses.peers is ${settings.addresses.peers}`}]),
+			: [{file, path: 'control.voters', reason: `${voter.name} is listed here with ${voter.peers}, but addresses.peers is ${settings.addresses.peers}`}]),
 	];
 }
 
@@ -148,7 +148,7 @@
 
 /**
  * Reads an instance's settings. Paths in the file are relative to its folder.
- * Fails with `settingsInvalid`, naming file, path in the file and reason.
+ * Fails with `settingsInvalid`, with the file, the path in it and the reason.
  */
 export async function loadSettings(file: string): Promise<Result<InstanceSettings, Failure>> {
 	const text = await readText(file);
--- a/packages/daemon/src/state-fetcher.ts
+++ b/packages/daemon/src/state-fetcher.ts
@@ -1,17 +1,18 @@
 /**
- * Fetches what this instance has not applied yet from another one.
+ * Fetches the control state that this instance has not applied yet from another
+ * instance.
  */
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type ControlHolder} from './control-holder.js';
 import {peerMilliseconds} from './zone-surroundings.js';
 
-/** Fetches one state at a time. */
+/** Runs one fetch at a time. */
 export type StateFetcher = {
-	/** Fetches from the instance at an address. Nothing is done while another fetch lasts. */
+	/** Fetches from the instance at an address. Does nothing while another fetch is running, or without an address. */
 	readonly fetchFrom: (address: string | undefined) => Promise<void>;
 };
 
-/** Makes a fetcher that brings a holder up to date. */
+/** Creates a fetcher that applies what it fetches to a holder. */
 export function createStateFetcher(holder: ControlHolder, clients: PeerClients): StateFetcher {
 	let fetching = false;
 	return {
--- a/packages/daemon/src/steward-notices.ts
+++ b/packages/daemon/src/steward-notices.ts
@@ -1,22 +1,21 @@
 /**
- * Tells the zones' stewards that the log went on, so that they fetch what is
- * new before their next renewal is due.
+ * Notifies the zones' stewards of new log entries, so that they fetch them before
+ * their next renewal is due.
  */
 import {type ControlState} from '@dogwooddeck/control/state';
 import {type InstanceName, type Milliseconds, type ZoneName} from '@dogwooddeck/model/identifiers';
 import {type PeerClients} from '@dogwooddeck/wire/client';
 
-/** The notices of a leader to stewards. */
+/** The leader's notifications to stewards. */
 export type StewardNotices = {
-	/** A steward asked for its zone's delegation. */
+	/** Records a steward that requested its zone's delegation. */
 	readonly heard: (zone: ZoneName, steward: InstanceName) => void;
-	/** Tells all stewards that were heard what is applied. */
+	/** Notifies all recorded stewards of the applied index. */
 	readonly send: (control: ControlState) => void;
 };
 
 const noticeMilliseconds: Milliseconds = 1000;
 
-/** Makes the notices of an instance. */
 export function createStewardNotices(self: InstanceName, clients: PeerClients): StewardNotices {
 	const stewards = new Map<ZoneName, InstanceName>();
 	return {
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -1,7 +1,8 @@
 /**
- * Runs this instance's part as supporter, candidate and steward of its
- * availability zone: the state of `@dogwooddeck/ownership/steward`, and a table
- * of its effects.
+ * Runs this instance's role in the election of its availability zone's steward
+ * (the instance that distributes routing leases), as supporter, candidate and
+ * steward: drives the state machine of `@dogwooddeck/ownership/steward` and
+ * performs its effects.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -25,22 +26,22 @@
 import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
-/** This instance's part as steward. */
+/** This instance's steward state machine. */
 export type StewardRunner = {
 	readonly isSteward: () => boolean;
 	readonly isSeated: () => boolean;
 	readonly tick: (now: MonotonicTime) => void;
-	/** When the next tick has something to do. */
+	/** The time at which the next tick is due. */
 	readonly dueAt: (now: MonotonicTime) => MonotonicTime;
-	/** The instance has applied a newer table. */
+	/** Called when the instance has applied a newer table. */
 	readonly tableChanged: (table: {readonly applied: number; readonly ownership: OwnershipState}) => void;
 	readonly takeLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
 	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
-	/** Renews the support of the steward that is sent a lease request now, if it asked for it. */
+	/** Returns the renewed support to piggyback on a lease request to the steward, if the steward requested it. */
 	readonly renewSupport: (to: InstanceRecord) => SupportRenewal | undefined;
-	/** Another instance answered a lease request. */
+	/** Called when another instance answered a lease request. */
 	readonly leaseAnswered: (answer: LeaseAnswer) => void;
-	/** Stands and renews no more. */
+	/** Stops standing for election and renewing. */
 	readonly resign: () => void;
 };
 
@@ -50,10 +51,10 @@
 	return effects.find((effect): effect is EffectOf<Kind> => effect.kind === kind);
 }
 
-/** An answer goes back to whoever took the event's request: it is found in what `step` gives. */
+/** Answers are returned to the caller of `step` among its effects. */
 const leaveToCaller = (): void => undefined;
 
-/** Starts the part. `changed` is called after each event. */
+/** Creates the state machine and its effects. `changed` is called after each event. */
 export function createStewardRunner(surroundings: ZoneSurroundings, zone: ZoneView, changed: () => void): StewardRunner {
 	const {self, terms, holder, control, clients, zoneReports} = surroundings;
 	const holders = createRecentHolders();
@@ -125,14 +126,14 @@
 		holders.note(request.instance, now);
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
-			? err(failure(FailureKind.notReady, `${self.name} gives no lease now`))
+			? err(failure(FailureKind.notReady, `${self.name} can't grant a lease now`))
 			: ok({answer: {...answer, shares: sharePost.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
 	}
 
 	function takeSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
 		const answer = effectOf(step({kind: 'supportRequested', now: monotonicNow(), request}), 'answerSupport')?.answer;
 		if (answer === undefined) {
-			return err(failure(FailureKind.notReady, `${self.name} gives no support now`));
+			return err(failure(FailureKind.notReady, `${self.name} can't answer a support request now`));
 		}
 
 		zone.heardOfSteward(answer.supported?.name);
--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -1,6 +1,6 @@
 /**
- * The way to the leader of control: it is looked for among the voters, first
- * the one that is known, then whom an answer names.
+ * Client for calls to the control leader: tries the voters in turn, the cached
+ * leader first, then the one that an answer names.
  */
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
 import {type InstanceName, type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -14,17 +14,17 @@
 
 type LeaderAnswer<Call extends LeaderCall> = Promise<Result<PeerCalls[Call]['answer'], Failure>>;
 
-/** What this instance does with the calls if it leads. */
+/** This instance's handlers for the calls, used when it leads. */
 export type LeaderHandlers = {readonly [Call in LeaderCall]: (request: PeerCalls[Call]['request']) => LeaderAnswer<Call>};
 
 /**
- * Calls the leader, wherever it is. Fails as the leader does, with `noQuorum`
- * where none is found, and with `outcomeUnknown` for a proposal that may have
- * reached one.
+ * Sends a call to the leader, which may be this instance. Fails as the leader
+ * does, with `noQuorum` if none is found, and with `outcomeUnknown` for a
+ * proposal that may have reached one.
  */
 export type CallLeader = <Call extends LeaderCall>(call: Call, request: PeerCalls[Call]['request']) => LeaderAnswer<Call>;
 
-/** What the way leads over. */
+/** Collaborators of the client. */
 export type LeaderSurroundings = {
 	readonly self: InstanceName;
 	/** The peer addresses of the voters. */
@@ -44,7 +44,7 @@
 	joinVoters: proposeMilliseconds,
 };
 
-/** After these failures another voter is asked. */
+/** Failures after which the next voter is tried. */
 const passedOn: ReadonlySet<FailureKind> = new Set([FailureKind.notLeader, FailureKind.unreachable, FailureKind.notReady]);
 
 function hintedFirst(waiting: readonly InstanceName[], hint: InstanceName | undefined): readonly InstanceName[] {
@@ -59,7 +59,6 @@
 		: failure(FailureKind.noQuorum, 'no leader of control can be reached');
 }
 
-/** Makes the way to the leader. */
 export function createCallLeader({
 	self, addresses, clients, known, handlers,
 }: LeaderSurroundings): CallLeader {
--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -1,6 +1,6 @@
 /**
- * Passes on the notice that there is something new to fetch: a steward to the
- * members of its zone, and an instance that gets one fetches.
+ * Forwards notifications of new log entries: a steward sends them to the members
+ * of its zone, and an instance that receives one fetches the entries.
  */
 import {type InstanceName, type LogIndex} from '@dogwooddeck/model/identifiers';
 import {seatedInstances} from '@dogwooddeck/ownership/table';
@@ -9,22 +9,22 @@
 import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
-/** Takes and passes on notices. */
+/** Sends and receives notifications. */
 export type ZoneNotices = {
-	/** This instance has applied this much: a steward tells its zone. */
+	/** Notifies the zone's other members of this instance's applied index, if it is the steward. */
 	readonly send: (applied: LogIndex) => void;
-	/** Another instance has applied this much. */
+	/** Called with another instance's applied index. Fetches if this one is behind. */
 	readonly take: (applied: LogIndex) => void;
 };
 
-/** What notices need beside the surroundings. */
+/** Collaborators beside the shared ones of the zone. */
 export type NoticeParts = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
 	readonly fetcher: StateFetcher;
 };
 
-/** Starts with nobody told. */
+/** Creates notifications with none sent yet. */
 export function createZoneNotices({holder, control, clients}: ZoneSurroundings, {zone, steward, fetcher}: NoticeParts): ZoneNotices {
 	const told = new Map<InstanceName, LogIndex>();
 
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs this instance's part in its availability zone: it asks for a seat and
- * for routing leases, supports a steward, and is the steward when its turn comes.
+ * Runs this instance's membership in its availability zone: requests a seat and
+ * routing leases, supports a steward, and acts as the steward when elected.
  */
 import {startDueTimer} from '@dogwooddeck/clock/due';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -21,9 +21,9 @@
 import {type ZoneSurroundings} from './zone-surroundings.js';
 import {createZoneView} from './zone-view.js';
 
-/** This instance's part in its zone. */
+/** This instance's membership in its zone. */
 export type ZoneRunner = {
-	/** The routing lease as it stands. */
+	/** The current routing lease. */
 	readonly lease: () => LeaseState;
 	readonly holdsLease: () => boolean;
 	readonly isSteward: () => boolean;
@@ -31,16 +31,16 @@
 	readonly steward: () => InstanceName | undefined;
 	readonly takeLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
 	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
-	/** Another instance has applied this much: fetch what is new. */
+	/** Called with another instance's applied index. Fetches if this one is behind. */
 	readonly takeNotice: (applied: number) => void;
-	/** A request begins to wait for what the next lease brings. */
+	/** Called when a request starts to wait for the next lease; reschedules the timer. */
 	readonly look: () => void;
-	/** A planned stop: stand no more, and give the seat up unless it is the zone's only one. */
+	/** For a graceful shutdown: stops standing for election, and requests the seat's removal unless it is the zone's only one. */
 	readonly leave: () => void;
 	readonly stop: () => void;
 };
 
-/** Gives a function that calls `noted` when a value is not what it was at the last call, at first `false`. */
+/** Returns a function that calls `noted` when its argument differs from that of the last call, initially `false`. */
 function onChange(noted: (value: boolean) => void): (value: boolean) => void {
 	let last = false;
 	return value => {
@@ -51,7 +51,7 @@
 	};
 }
 
-/** Starts the runner. */
+/** Starts the runner and its timer. */
 export function startZone(surroundings: ZoneSurroundings): ZoneRunner {
 	const {self, holder, clients, log} = surroundings;
 	const arm = () => {
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of an instance's work in its availability zone have in common.
+ * Collaborators shared by the components of an instance's zone membership.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
@@ -12,10 +12,10 @@
 import {type ControlRunner} from './control-runner.js';
 import {type ReportCollector} from './report-collector.js';
 
-/** The longest that a call to another instance lasts. */
+/** The timeout of a call to another instance. */
 export const peerMilliseconds: Milliseconds = 500;
 
-/** What each part needs. */
+/** Collaborators of each component. */
 export type ZoneSurroundings = {
 	readonly self: InstanceRecord;
 	readonly terms: LeaseTerms;
@@ -23,12 +23,12 @@
 	readonly control: ControlRunner;
 	readonly clients: PeerClients;
 	readonly flights: InFlightTracker;
-	/** What this instance saw. */
+	/** This instance's own observations. */
 	readonly ownReports: ReportCollector;
-	/** What this instance passes on as steward. */
+	/** Reports of the zone's members, which this instance forwards as steward. */
 	readonly zoneReports: ReportCollector;
 	readonly takeShares: (shares: readonly LimitShare[]) => void;
-	/** Whether a request waits for the share of a limit. */
+	/** Whether a request is waiting for a share of a limit. */
 	readonly lacksShares: () => boolean;
 	readonly log: Log;
 };
--- a/packages/daemon/src/zone-view.ts
+++ b/packages/daemon/src/zone-view.ts
@@ -1,25 +1,24 @@
 /**
- * What an instance knows of its availability zone: the roster in the table that
- * it has applied, and who is steward as far as it heard.
+ * An instance's view of its availability zone: the roster in the table that it
+ * has applied, and the steward that it last received from another instance.
  */
 import {type InstanceName} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
 import {type ControlHolder} from './control-holder.js';
 
-/** An instance's view of its zone. */
 export type ZoneView = {
 	readonly members: () => readonly InstanceRecord[];
 	readonly others: () => readonly InstanceRecord[];
 	readonly memberNamed: (name: InstanceName | undefined) => InstanceRecord | undefined;
-	/** The steward, as far as it is known. */
+	/** The cached steward, if any. */
 	readonly steward: () => InstanceRecord | undefined;
-	/** Another instance named the steward. A name that is no member's changes nothing. */
+	/** Records the steward that another instance named. Ignores a name that isn't a member's. */
 	readonly heardOfSteward: (name: InstanceName | undefined) => void;
-	/** The steward that was known is none; another member may be it. */
+	/** Replaces a cached steward that turned out not to be one by a member that may be. */
 	readonly guessSteward: (member: InstanceRecord | undefined) => void;
 };
 
-/** Makes the view of an instance that has heard of no steward. */
+/** Creates a view without a cached steward. */
 export function createZoneView(self: InstanceRecord, holder: ControlHolder): ZoneView {
 	let steward: InstanceRecord | undefined;
 
--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -1,3 +1,7 @@
+/**
+ * Test fixture: starts a single instance in this process, with an HTTP client for
+ * its operator address.
+ */
 import assert from 'node:assert/strict';
 import {mkdtemp, readFile, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -19,7 +23,7 @@
 export type OneInstance = {
 	readonly addresses: {readonly peers: string; readonly operators: string; readonly callers: string};
 	readonly peers: PeerClients;
-	/** What voters call its data folder. */
+	/** The identity of its data folder in the voter set. */
 	readonly folder: string;
 	readonly failures: string[];
 	readonly send: (method: 'GET' | 'POST', where: string, options: Sending) => Promise<{readonly status: number; readonly body: unknown}>;
@@ -65,7 +69,7 @@
 			}
 		},
 		warning() {
-			// Refused commands are what the tests ask for.
+			// The tests provoke refused commands.
 		},
 		error(_name, failed) {
 			failures.push(failed.detail);
--- a/packages/daemon/test/test-known-leader.ts
+++ b/packages/daemon/test/test-known-leader.ts
@@ -1,12 +1,17 @@
+/**
+ * Checks which leader the cache returns: the one that the local voter follows
+ * comes before one that answered, and this instance is returned only while it
+ * leads.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createKnownLeader} from '@dogwooddeck/daemon/known-leader';
 
 const cases: ReadonlyArray<{readonly name: string; readonly answered?: string; readonly followed?: string; readonly expected: string | undefined}> = [
-	{name: 'nobody answered yet', expected: undefined},
-	{name: 'the last that answered, where the voter follows none', answered: 'entry-2', expected: 'entry-2'},
+	{name: 'no instance has answered yet', expected: undefined},
+	{name: 'the last instance that answered, if the voter follows none', answered: 'entry-2', expected: 'entry-2'},
 	{
-		name: 'whom the voter follows, before one that answered', answered: 'entry-2', followed: 'entry-3', expected: 'entry-3',
+		name: 'the one that the voter follows, before one that answered', answered: 'entry-2', followed: 'entry-3', expected: 'entry-3',
 	},
 	{
 		name: 'itself while it leads', answered: 'entry-1', followed: 'entry-1', expected: 'entry-1',
