--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -36,7 +36,7 @@
 };
 
 /** Collaborators of the runner. */
-export type ControlSurroundings = {
+export type ControlDependencies = {
 	readonly settings: InstanceSettings;
 	readonly terms: LeaseTerms;
 	readonly hash: SlotHash;
@@ -77,7 +77,7 @@
 	};
 }
 
-export function startControl(surroundings: ControlSurroundings): ControlRunner {
+export function startControl(surroundings: ControlDependencies): ControlRunner {
 	const {
 		settings, holder, clients, log, voter,
 	} = surroundings;
