--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -77,13 +77,13 @@
 	};
 }
 
-export function startControl(surroundings: ControlDependencies): ControlRunner {
+export function startControl(dependencies: ControlDependencies): ControlRunner {
 	const {
 		settings, holder, clients, log, voter,
-	} = surroundings;
+	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	const known = createKnownLeader(settings.name, voter);
-	const part = startLeaderPart({...surroundings, known});
+	const part = startLeaderPart({...dependencies, known});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
 		delegate: noting(part, notices),
