--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -20,7 +20,7 @@
 export type TakeVoter = (joining: VoterIdentity) => Promise<Result<undefined, Failure>>;
 
 /** Collaborators of the leader's handler for joining voters. */
-export type JoiningSurroundings = {
+export type JoinVoterDependencies = {
 	/** Whether the settings list a name as a voter. */
 	readonly listed: (name: InstanceName) => boolean;
 	readonly voter: () => ControlVoter | undefined;
@@ -52,7 +52,7 @@
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createTakeVoter({
 	listed, voter, known, log,
-}: JoiningSurroundings): TakeVoter {
+}: JoinVoterDependencies): TakeVoter {
 	let changing = false;
 
 	async function change(leading: ControlVoter, joining: VoterIdentity, voterSet: VoterSet): Promise<Result<undefined, Failure>> {
