--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -40,7 +40,7 @@
 };
 
 /** Collaborators of the leader runner. */
-export type LeaderPartSurroundings = {
+export type LeaderRunnerDependencies = {
 	readonly terms: LeaseTerms;
 	readonly hash: SlotHash;
 	readonly holder: ControlHolder;
@@ -59,7 +59,7 @@
 }
 
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
-export function startLeaderPart(surroundings: LeaderPartSurroundings): LeaderPart {
+export function startLeaderPart(surroundings: LeaderRunnerDependencies): LeaderPart {
 	const {
 		terms, hash, holder, known, log, voter,
 	} = surroundings;
