--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -59,10 +59,10 @@
 }
 
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
-export function startLeaderPart(surroundings: LeaderRunnerDependencies): LeaderPart {
+export function startLeaderPart(dependencies: LeaderRunnerDependencies): LeaderPart {
 	const {
 		terms, hash, holder, known, log, voter,
-	} = surroundings;
+	} = dependencies;
 	let leading: LeaderState | undefined;
 	/** Set while this voter leads. */
 	let ticking: NodeJS.Timeout | undefined;
