--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -19,7 +19,7 @@
 import {taken} from './taken.js';
 
 /** Collaborators of the voter. */
-export type OwnVoterSurroundings = {
+export type LocalVoterDependencies = {
 	readonly settings: InstanceSettings;
 	readonly self: InstanceIdentity;
 	readonly holder: ControlHolder;
@@ -36,7 +36,7 @@
 const entriesBeforeSnapshot = 1000;
 const seeds = 2 ** 31;
 
-function createSend({settings, clients}: OwnVoterSurroundings): (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>> {
+function createSend({settings, clients}: LocalVoterDependencies): (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>> {
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	return async envelope => {
 		const {name} = envelope.to;
@@ -52,7 +52,7 @@
  * Throws a `FailureError` if the folder is locked by another process, damaged
  * or unreadable.
  */
-export async function startOwnVoter(surroundings: OwnVoterSurroundings): Promise<ControlVoter> {
+export async function startOwnVoter(surroundings: LocalVoterDependencies): Promise<ControlVoter> {
 	const {settings, self, holder, control, log, failed} = surroundings;
 	const folder = taken(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
