--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -52,8 +52,8 @@
  * Throws a `FailureError` if the folder is locked by another process, damaged
  * or unreadable.
  */
-export async function startOwnVoter(surroundings: LocalVoterDependencies): Promise<ControlVoter> {
-	const {settings, self, holder, control, log, failed} = surroundings;
+export async function startOwnVoter(dependencies: LocalVoterDependencies): Promise<ControlVoter> {
+	const {settings, self, holder, control, log, failed} = dependencies;
 	const folder = taken(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
 		taken(holder.restore(folder.saved.snapshot.index, folder.saved.snapshot.data));
@@ -68,7 +68,7 @@
 		storage: folder.storage,
 		holder,
 		log,
-		send: createSend(surroundings),
+		send: createSend(dependencies),
 		roleChanged() {
 			control.roleChanged();
 		},
