--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -25,7 +25,7 @@
 export type CallLeader = <Call extends LeaderCall>(call: Call, request: PeerCalls[Call]['request']) => LeaderAnswer<Call>;
 
 /** Collaborators of the client. */
-export type LeaderSurroundings = {
+export type LeaderClientDependencies = {
 	readonly self: InstanceName;
 	/** The peer addresses of the voters. */
 	readonly addresses: ReadonlyMap<InstanceName, string>;
@@ -61,7 +61,7 @@
 
 export function createCallLeader({
 	self, addresses, clients, known, handlers,
-}: LeaderSurroundings): CallLeader {
+}: LeaderClientDependencies): CallLeader {
 	async function callOne<Call extends LeaderCall>(name: InstanceName, call: Call, request: PeerCalls[Call]['request']): LeaderAnswer<Call> {
 		return name === self
 			? handlers[call](request)
