--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -11,7 +11,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, type Result} from 'true-myth/result';
 import {type StewardRunner} from './steward-runner.js';
-import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
+import {peerMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Requests routing leases. */
@@ -29,7 +29,7 @@
 const lackingMilliseconds: Milliseconds = 60;
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
-export function createLeaseAsker(surroundings: ZoneSurroundings, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseAsker {
+export function createLeaseAsker(surroundings: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseAsker {
 	const {self, terms, holder, clients, flights} = surroundings;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -7,7 +7,7 @@
 import {type LeaseAsker} from './lease-asker.js';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
-import {type ZoneSurroundings} from './zone-surroundings.js';
+import {type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Requests a seat, or its removal. */
@@ -30,7 +30,7 @@
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatAsker({self, holder, control}: ZoneSurroundings, {zone, steward, leases, fetcher}: SeatParts): SeatAsker {
+export function createSeatAsker({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatParts): SeatAsker {
 	let askedAt = -Infinity;
 	let leaving = false;
 
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -23,7 +23,7 @@
 import {createRecentHolders} from './recent-holders.js';
 import {createSharePost} from './share-post.js';
 import {createZoneLimits} from './zone-limits.js';
-import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
+import {peerMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** This instance's steward state machine. */
@@ -55,7 +55,7 @@
 const leaveToCaller = (): void => undefined;
 
 /** Creates the state machine and its effects. `changed` is called after each event. */
-export function createStewardRunner(surroundings: ZoneSurroundings, zone: ZoneView, changed: () => void): StewardRunner {
+export function createStewardRunner(surroundings: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
 	const {self, terms, holder, control, clients, zoneReports} = surroundings;
 	const holders = createRecentHolders();
 	const sharePost = createSharePost();
--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -6,7 +6,7 @@
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
-import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
+import {peerMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Sends and receives notifications. */
@@ -25,7 +25,7 @@
 };
 
 /** Creates notifications with none sent yet. */
-export function createZoneNotices({holder, control, clients}: ZoneSurroundings, {zone, steward, fetcher}: NoticeParts): ZoneNotices {
+export function createZoneNotices({holder, control, clients}: ZoneDependencies, {zone, steward, fetcher}: NoticeParts): ZoneNotices {
 	const told = new Map<InstanceName, LogIndex>();
 
 	function leaderAddress(): string | undefined {
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -18,7 +18,7 @@
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
 import {createZoneNotices} from './zone-notices.js';
-import {type ZoneSurroundings} from './zone-surroundings.js';
+import {type ZoneDependencies} from './zone-surroundings.js';
 import {createZoneView} from './zone-view.js';
 
 /** This instance's membership in its zone. */
@@ -52,7 +52,7 @@
 }
 
 /** Starts the runner and its timer. */
-export function startZone(surroundings: ZoneSurroundings): ZoneRunner {
+export function startZone(surroundings: ZoneDependencies): ZoneRunner {
 	const {self, holder, clients, log} = surroundings;
 	const arm = () => {
 		ticking.arm();
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -16,7 +16,7 @@
 export const peerMilliseconds: Milliseconds = 500;
 
 /** Collaborators of each component. */
-export type ZoneSurroundings = {
+export type ZoneDependencies = {
 	readonly self: InstanceRecord;
 	readonly terms: LeaseTerms;
 	readonly holder: ControlHolder;
