--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -29,8 +29,8 @@
 const lackingMilliseconds: Milliseconds = 60;
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
-export function createLeaseAsker(surroundings: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseAsker {
-	const {self, terms, holder, clients, flights} = surroundings;
+export function createLeaseAsker(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseAsker {
+	const {self, terms, holder, clients, flights} = dependencies;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
 	let asking = false;
@@ -62,12 +62,12 @@
 	function take(sentAt: MonotonicTime, {answer, catchUp}: WithCatchUp<LeaseAnswer>): void {
 		holder.catchUp(catchUp);
 		lease = applyLeaseAnswer(lease, {sentAt, answer});
-		surroundings.takeShares(answer.shares);
+		dependencies.takeShares(answer.shares);
 		zone.heardOfSteward(answer.steward.name);
 	}
 
 	function askingDueAt(): MonotonicTime {
-		const isLacking = lacking || surroundings.lacksShares();
+		const isLacking = lacking || dependencies.lacksShares();
 		return Math.min(requestDueAt(lease, holder.state().applied, drained), isLacking ? lease.sentAt + lackingMilliseconds : Infinity);
 	}
 
@@ -75,7 +75,7 @@
 		const {applied} = holder.state();
 		asking = true;
 		lease = recordLeaseRequest(lease, {now, applied, drained});
-		const report = surroundings.ownReports.take();
+		const report = dependencies.ownReports.take();
 		const answer = await askSteward({
 			instance: self, applied, drained, report,
 		});
@@ -84,7 +84,7 @@
 		if (answer.isOk) {
 			take(now, answer.value);
 		} else {
-			surroundings.ownReports.giveBack(report);
+			dependencies.ownReports.giveBack(report);
 		}
 
 		changed();
