--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -55,8 +55,8 @@
 const leaveToCaller = (): void => undefined;
 
 /** Creates the state machine and its effects. `changed` is called after each event. */
-export function createStewardRunner(surroundings: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
-	const {self, terms, holder, control, clients, zoneReports} = surroundings;
+export function createStewardRunner(dependencies: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
+	const {self, terms, holder, control, clients, zoneReports} = dependencies;
 	const holders = createRecentHolders();
 	const sharePost = createSharePost();
 	const zoneLimits = createZoneLimits(self.zone);
