--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -52,20 +52,20 @@
 }
 
 /** Starts the runner and its timer. */
-export function startZone(surroundings: ZoneDependencies): ZoneRunner {
-	const {self, holder, clients, log} = surroundings;
+export function startZone(dependencies: ZoneDependencies): ZoneRunner {
+	const {self, holder, clients, log} = dependencies;
 	const arm = () => {
 		ticking.arm();
 	};
 
 	const zone = createZoneView(self, holder);
 	const fetcher = createStateFetcher(holder, clients);
-	const steward = createStewardRunner(surroundings, zone, arm);
-	const leases = createLeaseAsker(surroundings, zone, steward, arm);
-	const seats = createSeatAsker(surroundings, {
+	const steward = createStewardRunner(dependencies, zone, arm);
+	const leases = createLeaseAsker(dependencies, zone, steward, arm);
+	const seats = createSeatAsker(dependencies, {
 		zone, steward, leases, fetcher,
 	});
-	const notices = createZoneNotices(surroundings, {zone, steward, fetcher});
+	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
 	const noteSteward = onChange(isNow => {
 		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
