--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -22,7 +22,7 @@
 const seatMilliseconds: Milliseconds = 300;
 
 /** Collaborators beside the shared ones of the zone. */
-export type SeatParts = {
+export type SeatRequesterDependencies = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
 	readonly leases: LeaseAsker;
@@ -30,7 +30,7 @@
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatAsker({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatParts): SeatAsker {
+export function createSeatAsker({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatAsker {
 	let askedAt = -Infinity;
 	let leaving = false;
 
