--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -18,14 +18,14 @@
 };
 
 /** Collaborators beside the shared ones of the zone. */
-export type NoticeParts = {
+export type ZoneNoticesDependencies = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
 	readonly fetcher: StateFetcher;
 };
 
 /** Creates notifications with none sent yet. */
-export function createZoneNotices({holder, control, clients}: ZoneDependencies, {zone, steward, fetcher}: NoticeParts): ZoneNotices {
+export function createZoneNotices({holder, control, clients}: ZoneDependencies, {zone, steward, fetcher}: ZoneNoticesDependencies): ZoneNotices {
 	const told = new Map<InstanceName, LogIndex>();
 
 	function leaderAddress(): string | undefined {
