--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -14,7 +14,7 @@
 import {type ZoneRunner} from './zone-runner.js';
 
 /** The components that the status is read from. */
-export type StatusParts = {
+export type InstanceStatusDependencies = {
 	readonly self: InstanceRecord;
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
@@ -32,7 +32,7 @@
 	readonly member: () => MemberReport;
 };
 
-function readinessOf({isStopping, zone}: StatusParts): Readiness {
+function readinessOf({isStopping, zone}: InstanceStatusDependencies): Readiness {
 	if (isStopping()) {
 		return {ready: false, reason: 'the instance stops'};
 	}
@@ -42,7 +42,7 @@
 		: {ready: false, reason: 'no routing lease is held'};
 }
 
-function statusOf(parts: StatusParts): ReturnType<InstanceStatus['status']> {
+function statusOf(parts: InstanceStatusDependencies): ReturnType<InstanceStatus['status']> {
 	const {self, holder, control, zone} = parts;
 	const voter = parts.voter();
 	const leader = control.leader();
@@ -60,7 +60,7 @@
 	};
 }
 
-function exposeMetrics(parts: StatusParts): string {
+function exposeMetrics(parts: InstanceStatusDependencies): string {
 	const {measures, holder, zone} = parts;
 	measures.set(MeasureName.applied, holder.state().applied);
 	measures.set(MeasureName.ready, Number(readinessOf(parts).ready));
@@ -71,7 +71,7 @@
 }
 
 /** Creates the reports over an instance's components. */
-export function createInstanceStatus(parts: StatusParts): InstanceStatus {
+export function createInstanceStatus(parts: InstanceStatusDependencies): InstanceStatus {
 	return {
 		readiness: () => readinessOf(parts),
 		status: () => statusOf(parts),
