--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -42,9 +42,9 @@
 		: {ready: false, reason: 'no routing lease is held'};
 }
 
-function statusOf(parts: InstanceStatusDependencies): ReturnType<InstanceStatus['status']> {
-	const {self, holder, control, zone} = parts;
-	const voter = parts.voter();
+function statusOf(dependencies: InstanceStatusDependencies): ReturnType<InstanceStatus['status']> {
+	const {self, holder, control, zone} = dependencies;
+	const voter = dependencies.voter();
 	const leader = control.leader();
 	const steward = zone.steward();
 	return {
@@ -52,7 +52,7 @@
 		incarnation: self.incarnation,
 		region: self.region,
 		zone: self.zone,
-		...readinessOf(parts),
+		...readinessOf(dependencies),
 		voter: voter !== undefined,
 		committed: voter?.committed() ?? holder.state().applied,
 		...(leader === undefined ? {} : {leader}),
