--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -60,11 +60,11 @@
 	};
 }
 
-function exposeMetrics(parts: InstanceStatusDependencies): string {
-	const {measures, holder, zone} = parts;
+function exposeMetrics(dependencies: InstanceStatusDependencies): string {
+	const {measures, holder, zone} = dependencies;
 	measures.set(MeasureName.applied, holder.state().applied);
-	measures.set(MeasureName.ready, Number(readinessOf(parts).ready));
-	measures.set(MeasureName.leader, Number(parts.voter()?.isLeader() ?? false));
+	measures.set(MeasureName.ready, Number(readinessOf(dependencies).ready));
+	measures.set(MeasureName.leader, Number(dependencies.voter()?.isLeader() ?? false));
 	measures.set(MeasureName.steward, Number(zone.isSteward()));
 	measureProcess(measures);
 	return measures.expose();
