--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -71,11 +71,11 @@
 }
 
 /** Creates the reports over an instance's components. */
-export function createInstanceStatus(parts: InstanceStatusDependencies): InstanceStatus {
+export function createInstanceStatus(dependencies: InstanceStatusDependencies): InstanceStatus {
 	return {
-		readiness: () => readinessOf(parts),
-		status: () => statusOf(parts),
-		metrics: () => exposeMetrics(parts),
-		member: () => ({applied: parts.holder.state().applied, voter: parts.voter() !== undefined}),
+		readiness: () => readinessOf(dependencies),
+		status: () => statusOf(dependencies),
+		metrics: () => exposeMetrics(dependencies),
+		member: () => ({applied: dependencies.holder.state().applied, voter: dependencies.voter() !== undefined}),
 	};
 }
