--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -16,7 +16,7 @@
 export type Collectors = Readonly<Record<string, () => string>>;
 
 /** The components that answer calls. */
-export type PeerParts = {
+export type PeerHandlerDependencies = {
 	/** The zone that this instance serves. */
 	readonly ownZone: ZoneName;
 	readonly holder: ControlHolder;
@@ -28,7 +28,7 @@
 };
 
 /** Creates the handlers. Rejects lease and support requests of another zone or of a superseded incarnation. */
-export function createPeerHandlers(parts: PeerParts): PeerHandlers {
+export function createPeerHandlers(parts: PeerHandlerDependencies): PeerHandlers {
 	const {
 		ownZone, holder, control, claims, collectors,
 	} = parts;
