--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -28,10 +28,10 @@
 };
 
 /** Creates the handlers. Rejects lease and support requests of another zone or of a superseded incarnation. */
-export function createPeerHandlers(parts: PeerHandlerDependencies): PeerHandlers {
+export function createPeerHandlers(dependencies: PeerHandlerDependencies): PeerHandlers {
 	const {
 		ownZone, holder, control, claims, collectors,
-	} = parts;
+	} = dependencies;
 
 	function checkCaller(zone: ZoneName, caller: InstanceIdentity): Result<undefined, Failure> {
 		const members = holder.state().ownership.rosters[ownZone]?.members ?? [];
@@ -40,24 +40,24 @@
 
 	return {
 		async deliver(envelope) {
-			const voter = parts.voter();
+			const voter = dependencies.voter();
 			return voter === undefined
 				? err(failure(FailureKind.notReady, 'this instance does not vote, or not yet'))
 				: voter.receive(envelope);
 		},
 		async renewLease(request) {
 			const checked = checkCaller(request.instance.zone, request.instance);
-			return checked.isOk ? parts.zone().takeLeaseRequest(request) : err(checked.error);
+			return checked.isOk ? dependencies.zone().takeLeaseRequest(request) : err(checked.error);
 		},
 		async support(request) {
 			const checked = checkCaller(request.zone, request.candidate);
-			return checked.isOk ? parts.zone().takeSupportRequest(request) : err(checked.error);
+			return checked.isOk ? dependencies.zone().takeSupportRequest(request) : err(checked.error);
 		},
 		delegate: control.takeDelegation,
 		seat: control.takeSeat,
 		fetchState: async applied => ok(holder.catchUpAfter(applied)),
 		async notify(applied) {
-			parts.zone().takeNotice(applied);
+			dependencies.zone().takeNotice(applied);
 			return ok(undefined);
 		},
 		propose: control.takeProposal,
