--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -20,7 +20,7 @@
 import {type ZoneRunner} from './zone-runner.js';
 
 /** The components of a stopping instance. */
-export type StoppingInstance = {
+export type ShutdownDependencies = {
 	readonly durations: InstanceSettings['stop'];
 	readonly log: Log;
 	/** Undefined on an instance that doesn't vote. */
@@ -55,7 +55,7 @@
 /** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
 async function passOn({
 	durations, voter, zone, seats, callers, endCallersAt, claims,
-}: StoppingInstance): Promise<void> {
+}: ShutdownDependencies): Promise<void> {
 	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
 	endCallersAt(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
 	await pause(durations.balancerDelayMilliseconds);
@@ -70,7 +70,7 @@
 	await claims.handOver(Math.max(0, end - monotonicNow()));
 }
 
-async function endParts(parts: StoppingInstance): Promise<void> {
+async function endParts(parts: ShutdownDependencies): Promise<void> {
 	await parts.operators.close();
 	parts.zone.stop();
 	parts.control.stop();
@@ -84,7 +84,7 @@
 }
 
 /** Shuts down an instance that is no longer ready. Resolves when all its components have stopped. */
-export async function stopAsPlanned(instance: StoppingInstance): Promise<void> {
+export async function stopAsPlanned(instance: ShutdownDependencies): Promise<void> {
 	const {log} = instance;
 	log.event(EventName.stopRequested);
 	log.event(EventName.instanceNotReady, {reason: 'the instance stops'});
