--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -70,17 +70,17 @@
 	await claims.handOver(Math.max(0, end - monotonicNow()));
 }
 
-async function endParts(parts: ShutdownDependencies): Promise<void> {
-	await parts.operators.close();
-	parts.zone.stop();
-	parts.control.stop();
-	parts.claims.stop();
-	await parts.burn.stop();
-	await parts.releaseFolder();
-	await parts.client.close();
-	await parts.peers.close();
-	await parts.voter?.stop();
-	parts.clients.close();
+async function endParts(dependencies: ShutdownDependencies): Promise<void> {
+	await dependencies.operators.close();
+	dependencies.zone.stop();
+	dependencies.control.stop();
+	dependencies.claims.stop();
+	await dependencies.burn.stop();
+	await dependencies.releaseFolder();
+	await dependencies.client.close();
+	await dependencies.peers.close();
+	await dependencies.voter?.stop();
+	dependencies.clients.close();
 }
 
 /** Shuts down an instance that is no longer ready. Resolves when all its components have stopped. */
