--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -52,7 +52,7 @@
  * or another voter already belongs to a deployment, and with `settingsInvalid`
  * if the instance isn't listed as a voter.
  */
-export async function found(settings: InstanceSettings, operatorToken: string): Promise<Result<undefined, Failure>> {
+export async function bootstrap(settings: InstanceSettings, operatorToken: string): Promise<Result<undefined, Failure>> {
 	const {dataFolder} = settings.control;
 	if (!isVoter(settings) || dataFolder === undefined) {
 		return err(failure(FailureKind.settingsInvalid, `${settings.name} is not listed as a voter, so it can't found a deployment`));
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -13,7 +13,7 @@
 } from 'cmd-ts';
 import {err, ok, type Result} from 'true-myth/result';
 import {ExitCode, exitCodeOf} from './exit-code.js';
-import {found} from './founding.js';
+import {bootstrap} from './founding.js';
 import {type Instance, startInstance} from './instance.js';
 import {loadSettings} from './settings.js';
 
@@ -107,7 +107,7 @@
 			return endWith(settings.isErr ? settings.error : token.unwrapOrElse(failed => failed) as Failure);
 		}
 
-		const founded = await found(settings.value, token.value);
+		const founded = await bootstrap(settings.value, token.value);
 		if (founded.isErr) {
 			return endWith(founded.error);
 		}
--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -10,7 +10,7 @@
 import {pause} from '@dogwooddeck/clock/pause';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {createPeerClients, type PeerClients} from '@dogwooddeck/wire/client';
-import {found} from '@dogwooddeck/daemon/founding';
+import {bootstrap} from '@dogwooddeck/daemon/founding';
 import {startInstance} from '@dogwooddeck/daemon/instance';
 import {type InstanceSettings} from '@dogwooddeck/daemon/settings';
 
@@ -58,7 +58,7 @@
 export async function startOne(): Promise<OneInstance> {
 	const folder = await mkdtemp(path.join(tmpdir(), 'dogwooddeck-one-'));
 	const settings = settingsIn(folder);
-	const founded = await found(settings, operatorToken);
+	const founded = await bootstrap(settings, operatorToken);
 	assert.ok(founded.isOk, JSON.stringify(founded));
 	let addresses = {peers: '', operators: '', callers: ''};
 	const failures: string[] = [];
