--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -15,7 +15,7 @@
 const askMilliseconds: Milliseconds = 1000;
 const foundingTerm = 1;
 
-async function knowsDeployment(clients: PeerClients, address: string): Promise<boolean> {
+async function belongsToDeployment(clients: PeerClients, address: string): Promise<boolean> {
 	const answer = await clients.call(address, 'fetchState', 0, askMilliseconds);
 	return answer.isOk && (answer.value.entries.length > 0 || answer.value.state !== undefined);
 }
@@ -23,7 +23,7 @@
 async function refuseSecond(settings: InstanceSettings): Promise<Result<undefined, Failure>> {
 	const clients = createPeerClients(settings.keys.peer);
 	const others = settings.control.voters.filter(({name}) => name !== settings.name);
-	const known = await Promise.all(others.map(async ({peerAddress}) => knowsDeployment(clients, peerAddress)));
+	const known = await Promise.all(others.map(async ({peerAddress}) => belongsToDeployment(clients, peerAddress)));
 	clients.close();
 	const index = known.indexOf(true);
 	return index === -1
