--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -20,7 +20,7 @@
 	return answer.isOk && (answer.value.entries.length > 0 || answer.value.state !== undefined);
 }
 
-async function refuseSecond(settings: InstanceSettings): Promise<Result<undefined, Failure>> {
+async function rejectSecondBootstrap(settings: InstanceSettings): Promise<Result<undefined, Failure>> {
 	const clients = createPeerClients(settings.keys.peer);
 	const others = settings.control.voters.filter(({name}) => name !== settings.name);
 	const known = await Promise.all(others.map(async ({peerAddress}) => belongsToDeployment(clients, peerAddress)));
@@ -58,7 +58,7 @@
 		return err(failure(FailureKind.settingsInvalid, `${settings.name} is not listed as a voter, so it can't found a deployment`));
 	}
 
-	const first = await refuseSecond(settings);
+	const first = await rejectSecondBootstrap(settings);
 	if (first.isErr) {
 		return first;
 	}
