--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -31,7 +31,7 @@
 		: err(failure(FailureKind.conflict, `${others[index]!.name} already belongs to a deployment; start this instance without founding, and it joins`));
 }
 
-async function writeFirst(storage: Storage, settings: InstanceSettings, folder: string, operatorToken: string): Promise<Result<undefined, Failure>> {
+async function writeInitialEntries(storage: Storage, settings: InstanceSettings, folder: string, operatorToken: string): Promise<Result<undefined, Failure>> {
 	const founded = {
 		kind: 'founded' as const, operation: `found-${settings.name}-${folder}`.slice(0, 64), operatorTokenHash: hashToken(operatorToken), at: wallNow(),
 	};
@@ -74,5 +74,5 @@
 		return err(failure(FailureKind.conflict, `${dataFolder} already holds a deployment`));
 	}
 
-	return writeFirst(storage, settings, folderIdentity, operatorToken);
+	return writeInitialEntries(storage, settings, folderIdentity, operatorToken);
 }
