--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -13,7 +13,7 @@
 import {type InstanceSettings, isVoter} from './settings.js';
 
 const askMilliseconds: Milliseconds = 1000;
-const foundingTerm = 1;
+const bootstrapTerm = 1;
 
 async function belongsToDeployment(clients: PeerClients, address: string): Promise<boolean> {
 	const answer = await clients.call(address, 'fetchState', 0, askMilliseconds);
@@ -36,10 +36,10 @@
 		kind: 'founded' as const, operation: `found-${settings.name}-${folder}`.slice(0, 64), operatorTokenHash: hashToken(operatorToken), at: wallNow(),
 	};
 	const persisted = await storage.persist({
-		hardState: {term: foundingTerm},
+		hardState: {term: bootstrapTerm},
 		entries: [
-			{index: 1, term: foundingTerm, body: {kind: 'votersChanged', voterSet: {voters: [{name: settings.name, folder}], learners: []}}},
-			{index: 2, term: foundingTerm, body: {kind: 'command', payload: encodeCommands([founded])}},
+			{index: 1, term: bootstrapTerm, body: {kind: 'votersChanged', voterSet: {voters: [{name: settings.name, folder}], learners: []}}},
+			{index: 2, term: bootstrapTerm, body: {kind: 'command', payload: encodeCommands([founded])}},
 		],
 	});
 	await storage.close();
