--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -12,11 +12,11 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {type InstanceSettings, isVoter} from './settings.js';
 
-const askMilliseconds: Milliseconds = 1000;
+const probeTimeoutMilliseconds: Milliseconds = 1000;
 const bootstrapTerm = 1;
 
 async function belongsToDeployment(clients: PeerClients, address: string): Promise<boolean> {
-	const answer = await clients.call(address, 'fetchState', 0, askMilliseconds);
+	const answer = await clients.call(address, 'fetchState', 0, probeTimeoutMilliseconds);
 	return answer.isOk && (answer.value.entries.length > 0 || answer.value.state !== undefined);
 }
 
