--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -32,14 +32,14 @@
 }
 
 async function writeInitialEntries(storage: Storage, settings: InstanceSettings, folder: string, operatorToken: string): Promise<Result<undefined, Failure>> {
-	const founded = {
+	const bootstrapCommand = {
 		kind: 'founded' as const, operation: `found-${settings.name}-${folder}`.slice(0, 64), operatorTokenHash: hashToken(operatorToken), at: wallNow(),
 	};
 	const persisted = await storage.persist({
 		hardState: {term: bootstrapTerm},
 		entries: [
 			{index: 1, term: bootstrapTerm, body: {kind: 'votersChanged', voterSet: {voters: [{name: settings.name, folder}], learners: []}}},
-			{index: 2, term: bootstrapTerm, body: {kind: 'command', payload: encodeCommands([founded])}},
+			{index: 2, term: bootstrapTerm, body: {kind: 'command', payload: encodeCommands([bootstrapCommand])}},
 		],
 	});
 	await storage.close();
