--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -58,9 +58,9 @@
 		return err(failure(FailureKind.settingsInvalid, `${settings.name} is not listed as a voter, so it can't found a deployment`));
 	}
 
-	const first = await rejectSecondBootstrap(settings);
-	if (first.isErr) {
-		return first;
+	const checked = await rejectSecondBootstrap(settings);
+	if (checked.isErr) {
+		return checked;
 	}
 
 	const opened = await openFolder(dataFolder);
