--- a/packages/daemon/src/founding.ts
+++ b/packages/daemon/src/founding.ts
@@ -23,9 +23,9 @@
 async function rejectSecondBootstrap(settings: InstanceSettings): Promise<Result<undefined, Failure>> {
 	const clients = createPeerClients(settings.keys.peer);
 	const others = settings.control.voters.filter(({name}) => name !== settings.name);
-	const known = await Promise.all(others.map(async ({peerAddress}) => belongsToDeployment(clients, peerAddress)));
+	const belonging = await Promise.all(others.map(async ({peerAddress}) => belongsToDeployment(clients, peerAddress)));
 	clients.close();
-	const index = known.indexOf(true);
+	const index = belonging.indexOf(true);
 	return index === -1
 		? ok(undefined)
 		: err(failure(FailureKind.conflict, `${others[index]!.name} already belongs to a deployment; start this instance without founding, and it joins`));
