--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -93,7 +93,7 @@
 	}
 }
 
-const foundCommand = command({
+const bootstrapCommand = command({
 	name: 'found',
 	description: 'Bootstraps a deployment in the empty data folder of one voter. Done once for a deployment; the other voters join.',
 	args: {
@@ -118,6 +118,6 @@
 
 /** Runs the command line. */
 export async function main(parameters: readonly string[]): Promise<void> {
-	const commands = subcommands({name: 'dogwooddeck', version, cmds: {run: runCommand, found: foundCommand}});
+	const commands = subcommands({name: 'dogwooddeck', version, cmds: {run: runCommand, found: bootstrapCommand}});
 	await run(binary(commands), [...parameters]);
 }
