--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -107,9 +107,9 @@
 			return endWith(settings.isErr ? settings.error : token.unwrapOrElse(failed => failed) as Failure);
 		}
 
-		const founded = await bootstrap(settings.value, token.value);
-		if (founded.isErr) {
-			return endWith(founded.error);
+		const bootstrapped = await bootstrap(settings.value, token.value);
+		if (bootstrapped.isErr) {
+			return endWith(bootstrapped.error);
 		}
 
 		process.stdout.write(`founded: ${settings.value.name} is the first voter\n`);
