--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -24,7 +24,7 @@
 	type: string, long: 'settings', short: 's', description: 'the instance\'s settings, a TOML file',
 });
 
-function endWith(failed: Failure): never {
+function exitWith(failed: Failure): never {
 	const problems = failed.problems?.slice(1).map(({file, path, reason}) => `dogwooddeck: ${file}: ${path}: ${reason}\n`) ?? [];
 	process.stderr.write(`dogwooddeck: ${failed.kind}: ${failed.detail}\n${problems.join('')}`);
 	process.exit(exitCodeOf(failed.kind)); // eslint-disable-line unicorn/no-process-exit
@@ -68,7 +68,7 @@
 	async handler({settings: file}) {
 		const settings = await loadSettings(file);
 		if (settings.isErr) {
-			return endWith(settings.error);
+			return exitWith(settings.error);
 		}
 
 		const log = createLog(settings.value.name, writeLine);
@@ -79,7 +79,7 @@
 			});
 			stopOnSignals(instance, log);
 		} catch (error) {
-			endWith(toFailure(error));
+			exitWith(toFailure(error));
 		}
 	},
 });
@@ -104,12 +104,12 @@
 		const settings = await loadSettings(file);
 		const token = await readToken(tokenFile);
 		if (settings.isErr || token.isErr) {
-			return endWith(settings.isErr ? settings.error : token.unwrapOrElse(failed => failed) as Failure);
+			return exitWith(settings.isErr ? settings.error : token.unwrapOrElse(failed => failed) as Failure);
 		}
 
 		const bootstrapped = await bootstrap(settings.value, token.value);
 		if (bootstrapped.isErr) {
-			return endWith(bootstrapped.error);
+			return exitWith(bootstrapped.error);
 		}
 
 		process.stdout.write(`founded: ${settings.value.name} is the first voter\n`);
