--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -14,7 +14,7 @@
 import {firstAnswer, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
 import {createTakeVoter, type TakeVoter} from './joining-voters.js';
-import {createKnownLeader, type KnownLeader} from './known-leader.js';
+import {createKnownLeader, type CachedLeader} from './known-leader.js';
 import {type LeaderPart, startLeaderPart} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
@@ -47,7 +47,7 @@
 	readonly voter: () => ControlVoter | undefined;
 };
 
-function createTakeProposal(voter: () => ControlVoter | undefined, known: KnownLeader): LeaderHandlers['propose'] {
+function createTakeProposal(voter: () => ControlVoter | undefined, known: CachedLeader): LeaderHandlers['propose'] {
 	return async payload => {
 		const leading = voter();
 		if (!leading?.isLeader()) {
--- a/packages/daemon/src/known-leader.ts
+++ b/packages/daemon/src/known-leader.ts
@@ -6,7 +6,7 @@
 import {type ControlVoter} from './control-voter.js';
 
 /** The cached leader. */
-export type KnownLeader = {
+export type CachedLeader = {
 	readonly leader: () => InstanceName | undefined;
 	/** Records that an instance answered as the leader. */
 	readonly answered: (name: InstanceName) => void;
@@ -19,7 +19,7 @@
  * the last other instance that answered. An earlier answer of this instance is
  * ignored, because a voter that leads reports itself.
  */
-export function createKnownLeader(self: InstanceName, voter: () => Pick<ControlVoter, 'leader'> | undefined): KnownLeader {
+export function createKnownLeader(self: InstanceName, voter: () => Pick<ControlVoter, 'leader'> | undefined): CachedLeader {
 	let last: InstanceName | undefined;
 
 	function leader(): InstanceName | undefined {
