--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -14,7 +14,7 @@
 import {firstAnswer, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
 import {createTakeVoter, type TakeVoter} from './joining-voters.js';
-import {createKnownLeader, type CachedLeader} from './known-leader.js';
+import {createCachedLeader, type CachedLeader} from './known-leader.js';
 import {type LeaderPart, startLeaderPart} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
@@ -82,7 +82,7 @@
 		settings, holder, clients, log, voter,
 	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
-	const known = createKnownLeader(settings.name, voter);
+	const known = createCachedLeader(settings.name, voter);
 	const part = startLeaderPart({...dependencies, known});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
--- a/packages/daemon/src/known-leader.ts
+++ b/packages/daemon/src/known-leader.ts
@@ -19,7 +19,7 @@
  * the last other instance that answered. An earlier answer of this instance is
  * ignored, because a voter that leads reports itself.
  */
-export function createKnownLeader(self: InstanceName, voter: () => Pick<ControlVoter, 'leader'> | undefined): CachedLeader {
+export function createCachedLeader(self: InstanceName, voter: () => Pick<ControlVoter, 'leader'> | undefined): CachedLeader {
 	let last: InstanceName | undefined;
 
 	function leader(): InstanceName | undefined {
--- a/packages/daemon/test/test-known-leader.ts
+++ b/packages/daemon/test/test-known-leader.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {createKnownLeader} from '@dogwooddeck/daemon/known-leader';
+import {createCachedLeader} from '@dogwooddeck/daemon/known-leader';
 
 const cases: ReadonlyArray<{readonly name: string; readonly answered?: string; readonly followed?: string; readonly expected: string | undefined}> = [
 	{name: 'no instance has answered yet', expected: undefined},
@@ -23,7 +23,7 @@
 	name, answered, followed, expected,
 } of cases) {
 	test(`known leader: ${name}`, () => {
-		const known = createKnownLeader('entry-1', () => ({leader: () => followed}));
+		const known = createCachedLeader('entry-1', () => ({leader: () => followed}));
 		if (answered !== undefined) {
 			known.answered(answered);
 		}
