--- a/packages/daemon/src/known-leader.ts
+++ b/packages/daemon/src/known-leader.ts
@@ -9,7 +9,7 @@
 export type CachedLeader = {
 	readonly leader: () => InstanceName | undefined;
 	/** Records that an instance answered as the leader. */
-	readonly answered: (name: InstanceName) => void;
+	readonly recordAnswer: (name: InstanceName) => void;
 	/** Returns the failure for a request that needs the leader, with a hint to the leader if it is cached. */
 	readonly notLeader: () => Failure;
 };
@@ -28,7 +28,7 @@
 
 	return {
 		leader,
-		answered(name) {
+		recordAnswer(name) {
 			last = name;
 		},
 		notLeader() {
--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -75,7 +75,7 @@
 			const [name, ...others] = waiting as readonly [InstanceName, ...InstanceName[]];
 			const answer = await callOne(name, call, request);
 			if (answer.isOk) {
-				known.answered(name);
+				known.recordAnswer(name);
 				return answer;
 			}
 
--- a/packages/daemon/test/test-known-leader.ts
+++ b/packages/daemon/test/test-known-leader.ts
@@ -25,7 +25,7 @@
 	test(`known leader: ${name}`, () => {
 		const known = createCachedLeader('entry-1', () => ({leader: () => followed}));
 		if (answered !== undefined) {
-			known.answered(answered);
+			known.recordAnswer(answered);
 		}
 
 		assert.equal(known.leader(), expected);
