--- a/packages/daemon/src/known-leader.ts
+++ b/packages/daemon/src/known-leader.ts
@@ -20,16 +20,16 @@
  * ignored, because a voter that leads reports itself.
  */
 export function createCachedLeader(self: InstanceName, voter: () => Pick<ControlVoter, 'leader'> | undefined): CachedLeader {
-	let last: InstanceName | undefined;
+	let lastAnswered: InstanceName | undefined;
 
 	function leader(): InstanceName | undefined {
-		return voter()?.leader() ?? (last === self ? undefined : last);
+		return voter()?.leader() ?? (lastAnswered === self ? undefined : lastAnswered);
 	}
 
 	return {
 		leader,
 		recordAnswer(name) {
-			last = name;
+			lastAnswered = name;
 		},
 		notLeader() {
 			const known = leader();
