--- a/packages/daemon/src/known-leader.ts
+++ b/packages/daemon/src/known-leader.ts
@@ -32,8 +32,8 @@
 			lastAnswered = name;
 		},
 		notLeader() {
-			const known = leader();
-			return failure(FailureKind.notLeader, `${self} does not lead`, known === undefined ? {} : {leader: known});
+			const cached = leader();
+			return failure(FailureKind.notLeader, `${self} does not lead`, cached === undefined ? {} : {leader: cached});
 		},
 	};
 }
