--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -90,7 +90,7 @@
 		seat: part.takeSeat,
 		propose: createTakeProposal(voter, known),
 		joinVoters: createTakeVoter({
-			listed: name => addresses.has(name), voter, known, log,
+			listed: name => addresses.has(name), voter, cachedLeader: known, log,
 		}),
 	};
 	const callLeader = createCallLeader({
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -24,7 +24,7 @@
 	/** Whether the settings list a name as a voter. */
 	readonly listed: (name: InstanceName) => boolean;
 	readonly voter: () => ControlVoter | undefined;
-	readonly known: CachedLeader;
+	readonly cachedLeader: CachedLeader;
 	readonly log: Log;
 };
 
@@ -51,7 +51,7 @@
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createTakeVoter({
-	listed, voter, known, log,
+	listed, voter, cachedLeader: known, log,
 }: JoinVoterDependencies): TakeVoter {
 	let changing = false;
 
