--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -83,7 +83,7 @@
 	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	const known = createCachedLeader(settings.name, voter);
-	const part = startLeaderPart({...dependencies, known});
+	const part = startLeaderPart({...dependencies, cachedLeader: known});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
 		delegate: noting(part, notices),
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -44,7 +44,7 @@
 	readonly terms: LeaseTerms;
 	readonly hash: SlotHash;
 	readonly holder: ControlHolder;
-	readonly known: CachedLeader;
+	readonly cachedLeader: CachedLeader;
 	readonly log: Log;
 	readonly voter: () => ControlVoter | undefined;
 };
@@ -61,7 +61,7 @@
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
 export function startLeaderPart(dependencies: LeaderRunnerDependencies): LeaderPart {
 	const {
-		terms, hash, holder, known, log, voter,
+		terms, hash, holder, cachedLeader: known, log, voter,
 	} = dependencies;
 	let leading: LeaderState | undefined;
 	/** Set while this voter leads. */
