--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -94,7 +94,7 @@
 		}),
 	};
 	const callLeader = createCallLeader({
-		self: settings.name, addresses, clients, known, handlers,
+		self: settings.name, addresses, clients, cachedLeader: known, handlers,
 	});
 	holder.listen(control => {
 		if (part.isLeading()) {
--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -30,7 +30,7 @@
 	/** The peer addresses of the voters. */
 	readonly addresses: ReadonlyMap<InstanceName, string>;
 	readonly clients: PeerClients;
-	readonly known: CachedLeader;
+	readonly cachedLeader: CachedLeader;
 	readonly handlers: LeaderHandlers;
 };
 
@@ -60,7 +60,7 @@
 }
 
 export function createCallLeader({
-	self, addresses, clients, known, handlers,
+	self, addresses, clients, cachedLeader: known, handlers,
 }: LeaderClientDependencies): CallLeader {
 	async function callOne<Call extends LeaderCall>(name: InstanceName, call: Call, request: PeerCalls[Call]['request']): LeaderAnswer<Call> {
 		return name === self
