--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -47,11 +47,11 @@
 	readonly voter: () => ControlVoter | undefined;
 };
 
-function createTakeProposal(voter: () => ControlVoter | undefined, known: CachedLeader): LeaderHandlers['propose'] {
+function createTakeProposal(voter: () => ControlVoter | undefined, cachedLeader: CachedLeader): LeaderHandlers['propose'] {
 	return async payload => {
 		const leading = voter();
 		if (!leading?.isLeader()) {
-			return err(known.notLeader());
+			return err(cachedLeader.notLeader());
 		}
 
 		const command = decodePassedOn(payload);
