--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -82,19 +82,19 @@
 		settings, holder, clients, log, voter,
 	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
-	const known = createCachedLeader(settings.name, voter);
-	const part = startLeaderPart({...dependencies, cachedLeader: known});
+	const cachedLeader = createCachedLeader(settings.name, voter);
+	const part = startLeaderPart({...dependencies, cachedLeader: cachedLeader});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
 		delegate: noting(part, notices),
 		seat: part.takeSeat,
-		propose: createTakeProposal(voter, known),
+		propose: createTakeProposal(voter, cachedLeader),
 		joinVoters: createTakeVoter({
-			listed: name => addresses.has(name), voter, cachedLeader: known, log,
+			listed: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
 		}),
 	};
 	const callLeader = createCallLeader({
-		self: settings.name, addresses, clients, cachedLeader: known, handlers,
+		self: settings.name, addresses, clients, cachedLeader: cachedLeader, handlers,
 	});
 	holder.listen(control => {
 		if (part.isLeading()) {
@@ -113,7 +113,7 @@
 		takeProposal: handlers.propose,
 		takeVoter: handlers.joinVoters,
 		roleChanged: part.roleChanged,
-		leader: known.leader,
+		leader: cachedLeader.leader,
 		stop: part.stop,
 	};
 }
