--- a/packages/daemon/test/test-known-leader.ts
+++ b/packages/daemon/test/test-known-leader.ts
@@ -23,11 +23,11 @@
 	name, answered, followed, expected,
 } of cases) {
 	test(`known leader: ${name}`, () => {
-		const known = createCachedLeader('entry-1', () => ({leader: () => followed}));
+		const cachedLeader = createCachedLeader('entry-1', () => ({leader: () => followed}));
 		if (answered !== undefined) {
-			known.recordAnswer(answered);
+			cachedLeader.recordAnswer(answered);
 		}
 
-		assert.equal(known.leader(), expected);
+		assert.equal(cachedLeader.leader(), expected);
 	});
 }
