--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -25,7 +25,7 @@
 	/** Sends a command to the leader. Resolves when it is accepted and applied there, or rejected. */
 	readonly submit: (command: ControlCommand) => Promise<Result<ControlAccepted, Failure>>;
 	readonly callLeader: CallLeader;
-	readonly takeDelegation: LeaderHandlers['delegate'];
+	readonly handleDelegation: LeaderHandlers['delegate'];
 	readonly takeSeat: LeaderHandlers['seat'];
 	readonly takeProposal: LeaderHandlers['propose'];
 	readonly takeVoter: TakeVoter;
@@ -108,7 +108,7 @@
 			return answer.map(({answer: text}) => JSON.parse(text) as ControlAccepted);
 		},
 		callLeader,
-		takeDelegation: handlers.delegate,
+		handleDelegation: handlers.delegate,
 		takeSeat: handlers.seat,
 		takeProposal: handlers.propose,
 		takeVoter: handlers.joinVoters,
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -53,7 +53,7 @@
 			const checked = checkCaller(request.zone, request.candidate);
 			return checked.isOk ? dependencies.zone().takeSupportRequest(request) : err(checked.error);
 		},
-		delegate: control.takeDelegation,
+		delegate: control.handleDelegation,
 		seat: control.takeSeat,
 		fetchState: async applied => ok(holder.catchUpAfter(applied)),
 		async notify(applied) {
