--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -26,7 +26,7 @@
 	readonly submit: (command: ControlCommand) => Promise<Result<ControlAccepted, Failure>>;
 	readonly callLeader: CallLeader;
 	readonly handleDelegation: LeaderHandlers['delegate'];
-	readonly takeSeat: LeaderHandlers['seat'];
+	readonly handleSeat: LeaderHandlers['seat'];
 	readonly takeProposal: LeaderHandlers['propose'];
 	readonly takeVoter: TakeVoter;
 	/** Called when the voter's role has changed. */
@@ -109,7 +109,7 @@
 		},
 		callLeader,
 		handleDelegation: handlers.delegate,
-		takeSeat: handlers.seat,
+		handleSeat: handlers.seat,
 		takeProposal: handlers.propose,
 		takeVoter: handlers.joinVoters,
 		roleChanged: part.roleChanged,
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -54,7 +54,7 @@
 			return checked.isOk ? dependencies.zone().takeSupportRequest(request) : err(checked.error);
 		},
 		delegate: control.handleDelegation,
-		seat: control.takeSeat,
+		seat: control.handleSeat,
 		fetchState: async applied => ok(holder.catchUpAfter(applied)),
 		async notify(applied) {
 			dependencies.zone().takeNotice(applied);
