--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -27,7 +27,7 @@
 	readonly callLeader: CallLeader;
 	readonly handleDelegation: LeaderHandlers['delegate'];
 	readonly handleSeat: LeaderHandlers['seat'];
-	readonly takeProposal: LeaderHandlers['propose'];
+	readonly handleProposal: LeaderHandlers['propose'];
 	readonly takeVoter: TakeVoter;
 	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
@@ -110,7 +110,7 @@
 		callLeader,
 		handleDelegation: handlers.delegate,
 		handleSeat: handlers.seat,
-		takeProposal: handlers.propose,
+		handleProposal: handlers.propose,
 		takeVoter: handlers.joinVoters,
 		roleChanged: part.roleChanged,
 		leader: cachedLeader.leader,
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -60,7 +60,7 @@
 			dependencies.zone().takeNotice(applied);
 			return ok(undefined);
 		},
-		propose: control.takeProposal,
+		propose: control.handleProposal,
 		joinVoters: control.takeVoter,
 		claim: async body => claims.take(body),
 		async collect(subject) {
