--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -28,7 +28,7 @@
 	readonly handleDelegation: LeaderHandlers['delegate'];
 	readonly handleSeat: LeaderHandlers['seat'];
 	readonly handleProposal: LeaderHandlers['propose'];
-	readonly takeVoter: TakeVoter;
+	readonly handleJoinVoters: TakeVoter;
 	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly leader: () => InstanceName | undefined;
@@ -111,7 +111,7 @@
 		handleDelegation: handlers.delegate,
 		handleSeat: handlers.seat,
 		handleProposal: handlers.propose,
-		takeVoter: handlers.joinVoters,
+		handleJoinVoters: handlers.joinVoters,
 		roleChanged: part.roleChanged,
 		leader: cachedLeader.leader,
 		stop: part.stop,
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -61,7 +61,7 @@
 			return ok(undefined);
 		},
 		propose: control.handleProposal,
-		joinVoters: control.takeVoter,
+		joinVoters: control.handleJoinVoters,
 		claim: async body => claims.take(body),
 		async collect(subject) {
 			const collector = Object.hasOwn(collectors, subject) ? collectors[subject] : undefined;
