--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -47,7 +47,7 @@
 	readonly voter: () => ControlVoter | undefined;
 };
 
-function createTakeProposal(voter: () => ControlVoter | undefined, cachedLeader: CachedLeader): LeaderHandlers['propose'] {
+function createProposalHandler(voter: () => ControlVoter | undefined, cachedLeader: CachedLeader): LeaderHandlers['propose'] {
 	return async payload => {
 		const leading = voter();
 		if (!leading?.isLeader()) {
@@ -88,7 +88,7 @@
 	const handlers: LeaderHandlers = {
 		delegate: noting(part, notices),
 		seat: part.takeSeat,
-		propose: createTakeProposal(voter, cachedLeader),
+		propose: createProposalHandler(voter, cachedLeader),
 		joinVoters: createTakeVoter({
 			listed: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
 		}),
