--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -68,7 +68,7 @@
 /** Records the stewards whose delegation requests the leader answered, so that they are notified of new entries. */
 function noting(part: LeaderPart, notices: StewardNotices): LeaderHandlers['delegate'] {
 	return async request => {
-		const answer = await part.takeDelegation(request);
+		const answer = await part.handleDelegation(request);
 		if (answer.isOk) {
 			notices.heard(request.zone, request.steward.name);
 		}
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -31,7 +31,7 @@
 export type LeaderPart = {
 	readonly isLeading: () => boolean;
 	/** Fails with `notLeader`, and as the validation of the request does. */
-	readonly takeDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
+	readonly handleDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
 	/** Fails with `notLeader`, and as the validation of the request does. */
 	readonly takeSeat: (request: SeatRequest) => Promise<Result<CatchUp, Failure>>;
 	/** Called when the voter's role has changed. */
@@ -136,7 +136,7 @@
 
 	return {
 		isLeading: () => leading !== undefined,
-		async takeDelegation(request) {
+		async handleDelegation(request) {
 			const now = monotonicNow();
 			const quorumHeardAt = voter()?.quorumContactAt(now);
 			if (leading === undefined || quorumHeardAt === undefined) {
