--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -87,7 +87,7 @@
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
 		delegate: noting(part, notices),
-		seat: part.takeSeat,
+		seat: part.handleSeat,
 		propose: createProposalHandler(voter, cachedLeader),
 		joinVoters: createTakeVoter({
 			listed: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -33,7 +33,7 @@
 	/** Fails with `notLeader`, and as the validation of the request does. */
 	readonly handleDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
 	/** Fails with `notLeader`, and as the validation of the request does. */
-	readonly takeSeat: (request: SeatRequest) => Promise<Result<CatchUp, Failure>>;
+	readonly handleSeat: (request: SeatRequest) => Promise<Result<CatchUp, Failure>>;
 	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly stop: () => void;
@@ -146,7 +146,7 @@
 			const {ownership, applied} = holder.state();
 			return checkDelegation(request, ownership, applied).map(() => delegate(request, now, quorumHeardAt));
 		},
-		async takeSeat(request) {
+		async handleSeat(request) {
 			if (leading === undefined) {
 				return err(known.notLeader());
 			}
