--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -13,7 +13,7 @@
 import {err, type Result} from 'true-myth/result';
 import {firstAnswer, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
-import {createTakeVoter, type TakeVoter} from './joining-voters.js';
+import {createTakeVoter, type JoinVotersHandler} from './joining-voters.js';
 import {createCachedLeader, type CachedLeader} from './known-leader.js';
 import {type LeaderPart, startLeaderPart} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
@@ -28,7 +28,7 @@
 	readonly handleDelegation: LeaderHandlers['delegate'];
 	readonly handleSeat: LeaderHandlers['seat'];
 	readonly handleProposal: LeaderHandlers['propose'];
-	readonly handleJoinVoters: TakeVoter;
+	readonly handleJoinVoters: JoinVotersHandler;
 	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly leader: () => InstanceName | undefined;
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -17,7 +17,7 @@
  * Fails with `notLeader`, with `forbidden` for a name that the settings don't
  * list, and as the log does.
  */
-export type TakeVoter = (joining: VoterIdentity) => Promise<Result<undefined, Failure>>;
+export type JoinVotersHandler = (joining: VoterIdentity) => Promise<Result<undefined, Failure>>;
 
 /** Collaborators of the leader's handler for joining voters. */
 export type JoinVoterDependencies = {
@@ -52,7 +52,7 @@
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createTakeVoter({
 	listed, voter, cachedLeader: known, log,
-}: JoinVoterDependencies): TakeVoter {
+}: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
 	async function change(leading: ControlVoter, joining: VoterIdentity, voterSet: VoterSet): Promise<Result<undefined, Failure>> {
