--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -13,7 +13,7 @@
 import {err, type Result} from 'true-myth/result';
 import {firstAnswer, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
-import {createTakeVoter, type JoinVotersHandler} from './joining-voters.js';
+import {createJoinVotersHandler, type JoinVotersHandler} from './joining-voters.js';
 import {createCachedLeader, type CachedLeader} from './known-leader.js';
 import {type LeaderPart, startLeaderPart} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
@@ -89,7 +89,7 @@
 		delegate: noting(part, notices),
 		seat: part.handleSeat,
 		propose: createProposalHandler(voter, cachedLeader),
-		joinVoters: createTakeVoter({
+		joinVoters: createJoinVotersHandler({
 			listed: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
 		}),
 	};
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -50,7 +50,7 @@
 }
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
-export function createTakeVoter({
+export function createJoinVotersHandler({
 	listed, voter, cachedLeader: known, log,
 }: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
