--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -90,7 +90,7 @@
 		seat: part.handleSeat,
 		propose: createProposalHandler(voter, cachedLeader),
 		joinVoters: createJoinVotersHandler({
-			listed: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
+			isListedVoter: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
 		}),
 	};
 	const callLeader = createCallLeader({
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -22,7 +22,7 @@
 /** Collaborators of the leader's handler for joining voters. */
 export type JoinVoterDependencies = {
 	/** Whether the settings list a name as a voter. */
-	readonly listed: (name: InstanceName) => boolean;
+	readonly isListedVoter: (name: InstanceName) => boolean;
 	readonly voter: () => ControlVoter | undefined;
 	readonly cachedLeader: CachedLeader;
 	readonly log: Log;
@@ -51,7 +51,7 @@
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createJoinVotersHandler({
-	listed, voter, cachedLeader: known, log,
+	isListedVoter: listed, voter, cachedLeader: known, log,
 }: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
