--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -66,7 +66,7 @@
 }
 
 /** Records the stewards whose delegation requests the leader answered, so that they are notified of new entries. */
-function noting(part: LeaderPart, notices: StewardNotices): LeaderHandlers['delegate'] {
+function recordingStewards(part: LeaderPart, notices: StewardNotices): LeaderHandlers['delegate'] {
 	return async request => {
 		const answer = await part.handleDelegation(request);
 		if (answer.isOk) {
@@ -86,7 +86,7 @@
 	const part = startLeaderPart({...dependencies, cachedLeader: cachedLeader});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
-		delegate: noting(part, notices),
+		delegate: recordingStewards(part, notices),
 		seat: part.handleSeat,
 		propose: createProposalHandler(voter, cachedLeader),
 		joinVoters: createJoinVotersHandler({
