--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -70,7 +70,7 @@
 	return async request => {
 		const answer = await part.handleDelegation(request);
 		if (answer.isOk) {
-			notices.heard(request.zone, request.steward.name);
+			notices.recordSteward(request.zone, request.steward.name);
 		}
 
 		return answer;
--- a/packages/daemon/src/steward-notices.ts
+++ b/packages/daemon/src/steward-notices.ts
@@ -9,7 +9,7 @@
 /** The leader's notifications to stewards. */
 export type StewardNotices = {
 	/** Records a steward that requested its zone's delegation. */
-	readonly heard: (zone: ZoneName, steward: InstanceName) => void;
+	readonly recordSteward: (zone: ZoneName, steward: InstanceName) => void;
 	/** Notifies all recorded stewards of the applied index. */
 	readonly send: (control: ControlState) => void;
 };
@@ -19,7 +19,7 @@
 export function createStewardNotices(self: InstanceName, clients: PeerClients): StewardNotices {
 	const stewards = new Map<ZoneName, InstanceName>();
 	return {
-		heard(zone, steward) {
+		recordSteward(zone, steward) {
 			stewards.set(zone, steward);
 		},
 		send({ownership, applied}) {
