--- a/packages/daemon/src/steward-notices.ts
+++ b/packages/daemon/src/steward-notices.ts
@@ -14,7 +14,7 @@
 	readonly send: (control: ControlState) => void;
 };
 
-const noticeMilliseconds: Milliseconds = 1000;
+const noticeTimeoutMilliseconds: Milliseconds = 1000;
 
 export function createStewardNotices(self: InstanceName, clients: PeerClients): StewardNotices {
 	const stewards = new Map<ZoneName, InstanceName>();
@@ -26,7 +26,7 @@
 			for (const [zone, name] of stewards) {
 				const steward = ownership.rosters[zone]?.members.find(member => member.name === name);
 				if (steward !== undefined && name !== self) {
-					void clients.call(steward.peerAddress, 'notify', applied, noticeMilliseconds);
+					void clients.call(steward.peerAddress, 'notify', applied, noticeTimeoutMilliseconds);
 				}
 			}
 		},
