--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -15,7 +15,7 @@
 import {type ControlHolder} from './control-holder.js';
 import {createJoinVotersHandler, type JoinVotersHandler} from './joining-voters.js';
 import {createCachedLeader, type CachedLeader} from './known-leader.js';
-import {type LeaderPart, startLeaderPart} from './leader-part.js';
+import {type LeaderRunner, startLeaderPart} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
 import {type CallLeader, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
@@ -66,7 +66,7 @@
 }
 
 /** Records the stewards whose delegation requests the leader answered, so that they are notified of new entries. */
-function recordingStewards(part: LeaderPart, notices: StewardNotices): LeaderHandlers['delegate'] {
+function recordingStewards(part: LeaderRunner, notices: StewardNotices): LeaderHandlers['delegate'] {
 	return async request => {
 		const answer = await part.handleDelegation(request);
 		if (answer.isOk) {
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -28,7 +28,7 @@
 import {checkDelegation, checkLife} from './peer-check.js';
 
 /** The leader's side of the control group, idle while another voter leads. */
-export type LeaderPart = {
+export type LeaderRunner = {
 	readonly isLeading: () => boolean;
 	/** Fails with `notLeader`, and as the validation of the request does. */
 	readonly handleDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
@@ -59,7 +59,7 @@
 }
 
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
-export function startLeaderPart(dependencies: LeaderRunnerDependencies): LeaderPart {
+export function startLeaderPart(dependencies: LeaderRunnerDependencies): LeaderRunner {
 	const {
 		terms, hash, holder, cachedLeader: known, log, voter,
 	} = dependencies;
