--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -15,7 +15,7 @@
 import {type ControlHolder} from './control-holder.js';
 import {createJoinVotersHandler, type JoinVotersHandler} from './joining-voters.js';
 import {createCachedLeader, type CachedLeader} from './known-leader.js';
-import {type LeaderRunner, startLeaderPart} from './leader-part.js';
+import {type LeaderRunner, createLeaderRunner} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
 import {type CallLeader, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
@@ -83,7 +83,7 @@
 	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	const cachedLeader = createCachedLeader(settings.name, voter);
-	const part = startLeaderPart({...dependencies, cachedLeader: cachedLeader});
+	const part = createLeaderRunner({...dependencies, cachedLeader: cachedLeader});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
 		delegate: recordingStewards(part, notices),
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -59,7 +59,7 @@
 }
 
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
-export function startLeaderPart(dependencies: LeaderRunnerDependencies): LeaderRunner {
+export function createLeaderRunner(dependencies: LeaderRunnerDependencies): LeaderRunner {
 	const {
 		terms, hash, holder, cachedLeader: known, log, voter,
 	} = dependencies;
