--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -83,11 +83,11 @@
 	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	const cachedLeader = createCachedLeader(settings.name, voter);
-	const part = createLeaderRunner({...dependencies, cachedLeader: cachedLeader});
+	const leaderRunner = createLeaderRunner({...dependencies, cachedLeader: cachedLeader});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
-		delegate: recordingStewards(part, notices),
-		seat: part.handleSeat,
+		delegate: recordingStewards(leaderRunner, notices),
+		seat: leaderRunner.handleSeat,
 		propose: createProposalHandler(voter, cachedLeader),
 		joinVoters: createJoinVotersHandler({
 			isListedVoter: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
@@ -97,7 +97,7 @@
 		self: settings.name, addresses, clients, cachedLeader: cachedLeader, handlers,
 	});
 	holder.listen(control => {
-		if (part.isLeading()) {
+		if (leaderRunner.isLeading()) {
 			notices.send(control);
 		}
 	});
@@ -112,8 +112,8 @@
 		handleSeat: handlers.seat,
 		handleProposal: handlers.propose,
 		handleJoinVoters: handlers.joinVoters,
-		roleChanged: part.roleChanged,
+		roleChanged: leaderRunner.roleChanged,
 		leader: cachedLeader.leader,
-		stop: part.stop,
+		stop: leaderRunner.stop,
 	};
 }
