--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -66,9 +66,9 @@
 }
 
 /** Records the stewards whose delegation requests the leader answered, so that they are notified of new entries. */
-function recordingStewards(part: LeaderRunner, notices: StewardNotices): LeaderHandlers['delegate'] {
+function recordingStewards(leaderRunner: LeaderRunner, notices: StewardNotices): LeaderHandlers['delegate'] {
 	return async request => {
-		const answer = await part.handleDelegation(request);
+		const answer = await leaderRunner.handleDelegation(request);
 		if (answer.isOk) {
 			notices.recordSteward(request.zone, request.steward.name);
 		}
