--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -63,7 +63,7 @@
 	const {
 		terms, hash, holder, cachedLeader: known, log, voter,
 	} = dependencies;
-	let leading: LeaderState | undefined;
+	let leaderState: LeaderState | undefined;
 	/** Set while this voter leads. */
 	let ticking: NodeJS.Timeout | undefined;
 	let delegationAnswer: DelegationAnswer | undefined;
@@ -95,12 +95,12 @@
 	};
 
 	function step(event: LeaderEvent): void {
-		if (leading === undefined) {
+		if (leaderState === undefined) {
 			return;
 		}
 
-		const next = stepLeader(leading, event);
-		leading = next.state;
+		const next = stepLeader(leaderState, event);
+		leaderState = next.state;
 		for (const effect of next.effects) {
 			dispatch(effects, effect);
 		}
@@ -112,8 +112,8 @@
 
 	async function begin(elected: ControlVoter): Promise<void> {
 		const read = await elected.read();
-		if (read.isOk && elected.isLeader() && leading === undefined) {
-			leading = createLeader(monotonicNow(), holder.state(), terms, hash);
+		if (read.isOk && elected.isLeader() && leaderState === undefined) {
+			leaderState = createLeader(monotonicNow(), holder.state(), terms, hash);
 			ticking = setInterval(tick, tickMilliseconds);
 		}
 	}
@@ -135,11 +135,11 @@
 	}
 
 	return {
-		isLeading: () => leading !== undefined,
+		isLeading: () => leaderState !== undefined,
 		async handleDelegation(request) {
 			const now = monotonicNow();
 			const quorumHeardAt = voter()?.quorumContactAt(now);
-			if (leading === undefined || quorumHeardAt === undefined) {
+			if (leaderState === undefined || quorumHeardAt === undefined) {
 				return err(known.notLeader());
 			}
 
@@ -147,7 +147,7 @@
 			return checkDelegation(request, ownership, applied).map(() => delegate(request, now, quorumHeardAt));
 		},
 		async handleSeat(request) {
-			if (leading === undefined) {
+			if (leaderState === undefined) {
 				return err(known.notLeader());
 			}
 
@@ -155,7 +155,7 @@
 			return checkLife(seated, request.instance).map(() => seat(request));
 		},
 		roleChanged() {
-			leading = undefined;
+			leaderState = undefined;
 			clearInterval(ticking);
 			const elected = voter();
 			if (elected?.isLeader() === true) {
