--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -51,7 +51,7 @@
 
 const tickMilliseconds: Milliseconds = 50;
 /** The delay before the state machine continues after a failed proposal. */
-const refusedMilliseconds: Milliseconds = 50;
+const failedProposalDelayMilliseconds: Milliseconds = 50;
 
 function refusalsOf(proposed: Result<ControlCommitted, Failure>): readonly Failure[] {
 	const results = proposed.isOk ? proposed.value.answers : [proposed];
@@ -81,7 +81,7 @@
 		if (proposed.isOk) {
 			proposalEnded();
 		} else {
-			setTimeout(proposalEnded, refusedMilliseconds);
+			setTimeout(proposalEnded, failedProposalDelayMilliseconds);
 		}
 	}
 
