--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -53,7 +53,7 @@
 /** The delay before the state machine continues after a failed proposal. */
 const failedProposalDelayMilliseconds: Milliseconds = 50;
 
-function refusalsOf(proposed: Result<ControlCommitted, Failure>): readonly Failure[] {
+function rejectionsOf(proposed: Result<ControlCommitted, Failure>): readonly Failure[] {
 	const results = proposed.isOk ? proposed.value.answers : [proposed];
 	return results.flatMap(result => result.isErr ? [result.error] : []);
 }
@@ -74,7 +74,7 @@
 
 	async function propose(commands: readonly ControlCommand[]): Promise<void> {
 		const proposed = await voter()!.propose(encodeCommands(commands));
-		for (const {kind, detail} of refusalsOf(proposed)) {
+		for (const {kind, detail} of rejectionsOf(proposed)) {
 			log.warning(EventName.commandRefused, {failure: kind, detail});
 		}
 
