--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -15,7 +15,7 @@
 import {type ZoneView} from './zone-view.js';
 
 /** Requests routing leases. */
-export type LeaseAsker = {
+export type LeaseRequester = {
 	/** The current routing lease. */
 	readonly lease: () => LeaseState;
 	/** Updates the drained index from the requests in flight, and requests a lease if one is due. */
@@ -29,7 +29,7 @@
 const lackingMilliseconds: Milliseconds = 60;
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
-export function createLeaseAsker(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseAsker {
+export function createLeaseAsker(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseRequester {
 	const {self, terms, holder, clients, flights} = dependencies;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -4,7 +4,7 @@
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {leaseEndsAt} from '@dogwooddeck/ownership/lease';
-import {type LeaseAsker} from './lease-asker.js';
+import {type LeaseRequester} from './lease-asker.js';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
 import {type ZoneDependencies} from './zone-surroundings.js';
@@ -25,7 +25,7 @@
 export type SeatRequesterDependencies = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
-	readonly leases: LeaseAsker;
+	readonly leases: LeaseRequester;
 	readonly fetcher: StateFetcher;
 };
 
