--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -29,7 +29,7 @@
 const lackingMilliseconds: Milliseconds = 60;
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
-export function createLeaseAsker(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseRequester {
+export function createLeaseRequester(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseRequester {
 	const {self, terms, holder, clients, flights} = dependencies;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -13,7 +13,7 @@
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {type Result} from 'true-myth/result';
-import {createLeaseAsker} from './lease-asker.js';
+import {createLeaseRequester} from './lease-asker.js';
 import {createSeatAsker} from './seat-asker.js';
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
@@ -61,7 +61,7 @@
 	const zone = createZoneView(self, holder);
 	const fetcher = createStateFetcher(holder, clients);
 	const steward = createStewardRunner(dependencies, zone, arm);
-	const leases = createLeaseAsker(dependencies, zone, steward, arm);
+	const leases = createLeaseRequester(dependencies, zone, steward, arm);
 	const seats = createSeatAsker(dependencies, {
 		zone, steward, leases, fetcher,
 	});
