--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -33,7 +33,7 @@
 	const {self, terms, holder, clients, flights} = dependencies;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
-	let asking = false;
+	let isRequesting = false;
 	let lacking = false;
 
 	async function askOther(to: InstanceRecord, request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
@@ -73,13 +73,13 @@
 
 	async function ask(now: MonotonicTime): Promise<void> {
 		const {applied} = holder.state();
-		asking = true;
+		isRequesting = true;
 		lease = recordLeaseRequest(lease, {now, applied, drained});
 		const report = dependencies.ownReports.take();
 		const answer = await askSteward({
 			instance: self, applied, drained, report,
 		});
-		asking = false;
+		isRequesting = false;
 		lacking = answer.isErr || answer.value.answer.controlMilliseconds === 0;
 		if (answer.isOk) {
 			take(now, answer.value);
@@ -95,13 +95,13 @@
 		tick(now) {
 			const table = holder.state();
 			drained = flights.drainedIndex(table.ownership, table.applied, now);
-			if (!asking && now >= askingDueAt()) {
+			if (!isRequesting && now >= askingDueAt()) {
 				void ask(now);
 			}
 		},
 		dueAt(now) {
 			const drainingAt = drained < holder.state().applied ? now + drainMilliseconds : Infinity;
-			return Math.min(asking ? Infinity : askingDueAt(), drainingAt);
+			return Math.min(isRequesting ? Infinity : askingDueAt(), drainingAt);
 		},
 	};
 }
