--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -66,7 +66,7 @@
 		zone.heardOfSteward(answer.steward.name);
 	}
 
-	function askingDueAt(): MonotonicTime {
+	function nextRequestAt(): MonotonicTime {
 		const isLacking = lacking || dependencies.lacksShares();
 		return Math.min(requestDueAt(lease, holder.state().applied, drained), isLacking ? lease.sentAt + lackingMilliseconds : Infinity);
 	}
@@ -95,13 +95,13 @@
 		tick(now) {
 			const table = holder.state();
 			drained = flights.drainedIndex(table.ownership, table.applied, now);
-			if (!isRequesting && now >= askingDueAt()) {
+			if (!isRequesting && now >= nextRequestAt()) {
 				void ask(now);
 			}
 		},
 		dueAt(now) {
 			const drainingAt = drained < holder.state().applied ? now + drainMilliseconds : Infinity;
-			return Math.min(isRequesting ? Infinity : askingDueAt(), drainingAt);
+			return Math.min(isRequesting ? Infinity : nextRequestAt(), drainingAt);
 		},
 	};
 }
