--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -36,7 +36,7 @@
 	let isRequesting = false;
 	let lacking = false;
 
-	async function askOther(to: InstanceRecord, request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
+	async function requestFrom(to: InstanceRecord, request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
 		const supportRenewal = steward.renewSupport(to);
 		const answer = await clients.call(to.peerAddress, 'renewLease', {...request, ...(supportRenewal && {supportRenewal})}, peerMilliseconds);
 		if (answer.isOk) {
@@ -56,7 +56,7 @@
 		const to = zone.steward() ?? zone.others()[0];
 		return to === undefined
 			? err(failure(FailureKind.unreachable, `no steward of ${self.zone} is known`))
-			: askOther(to, request);
+			: requestFrom(to, request);
 	}
 
 	function take(sentAt: MonotonicTime, {answer, catchUp}: WithCatchUp<LeaseAnswer>): void {
