--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -48,7 +48,7 @@
 		return answer;
 	}
 
-	async function askSteward(request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
+	async function requestFromSteward(request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
 		if (steward.isSteward()) {
 			return steward.takeLeaseRequest(request);
 		}
@@ -76,7 +76,7 @@
 		isRequesting = true;
 		lease = recordLeaseRequest(lease, {now, applied, drained});
 		const report = dependencies.ownReports.take();
-		const answer = await askSteward({
+		const answer = await requestFromSteward({
 			instance: self, applied, drained, report,
 		});
 		isRequesting = false;
