--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -71,7 +71,7 @@
 		return Math.min(requestDueAt(lease, holder.state().applied, drained), isLacking ? lease.sentAt + lackingMilliseconds : Infinity);
 	}
 
-	async function ask(now: MonotonicTime): Promise<void> {
+	async function requestLease(now: MonotonicTime): Promise<void> {
 		const {applied} = holder.state();
 		isRequesting = true;
 		lease = recordLeaseRequest(lease, {now, applied, drained});
@@ -96,7 +96,7 @@
 			const table = holder.state();
 			drained = flights.drainedIndex(table.ownership, table.applied, now);
 			if (!isRequesting && now >= nextRequestAt()) {
-				void ask(now);
+				void requestLease(now);
 			}
 		},
 		dueAt(now) {
