--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -59,7 +59,7 @@
 			: requestFrom(to, request);
 	}
 
-	function take(sentAt: MonotonicTime, {answer, catchUp}: WithCatchUp<LeaseAnswer>): void {
+	function applyAnswer(sentAt: MonotonicTime, {answer, catchUp}: WithCatchUp<LeaseAnswer>): void {
 		holder.catchUp(catchUp);
 		lease = applyLeaseAnswer(lease, {sentAt, answer});
 		dependencies.takeShares(answer.shares);
@@ -82,7 +82,7 @@
 		isRequesting = false;
 		lacking = answer.isErr || answer.value.answer.controlMilliseconds === 0;
 		if (answer.isOk) {
-			take(now, answer.value);
+			applyAnswer(now, answer.value);
 		} else {
 			dependencies.ownReports.giveBack(report);
 		}
