--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -34,7 +34,7 @@
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
 	let isRequesting = false;
-	let lacking = false;
+	let wasDenied = false;
 
 	async function requestFrom(to: InstanceRecord, request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
 		const supportRenewal = steward.renewSupport(to);
@@ -67,7 +67,7 @@
 	}
 
 	function nextRequestAt(): MonotonicTime {
-		const isLacking = lacking || dependencies.lacksShares();
+		const isLacking = wasDenied || dependencies.lacksShares();
 		return Math.min(requestDueAt(lease, holder.state().applied, drained), isLacking ? lease.sentAt + lackingMilliseconds : Infinity);
 	}
 
@@ -80,7 +80,7 @@
 			instance: self, applied, drained, report,
 		});
 		isRequesting = false;
-		lacking = answer.isErr || answer.value.answer.controlMilliseconds === 0;
+		wasDenied = answer.isErr || answer.value.answer.controlMilliseconds === 0;
 		if (answer.isOk) {
 			applyAnswer(now, answer.value);
 		} else {
