--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -67,8 +67,8 @@
 	}
 
 	function nextRequestAt(): MonotonicTime {
-		const isLacking = wasDenied || dependencies.lacksShares();
-		return Math.min(requestDueAt(lease, holder.state().applied, drained), isLacking ? lease.sentAt + lackingMilliseconds : Infinity);
+		const isRetryDue = wasDenied || dependencies.lacksShares();
+		return Math.min(requestDueAt(lease, holder.state().applied, drained), isRetryDue ? lease.sentAt + lackingMilliseconds : Infinity);
 	}
 
 	async function requestLease(now: MonotonicTime): Promise<void> {
