--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -26,7 +26,7 @@
 /** The interval between checks of the requests in flight while the instance drains. */
 const drainMilliseconds: Milliseconds = 20;
 /** The delay before the next request for a lease or a share that wasn't granted. */
-const lackingMilliseconds: Milliseconds = 60;
+const retryMilliseconds: Milliseconds = 60;
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
 export function createLeaseRequester(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseRequester {
@@ -68,7 +68,7 @@
 
 	function nextRequestAt(): MonotonicTime {
 		const isRetryDue = wasDenied || dependencies.lacksShares();
-		return Math.min(requestDueAt(lease, holder.state().applied, drained), isRetryDue ? lease.sentAt + lackingMilliseconds : Infinity);
+		return Math.min(requestDueAt(lease, holder.state().applied, drained), isRetryDue ? lease.sentAt + retryMilliseconds : Infinity);
 	}
 
 	async function requestLease(now: MonotonicTime): Promise<void> {
