--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -24,7 +24,7 @@
 };
 
 /** The interval between checks of the requests in flight while the instance drains. */
-const drainMilliseconds: Milliseconds = 20;
+const drainPollMilliseconds: Milliseconds = 20;
 /** The delay before the next request for a lease or a share that wasn't granted. */
 const retryMilliseconds: Milliseconds = 60;
 
@@ -100,7 +100,7 @@
 			}
 		},
 		dueAt(now) {
-			const drainingAt = drained < holder.state().applied ? now + drainMilliseconds : Infinity;
+			const drainingAt = drained < holder.state().applied ? now + drainPollMilliseconds : Infinity;
 			return Math.min(isRequesting ? Infinity : nextRequestAt(), drainingAt);
 		},
 	};
