--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -11,7 +11,7 @@
 import {type ZoneView} from './zone-view.js';
 
 /** Requests a seat, or its removal. */
-export type SeatAsker = {
+export type SeatRequester = {
 	/** Sends a request if one is due. */
 	readonly tick: (now: MonotonicTime) => void;
 	readonly dueAt: () => MonotonicTime;
@@ -30,7 +30,7 @@
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatAsker({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatAsker {
+export function createSeatAsker({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatRequester {
 	let askedAt = -Infinity;
 	let leaving = false;
 
