--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -30,7 +30,7 @@
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatAsker({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatRequester {
+export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatRequester {
 	let askedAt = -Infinity;
 	let leaving = false;
 
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -14,7 +14,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {type Result} from 'true-myth/result';
 import {createLeaseRequester} from './lease-asker.js';
-import {createSeatAsker} from './seat-asker.js';
+import {createSeatRequester} from './seat-asker.js';
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
 import {createZoneNotices} from './zone-notices.js';
@@ -62,7 +62,7 @@
 	const fetcher = createStateFetcher(holder, clients);
 	const steward = createStewardRunner(dependencies, zone, arm);
 	const leases = createLeaseRequester(dependencies, zone, steward, arm);
-	const seats = createSeatAsker(dependencies, {
+	const seats = createSeatRequester(dependencies, {
 		zone, steward, leases, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
