--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -31,17 +31,17 @@
 
 /** Creates a requester that hasn't sent a request yet. */
 export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatRequester {
-	let askedAt = -Infinity;
+	let requestedAt = -Infinity;
 	let leaving = false;
 
 	function dueAt(): MonotonicTime {
 		const isSeated = steward.isSeated();
 		const from = isSeated && !leaving ? leaseEndsAt(leases.lease()) : -Infinity;
-		return isSeated || !leaving ? Math.max(from, askedAt + seatMilliseconds) : Infinity;
+		return isSeated || !leaving ? Math.max(from, requestedAt + seatMilliseconds) : Infinity;
 	}
 
 	async function ask(now: MonotonicTime): Promise<void> {
-		askedAt = now;
+		requestedAt = now;
 		const answer = await control.callLeader('seat', {instance: self, applied: holder.state().applied, leaving});
 		if (answer.isOk) {
 			holder.catchUp(answer.value);
