--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -40,7 +40,7 @@
 		return isSeated || !leaving ? Math.max(from, requestedAt + seatMilliseconds) : Infinity;
 	}
 
-	async function ask(now: MonotonicTime): Promise<void> {
+	async function requestSeat(now: MonotonicTime): Promise<void> {
 		requestedAt = now;
 		const answer = await control.callLeader('seat', {instance: self, applied: holder.state().applied, leaving});
 		if (answer.isOk) {
@@ -54,7 +54,7 @@
 	return {
 		tick(now) {
 			if (now >= dueAt()) {
-				void ask(now);
+				void requestSeat(now);
 			}
 		},
 		dueAt,
