--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -19,7 +19,7 @@
 	readonly leave: () => void;
 };
 
-const seatMilliseconds: Milliseconds = 300;
+const seatRetryMilliseconds: Milliseconds = 300;
 
 /** Collaborators beside the shared ones of the zone. */
 export type SeatRequesterDependencies = {
@@ -37,7 +37,7 @@
 	function dueAt(): MonotonicTime {
 		const isSeated = steward.isSeated();
 		const from = isSeated && !leaving ? leaseEndsAt(leases.lease()) : -Infinity;
-		return isSeated || !leaving ? Math.max(from, requestedAt + seatMilliseconds) : Infinity;
+		return isSeated || !leaving ? Math.max(from, requestedAt + seatRetryMilliseconds) : Infinity;
 	}
 
 	async function requestSeat(now: MonotonicTime): Promise<void> {
