--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -25,12 +25,12 @@
 export type SeatRequesterDependencies = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
-	readonly leases: LeaseRequester;
+	readonly leaseRequester: LeaseRequester;
 	readonly fetcher: StateFetcher;
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leases, fetcher}: SeatRequesterDependencies): SeatRequester {
+export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leaseRequester: leases, fetcher}: SeatRequesterDependencies): SeatRequester {
 	let requestedAt = -Infinity;
 	let leaving = false;
 
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -63,7 +63,7 @@
 	const steward = createStewardRunner(dependencies, zone, arm);
 	const leases = createLeaseRequester(dependencies, zone, steward, arm);
 	const seats = createSeatRequester(dependencies, {
-		zone, steward, leases, fetcher,
+		zone, steward, leaseRequester: leases, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
 	const noteSteward = onChange(isNow => {
