--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -61,9 +61,9 @@
 	const zone = createZoneView(self, holder);
 	const fetcher = createStateFetcher(holder, clients);
 	const steward = createStewardRunner(dependencies, zone, arm);
-	const leases = createLeaseRequester(dependencies, zone, steward, arm);
+	const leaseRequester = createLeaseRequester(dependencies, zone, steward, arm);
 	const seats = createSeatRequester(dependencies, {
-		zone, steward, leaseRequester: leases, fetcher,
+		zone, steward, leaseRequester: leaseRequester, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
 	const noteSteward = onChange(isNow => {
@@ -82,20 +82,20 @@
 		const now = monotonicNow();
 		steward.tick(now);
 		noteSteward(steward.isSteward());
-		noteLease(holdsLease(leases.lease(), now));
+		noteLease(holdsLease(leaseRequester.lease(), now));
 		seats.tick(now);
-		leases.tick(now);
+		leaseRequester.tick(now);
 	}
 
 	function dueAt(now: MonotonicTime): MonotonicTime {
-		return Math.min(steward.dueAt(now), leases.dueAt(now), seats.dueAt());
+		return Math.min(steward.dueAt(now), leaseRequester.dueAt(now), seats.dueAt());
 	}
 
 	const ticking = startDueTimer({dueAt, run: tick});
 
 	return {
-		lease: leases.lease,
-		holdsLease: () => holdsLease(leases.lease(), monotonicNow()),
+		lease: leaseRequester.lease,
+		holdsLease: () => holdsLease(leaseRequester.lease(), monotonicNow()),
 		isSteward: steward.isSteward,
 		isSeated: steward.isSeated,
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
