--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -62,7 +62,7 @@
 	const fetcher = createStateFetcher(holder, clients);
 	const steward = createStewardRunner(dependencies, zone, arm);
 	const leaseRequester = createLeaseRequester(dependencies, zone, steward, arm);
-	const seats = createSeatRequester(dependencies, {
+	const seatRequester = createSeatRequester(dependencies, {
 		zone, steward, leaseRequester: leaseRequester, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
@@ -83,12 +83,12 @@
 		steward.tick(now);
 		noteSteward(steward.isSteward());
 		noteLease(holdsLease(leaseRequester.lease(), now));
-		seats.tick(now);
+		seatRequester.tick(now);
 		leaseRequester.tick(now);
 	}
 
 	function dueAt(now: MonotonicTime): MonotonicTime {
-		return Math.min(steward.dueAt(now), leaseRequester.dueAt(now), seats.dueAt());
+		return Math.min(steward.dueAt(now), leaseRequester.dueAt(now), seatRequester.dueAt());
 	}
 
 	const ticking = startDueTimer({dueAt, run: tick});
@@ -104,7 +104,7 @@
 		takeNotice: notices.take,
 		look: arm,
 		leave() {
-			seats.leave();
+			seatRequester.leave();
 			steward.resign();
 		},
 		stop: ticking.stop,
