--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -99,7 +99,7 @@
 		holder,
 		control,
 		clients,
-		flights,
+		inFlightTracker: flights,
 		ownReports,
 		zoneReports,
 		takeShares(shares) {
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -22,7 +22,7 @@
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly clients: PeerClients;
-	readonly flights: InFlightTracker;
+	readonly inFlightTracker: InFlightTracker;
 	/** This instance's own observations. */
 	readonly ownReports: ReportCollector;
 	/** Reports of the zone's members, which this instance forwards as steward. */
