--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -30,7 +30,7 @@
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
 export function createLeaseRequester(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseRequester {
-	const {self, terms, holder, clients, inFlightTracker: flights} = dependencies;
+	const {self, terms, holder, clients, inFlightTracker: inFlightTracker} = dependencies;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
 	let isRequesting = false;
@@ -94,7 +94,7 @@
 		lease: () => lease,
 		tick(now) {
 			const table = holder.state();
-			drained = flights.drainedIndex(table.ownership, table.applied, now);
+			drained = inFlightTracker.drainedIndex(table.ownership, table.applied, now);
 			if (!isRequesting && now >= nextRequestAt()) {
 				void requestLease(now);
 			}
