--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -76,7 +76,7 @@
 	const textHash = await loadTextHash();
 	const holder = createControlHolder();
 	const clients = createPeerClients(settings.keys.peer);
-	const flights = createInFlightTracker(terms);
+	const inFlightTracker = createInFlightTracker(terms);
 	const evidence = createEvidenceRecorder();
 	const measures = createMeasures();
 	const requestMeasures = createRequestMeasures(measures);
@@ -99,7 +99,7 @@
 		holder,
 		control,
 		clients,
-		inFlightTracker: flights,
+		inFlightTracker: inFlightTracker,
 		ownReports,
 		zoneReports,
 		takeShares(shares) {
@@ -150,7 +150,7 @@
 		holder,
 		lease: zone.lease,
 		endsAt: () => callersEndAt,
-		flights,
+		flights: inFlightTracker,
 		evidence: {
 			...evidence,
 			started(upstream) {
