--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -102,7 +102,7 @@
 		inFlightTracker: inFlightTracker,
 		ownReports,
 		zoneReports,
-		takeShares(shares) {
+		acceptShares(shares) {
 			limiter.takeShares(shares);
 		},
 		lacksShares: () => limiter.lacksShares(),
--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -62,7 +62,7 @@
 	function applyAnswer(sentAt: MonotonicTime, {answer, catchUp}: WithCatchUp<LeaseAnswer>): void {
 		holder.catchUp(catchUp);
 		lease = applyLeaseAnswer(lease, {sentAt, answer});
-		dependencies.takeShares(answer.shares);
+		dependencies.acceptShares(answer.shares);
 		zone.heardOfSteward(answer.steward.name);
 	}
 
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -27,7 +27,7 @@
 	readonly ownReports: ReportCollector;
 	/** Reports of the zone's members, which this instance forwards as steward. */
 	readonly zoneReports: ReportCollector;
-	readonly takeShares: (shares: readonly LimitShare[]) => void;
+	readonly acceptShares: (shares: readonly LimitShare[]) => void;
 	/** Whether a request is waiting for a share of a limit. */
 	readonly lacksShares: () => boolean;
 	readonly log: Log;
