--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -105,7 +105,7 @@
 		acceptShares(shares) {
 			limiter.takeShares(shares);
 		},
-		lacksShares: () => limiter.lacksShares(),
+		isWaitingForShares: () => limiter.lacksShares(),
 		log,
 	});
 
--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -67,7 +67,7 @@
 	}
 
 	function nextRequestAt(): MonotonicTime {
-		const isRetryDue = wasDenied || dependencies.lacksShares();
+		const isRetryDue = wasDenied || dependencies.isWaitingForShares();
 		return Math.min(requestDueAt(lease, holder.state().applied, drained), isRetryDue ? lease.sentAt + retryMilliseconds : Infinity);
 	}
 
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -29,6 +29,6 @@
 	readonly zoneReports: ReportCollector;
 	readonly acceptShares: (shares: readonly LimitShare[]) => void;
 	/** Whether a request is waiting for a share of a limit. */
-	readonly lacksShares: () => boolean;
+	readonly isWaitingForShares: () => boolean;
 	readonly log: Log;
 };
