--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -11,7 +11,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, type Result} from 'true-myth/result';
 import {type StewardRunner} from './steward-runner.js';
-import {peerMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Requests routing leases. */
@@ -38,7 +38,7 @@
 
 	async function requestFrom(to: InstanceRecord, request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
 		const supportRenewal = steward.renewSupport(to);
-		const answer = await clients.call(to.peerAddress, 'renewLease', {...request, ...(supportRenewal && {supportRenewal})}, peerMilliseconds);
+		const answer = await clients.call(to.peerAddress, 'renewLease', {...request, ...(supportRenewal && {supportRenewal})}, peerTimeoutMilliseconds);
 		if (answer.isOk) {
 			steward.leaseAnswered(answer.value.answer);
 		} else {
--- a/packages/daemon/src/state-fetcher.ts
+++ b/packages/daemon/src/state-fetcher.ts
@@ -4,7 +4,7 @@
  */
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type ControlHolder} from './control-holder.js';
-import {peerMilliseconds} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds} from './zone-surroundings.js';
 
 /** Runs one fetch at a time. */
 export type StateFetcher = {
@@ -22,7 +22,7 @@
 			}
 
 			fetching = true;
-			const answer = await clients.call(address, 'fetchState', holder.state().applied, peerMilliseconds);
+			const answer = await clients.call(address, 'fetchState', holder.state().applied, peerTimeoutMilliseconds);
 			fetching = false;
 			if (answer.isOk) {
 				holder.catchUp(answer.value);
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -23,7 +23,7 @@
 import {createRecentHolders} from './recent-holders.js';
 import {createSharePost} from './share-post.js';
 import {createZoneLimits} from './zone-limits.js';
-import {peerMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** This instance's steward state machine. */
@@ -63,7 +63,7 @@
 	let state: StewardState = createSteward(self, monotonicNow(), terms);
 
 	async function askSupport({to, sentAt, request}: EffectOf<'askSupport'>): Promise<void> {
-		const answer = await clients.call(to.peerAddress, 'support', request, peerMilliseconds);
+		const answer = await clients.call(to.peerAddress, 'support', request, peerTimeoutMilliseconds);
 		if (answer.isOk) {
 			step({
 				kind: 'supportAnswered', now: monotonicNow(), sentAt, answer: answer.value,
--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -6,7 +6,7 @@
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
-import {peerMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Sends and receives notifications. */
@@ -38,7 +38,7 @@
 			const behind = steward.isSteward() ? zone.others().filter(({name}) => (told.get(name) ?? 0) < applied) : [];
 			for (const {name, peerAddress} of behind) {
 				told.set(name, applied);
-				void clients.call(peerAddress, 'notify', applied, peerMilliseconds);
+				void clients.call(peerAddress, 'notify', applied, peerTimeoutMilliseconds);
 			}
 		},
 		take(applied) {
--- a/packages/daemon/src/zone-surroundings.ts
+++ b/packages/daemon/src/zone-surroundings.ts
@@ -13,7 +13,7 @@
 import {type ReportCollector} from './report-collector.js';
 
 /** The timeout of a call to another instance. */
-export const peerMilliseconds: Milliseconds = 500;
+export const peerTimeoutMilliseconds: Milliseconds = 500;
 
 /** Collaborators of each component. */
 export type ZoneDependencies = {
