--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -47,7 +47,7 @@
 		},
 		async renewLease(request) {
 			const checked = checkCaller(request.instance.zone, request.instance);
-			return checked.isOk ? dependencies.zone().takeLeaseRequest(request) : err(checked.error);
+			return checked.isOk ? dependencies.zone().handleLeaseRequest(request) : err(checked.error);
 		},
 		async support(request) {
 			const checked = checkCaller(request.zone, request.candidate);
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -29,7 +29,7 @@
 	readonly isSteward: () => boolean;
 	readonly isSeated: () => boolean;
 	readonly steward: () => InstanceName | undefined;
-	readonly takeLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
+	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
 	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
 	/** Called with another instance's applied index. Fetches if this one is behind. */
 	readonly takeNotice: (applied: number) => void;
@@ -99,7 +99,7 @@
 		isSteward: steward.isSteward,
 		isSeated: steward.isSeated,
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
-		takeLeaseRequest: steward.takeLeaseRequest,
+		handleLeaseRequest: steward.takeLeaseRequest,
 		takeSupportRequest: steward.takeSupportRequest,
 		takeNotice: notices.take,
 		look: arm,
