--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -51,7 +51,7 @@
 		},
 		async support(request) {
 			const checked = checkCaller(request.zone, request.candidate);
-			return checked.isOk ? dependencies.zone().takeSupportRequest(request) : err(checked.error);
+			return checked.isOk ? dependencies.zone().handleSupportRequest(request) : err(checked.error);
 		},
 		delegate: control.handleDelegation,
 		seat: control.handleSeat,
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -30,7 +30,7 @@
 	readonly isSeated: () => boolean;
 	readonly steward: () => InstanceName | undefined;
 	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
-	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
+	readonly handleSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
 	/** Called with another instance's applied index. Fetches if this one is behind. */
 	readonly takeNotice: (applied: number) => void;
 	/** Called when a request starts to wait for the next lease; reschedules the timer. */
@@ -100,7 +100,7 @@
 		isSeated: steward.isSeated,
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
 		handleLeaseRequest: steward.takeLeaseRequest,
-		takeSupportRequest: steward.takeSupportRequest,
+		handleSupportRequest: steward.takeSupportRequest,
 		takeNotice: notices.take,
 		look: arm,
 		leave() {
