--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -57,7 +57,7 @@
 		seat: control.handleSeat,
 		fetchState: async applied => ok(holder.catchUpAfter(applied)),
 		async notify(applied) {
-			dependencies.zone().takeNotice(applied);
+			dependencies.zone().handleNotice(applied);
 			return ok(undefined);
 		},
 		propose: control.handleProposal,
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -32,7 +32,7 @@
 	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
 	readonly handleSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
 	/** Called with another instance's applied index. Fetches if this one is behind. */
-	readonly takeNotice: (applied: number) => void;
+	readonly handleNotice: (applied: number) => void;
 	/** Called when a request starts to wait for the next lease; reschedules the timer. */
 	readonly look: () => void;
 	/** For a graceful shutdown: stops standing for election, and requests the seat's removal unless it is the zone's only one. */
@@ -101,7 +101,7 @@
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
 		handleLeaseRequest: steward.takeLeaseRequest,
 		handleSupportRequest: steward.takeSupportRequest,
-		takeNotice: notices.take,
+		handleNotice: notices.take,
 		look: arm,
 		leave() {
 			seatRequester.leave();
