--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -50,7 +50,7 @@
 
 	async function requestFromSteward(request: LeaseRequest): Promise<Result<WithCatchUp<LeaseAnswer>, Failure>> {
 		if (steward.isSteward()) {
-			return steward.takeLeaseRequest(request);
+			return steward.handleLeaseRequest(request);
 		}
 
 		const to = zone.steward() ?? zone.others()[0];
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -35,7 +35,7 @@
 	readonly dueAt: (now: MonotonicTime) => MonotonicTime;
 	/** Called when the instance has applied a newer table. */
 	readonly tableChanged: (table: {readonly applied: number; readonly ownership: OwnershipState}) => void;
-	readonly takeLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
+	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
 	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
 	/** Returns the renewed support to piggyback on a lease request to the steward, if the steward requested it. */
 	readonly renewSupport: (to: InstanceRecord) => SupportRenewal | undefined;
@@ -152,7 +152,7 @@
 				kind: 'tableChanged', now: monotonicNow(), applied, table: ownership,
 			});
 		},
-		takeLeaseRequest,
+		handleLeaseRequest: takeLeaseRequest,
 		takeSupportRequest,
 		renewSupport: to => effectOf(step({kind: 'leaseSent', now: monotonicNow(), to}), 'renewSupport')?.renewal,
 		leaseAnswered(answer) {
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -99,7 +99,7 @@
 		isSteward: steward.isSteward,
 		isSeated: steward.isSeated,
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
-		handleLeaseRequest: steward.takeLeaseRequest,
+		handleLeaseRequest: steward.handleLeaseRequest,
 		handleSupportRequest: steward.takeSupportRequest,
 		handleNotice: notices.take,
 		look: arm,
