--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -36,7 +36,7 @@
 	/** Called when the instance has applied a newer table. */
 	readonly tableChanged: (table: {readonly applied: number; readonly ownership: OwnershipState}) => void;
 	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
-	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
+	readonly handleSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
 	/** Returns the renewed support to piggyback on a lease request to the steward, if the steward requested it. */
 	readonly renewSupport: (to: InstanceRecord) => SupportRenewal | undefined;
 	/** Called when another instance answered a lease request. */
@@ -153,7 +153,7 @@
 			});
 		},
 		handleLeaseRequest: takeLeaseRequest,
-		takeSupportRequest,
+		handleSupportRequest: takeSupportRequest,
 		renewSupport: to => effectOf(step({kind: 'leaseSent', now: monotonicNow(), to}), 'renewSupport')?.renewal,
 		leaseAnswered(answer) {
 			step({kind: 'leaseAnswered', now: monotonicNow(), answer});
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -100,7 +100,7 @@
 		isSeated: steward.isSeated,
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
 		handleLeaseRequest: steward.handleLeaseRequest,
-		handleSupportRequest: steward.takeSupportRequest,
+		handleSupportRequest: steward.handleSupportRequest,
 		handleNotice: notices.take,
 		look: arm,
 		leave() {
