--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -14,7 +14,7 @@
 	/** Notifies the zone's other members of this instance's applied index, if it is the steward. */
 	readonly send: (applied: LogIndex) => void;
 	/** Called with another instance's applied index. Fetches if this one is behind. */
-	readonly take: (applied: LogIndex) => void;
+	readonly receive: (applied: LogIndex) => void;
 };
 
 /** Collaborators beside the shared ones of the zone. */
@@ -41,7 +41,7 @@
 				void clients.call(peerAddress, 'notify', applied, peerTimeoutMilliseconds);
 			}
 		},
-		take(applied) {
+		receive(applied) {
 			if (applied > holder.state().applied) {
 				void fetcher.fetchFrom(steward.isSteward() ? leaderAddress() : zone.steward()?.peerAddress);
 			}
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -101,7 +101,7 @@
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
 		handleLeaseRequest: steward.handleLeaseRequest,
 		handleSupportRequest: steward.handleSupportRequest,
-		handleNotice: notices.take,
+		handleNotice: notices.receive,
 		look: arm,
 		leave() {
 			seatRequester.leave();
