--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -26,7 +26,7 @@
 
 /** Creates notifications with none sent yet. */
 export function createZoneNotices({holder, control, clients}: ZoneDependencies, {zone, steward, fetcher}: ZoneNoticesDependencies): ZoneNotices {
-	const told = new Map<InstanceName, LogIndex>();
+	const notifiedIndexes = new Map<InstanceName, LogIndex>();
 
 	function leaderAddress(): string | undefined {
 		const leader = control.leader();
@@ -35,9 +35,9 @@
 
 	return {
 		send(applied) {
-			const behind = steward.isSteward() ? zone.others().filter(({name}) => (told.get(name) ?? 0) < applied) : [];
+			const behind = steward.isSteward() ? zone.others().filter(({name}) => (notifiedIndexes.get(name) ?? 0) < applied) : [];
 			for (const {name, peerAddress} of behind) {
-				told.set(name, applied);
+				notifiedIndexes.set(name, applied);
 				void clients.call(peerAddress, 'notify', applied, peerTimeoutMilliseconds);
 			}
 		},
