--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -81,7 +81,7 @@
 	const measures = createMeasures();
 	const requestMeasures = createRequestMeasures(measures);
 	const limiter = createLimiter(self, () => {
-		zone.look();
+		zone.rearmTimer();
 	});
 	const ownReports = createReportCollector(identity, () => evidence.take(), () => limiter.takeDemands());
 	const zoneReports = createReportCollector(identity, () => [], () => []);
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -34,7 +34,7 @@
 	/** Called with another instance's applied index. Fetches if this one is behind. */
 	readonly handleNotice: (applied: number) => void;
 	/** Called when a request starts to wait for the next lease; reschedules the timer. */
-	readonly look: () => void;
+	readonly rearmTimer: () => void;
 	/** For a graceful shutdown: stops standing for election, and requests the seat's removal unless it is the zone's only one. */
 	readonly leave: () => void;
 	readonly stop: () => void;
@@ -102,7 +102,7 @@
 		handleLeaseRequest: steward.handleLeaseRequest,
 		handleSupportRequest: steward.handleSupportRequest,
 		handleNotice: notices.receive,
-		look: arm,
+		rearmTimer: arm,
 		leave() {
 			seatRequester.leave();
 			steward.resign();
