--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -66,7 +66,7 @@
 		zone, steward, leaseRequester: leaseRequester, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
-	const noteSteward = onChange(isNow => {
+	const recordSteward = onChange(isNow => {
 		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
 	const noteLease = onChange(hasNow => {
@@ -81,7 +81,7 @@
 	function tick(): void {
 		const now = monotonicNow();
 		steward.tick(now);
-		noteSteward(steward.isSteward());
+		recordSteward(steward.isSteward());
 		noteLease(holdsLease(leaseRequester.lease(), now));
 		seatRequester.tick(now);
 		leaseRequester.tick(now);
