--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -69,7 +69,7 @@
 	const recordSteward = onChange(isNow => {
 		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
-	const noteLease = onChange(hasNow => {
+	const recordLease = onChange(hasNow => {
 		log.event(hasNow ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
 	});
 
@@ -82,7 +82,7 @@
 		const now = monotonicNow();
 		steward.tick(now);
 		recordSteward(steward.isSteward());
-		noteLease(holdsLease(leaseRequester.lease(), now));
+		recordLease(holdsLease(leaseRequester.lease(), now));
 		seatRequester.tick(now);
 		leaseRequester.tick(now);
 	}
