--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -41,12 +41,12 @@
 };
 
 /** Returns a function that calls `noted` when its argument differs from that of the last call, initially `false`. */
-function onChange(noted: (value: boolean) => void): (value: boolean) => void {
+function onChange(changed: (value: boolean) => void): (value: boolean) => void {
 	let last = false;
 	return value => {
 		if (value !== last) {
 			last = value;
-			noted(value);
+			changed(value);
 		}
 	};
 }
