--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -55,7 +55,7 @@
 export function startZone(dependencies: ZoneDependencies): ZoneRunner {
 	const {self, holder, clients, log} = dependencies;
 	const arm = () => {
-		ticking.arm();
+		timer.arm();
 	};
 
 	const zone = createZoneView(self, holder);
@@ -91,7 +91,7 @@
 		return Math.min(steward.dueAt(now), leaseRequester.dueAt(now), seatRequester.dueAt());
 	}
 
-	const ticking = startDueTimer({dueAt, run: tick});
+	const timer = startDueTimer({dueAt, run: tick});
 
 	return {
 		lease: leaseRequester.lease,
@@ -107,6 +107,6 @@
 			seatRequester.leave();
 			steward.resign();
 		},
-		stop: ticking.stop,
+		stop: timer.stop,
 	};
 }
