--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -63,7 +63,7 @@
 		holder.catchUp(catchUp);
 		lease = applyLeaseAnswer(lease, {sentAt, answer});
 		dependencies.acceptShares(answer.shares);
-		zone.heardOfSteward(answer.steward.name);
+		zone.recordSteward(answer.steward.name);
 	}
 
 	function nextRequestAt(): MonotonicTime {
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -136,7 +136,7 @@
 			return err(failure(FailureKind.notReady, `${self.name} can't answer a support request now`));
 		}
 
-		zone.heardOfSteward(answer.supported?.name);
+		zone.recordSteward(answer.supported?.name);
 		return ok(answer);
 	}
 
--- a/packages/daemon/src/zone-view.ts
+++ b/packages/daemon/src/zone-view.ts
@@ -13,7 +13,7 @@
 	/** The cached steward, if any. */
 	readonly steward: () => InstanceRecord | undefined;
 	/** Records the steward that another instance named. Ignores a name that isn't a member's. */
-	readonly heardOfSteward: (name: InstanceName | undefined) => void;
+	readonly recordSteward: (name: InstanceName | undefined) => void;
 	/** Replaces a cached steward that turned out not to be one by a member that may be. */
 	readonly guessSteward: (member: InstanceRecord | undefined) => void;
 };
@@ -35,7 +35,7 @@
 		others: () => members().filter(member => member.name !== self.name),
 		memberNamed,
 		steward: () => steward,
-		heardOfSteward(name) {
+		recordSteward(name) {
 			steward = memberNamed(name) ?? steward;
 		},
 		guessSteward(member) {
