--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -42,7 +42,7 @@
 		if (answer.isOk) {
 			steward.leaseAnswered(answer.value.answer);
 		} else {
-			zone.guessSteward(zone.memberNamed(answer.error.leader) ?? zone.others().find(({peerAddress}) => peerAddress !== to.peerAddress));
+			zone.assumeSteward(zone.memberNamed(answer.error.leader) ?? zone.others().find(({peerAddress}) => peerAddress !== to.peerAddress));
 		}
 
 		return answer;
--- a/packages/daemon/src/zone-view.ts
+++ b/packages/daemon/src/zone-view.ts
@@ -15,7 +15,7 @@
 	/** Records the steward that another instance named. Ignores a name that isn't a member's. */
 	readonly recordSteward: (name: InstanceName | undefined) => void;
 	/** Replaces a cached steward that turned out not to be one by a member that may be. */
-	readonly guessSteward: (member: InstanceRecord | undefined) => void;
+	readonly assumeSteward: (member: InstanceRecord | undefined) => void;
 };
 
 /** Creates a view without a cached steward. */
@@ -38,7 +38,7 @@
 		recordSteward(name) {
 			steward = memberNamed(name) ?? steward;
 		},
-		guessSteward(member) {
+		assumeSteward(member) {
 			steward = member?.name === self.name ? undefined : member;
 		},
 	};
