--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -52,7 +52,7 @@
 }
 
 /** Answers are returned to the caller of `step` among its effects. */
-const leaveToCaller = (): void => undefined;
+const returnToCaller = (): void => undefined;
 
 /** Creates the state machine and its effects. `changed` is called after each event. */
 export function createStewardRunner(dependencies: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
@@ -93,9 +93,9 @@
 		askDelegation({sentAt, request}) {
 			void askDelegation(sentAt, request);
 		},
-		answerSupport: leaveToCaller,
-		answerLease: leaveToCaller,
-		renewSupport: leaveToCaller,
+		answerSupport: returnToCaller,
+		answerLease: returnToCaller,
+		renewSupport: returnToCaller,
 	};
 
 	function step(event: StewardEvent): readonly StewardEffect[] {
