--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -62,7 +62,7 @@
 	const zoneLimits = createZoneLimits(self.zone);
 	let state: StewardState = createSteward(self, monotonicNow(), terms);
 
-	async function askSupport({to, sentAt, request}: EffectOf<'askSupport'>): Promise<void> {
+	async function requestSupport({to, sentAt, request}: EffectOf<'askSupport'>): Promise<void> {
 		const answer = await clients.call(to.peerAddress, 'support', request, peerTimeoutMilliseconds);
 		if (answer.isOk) {
 			step({
@@ -88,7 +88,7 @@
 
 	const effects: HandlerTable<StewardEffect, [], void> = {
 		askSupport(effect) {
-			void askSupport(effect);
+			void requestSupport(effect);
 		},
 		askDelegation({sentAt, request}) {
 			void askDelegation(sentAt, request);
