--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -71,7 +71,7 @@
 		}
 	}
 
-	async function askDelegation(sentAt: MonotonicTime, request: DelegationRequest): Promise<void> {
+	async function requestDelegation(sentAt: MonotonicTime, request: DelegationRequest): Promise<void> {
 		const report = zoneReports.take();
 		const answer = await control.callLeader('delegate', {...request, report, holders: holders.list(sentAt)});
 		if (answer.isErr) {
@@ -91,7 +91,7 @@
 			void requestSupport(effect);
 		},
 		askDelegation({sentAt, request}) {
-			void askDelegation(sentAt, request);
+			void requestDelegation(sentAt, request);
 		},
 		answerSupport: returnToCaller,
 		answerLease: returnToCaller,
