--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -58,7 +58,7 @@
 export function createStewardRunner(dependencies: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
 	const {self, terms, holder, control, clients, zoneReports} = dependencies;
 	const holders = createRecentHolders();
-	const sharePost = createSharePost();
+	const shareOutbox = createSharePost();
 	const zoneLimits = createZoneLimits(self.zone);
 	let state: StewardState = createSteward(self, monotonicNow(), terms);
 
@@ -80,7 +80,7 @@
 		}
 
 		holder.catchUp(answer.value.catchUp);
-		sharePost.put(answer.value.answer.shares);
+		shareOutbox.put(answer.value.answer.shares);
 		step({
 			kind: 'delegationAnswered', now: monotonicNow(), sentAt, applied: request.applied, answer: answer.value.answer,
 		});
@@ -122,12 +122,12 @@
 
 		const limited = zoneLimits.answer(request.report, holder.state(), state.electedAt!, now);
 		zoneReports.merge(limited.report);
-		sharePost.put(limited.shares);
+		shareOutbox.put(limited.shares);
 		holders.note(request.instance, now);
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
 			? err(failure(FailureKind.notReady, `${self.name} can't grant a lease now`))
-			: ok({answer: {...answer, shares: sharePost.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
+			: ok({answer: {...answer, shares: shareOutbox.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
 	}
 
 	function takeSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
