--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -18,13 +18,13 @@
 import {type LeaderRunner, createLeaderRunner} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
-import {type CallLeader, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
+import {type LeaderClient, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
 
 /** This process's access to the control group. */
 export type ControlRunner = {
 	/** Sends a command to the leader. Resolves when it is accepted and applied there, or rejected. */
 	readonly submit: (command: ControlCommand) => Promise<Result<ControlAccepted, Failure>>;
-	readonly callLeader: CallLeader;
+	readonly callLeader: LeaderClient;
 	readonly handleDelegation: LeaderHandlers['delegate'];
 	readonly handleSeat: LeaderHandlers['seat'];
 	readonly handleProposal: LeaderHandlers['propose'];
--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -22,7 +22,7 @@
  * does, with `noQuorum` if none is found, and with `outcomeUnknown` for a
  * proposal that may have reached one.
  */
-export type CallLeader = <Call extends LeaderCall>(call: Call, request: PeerCalls[Call]['request']) => LeaderAnswer<Call>;
+export type LeaderClient = <Call extends LeaderCall>(call: Call, request: PeerCalls[Call]['request']) => LeaderAnswer<Call>;
 
 /** Collaborators of the client. */
 export type LeaderClientDependencies = {
@@ -61,7 +61,7 @@
 
 export function createCallLeader({
 	self, addresses, clients, cachedLeader: known, handlers,
-}: LeaderClientDependencies): CallLeader {
+}: LeaderClientDependencies): LeaderClient {
 	async function callOne<Call extends LeaderCall>(name: InstanceName, call: Call, request: PeerCalls[Call]['request']): LeaderAnswer<Call> {
 		return name === self
 			? handlers[call](request)
