--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -18,7 +18,7 @@
 import {type LeaderRunner, createLeaderRunner} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
-import {type LeaderClient, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
+import {type LeaderClient, createLeaderClient, type LeaderHandlers} from './way-to-leader.js';
 
 /** This process's access to the control group. */
 export type ControlRunner = {
@@ -93,7 +93,7 @@
 			isListedVoter: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
 		}),
 	};
-	const callLeader = createCallLeader({
+	const callLeader = createLeaderClient({
 		self: settings.name, addresses, clients, cachedLeader: cachedLeader, handlers,
 	});
 	holder.listen(control => {
--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -59,7 +59,7 @@
 		: failure(FailureKind.noQuorum, 'no leader of control can be reached');
 }
 
-export function createCallLeader({
+export function createLeaderClient({
 	self, addresses, clients, cachedLeader: known, handlers,
 }: LeaderClientDependencies): LeaderClient {
 	async function callOne<Call extends LeaderCall>(name: InstanceName, call: Call, request: PeerCalls[Call]['request']): LeaderAnswer<Call> {
