--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -45,7 +45,7 @@
 };
 
 /** Failures after which the next voter is tried. */
-const passedOn: ReadonlySet<FailureKind> = new Set([FailureKind.notLeader, FailureKind.unreachable, FailureKind.notReady]);
+const retriedFailures: ReadonlySet<FailureKind> = new Set([FailureKind.notLeader, FailureKind.unreachable, FailureKind.notReady]);
 
 function hintedFirst(waiting: readonly InstanceName[], hint: InstanceName | undefined): readonly InstanceName[] {
 	return hint !== undefined && waiting.includes(hint)
@@ -79,7 +79,7 @@
 				return answer;
 			}
 
-			if (!passedOn.has(answer.error.kind)) {
+			if (!retriedFailures.has(answer.error.kind)) {
 				return answer;
 			}
 
