--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -69,10 +69,10 @@
 	}
 
 	return async (call, request) => {
-		let waiting = hintedFirst([...addresses.keys()], known.leader());
+		let remaining = hintedFirst([...addresses.keys()], known.leader());
 		let sentUnanswered = false;
-		while (waiting.length > 0) {
-			const [name, ...others] = waiting as readonly [InstanceName, ...InstanceName[]];
+		while (remaining.length > 0) {
+			const [name, ...others] = remaining as readonly [InstanceName, ...InstanceName[]];
 			const answer = await callOne(name, call, request);
 			if (answer.isOk) {
 				known.recordAnswer(name);
@@ -84,7 +84,7 @@
 			}
 
 			sentUnanswered ||= answer.error.kind === FailureKind.unreachable;
-			waiting = hintedFirst(others, answer.error.leader);
+			remaining = hintedFirst(others, answer.error.leader);
 		}
 
 		return err(notFound(call, sentUnanswered));
