--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -53,7 +53,7 @@
 		: waiting;
 }
 
-function notFound(call: LeaderCall, sentUnanswered: boolean): Failure {
+function noLeaderFailure(call: LeaderCall, sentUnanswered: boolean): Failure {
 	return call === 'propose' && sentUnanswered
 		? failure(FailureKind.outcomeUnknown, 'no leader answered; send the same operation again')
 		: failure(FailureKind.noQuorum, 'no leader of control can be reached');
@@ -87,6 +87,6 @@
 			remaining = hintedFirst(others, answer.error.leader);
 		}
 
-		return err(notFound(call, sentUnanswered));
+		return err(noLeaderFailure(call, sentUnanswered));
 	};
 }
