--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -34,12 +34,12 @@
 	readonly handlers: LeaderHandlers;
 };
 
-const callMilliseconds: Milliseconds = 1000;
+const callTimeoutMilliseconds: Milliseconds = 1000;
 const proposeMilliseconds: Milliseconds = 5000;
 
 const timeouts: Readonly<Record<LeaderCall, Milliseconds>> = {
-	delegate: callMilliseconds,
-	seat: callMilliseconds,
+	delegate: callTimeoutMilliseconds,
+	seat: callTimeoutMilliseconds,
 	propose: proposeMilliseconds,
 	joinVoters: proposeMilliseconds,
 };
