--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -35,13 +35,13 @@
 };
 
 const callTimeoutMilliseconds: Milliseconds = 1000;
-const proposeMilliseconds: Milliseconds = 5000;
+const proposeTimeoutMilliseconds: Milliseconds = 5000;
 
 const timeouts: Readonly<Record<LeaderCall, Milliseconds>> = {
 	delegate: callTimeoutMilliseconds,
 	seat: callTimeoutMilliseconds,
-	propose: proposeMilliseconds,
-	joinVoters: proposeMilliseconds,
+	propose: proposeTimeoutMilliseconds,
+	joinVoters: proposeTimeoutMilliseconds,
 };
 
 /** Failures after which the next voter is tried. */
