--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -35,7 +35,7 @@
 import {createOperatorSurface, readMemberReport} from './operator-surface.js';
 import {startOwnVoter} from './own-voter.js';
 import {createPeerHandlers} from './peer-service.js';
-import {stopAsPlanned} from './planned-stop.js';
+import {shutDownGracefully} from './planned-stop.js';
 import {createReportCollector} from './report-collector.js';
 import {createRequestMeasures} from './request-measures.js';
 import {createRequestPath} from './request-path.js';
@@ -203,7 +203,7 @@
 	return {
 		async stop() {
 			stopping = true;
-			await stopAsPlanned({
+			await shutDownGracefully({
 				durations: settings.stop,
 				log,
 				voter,
--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -84,7 +84,7 @@
 }
 
 /** Shuts down an instance that is no longer ready. Resolves when all its components have stopped. */
-export async function stopAsPlanned(instance: ShutdownDependencies): Promise<void> {
+export async function shutDownGracefully(instance: ShutdownDependencies): Promise<void> {
 	const {log} = instance;
 	log.event(EventName.stopRequested);
 	log.event(EventName.instanceNotReady, {reason: 'the instance stops'});
