--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -53,7 +53,7 @@
 }
 
 /** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
-async function passOn({
+async function handOver({
 	durations, voter, zone, seats, callers, endCallersAt, claims,
 }: ShutdownDependencies): Promise<void> {
 	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
@@ -88,7 +88,7 @@
 	const {log} = instance;
 	log.event(EventName.stopRequested);
 	log.event(EventName.instanceNotReady, {reason: 'the instance stops'});
-	await passOn(instance);
+	await handOver(instance);
 	await endParts(instance);
 	log.event(EventName.instanceStopped);
 }
