--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -70,7 +70,7 @@
 	await claims.handOver(Math.max(0, end - monotonicNow()));
 }
 
-async function endParts(dependencies: ShutdownDependencies): Promise<void> {
+async function stopComponents(dependencies: ShutdownDependencies): Promise<void> {
 	await dependencies.operators.close();
 	dependencies.zone.stop();
 	dependencies.control.stop();
@@ -89,6 +89,6 @@
 	log.event(EventName.stopRequested);
 	log.event(EventName.instanceNotReady, {reason: 'the instance stops'});
 	await handOver(instance);
-	await endParts(instance);
+	await stopComponents(instance);
 	log.event(EventName.instanceStopped);
 }
