--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -210,7 +210,7 @@
 				zone,
 				seats: () => holder.state().ownership.rosters[self.zone]?.members.length ?? 0,
 				callers,
-				endCallersAt(end) {
+				limitRequestsTo(end) {
 					callersEndAt = end;
 				},
 				claims,
--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -30,7 +30,7 @@
 	readonly seats: () => number;
 	readonly callers: FrontServer;
 	/** From now on, requests that may run past this time are refused. */
-	readonly endCallersAt: (end: MonotonicTime) => void;
+	readonly limitRequestsTo: (end: MonotonicTime) => void;
 	readonly claims: Pick<ClaimRunner, 'handOver' | 'stop'>;
 	readonly operators: FrontServer;
 	readonly control: Pick<ControlRunner, 'stop'>;
@@ -54,7 +54,7 @@
 
 /** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
 async function handOver({
-	durations, voter, zone, seats, callers, endCallersAt, claims,
+	durations, voter, zone, seats, callers, limitRequestsTo: endCallersAt, claims,
 }: ShutdownDependencies): Promise<void> {
 	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
 	endCallersAt(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
