--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -87,7 +87,7 @@
 	const zoneReports = createReportCollector(identity, () => [], () => []);
 	const claims = startClaims(identity, holder, clients, textHash);
 	let voter: ControlVoter | undefined;
-	let callersEndAt: MonotonicTime = Infinity;
+	let requestsEndAt: MonotonicTime = Infinity;
 	let stopping = false;
 
 	const control = startControl({
@@ -149,7 +149,7 @@
 		zone: settings.zone,
 		holder,
 		lease: zone.lease,
-		endsAt: () => callersEndAt,
+		endsAt: () => requestsEndAt,
 		flights: inFlightTracker,
 		evidence: {
 			...evidence,
@@ -211,7 +211,7 @@
 				seats: () => holder.state().ownership.rosters[self.zone]?.members.length ?? 0,
 				callers,
 				limitRequestsTo(end) {
-					callersEndAt = end;
+					requestsEndAt = end;
 				},
 				claims,
 				operators,
