--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -208,7 +208,7 @@
 				log,
 				voter,
 				zone,
-				seats: () => holder.state().ownership.rosters[self.zone]?.members.length ?? 0,
+				seatCount: () => holder.state().ownership.rosters[self.zone]?.members.length ?? 0,
 				callers,
 				limitRequestsTo(end) {
 					requestsEndAt = end;
--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -27,7 +27,7 @@
 	readonly voter: Pick<ControlVoter, 'handOver' | 'stop'> | undefined;
 	readonly zone: Pick<ZoneRunner, 'leave' | 'isSeated' | 'stop'>;
 	/** The number of seats in the instance's zone. */
-	readonly seats: () => number;
+	readonly seatCount: () => number;
 	readonly callers: FrontServer;
 	/** From now on, requests that may run past this time are refused. */
 	readonly limitRequestsTo: (end: MonotonicTime) => void;
@@ -54,7 +54,7 @@
 
 /** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
 async function handOver({
-	durations, voter, zone, seats, callers, limitRequestsTo: endCallersAt, claims,
+	durations, voter, zone, seatCount: seats, callers, limitRequestsTo: endCallersAt, claims,
 }: ShutdownDependencies): Promise<void> {
 	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
 	endCallersAt(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
