--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -45,7 +45,7 @@
 const leaveMilliseconds: Milliseconds = 4000;
 const pollMilliseconds: Milliseconds = 20;
 
-async function until(holds: () => boolean, longest: Milliseconds): Promise<void> {
+async function waitUntil(holds: () => boolean, longest: Milliseconds): Promise<void> {
 	const end = monotonicNow() + longest;
 	while (!holds() && monotonicNow() < end) {
 		await pause(pollMilliseconds);
@@ -62,7 +62,7 @@
 	voter?.handOver();
 	zone.leave();
 	const closing = callers.close();
-	await until(() => !zone.isSeated() || seats() < 2, leaveMilliseconds);
+	await waitUntil(() => !zone.isSeated() || seats() < 2, leaveMilliseconds);
 	const end = monotonicNow() + durations.longestMilliseconds;
 	endCallersAt(end);
 	await Promise.race([closing, pause(durations.longestMilliseconds)]);
