--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -45,8 +45,8 @@
 const leaveMilliseconds: Milliseconds = 4000;
 const pollMilliseconds: Milliseconds = 20;
 
-async function waitUntil(holds: () => boolean, longest: Milliseconds): Promise<void> {
-	const end = monotonicNow() + longest;
+async function waitUntil(holds: () => boolean, timeout: Milliseconds): Promise<void> {
+	const end = monotonicNow() + timeout;
 	while (!holds() && monotonicNow() < end) {
 		await pause(pollMilliseconds);
 	}
