--- a/packages/daemon/src/planned-stop.ts
+++ b/packages/daemon/src/planned-stop.ts
@@ -42,7 +42,7 @@
 	readonly clients: PeerClients;
 };
 
-const leaveMilliseconds: Milliseconds = 4000;
+const leaveTimeoutMilliseconds: Milliseconds = 4000;
 const pollMilliseconds: Milliseconds = 20;
 
 async function waitUntil(holds: () => boolean, timeout: Milliseconds): Promise<void> {
@@ -62,7 +62,7 @@
 	voter?.handOver();
 	zone.leave();
 	const closing = callers.close();
-	await waitUntil(() => !zone.isSeated() || seats() < 2, leaveMilliseconds);
+	await waitUntil(() => !zone.isSeated() || seats() < 2, leaveTimeoutMilliseconds);
 	const end = monotonicNow() + durations.longestMilliseconds;
 	endCallersAt(end);
 	await Promise.race([closing, pause(durations.longestMilliseconds)]);
