--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -68,7 +68,7 @@
  * Starts an instance. `failed` is called when its durable state can't be
  * written. Throws a `FailureError` when one of its components can't start.
  */
-export async function startInstance(settings: InstanceSettings, log: Log, failed: (failure: Failure) => void): Promise<Instance> {
+export async function startInstance(settings: InstanceSettings, log: Log, storageFailed: (failure: Failure) => void): Promise<Instance> {
 	const terms = defaultLeaseTerms;
 	const self = recordOf(settings);
 	const identity = {name: self.name, incarnation: self.incarnation};
@@ -192,7 +192,7 @@
 	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startOwnVoter({
-			settings, self: identity, holder, control, clients, log, failed,
+			settings, self: identity, holder, control, clients, log, failed: storageFailed,
 		});
 	}
 
