--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -192,7 +192,7 @@
 	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startOwnVoter({
-			settings, self: identity, holder, control, clients, log, failed: storageFailed,
+			settings, self: identity, holder, control, clients, log, storageFailed: storageFailed,
 		});
 	}
 
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -27,7 +27,7 @@
 	readonly clients: PeerClients;
 	readonly log: Log;
 	/** Called when the durable state can't be written; the process has to exit. */
-	readonly failed: (failure: Failure) => void;
+	readonly storageFailed: (failure: Failure) => void;
 };
 
 const electionMilliseconds: Milliseconds = 800;
@@ -53,7 +53,7 @@
  * or unreadable.
  */
 export async function startOwnVoter(dependencies: LocalVoterDependencies): Promise<ControlVoter> {
-	const {settings, self, holder, control, log, failed} = dependencies;
+	const {settings, self, holder, control, log, storageFailed: failed} = dependencies;
 	const folder = taken(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
 		taken(holder.restore(folder.saved.snapshot.index, folder.saved.snapshot.data));
