--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -112,7 +112,7 @@
 	const health = createInstanceStatus({
 		self, holder, control, zone, voter: () => voter, isStopping: () => stopping, measures,
 	});
-	const surface = createOperatorSurface({
+	const operatorApi = createOperatorSurface({
 		holder,
 		control,
 		status: health.status,
@@ -188,7 +188,7 @@
 			[ClaimSubject.view]: () => JSON.stringify(claims.view() ?? null),
 		},
 	})));
-	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, surface, health));
+	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, health));
 	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startOwnVoter({
