--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -109,13 +109,13 @@
 		log,
 	});
 
-	const health = createInstanceStatus({
+	const instanceStatus = createInstanceStatus({
 		self, holder, control, zone, voter: () => voter, isStopping: () => stopping, measures,
 	});
 	const operatorApi = createOperatorSurface({
 		holder,
 		control,
-		status: health.status,
+		status: instanceStatus.status,
 		async askMember(record) {
 			const answer = await clients.call(record.peerAddress, 'collect', 'member', memberMilliseconds);
 			return answer.isOk ? readMemberReport(answer.value) : undefined;
@@ -182,13 +182,13 @@
 		claims,
 		voter: () => voter,
 		collectors: {
-			member: () => JSON.stringify(health.member()),
+			member: () => JSON.stringify(instanceStatus.member()),
 			burn: () => JSON.stringify(burn.own()),
 			[ClaimSubject.report]: () => JSON.stringify(claims.report()),
 			[ClaimSubject.view]: () => JSON.stringify(claims.view() ?? null),
 		},
 	})));
-	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, health));
+	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, instanceStatus));
 	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startOwnVoter({
