--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -144,7 +144,7 @@
 		},
 	});
 	const client = createUpstreamClient({connectTimeoutMilliseconds, idleMilliseconds});
-	const path = createRequestPath({
+	const requestPath = createRequestPath({
 		name: settings.name,
 		zone: settings.zone,
 		holder,
@@ -189,7 +189,7 @@
 		},
 	})));
 	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, instanceStatus));
-	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
+	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, requestPath, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startOwnVoter({
 			settings, self: identity, holder, control, clients, log, storageFailed: storageFailed,
