--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -49,7 +49,7 @@
 	readonly stop: () => Promise<void>;
 };
 
-const memberMilliseconds: Milliseconds = 500;
+const collectTimeoutMilliseconds: Milliseconds = 500;
 const connectTimeoutMilliseconds: Milliseconds = 1000;
 const idleMilliseconds: Milliseconds = 30_000;
 function recordOf({name, region, zone, addresses}: InstanceSettings): InstanceRecord {
@@ -117,7 +117,7 @@
 		control,
 		status: instanceStatus.status,
 		async askMember(record) {
-			const answer = await clients.call(record.peerAddress, 'collect', 'member', memberMilliseconds);
+			const answer = await clients.call(record.peerAddress, 'collect', 'member', collectTimeoutMilliseconds);
 			return answer.isOk ? readMemberReport(answer.value) : undefined;
 		},
 		announce: createAnnouncements({
@@ -139,7 +139,7 @@
 		holder,
 		...(dataFolder === undefined ? {} : {folder: dataFolder}),
 		async ask(record) {
-			const answer = await clients.call(record.peerAddress, 'collect', 'burn', memberMilliseconds);
+			const answer = await clients.call(record.peerAddress, 'collect', 'burn', collectTimeoutMilliseconds);
 			return answer.isOk ? answer.value : undefined;
 		},
 	});
