--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -33,7 +33,7 @@
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
 import {createOperatorSurface, readMemberReport} from './operator-surface.js';
-import {startOwnVoter} from './own-voter.js';
+import {startLocalVoter} from './own-voter.js';
 import {createPeerHandlers} from './peer-service.js';
 import {shutDownGracefully} from './planned-stop.js';
 import {createReportCollector} from './report-collector.js';
@@ -191,7 +191,7 @@
 	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, instanceStatus));
 	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, requestPath, () => stopping)));
 	if (isVoter(settings)) {
-		voter = await startOwnVoter({
+		voter = await startLocalVoter({
 			settings, self: identity, holder, control, clients, log, storageFailed: storageFailed,
 		});
 	}
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -52,7 +52,7 @@
  * Throws a `FailureError` if the folder is locked by another process, damaged
  * or unreadable.
  */
-export async function startOwnVoter(dependencies: LocalVoterDependencies): Promise<ControlVoter> {
+export async function startLocalVoter(dependencies: LocalVoterDependencies): Promise<ControlVoter> {
 	const {settings, self, holder, control, log, storageFailed: storageFailed} = dependencies;
 	const folder = taken(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
