--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -32,7 +32,7 @@
 
 const electionMilliseconds: Milliseconds = 800;
 const heartbeatMilliseconds: Milliseconds = 80;
-const joinMilliseconds: Milliseconds = 300;
+const joinRetryMilliseconds: Milliseconds = 300;
 const entriesBeforeSnapshot = 1000;
 const seeds = 2 ** 31;
 
@@ -78,7 +78,7 @@
 		if (!includesVoter(voter.voterSet().voters, identity)) {
 			void control.callLeader('joinVoters', identity);
 		}
-	}, joinMilliseconds);
+	}, joinRetryMilliseconds);
 	return {
 		...voter,
 		async stop() {
