--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -34,7 +34,7 @@
 const heartbeatMilliseconds: Milliseconds = 80;
 const joinRetryMilliseconds: Milliseconds = 300;
 const entriesBeforeSnapshot = 1000;
-const seeds = 2 ** 31;
+const seedLimit = 2 ** 31;
 
 function createSend({settings, clients}: LocalVoterDependencies): (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>> {
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
@@ -62,7 +62,7 @@
 	const identity = {name: settings.name, folder: folder.folderIdentity};
 	const voter = startVoter({
 		options: {
-			self: identity, electionMilliseconds, heartbeatMilliseconds, entriesBeforeSnapshot, seed: self.incarnation % seeds,
+			self: identity, electionMilliseconds, heartbeatMilliseconds, entriesBeforeSnapshot, seed: self.incarnation % seedLimit,
 		},
 		saved: folder.saved,
 		storage: folder.storage,
