--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -25,7 +25,7 @@
 import {type ControlCommitted, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
 import {type CachedLeader} from './known-leader.js';
-import {checkDelegation, checkLife} from './peer-check.js';
+import {checkDelegation, checkIncarnation} from './peer-check.js';
 
 /** The leader's side of the control group, idle while another voter leads. */
 export type LeaderRunner = {
@@ -152,7 +152,7 @@
 			}
 
 			const seated = seatedInstances(holder.state().ownership);
-			return checkLife(seated, request.instance).map(() => seat(request));
+			return checkIncarnation(seated, request.instance).map(() => seat(request));
 		},
 		roleChanged() {
 			leaderState = undefined;
--- a/packages/daemon/src/peer-check.ts
+++ b/packages/daemon/src/peer-check.ts
@@ -11,7 +11,7 @@
 type Checked = Result<undefined, Failure>;
 
 /** Fails with `superseded` if a later incarnation of the instance has a seat. */
-export function checkLife(members: readonly InstanceIdentity[], {name, incarnation}: InstanceIdentity): Checked {
+export function checkIncarnation(members: readonly InstanceIdentity[], {name, incarnation}: InstanceIdentity): Checked {
 	const later = members.find(member => member.name === name && member.incarnation > incarnation);
 	return later === undefined
 		? ok(undefined)
@@ -38,5 +38,5 @@
 	const roster = Object.hasOwn(table.rosters, request.zone) ? table.rosters[request.zone] : undefined;
 	return roster === undefined
 		? err(failure(FailureKind.forbidden, `the zone ${request.zone} has no roster`))
-		: checkLife(roster.members, request.steward).andThen(() => checkIndexes(request, applied));
+		: checkIncarnation(roster.members, request.steward).andThen(() => checkIndexes(request, applied));
 }
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -9,7 +9,7 @@
 import {type ClaimRunner} from './claim-runner.js';
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
-import {checkLife, checkZone} from './peer-check.js';
+import {checkIncarnation, checkZone} from './peer-check.js';
 import {type ZoneRunner} from './zone-runner.js';
 
 /** Functions that return this instance's report on a subject, as JSON. */
@@ -35,7 +35,7 @@
 
 	function checkCaller(zone: ZoneName, caller: InstanceIdentity): Result<undefined, Failure> {
 		const members = holder.state().ownership.rosters[ownZone]?.members ?? [];
-		return checkZone(ownZone, zone).andThen(() => checkLife(members, caller));
+		return checkZone(ownZone, zone).andThen(() => checkIncarnation(members, caller));
 	}
 
 	return {
