--- a/packages/daemon/src/peer-check.ts
+++ b/packages/daemon/src/peer-check.ts
@@ -19,8 +19,8 @@
 }
 
 /** Fails with `forbidden` if the requested zone isn't this instance's own. */
-export function checkZone(own: ZoneName, asked: ZoneName): Checked {
-	return asked === own ? ok(undefined) : err(failure(FailureKind.forbidden, `this instance serves ${own}, not ${asked}`));
+export function checkZone(own: ZoneName, requested: ZoneName): Checked {
+	return requested === own ? ok(undefined) : err(failure(FailureKind.forbidden, `this instance serves ${own}, not ${requested}`));
 }
 
 function checkIndexes({applied, drained}: DelegationRequest, known: number): Checked {
