--- a/packages/daemon/src/peer-check.ts
+++ b/packages/daemon/src/peer-check.ts
@@ -23,10 +23,10 @@
 	return requested === own ? ok(undefined) : err(failure(FailureKind.forbidden, `this instance serves ${own}, not ${requested}`));
 }
 
-function checkIndexes({applied, drained}: DelegationRequest, known: number): Checked {
-	return drained <= applied && applied <= known
+function checkIndexes({applied, drained}: DelegationRequest, newest: number): Checked {
+	return drained <= applied && applied <= newest
 		? ok(undefined)
-		: err(failure(FailureKind.malformed, `drained ${drained} and applied ${applied} are impossible: ${known} is the newest entry`));
+		: err(failure(FailureKind.malformed, `drained ${drained} and applied ${applied} are impossible: ${newest} is the newest entry`));
 }
 
 /**
