--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -56,7 +56,7 @@
 	};
 };
 
-const longestDelayMilliseconds = 600_000;
+const maximumDelayMilliseconds = 600_000;
 const pathField = v.pipe(v.string(), v.nonEmpty('expected the path of a file'), v.maxLength(4096));
 
 const schema = strictObject({
@@ -75,8 +75,8 @@
 	}),
 	keys: strictObject({peer_file: pathField, announce_file: pathField}),
 	stop: v.exactOptional(strictObject({
-		balancer_delay: v.exactOptional(duration(0, longestDelayMilliseconds), '1 s'),
-		longest: v.exactOptional(duration(0, longestDelayMilliseconds), '30 s'),
+		balancer_delay: v.exactOptional(duration(0, maximumDelayMilliseconds), '1 s'),
+		longest: v.exactOptional(duration(0, maximumDelayMilliseconds), '30 s'),
 	}), {}),
 });
 
