--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -102,13 +102,13 @@
 	}
 }
 
-const shortestKeyCharacters = 16;
+const minimumKeyCharacters = 16;
 
 async function readKey(file: string, folder: string, field: string): Promise<Result<string, Failure>> {
 	const read = await readText(path.resolve(folder, file));
-	return read.map(text => text.trim()).andThen(key => key.length >= shortestKeyCharacters
+	return read.map(text => text.trim()).andThen(key => key.length >= minimumKeyCharacters
 		? ok(key)
-		: err(problemsFailure([{file, path: field, reason: `expected a key of at least ${shortestKeyCharacters} characters`}])));
+		: err(problemsFailure([{file, path: field, reason: `expected a key of at least ${minimumKeyCharacters} characters`}])));
 }
 
 function crossProblems(settings: FileSettings, file: string) {
