--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -111,7 +111,7 @@
 		: err(problemsFailure([{file, path: field, reason: `expected a key of at least ${minimumKeyCharacters} characters`}])));
 }
 
-function crossProblems(settings: FileSettings, file: string) {
+function crossFieldProblems(settings: FileSettings, file: string) {
 	const voter = settings.control.voters.find(({name}) => name === settings.name);
 	if (voter === undefined) {
 		return [];
@@ -157,7 +157,7 @@
 		return err(parsed.error);
 	}
 
-	const problems = crossProblems(parsed.value, file);
+	const problems = crossFieldProblems(parsed.value, file);
 	if (problems.length > 0) {
 		return err(problemsFailure(problems));
 	}
