--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -97,8 +97,8 @@
 		return ok(parse(text));
 	} catch (error) {
 		const reason = (error as Error).message.split('\n', 1)[0]!;
-		const place = error instanceof TomlError ? `line ${error.line}` : '';
-		return err(problemsFailure([{file, path: place, reason}]));
+		const location = error instanceof TomlError ? `line ${error.line}` : '';
+		return err(problemsFailure([{file, path: location, reason}]));
 	}
 }
 
