--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -17,7 +17,7 @@
 export const keys = {peer: 'peer-key-of-the-test-0123456789', announce: 'announce-key-of-the-test-0123456789'};
 export const operatorToken = 'operator-token-of-the-test-0001';
 
-type Sending = {readonly token?: string; readonly author?: string; readonly body?: unknown};
+type SendOptions = {readonly token?: string; readonly author?: string; readonly body?: unknown};
 
 /** One instance in this process: the only voter and the steward of its zone. */
 export type OneInstance = {
@@ -26,7 +26,7 @@
 	/** The identity of its data folder in the voter set. */
 	readonly folder: string;
 	readonly failures: string[];
-	readonly send: (method: 'GET' | 'POST', where: string, options: Sending) => Promise<{readonly status: number; readonly body: unknown}>;
+	readonly send: (method: 'GET' | 'POST', where: string, options: SendOptions) => Promise<{readonly status: number; readonly body: unknown}>;
 	readonly ready: () => Promise<boolean>;
 	readonly stop: () => Promise<void>;
 };
