--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -26,7 +26,7 @@
 	/** The identity of its data folder in the voter set. */
 	readonly folder: string;
 	readonly failures: string[];
-	readonly send: (method: 'GET' | 'POST', where: string, options: SendOptions) => Promise<{readonly status: number; readonly body: unknown}>;
+	readonly send: (method: 'GET' | 'POST', route: string, options: SendOptions) => Promise<{readonly status: number; readonly body: unknown}>;
 	readonly ready: () => Promise<boolean>;
 	readonly stop: () => Promise<void>;
 };
