--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -35,13 +35,13 @@
 const readyMilliseconds = 20_000;
 
 function settingsIn(folder: string): InstanceSettings {
-	const anywhere = '127.0.0.1:0';
+	const anyPort = '127.0.0.1:0';
 	return {
 		name: 'entry-1',
 		region: 'noord',
 		zone: 'noord-a',
-		addresses: {callers: anywhere, operators: anywhere, peers: anywhere},
-		control: {voters: [{name: 'entry-1', peerAddress: anywhere}], dataFolder: path.join(folder, 'data')},
+		addresses: {callers: anyPort, operators: anyPort, peers: anyPort},
+		control: {voters: [{name: 'entry-1', peerAddress: anyPort}], dataFolder: path.join(folder, 'data')},
 		keys,
 		stop: {balancerDelayMilliseconds: 0, longestMilliseconds: 1000},
 	};
