--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -13,7 +13,7 @@
 } from 'cmd-ts';
 import {err, ok, type Result} from 'true-myth/result';
 import {ExitCode, exitCodeOf} from './exit-code.js';
-import {bootstrap} from './founding.js';
+import {bootstrap} from './bootstrap.js';
 import {type Instance, startInstance} from './instance.js';
 import {loadSettings} from './settings.js';
 
--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -10,7 +10,7 @@
 import {pause} from '@dogwooddeck/clock/pause';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {createPeerClients, type PeerClients} from '@dogwooddeck/wire/client';
-import {bootstrap} from '@dogwooddeck/daemon/founding';
+import {bootstrap} from '@dogwooddeck/daemon/bootstrap';
 import {startInstance} from '@dogwooddeck/daemon/instance';
 import {type InstanceSettings} from '@dogwooddeck/daemon/settings';
 
