--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -14,7 +14,7 @@
 import {firstAnswer, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
 import {createJoinVotersHandler, type JoinVotersHandler} from './joining-voters.js';
-import {createCachedLeader, type CachedLeader} from './known-leader.js';
+import {createCachedLeader, type CachedLeader} from './cached-leader.js';
 import {type LeaderRunner, createLeaderRunner} from './leader-part.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -10,7 +10,7 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {err, ok, type Result} from 'true-myth/result';
 import {type ControlVoter} from './control-voter.js';
-import {type CachedLeader} from './known-leader.js';
+import {type CachedLeader} from './cached-leader.js';
 
 /**
  * Makes the next membership change towards the vote of a joining data folder.
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-part.ts
@@ -24,7 +24,7 @@
 import {err, type Result} from 'true-myth/result';
 import {type ControlCommitted, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
-import {type CachedLeader} from './known-leader.js';
+import {type CachedLeader} from './cached-leader.js';
 import {checkDelegation, checkIncarnation} from './peer-check.js';
 
 /** The leader's side of the control group, idle while another voter leads. */
--- a/packages/daemon/src/way-to-leader.ts
+++ b/packages/daemon/src/way-to-leader.ts
@@ -7,7 +7,7 @@
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type PeerCalls} from '@dogwooddeck/wire/methods';
 import {err, type Result} from 'true-myth/result';
-import {type CachedLeader} from './known-leader.js';
+import {type CachedLeader} from './cached-leader.js';
 
 /** The calls that only the leader answers. */
 export type LeaderCall = 'delegate' | 'seat' | 'propose' | 'joinVoters';
--- a/packages/daemon/test/test-known-leader.ts
+++ b/packages/daemon/test/test-known-leader.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {createCachedLeader} from '@dogwooddeck/daemon/known-leader';
+import {createCachedLeader} from '@dogwooddeck/daemon/cached-leader';
 
 const cases: ReadonlyArray<{readonly name: string; readonly answered?: string; readonly followed?: string; readonly expected: string | undefined}> = [
 	{name: 'no instance has answered yet', expected: undefined},
