--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -15,7 +15,7 @@
 import {type ControlHolder} from './control-holder.js';
 import {createJoinVotersHandler, type JoinVotersHandler} from './joining-voters.js';
 import {createCachedLeader, type CachedLeader} from './cached-leader.js';
-import {type LeaderRunner, createLeaderRunner} from './leader-part.js';
+import {type LeaderRunner, createLeaderRunner} from './leader-runner.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
 import {type LeaderClient, createLeaderClient, type LeaderHandlers} from './way-to-leader.js';
