--- a/packages/daemon/src/seat-asker.ts
+++ b/packages/daemon/src/seat-asker.ts
@@ -4,7 +4,7 @@
  */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 import {leaseEndsAt} from '@dogwooddeck/ownership/lease';
-import {type LeaseRequester} from './lease-asker.js';
+import {type LeaseRequester} from './lease-requester.js';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
 import {type ZoneDependencies} from './zone-surroundings.js';
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -13,7 +13,7 @@
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {type Result} from 'true-myth/result';
-import {createLeaseRequester} from './lease-asker.js';
+import {createLeaseRequester} from './lease-requester.js';
 import {createSeatRequester} from './seat-asker.js';
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
