--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -14,7 +14,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {type Result} from 'true-myth/result';
 import {createLeaseRequester} from './lease-requester.js';
-import {createSeatRequester} from './seat-asker.js';
+import {createSeatRequester} from './seat-requester.js';
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
 import {createZoneNotices} from './zone-notices.js';
