--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -33,7 +33,7 @@
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
 import {createOperatorSurface, readMemberReport} from './operator-surface.js';
-import {startLocalVoter} from './own-voter.js';
+import {startLocalVoter} from './local-voter.js';
 import {createPeerHandlers} from './peer-service.js';
 import {shutDownGracefully} from './planned-stop.js';
 import {createReportCollector} from './report-collector.js';
