--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -35,7 +35,7 @@
 import {createOperatorSurface, readMemberReport} from './operator-surface.js';
 import {startLocalVoter} from './local-voter.js';
 import {createPeerHandlers} from './peer-service.js';
-import {shutDownGracefully} from './planned-stop.js';
+import {shutDownGracefully} from './graceful-shutdown.js';
 import {createReportCollector} from './report-collector.js';
 import {createRequestMeasures} from './request-measures.js';
 import {createRequestPath} from './request-path.js';
