--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -18,7 +18,7 @@
 import {type LeaderRunner, createLeaderRunner} from './leader-runner.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
-import {type LeaderClient, createLeaderClient, type LeaderHandlers} from './way-to-leader.js';
+import {type LeaderClient, createLeaderClient, type LeaderHandlers} from './leader-client.js';
 
 /** This process's access to the control group. */
 export type ControlRunner = {
