--- a/packages/daemon/src/lease-requester.ts
+++ b/packages/daemon/src/lease-requester.ts
@@ -11,7 +11,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, type Result} from 'true-myth/result';
 import {type StewardRunner} from './steward-runner.js';
-import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Requests routing leases. */
--- a/packages/daemon/src/seat-requester.ts
+++ b/packages/daemon/src/seat-requester.ts
@@ -7,7 +7,7 @@
 import {type LeaseRequester} from './lease-requester.js';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
-import {type ZoneDependencies} from './zone-surroundings.js';
+import {type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Requests a seat, or its removal. */
--- a/packages/daemon/src/state-fetcher.ts
+++ b/packages/daemon/src/state-fetcher.ts
@@ -4,7 +4,7 @@
  */
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {type ControlHolder} from './control-holder.js';
-import {peerTimeoutMilliseconds} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds} from './zone-dependencies.js';
 
 /** Runs one fetch at a time. */
 export type StateFetcher = {
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -23,7 +23,7 @@
 import {createRecentHolders} from './recent-holders.js';
 import {createSharePost} from './share-post.js';
 import {createZoneLimits} from './zone-limits.js';
-import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
 
 /** This instance's steward state machine. */
--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -6,7 +6,7 @@
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
-import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
 
 /** Sends and receives notifications. */
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -18,7 +18,7 @@
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
 import {createZoneNotices} from './zone-notices.js';
-import {type ZoneDependencies} from './zone-surroundings.js';
+import {type ZoneDependencies} from './zone-dependencies.js';
 import {createZoneView} from './zone-view.js';
 
 /** This instance's membership in its zone. */
