--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -83,18 +83,18 @@
 	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	const cachedLeader = createCachedLeader(settings.name, voter);
-	const leaderRunner = createLeaderRunner({...dependencies, cachedLeader: cachedLeader});
+	const leaderRunner = createLeaderRunner({...dependencies, cachedLeader});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
 		delegate: recordingStewards(leaderRunner, notices),
 		seat: leaderRunner.handleSeat,
 		propose: createProposalHandler(voter, cachedLeader),
 		joinVoters: createJoinVotersHandler({
-			isListedVoter: name => addresses.has(name), voter, cachedLeader: cachedLeader, log,
+			isListedVoter: name => addresses.has(name), voter, cachedLeader, log,
 		}),
 	};
 	const callLeader = createLeaderClient({
-		self: settings.name, addresses, clients, cachedLeader: cachedLeader, handlers,
+		self: settings.name, addresses, clients, cachedLeader, handlers,
 	});
 	holder.listen(control => {
 		if (leaderRunner.isLeading()) {
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -99,7 +99,7 @@
 		holder,
 		control,
 		clients,
-		inFlightTracker: inFlightTracker,
+		inFlightTracker,
 		ownReports,
 		zoneReports,
 		acceptShares(shares) {
@@ -192,7 +192,7 @@
 	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, requestPath, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startLocalVoter({
-			settings, self: identity, holder, control, clients, log, storageFailed: storageFailed,
+			settings, self: identity, holder, control, clients, log, storageFailed,
 		});
 	}
 
--- a/packages/daemon/src/lease-requester.ts
+++ b/packages/daemon/src/lease-requester.ts
@@ -30,7 +30,7 @@
 
 /** Creates a requester that holds no lease. `changed` is called after each answer. */
 export function createLeaseRequester(dependencies: ZoneDependencies, zone: ZoneView, steward: StewardRunner, changed: () => void): LeaseRequester {
-	const {self, terms, holder, clients, inFlightTracker: inFlightTracker} = dependencies;
+	const {self, terms, holder, clients, inFlightTracker} = dependencies;
 	let lease: LeaseState = createLease(terms);
 	let drained: LogIndex = 0;
 	let isRequesting = false;
--- a/packages/daemon/src/local-voter.ts
+++ b/packages/daemon/src/local-voter.ts
@@ -53,7 +53,7 @@
  * or unreadable.
  */
 export async function startLocalVoter(dependencies: LocalVoterDependencies): Promise<ControlVoter> {
-	const {settings, self, holder, control, log, storageFailed: storageFailed} = dependencies;
+	const {settings, self, holder, control, log, storageFailed} = dependencies;
 	const folder = taken(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
 		taken(holder.restore(folder.saved.snapshot.index, folder.saved.snapshot.data));
@@ -72,7 +72,7 @@
 		roleChanged() {
 			control.roleChanged();
 		},
-		storageFailed: storageFailed,
+		storageFailed,
 	});
 	const joining = setInterval(() => {
 		if (!includesVoter(voter.voterSet().voters, identity)) {
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -63,7 +63,7 @@
 	const steward = createStewardRunner(dependencies, zone, arm);
 	const leaseRequester = createLeaseRequester(dependencies, zone, steward, arm);
 	const seatRequester = createSeatRequester(dependencies, {
-		zone, steward, leaseRequester: leaseRequester, fetcher,
+		zone, steward, leaseRequester, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
 	const recordSteward = onChange(isNow => {
