--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -51,7 +51,7 @@
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createJoinVotersHandler({
-	isListedVoter: listed, voter, cachedLeader: known, log,
+	isListedVoter: isListedVoter, voter, cachedLeader: known, log,
 }: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
@@ -69,7 +69,7 @@
 			return err(known.notLeader());
 		}
 
-		if (!listed(joining.name)) {
+		if (!isListedVoter(joining.name)) {
 			return err(failure(FailureKind.forbidden, `${joining.name} is not listed as a voter`));
 		}
 
