--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -51,7 +51,7 @@
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createJoinVotersHandler({
-	isListedVoter: isListedVoter, voter, cachedLeader: known, log,
+	isListedVoter: isListedVoter, voter, cachedLeader: cachedLeader, log,
 }: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
@@ -66,7 +66,7 @@
 	return async joining => {
 		const leading = voter();
 		if (!leading?.isLeader()) {
-			return err(known.notLeader());
+			return err(cachedLeader.notLeader());
 		}
 
 		if (!isListedVoter(joining.name)) {
