--- a/packages/daemon/src/leader-client.ts
+++ b/packages/daemon/src/leader-client.ts
@@ -60,7 +60,7 @@
 }
 
 export function createLeaderClient({
-	self, addresses, clients, cachedLeader: known, handlers,
+	self, addresses, clients, cachedLeader: cachedLeader, handlers,
 }: LeaderClientDependencies): LeaderClient {
 	async function callOne<Call extends LeaderCall>(name: InstanceName, call: Call, request: PeerCalls[Call]['request']): LeaderAnswer<Call> {
 		return name === self
@@ -69,13 +69,13 @@
 	}
 
 	return async (call, request) => {
-		let remaining = hintedFirst([...addresses.keys()], known.leader());
+		let remaining = hintedFirst([...addresses.keys()], cachedLeader.leader());
 		let sentUnanswered = false;
 		while (remaining.length > 0) {
 			const [name, ...others] = remaining as readonly [InstanceName, ...InstanceName[]];
 			const answer = await callOne(name, call, request);
 			if (answer.isOk) {
-				known.recordAnswer(name);
+				cachedLeader.recordAnswer(name);
 				return answer;
 			}
 
