--- a/packages/daemon/src/leader-runner.ts
+++ b/packages/daemon/src/leader-runner.ts
@@ -61,7 +61,7 @@
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
 export function createLeaderRunner(dependencies: LeaderRunnerDependencies): LeaderRunner {
 	const {
-		terms, hash, holder, cachedLeader: known, log, voter,
+		terms, hash, holder, cachedLeader: cachedLeader, log, voter,
 	} = dependencies;
 	let leaderState: LeaderState | undefined;
 	/** Set while this voter leads. */
@@ -140,7 +140,7 @@
 			const now = monotonicNow();
 			const quorumHeardAt = voter()?.quorumContactAt(now);
 			if (leaderState === undefined || quorumHeardAt === undefined) {
-				return err(known.notLeader());
+				return err(cachedLeader.notLeader());
 			}
 
 			const {ownership, applied} = holder.state();
@@ -148,7 +148,7 @@
 		},
 		async handleSeat(request) {
 			if (leaderState === undefined) {
-				return err(known.notLeader());
+				return err(cachedLeader.notLeader());
 			}
 
 			const seated = seatedInstances(holder.state().ownership);
