--- a/packages/daemon/src/leader-runner.ts
+++ b/packages/daemon/src/leader-runner.ts
@@ -65,7 +65,7 @@
 	} = dependencies;
 	let leaderState: LeaderState | undefined;
 	/** Set while this voter leads. */
-	let ticking: NodeJS.Timeout | undefined;
+	let tickTimer: NodeJS.Timeout | undefined;
 	let delegationAnswer: DelegationAnswer | undefined;
 
 	function proposalEnded(): void {
@@ -114,7 +114,7 @@
 		const read = await elected.read();
 		if (read.isOk && elected.isLeader() && leaderState === undefined) {
 			leaderState = createLeader(monotonicNow(), holder.state(), terms, hash);
-			ticking = setInterval(tick, tickMilliseconds);
+			tickTimer = setInterval(tick, tickMilliseconds);
 		}
 	}
 
@@ -156,14 +156,14 @@
 		},
 		roleChanged() {
 			leaderState = undefined;
-			clearInterval(ticking);
+			clearInterval(tickTimer);
 			const elected = voter();
 			if (elected?.isLeader() === true) {
 				void begin(elected);
 			}
 		},
 		stop() {
-			clearInterval(ticking);
+			clearInterval(tickTimer);
 		},
 	};
 }
