--- a/packages/daemon/src/local-voter.ts
+++ b/packages/daemon/src/local-voter.ts
@@ -74,7 +74,7 @@
 		},
 		storageFailed,
 	});
-	const joining = setInterval(() => {
+	const joinTimer = setInterval(() => {
 		if (!includesVoter(voter.voterSet().voters, identity)) {
 			void control.callLeader('joinVoters', identity);
 		}
@@ -82,7 +82,7 @@
 	return {
 		...voter,
 		async stop() {
-			clearInterval(joining);
+			clearInterval(joinTimer);
 			await voter.stop();
 		},
 	};
