--- a/packages/daemon/src/leader-runner.ts
+++ b/packages/daemon/src/leader-runner.ts
@@ -110,7 +110,7 @@
 		step({kind: 'ticked', now: monotonicNow(), control: holder.state()});
 	}
 
-	async function begin(elected: ControlVoter): Promise<void> {
+	async function startLeading(elected: ControlVoter): Promise<void> {
 		const read = await elected.read();
 		if (read.isOk && elected.isLeader() && leaderState === undefined) {
 			leaderState = createLeader(monotonicNow(), holder.state(), terms, hash);
@@ -159,7 +159,7 @@
 			clearInterval(tickTimer);
 			const elected = voter();
 			if (elected?.isLeader() === true) {
-				void begin(elected);
+				void startLeading(elected);
 			}
 		},
 		stop() {
