--- a/packages/daemon/src/seat-requester.ts
+++ b/packages/daemon/src/seat-requester.ts
@@ -30,13 +30,13 @@
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leaseRequester: leases, fetcher}: SeatRequesterDependencies): SeatRequester {
+export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leaseRequester: leaseRequester, fetcher}: SeatRequesterDependencies): SeatRequester {
 	let requestedAt = -Infinity;
 	let leaving = false;
 
 	function dueAt(): MonotonicTime {
 		const isSeated = steward.isSeated();
-		const from = isSeated && !leaving ? leaseEndsAt(leases.lease()) : -Infinity;
+		const from = isSeated && !leaving ? leaseEndsAt(leaseRequester.lease()) : -Infinity;
 		return isSeated || !leaving ? Math.max(from, requestedAt + seatRetryMilliseconds) : Infinity;
 	}
 
