--- a/packages/daemon/src/seat-requester.ts
+++ b/packages/daemon/src/seat-requester.ts
@@ -36,8 +36,8 @@
 
 	function dueAt(): MonotonicTime {
 		const isSeated = steward.isSeated();
-		const from = isSeated && !leaving ? leaseEndsAt(leaseRequester.lease()) : -Infinity;
-		return isSeated || !leaving ? Math.max(from, requestedAt + seatRetryMilliseconds) : Infinity;
+		const notBefore = isSeated && !leaving ? leaseEndsAt(leaseRequester.lease()) : -Infinity;
+		return isSeated || !leaving ? Math.max(notBefore, requestedAt + seatRetryMilliseconds) : Infinity;
 	}
 
 	async function requestSeat(now: MonotonicTime): Promise<void> {
