--- a/packages/daemon/src/graceful-shutdown.ts
+++ b/packages/daemon/src/graceful-shutdown.ts
@@ -54,19 +54,19 @@
 
 /** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
 async function handOver({
-	durations, voter, zone, seatCount: seatCount, callers, limitRequestsTo: endCallersAt, claims,
+	durations, voter, zone, seatCount: seatCount, callers, limitRequestsTo: limitRequestsTo, claims,
 }: ShutdownDependencies): Promise<void> {
 	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
-	endCallersAt(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
+	limitRequestsTo(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
 	await pause(durations.balancerDelayMilliseconds);
 	voter?.handOver();
 	zone.leave();
 	const closing = callers.close();
 	await waitUntil(() => !zone.isSeated() || seatCount() < 2, leaveTimeoutMilliseconds);
 	const end = monotonicNow() + durations.longestMilliseconds;
-	endCallersAt(end);
+	limitRequestsTo(end);
 	await Promise.race([closing, pause(durations.longestMilliseconds)]);
-	endCallersAt(-Infinity);
+	limitRequestsTo(-Infinity);
 	await claims.handOver(Math.max(0, end - monotonicNow()));
 }
 
