--- a/packages/daemon/src/graceful-shutdown.ts
+++ b/packages/daemon/src/graceful-shutdown.ts
@@ -45,9 +45,9 @@
 const leaveTimeoutMilliseconds: Milliseconds = 4000;
 const pollMilliseconds: Milliseconds = 20;
 
-async function waitUntil(holds: () => boolean, timeout: Milliseconds): Promise<void> {
+async function waitUntil(condition: () => boolean, timeout: Milliseconds): Promise<void> {
 	const end = monotonicNow() + timeout;
-	while (!holds() && monotonicNow() < end) {
+	while (!condition() && monotonicNow() < end) {
 		await pause(pollMilliseconds);
 	}
 }
