--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -114,7 +114,7 @@
 		return failure(FailureKind.notLeader, `${self.name} is not the steward of ${self.zone}`, leader === undefined ? {} : {leader});
 	}
 
-	function takeLeaseRequest(request: LeaseRequest): Result<WithCatchUp<LeaseAnswer>, Failure> {
+	function handleLeaseRequest(request: LeaseRequest): Result<WithCatchUp<LeaseAnswer>, Failure> {
 		const now = monotonicNow();
 		if (!isSteward(state, now)) {
 			return err(notSteward());
@@ -152,7 +152,7 @@
 				kind: 'tableChanged', now: monotonicNow(), applied, table: ownership,
 			});
 		},
-		handleLeaseRequest: takeLeaseRequest,
+		handleLeaseRequest: handleLeaseRequest,
 		handleSupportRequest: takeSupportRequest,
 		renewSupport: to => effectOf(step({kind: 'leaseSent', now: monotonicNow(), to}), 'renewSupport')?.renewal,
 		leaseAnswered(answer) {
