--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -130,7 +130,7 @@
 			: ok({answer: {...answer, shares: shareOutbox.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
 	}
 
-	function takeSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
+	function handleSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
 		const answer = effectOf(step({kind: 'supportRequested', now: monotonicNow(), request}), 'answerSupport')?.answer;
 		if (answer === undefined) {
 			return err(failure(FailureKind.notReady, `${self.name} can't answer a support request now`));
@@ -153,7 +153,7 @@
 			});
 		},
 		handleLeaseRequest: handleLeaseRequest,
-		handleSupportRequest: takeSupportRequest,
+		handleSupportRequest: handleSupportRequest,
 		renewSupport: to => effectOf(step({kind: 'leaseSent', now: monotonicNow(), to}), 'renewSupport')?.renewal,
 		leaseAnswered(answer) {
 			step({kind: 'leaseAnswered', now: monotonicNow(), answer});
