--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -49,8 +49,8 @@
 
 function createProposalHandler(voter: () => ControlVoter | undefined, cachedLeader: CachedLeader): LeaderHandlers['propose'] {
 	return async payload => {
-		const leading = voter();
-		if (!leading?.isLeader()) {
+		const leadingVoter = voter();
+		if (!leadingVoter?.isLeader()) {
 			return err(cachedLeader.notLeader());
 		}
 
@@ -59,7 +59,7 @@
 			return err(command.error);
 		}
 
-		const proposed = await leading.propose(payload);
+		const proposed = await leadingVoter.propose(payload);
 		return proposed.andThen(committed => firstAnswer(committed))
 			.map(accepted => ({index: accepted.index, answer: JSON.stringify(accepted)}));
 	};
