--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -55,10 +55,10 @@
 }: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
-	async function change(leading: ControlVoter, joining: VoterIdentity, voterSet: VoterSet): Promise<Result<undefined, Failure>> {
+	async function change(leadingVoter: ControlVoter, joining: VoterIdentity, voterSet: VoterSet): Promise<Result<undefined, Failure>> {
 		changing = true;
 		log.event(EventName.voterJoining, {voter: joining.name, folder: joining.folder});
-		const changed = await leading.changeVoters(voterSet);
+		const changed = await leadingVoter.changeVoters(voterSet);
 		changing = false;
 		return changed.map(() => undefined);
 	}
