--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -64,8 +64,8 @@
 	}
 
 	return async joining => {
-		const leading = voter();
-		if (!leading?.isLeader()) {
+		const leadingVoter = voter();
+		if (!leadingVoter?.isLeader()) {
 			return err(cachedLeader.notLeader());
 		}
 
@@ -73,7 +73,7 @@
 			return err(failure(FailureKind.forbidden, `${joining.name} is not listed as a voter`));
 		}
 
-		const voterSet = nextVoterSet(leading.voterSet(), joining);
-		return voterSet === undefined || changing ? ok(undefined) : change(leading, joining, voterSet);
+		const voterSet = nextVoterSet(leadingVoter.voterSet(), joining);
+		return voterSet === undefined || changing ? ok(undefined) : change(leadingVoter, joining, voterSet);
 	};
 }
