--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -28,7 +28,7 @@
 	readonly log: Log;
 };
 
-function asLearner({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
+function replaceLearner({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
 	const others = learners.filter(({name}) => name !== joining.name);
 	return others.length < learners.length ? {voters, learners: others} : {voters, learners: [...learners, joining]};
 }
@@ -46,7 +46,7 @@
 		return undefined;
 	}
 
-	return includesVoter(voterSet.learners, joining) ? asVoter(voterSet, joining) : asLearner(voterSet, joining);
+	return includesVoter(voterSet.learners, joining) ? asVoter(voterSet, joining) : replaceLearner(voterSet, joining);
 }
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
