--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -33,7 +33,7 @@
 	return others.length < learners.length ? {voters, learners: others} : {voters, learners: [...learners, joining]};
 }
 
-function asVoter({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
+function replaceVoter({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
 	const others = voters.filter(({name}) => name !== joining.name);
 	return others.length < voters.length
 		? {voters: others, learners}
@@ -46,7 +46,7 @@
 		return undefined;
 	}
 
-	return includesVoter(voterSet.learners, joining) ? asVoter(voterSet, joining) : replaceLearner(voterSet, joining);
+	return includesVoter(voterSet.learners, joining) ? replaceVoter(voterSet, joining) : replaceLearner(voterSet, joining);
 }
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
