--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -66,7 +66,7 @@
 		zone, steward, leaseRequester, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
-	const recordSteward = onChange(isNow => {
+	const logStewardChange = onChange(isNow => {
 		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
 	const recordLease = onChange(hasNow => {
@@ -81,7 +81,7 @@
 	function tick(): void {
 		const now = monotonicNow();
 		steward.tick(now);
-		recordSteward(steward.isSteward());
+		logStewardChange(steward.isSteward());
 		recordLease(holdsLease(leaseRequester.lease(), now));
 		seatRequester.tick(now);
 		leaseRequester.tick(now);
