--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -69,7 +69,7 @@
 	const logStewardChange = onChange(isNow => {
 		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
-	const recordLease = onChange(hasNow => {
+	const logLeaseChange = onChange(hasNow => {
 		log.event(hasNow ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
 	});
 
@@ -82,7 +82,7 @@
 		const now = monotonicNow();
 		steward.tick(now);
 		logStewardChange(steward.isSteward());
-		recordLease(holdsLease(leaseRequester.lease(), now));
+		logLeaseChange(holdsLease(leaseRequester.lease(), now));
 		seatRequester.tick(now);
 		leaseRequester.tick(now);
 	}
