--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -66,8 +66,8 @@
 		zone, steward, leaseRequester, fetcher,
 	});
 	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
-	const logStewardChange = onChange(isNow => {
-		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
+	const logStewardChange = onChange(isSteward => {
+		log.event(isSteward ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
 	const logLeaseChange = onChange(hasNow => {
 		log.event(hasNow ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
