--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -69,8 +69,8 @@
 	const logStewardChange = onChange(isSteward => {
 		log.event(isSteward ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
-	const logLeaseChange = onChange(hasNow => {
-		log.event(hasNow ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
+	const logLeaseChange = onChange(hasLease => {
+		log.event(hasLease ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
 	});
 
 	holder.listen(table => {
