--- a/packages/daemon/src/leader-client.ts
+++ b/packages/daemon/src/leader-client.ts
@@ -47,10 +47,10 @@
 /** Failures after which the next voter is tried. */
 const retriedFailures: ReadonlySet<FailureKind> = new Set([FailureKind.notLeader, FailureKind.unreachable, FailureKind.notReady]);
 
-function hintedFirst(waiting: readonly InstanceName[], hint: InstanceName | undefined): readonly InstanceName[] {
-	return hint !== undefined && waiting.includes(hint)
-		? [hint, ...waiting.filter(name => name !== hint)]
-		: waiting;
+function hintedFirst(candidates: readonly InstanceName[], hint: InstanceName | undefined): readonly InstanceName[] {
+	return hint !== undefined && candidates.includes(hint)
+		? [hint, ...candidates.filter(name => name !== hint)]
+		: candidates;
 }
 
 function noLeaderFailure(call: LeaderCall, sentUnanswered: boolean): Failure {
