--- a/packages/daemon/src/graceful-shutdown.ts
+++ b/packages/daemon/src/graceful-shutdown.ts
@@ -54,7 +54,7 @@
 
 /** Waits for the balancer, hands over leadership and the seat, then waits for requests in flight and copies of claims to finish. */
 async function handOver({
-	durations, voter, zone, seatCount: seatCount, callers, limitRequestsTo: limitRequestsTo, claims,
+	durations, voter, zone, seatCount, callers, limitRequestsTo, claims,
 }: ShutdownDependencies): Promise<void> {
 	// Releasing the seat may extend the end; requests that arrive now are admitted against the earliest one.
 	limitRequestsTo(monotonicNow() + durations.balancerDelayMilliseconds + durations.longestMilliseconds);
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -51,7 +51,7 @@
 
 /** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
 export function createJoinVotersHandler({
-	isListedVoter: isListedVoter, voter, cachedLeader: cachedLeader, log,
+	isListedVoter, voter, cachedLeader, log,
 }: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
--- a/packages/daemon/src/leader-client.ts
+++ b/packages/daemon/src/leader-client.ts
@@ -60,7 +60,7 @@
 }
 
 export function createLeaderClient({
-	self, addresses, clients, cachedLeader: cachedLeader, handlers,
+	self, addresses, clients, cachedLeader, handlers,
 }: LeaderClientDependencies): LeaderClient {
 	async function callOne<Call extends LeaderCall>(name: InstanceName, call: Call, request: PeerCalls[Call]['request']): LeaderAnswer<Call> {
 		return name === self
--- a/packages/daemon/src/leader-runner.ts
+++ b/packages/daemon/src/leader-runner.ts
@@ -61,7 +61,7 @@
 /** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
 export function createLeaderRunner(dependencies: LeaderRunnerDependencies): LeaderRunner {
 	const {
-		terms, hash, holder, cachedLeader: cachedLeader, log, voter,
+		terms, hash, holder, cachedLeader, log, voter,
 	} = dependencies;
 	let leaderState: LeaderState | undefined;
 	/** Set while this voter leads. */
--- a/packages/daemon/src/seat-requester.ts
+++ b/packages/daemon/src/seat-requester.ts
@@ -30,7 +30,7 @@
 };
 
 /** Creates a requester that hasn't sent a request yet. */
-export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leaseRequester: leaseRequester, fetcher}: SeatRequesterDependencies): SeatRequester {
+export function createSeatRequester({self, holder, control}: ZoneDependencies, {zone, steward, leaseRequester, fetcher}: SeatRequesterDependencies): SeatRequester {
 	let requestedAt = -Infinity;
 	let leaving = false;
 
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -152,8 +152,8 @@
 				kind: 'tableChanged', now: monotonicNow(), applied, table: ownership,
 			});
 		},
-		handleLeaseRequest: handleLeaseRequest,
-		handleSupportRequest: handleSupportRequest,
+		handleLeaseRequest,
+		handleSupportRequest,
 		renewSupport: to => effectOf(step({kind: 'leaseSent', now: monotonicNow(), to}), 'renewSupport')?.renewal,
 		leaseAnswered(answer) {
 			step({kind: 'leaseAnswered', now: monotonicNow(), answer});
