--- a/packages/daemon/src/bootstrap.ts
+++ b/packages/daemon/src/bootstrap.ts
@@ -28,7 +28,7 @@
 	const index = belonging.indexOf(true);
 	return index === -1
 		? ok(undefined)
-		: err(failure(FailureKind.conflict, `${others[index]!.name} already belongs to a deployment; start this instance without founding, and it joins`));
+		: err(failure(FailureKind.conflict, `${others[index]!.name} already belongs to a deployment; run this instance without the found command, and it joins`));
 }
 
 async function writeInitialEntries(storage: Storage, settings: InstanceSettings, folder: string, operatorToken: string): Promise<Result<undefined, Failure>> {
@@ -55,7 +55,7 @@
 export async function bootstrap(settings: InstanceSettings, operatorToken: string): Promise<Result<undefined, Failure>> {
 	const {dataFolder} = settings.control;
 	if (!isVoter(settings) || dataFolder === undefined) {
-		return err(failure(FailureKind.settingsInvalid, `${settings.name} is not listed as a voter, so it can't found a deployment`));
+		return err(failure(FailureKind.settingsInvalid, `${settings.name} is not listed as a voter, so it can't bootstrap a deployment`));
 	}
 
 	const checked = await rejectSecondBootstrap(settings);
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -65,7 +65,7 @@
 }
 
 /**
- * Starts an instance. `failed` is called when its durable state can't be
+ * Starts an instance. `storageFailed` is called when its durable state can't be
  * written. Throws a `FailureError` when one of its components can't start.
  */
 export async function startInstance(settings: InstanceSettings, log: Log, storageFailed: (failure: Failure) => void): Promise<Instance> {
--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -24,7 +24,7 @@
 	readonly fetcher: StateFetcher;
 };
 
-/** Creates notifications with none sent yet. */
+/** Creates the notifications of an instance that has sent none yet. */
 export function createZoneNotices({holder, control, clients}: ZoneDependencies, {zone, steward, fetcher}: ZoneNoticesDependencies): ZoneNotices {
 	const notifiedIndexes = new Map<InstanceName, LogIndex>();
 
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -40,7 +40,7 @@
 	readonly stop: () => void;
 };
 
-/** Returns a function that calls `noted` when its argument differs from that of the last call, initially `false`. */
+/** Returns a function that calls `changed` when its argument differs from that of the last call, initially `false`. */
 function onChange(changed: (value: boolean) => void): (value: boolean) => void {
 	let last = false;
 	return value => {
--- a/packages/daemon/src/zone-view.ts
+++ b/packages/daemon/src/zone-view.ts
@@ -1,6 +1,6 @@
 /**
  * An instance's view of its availability zone: the roster in the table that it
- * has applied, and the steward that it last received from another instance.
+ * has applied, and the steward that another instance last named.
  */
 import {type InstanceName} from '@dogwooddeck/model/identifiers';
 import {type InstanceRecord} from '@dogwooddeck/model/registry';
--- a/packages/daemon/test/test-cached-leader.ts
+++ b/packages/daemon/test/test-cached-leader.ts
@@ -22,7 +22,7 @@
 for (const {
 	name, answered, followed, expected,
 } of cases) {
-	test(`known leader: ${name}`, () => {
+	test(`cached leader: ${name}`, () => {
 		const cachedLeader = createCachedLeader('entry-1', () => ({leader: () => followed}));
 		if (answered !== undefined) {
 			cachedLeader.recordAnswer(answered);
