--- a/packages/control-node/test/test-leader-coordinator.ts
+++ b/packages/control-node/test/test-leader-coordinator.ts
@@ -56,7 +56,7 @@
 			await pause(roundMilliseconds.value);
 			return isLeading.value ? ok(holder.state().applied) : err(notLeader);
 		},
-		quorumHeardAt: () => isLeading.value ? now : undefined,
+		quorumContactAt: () => isLeading.value ? now : undefined,
 	} as unknown as DirectoryVoter;
 	const coordinator = createLeaderCoordinator({
 		holder, voter: () => voter, terms: {holdMilliseconds: 5000, clockDrift: 0.02}, mostRanges: 150, log: silent, measures: createMeasures(),
--- a/packages/daemon/src/control-runner.ts
+++ b/packages/daemon/src/control-runner.ts
@@ -1,6 +1,6 @@
 /**
- * This process's part in control: the leader's decisions while it leads, and
- * the way to the leader while it does not.
+ * Connects this process to the control group: runs the leader's decisions while
+ * its voter leads, and sends requests to the leader otherwise.
  */
 import {type ControlCommand, decodeForwarded, encodeCommands} from '@dogwooddeck/control/command';
 import {type ControlAccepted} from '@dogwooddeck/control/state';
@@ -13,45 +13,45 @@
 import {err, type Result} from 'true-myth/result';
 import {firstAnswer, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
-import {createTakeVoter, type TakeVoter} from './joining-voters.js';
-import {createKnownLeader, type KnownLeader} from './known-leader.js';
-import {type LeaderPart, startLeaderPart} from './leader-part.js';
+import {createJoinVotersHandler, type JoinVotersHandler} from './joining-voters.js';
+import {createCachedLeader, type CachedLeader} from './cached-leader.js';
+import {type LeaderRunner, createLeaderRunner} from './leader-runner.js';
 import {type InstanceSettings} from './settings.js';
 import {createStewardNotices, type StewardNotices} from './steward-notices.js';
-import {type CallLeader, createCallLeader, type LeaderHandlers} from './way-to-leader.js';
+import {type LeaderClient, createLeaderClient, type LeaderHandlers} from './leader-client.js';
 
-/** This process's part in control. */
+/** This process's access to the control group. */
 export type ControlRunner = {
-	/** Sends a command to the leader. Ends when it is accepted and applied there, or refused. */
+	/** Sends a command to the leader. Resolves when it is accepted and applied there, or rejected. */
 	readonly submit: (command: ControlCommand) => Promise<Result<ControlAccepted, Failure>>;
-	readonly callLeader: CallLeader;
-	readonly takeDelegation: LeaderHandlers['delegate'];
-	readonly takeSeat: LeaderHandlers['seat'];
-	readonly takeProposal: LeaderHandlers['propose'];
-	readonly takeVoter: TakeVoter;
-	/** The voter's role has changed. */
+	readonly callLeader: LeaderClient;
+	readonly handleDelegation: LeaderHandlers['delegate'];
+	readonly handleSeat: LeaderHandlers['seat'];
+	readonly handleProposal: LeaderHandlers['propose'];
+	readonly handleJoinVoters: JoinVotersHandler;
+	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly leader: () => InstanceName | undefined;
 	readonly stop: () => void;
 };
 
-/** What the runner needs. */
-export type ControlSurroundings = {
+/** Collaborators of the runner. */
+export type ControlDependencies = {
 	readonly settings: InstanceSettings;
 	readonly terms: LeaseTerms;
 	readonly hash: SlotHash;
 	readonly holder: ControlHolder;
 	readonly clients: PeerClients;
 	readonly log: Log;
-	/** Absent on instances that don't vote. */
+	/** Undefined on instances that don't vote. */
 	readonly voter: () => ControlVoter | undefined;
 };
 
-function createTakeProposal(voter: () => ControlVoter | undefined, known: KnownLeader): LeaderHandlers['propose'] {
+function createProposalHandler(voter: () => ControlVoter | undefined, cachedLeader: CachedLeader): LeaderHandlers['propose'] {
 	return async payload => {
-		const leading = voter();
-		if (!leading?.isLeader()) {
-			return err(known.notLeader());
+		const leadingVoter = voter();
+		if (!leadingVoter?.isLeader()) {
+			return err(cachedLeader.notLeader());
 		}
 
 		const command = decodeForwarded(payload);
@@ -59,46 +59,45 @@
 			return err(command.error);
 		}
 
-		const proposed = await leading.propose(payload);
+		const proposed = await leadingVoter.propose(payload);
 		return proposed.andThen(committed => firstAnswer(committed))
 			.map(accepted => ({index: accepted.index, answer: JSON.stringify(accepted)}));
 	};
 }
 
-/** Notes the stewards that ask the leader. */
-function noting(part: LeaderPart, notices: StewardNotices): LeaderHandlers['delegate'] {
+/** Records the stewards whose delegation requests the leader answered, so that they are notified of new entries. */
+function recordingStewards(leaderRunner: LeaderRunner, notices: StewardNotices): LeaderHandlers['delegate'] {
 	return async request => {
-		const answer = await part.takeDelegation(request);
+		const answer = await leaderRunner.handleDelegation(request);
 		if (answer.isOk) {
-			notices.heard(request.zone, request.steward.name);
+			notices.recordSteward(request.zone, request.steward.name);
 		}
 
 		return answer;
 	};
 }
 
-/** Starts the runner. */
-export function startControl(surroundings: ControlSurroundings): ControlRunner {
+export function startControl(dependencies: ControlDependencies): ControlRunner {
 	const {
 		settings, holder, clients, log, voter,
-	} = surroundings;
+	} = dependencies;
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
-	const known = createKnownLeader(settings.name, voter);
-	const part = startLeaderPart({...surroundings, known});
+	const cachedLeader = createCachedLeader(settings.name, voter);
+	const leaderRunner = createLeaderRunner({...dependencies, cachedLeader});
 	const notices = createStewardNotices(settings.name, clients);
 	const handlers: LeaderHandlers = {
-		delegate: noting(part, notices),
-		seat: part.takeSeat,
-		propose: createTakeProposal(voter, known),
-		joinVoters: createTakeVoter({
-			listed: name => addresses.has(name), voter, known, log,
+		delegate: recordingStewards(leaderRunner, notices),
+		seat: leaderRunner.handleSeat,
+		propose: createProposalHandler(voter, cachedLeader),
+		joinVoters: createJoinVotersHandler({
+			isListedVoter: name => addresses.has(name), voter, cachedLeader, log,
 		}),
 	};
-	const callLeader = createCallLeader({
-		self: settings.name, addresses, clients, known, handlers,
+	const callLeader = createLeaderClient({
+		self: settings.name, addresses, clients, cachedLeader, handlers,
 	});
 	holder.listen(control => {
-		if (part.isLeading()) {
+		if (leaderRunner.isLeading()) {
 			notices.send(control);
 		}
 	});
@@ -109,12 +108,12 @@
 			return answer.map(({answer: text}) => JSON.parse(text) as ControlAccepted);
 		},
 		callLeader,
-		takeDelegation: handlers.delegate,
-		takeSeat: handlers.seat,
-		takeProposal: handlers.propose,
-		takeVoter: handlers.joinVoters,
-		roleChanged: part.roleChanged,
-		leader: known.leader,
-		stop: part.stop,
+		handleDelegation: handlers.delegate,
+		handleSeat: handlers.seat,
+		handleProposal: handlers.propose,
+		handleJoinVoters: handlers.joinVoters,
+		roleChanged: leaderRunner.roleChanged,
+		leader: cachedLeader.leader,
+		stop: leaderRunner.stop,
 	};
 }
--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance tells of itself: to the balancer, to operators, to metrics
- * and to the other instances.
+ * Reports an instance's state: readiness for the balancer, status for operators,
+ * metrics, and the member report for the other instances.
  */
 import {type StatusAnswer} from '@dogwooddeck/configuration/messages';
 import {type HealthApi, type Readiness} from '@dogwooddeck/front/api';
@@ -13,26 +13,26 @@
 import {type MemberReport} from './operator-surface.js';
 import {type ZoneRunner} from './zone-runner.js';
 
-/** The parts that are told of. */
-export type StatusParts = {
+/** The components that the status is read from. */
+export type InstanceStatusDependencies = {
 	readonly self: InstanceRecord;
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly zone: ZoneRunner;
-	/** Absent on instances that don't vote. */
+	/** Undefined on instances that don't vote. */
 	readonly voter: () => ControlVoter | undefined;
 	readonly isStopping: () => boolean;
 	readonly measures: Measures;
 };
 
-/** What an instance tells of itself. */
+/** The reports about this instance. */
 export type InstanceStatus = HealthApi & {
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
-	/** Told to other instances. */
+	/** The report that other instances collect. */
 	readonly member: () => MemberReport;
 };
 
-function readinessOf({isStopping, zone}: StatusParts): Readiness {
+function readinessOf({isStopping, zone}: InstanceStatusDependencies): Readiness {
 	if (isStopping()) {
 		return {ready: false, reason: 'the instance stops'};
 	}
@@ -42,9 +42,9 @@
 		: {ready: false, reason: 'no routing lease is held'};
 }
 
-function statusOf(parts: StatusParts): ReturnType<InstanceStatus['status']> {
-	const {self, holder, control, zone} = parts;
-	const voter = parts.voter();
+function statusOf(dependencies: InstanceStatusDependencies): ReturnType<InstanceStatus['status']> {
+	const {self, holder, control, zone} = dependencies;
+	const voter = dependencies.voter();
 	const leader = control.leader();
 	const steward = zone.steward();
 	return {
@@ -52,7 +52,7 @@
 		incarnation: self.incarnation,
 		region: self.region,
 		zone: self.zone,
-		...readinessOf(parts),
+		...readinessOf(dependencies),
 		voter: voter !== undefined,
 		committed: voter?.committed() ?? holder.state().applied,
 		...(leader === undefined ? {} : {leader}),
@@ -60,22 +60,22 @@
 	};
 }
 
-function exposeMetrics(parts: StatusParts): string {
-	const {measures, holder, zone} = parts;
+function exposeMetrics(dependencies: InstanceStatusDependencies): string {
+	const {measures, holder, zone} = dependencies;
 	measures.set(MeasureName.applied, holder.state().applied);
-	measures.set(MeasureName.ready, Number(readinessOf(parts).ready));
-	measures.set(MeasureName.leader, Number(parts.voter()?.isLeader() ?? false));
+	measures.set(MeasureName.ready, Number(readinessOf(dependencies).ready));
+	measures.set(MeasureName.leader, Number(dependencies.voter()?.isLeader() ?? false));
 	measures.set(MeasureName.steward, Number(zone.isSteward()));
 	measureProcess(measures);
 	return measures.expose();
 }
 
-/** Makes what tells of the parts. */
-export function createInstanceStatus(parts: StatusParts): InstanceStatus {
+/** Creates the reports over an instance's components. */
+export function createInstanceStatus(dependencies: InstanceStatusDependencies): InstanceStatus {
 	return {
-		readiness: () => readinessOf(parts),
-		status: () => statusOf(parts),
-		metrics: () => exposeMetrics(parts),
-		member: () => ({applied: parts.holder.state().applied, voter: parts.voter() !== undefined}),
+		readiness: () => readinessOf(dependencies),
+		status: () => statusOf(dependencies),
+		metrics: () => exposeMetrics(dependencies),
+		member: () => ({applied: dependencies.holder.state().applied, voter: dependencies.voter() !== undefined}),
 	};
 }
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -1,5 +1,6 @@
 /**
- * One instance: all parts put together, started and stopped in order.
+ * Composes an instance: creates its components, wires them together, and starts
+ * and stops them in order.
  */
 import {wallNow} from '@dogwooddeck/clock/monotonic';
 import {startCallerServer} from '@dogwooddeck/front/caller-server';
@@ -32,9 +33,9 @@
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
 import {createOperatorSurface, readMemberReport} from './operator-surface.js';
-import {startOwnVoter} from './own-voter.js';
+import {startLocalVoter} from './local-voter.js';
 import {createPeerHandlers} from './peer-service.js';
-import {stopAsPlanned} from './planned-stop.js';
+import {shutDownGracefully} from './graceful-shutdown.js';
 import {createReportCollector} from './report-collector.js';
 import {createRequestMeasures} from './request-measures.js';
 import {createRequestPath} from './request-path.js';
@@ -42,13 +43,13 @@
 import {taken} from './taken.js';
 import {startZone, type ZoneRunner} from './zone-runner.js';
 
-/** An instance that runs. */
+/** A running instance. */
 export type Instance = {
-	/** A planned stop: no request in flight is cut off. Ends when the instance has stopped. */
+	/** Shuts down gracefully, without closing a request in flight early. Resolves when the instance has stopped. */
 	readonly stop: () => Promise<void>;
 };
 
-const memberMilliseconds: Milliseconds = 500;
+const collectTimeoutMilliseconds: Milliseconds = 500;
 const connectTimeoutMilliseconds: Milliseconds = 1000;
 const idleMilliseconds: Milliseconds = 30_000;
 function recordOf({name, region, zone, addresses}: InstanceSettings): InstanceRecord {
@@ -63,8 +64,11 @@
 	};
 }
 
-/** Starts an instance. Throws a `FailureError` when a part of it can't start. */
-export async function startInstance(settings: InstanceSettings, log: Log, failed: (failure: Failure) => void): Promise<Instance> {
+/**
+ * Starts an instance. `storageFailed` is called when its durable state can't be
+ * written. Throws a `FailureError` when one of its components can't start.
+ */
+export async function startInstance(settings: InstanceSettings, log: Log, storageFailed: (failure: Failure) => void): Promise<Instance> {
 	const terms = defaultLeaseTerms;
 	const self = recordOf(settings);
 	const identity = {name: self.name, incarnation: self.incarnation};
@@ -72,18 +76,18 @@
 	const textHash = await loadTextHash();
 	const holder = createControlHolder();
 	const clients = createPeerClients(settings.keys.peer);
-	const flights = createInFlightTracker(terms);
+	const inFlightTracker = createInFlightTracker(terms);
 	const evidence = createEvidenceRecorder();
 	const measures = createMeasures();
 	const requestMeasures = createRequestMeasures(measures);
 	const limiter = createLimiter(self, () => {
-		zone.look();
+		zone.rearmTimer();
 	});
 	const ownReports = createReportCollector(identity, () => evidence.take(), () => limiter.takeDemands());
 	const zoneReports = createReportCollector(identity, () => [], () => []);
 	const claims = startClaims(identity, holder, clients, textHash);
 	let voter: ControlVoter | undefined;
-	let callersEndAt: MonotonicTime = Infinity;
+	let requestsEndAt: MonotonicTime = Infinity;
 	let stopping = false;
 
 	const control = startControl({
@@ -95,25 +99,25 @@
 		holder,
 		control,
 		clients,
-		flights,
+		inFlightTracker,
 		ownReports,
 		zoneReports,
-		takeShares(shares) {
+		acceptShares(shares) {
 			limiter.takeShares(shares);
 		},
-		lacksShares: () => limiter.lacksShares(),
+		isWaitingForShares: () => limiter.lacksShares(),
 		log,
 	});
 
-	const health = createInstanceStatus({
+	const instanceStatus = createInstanceStatus({
 		self, holder, control, zone, voter: () => voter, isStopping: () => stopping, measures,
 	});
-	const surface = createOperatorSurface({
+	const operatorApi = createOperatorSurface({
 		holder,
 		control,
-		status: health.status,
+		status: instanceStatus.status,
 		async askMember(record) {
-			const answer = await clients.call(record.peerAddress, 'collect', 'member', memberMilliseconds);
+			const answer = await clients.call(record.peerAddress, 'collect', 'member', collectTimeoutMilliseconds);
 			return answer.isOk ? readMemberReport(answer.value) : undefined;
 		},
 		announce: createAnnouncements({
@@ -135,18 +139,18 @@
 		holder,
 		...(dataFolder === undefined ? {} : {folder: dataFolder}),
 		async ask(record) {
-			const answer = await clients.call(record.peerAddress, 'collect', 'burn', memberMilliseconds);
+			const answer = await clients.call(record.peerAddress, 'collect', 'burn', collectTimeoutMilliseconds);
 			return answer.isOk ? answer.value : undefined;
 		},
 	});
 	const client = createUpstreamClient({connectTimeoutMilliseconds, idleMilliseconds});
-	const path = createRequestPath({
+	const requestPath = createRequestPath({
 		name: settings.name,
 		zone: settings.zone,
 		holder,
 		lease: zone.lease,
-		endsAt: () => callersEndAt,
-		flights,
+		endsAt: () => requestsEndAt,
+		flights: inFlightTracker,
 		evidence: {
 			...evidence,
 			started(upstream) {
@@ -178,17 +182,17 @@
 		claims,
 		voter: () => voter,
 		collectors: {
-			member: () => JSON.stringify(health.member()),
+			member: () => JSON.stringify(instanceStatus.member()),
 			burn: () => JSON.stringify(burn.own()),
 			[ClaimSubject.report]: () => JSON.stringify(claims.report()),
 			[ClaimSubject.view]: () => JSON.stringify(claims.view() ?? null),
 		},
 	})));
-	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, surface, health));
-	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
+	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, instanceStatus));
+	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, requestPath, () => stopping)));
 	if (isVoter(settings)) {
-		voter = await startOwnVoter({
-			settings, self: identity, holder, control, clients, log, failed,
+		voter = await startLocalVoter({
+			settings, self: identity, holder, control, clients, log, storageFailed,
 		});
 	}
 
@@ -199,15 +203,15 @@
 	return {
 		async stop() {
 			stopping = true;
-			await stopAsPlanned({
+			await shutDownGracefully({
 				durations: settings.stop,
 				log,
 				voter,
 				zone,
-				seats: () => holder.state().ownership.rosters[self.zone]?.members.length ?? 0,
+				seatCount: () => holder.state().ownership.rosters[self.zone]?.members.length ?? 0,
 				callers,
-				endCallersAt(end) {
-					callersEndAt = end;
+				limitRequestsTo(end) {
+					requestsEndAt = end;
 				},
 				claims,
 				operators,
--- a/packages/daemon/src/joining-voters.ts
+++ b/packages/daemon/src/joining-voters.ts
@@ -1,6 +1,6 @@
 /**
- * Takes voters in that join: first as learners, then in place of an earlier
- * folder of the same name, one step of the voter set at a time.
+ * Adds joining voters to the voter set: first as learners, then in place of an
+ * earlier data folder of the same name, one single-member change at a time.
  */
 import {type VoterIdentity, type VoterSet} from '@dogwooddeck/consensus/message';
 import {includesVoter, sameVoter} from '@dogwooddeck/consensus/voter-set';
@@ -10,66 +10,70 @@
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {err, ok, type Result} from 'true-myth/result';
 import {type ControlVoter} from './control-voter.js';
-import {type KnownLeader} from './known-leader.js';
+import {type CachedLeader} from './cached-leader.js';
 
-/** Takes the next step towards a joining folder's vote. Fails with `notLeader` and `forbidden`, and as the log does. */
-export type TakeVoter = (joining: VoterIdentity) => Promise<Result<undefined, Failure>>;
+/**
+ * Makes the next membership change towards the vote of a joining data folder.
+ * Fails with `notLeader`, with `forbidden` for a name that the settings don't
+ * list, and as the log does.
+ */
+export type JoinVotersHandler = (joining: VoterIdentity) => Promise<Result<undefined, Failure>>;
 
-/** What taking voters in needs. */
-export type JoiningSurroundings = {
-	/** The names that the settings list as voters. */
-	readonly listed: (name: InstanceName) => boolean;
+/** Collaborators of the leader's handler for joining voters. */
+export type JoinVoterDependencies = {
+	/** Whether the settings list a name as a voter. */
+	readonly isListedVoter: (name: InstanceName) => boolean;
 	readonly voter: () => ControlVoter | undefined;
-	readonly known: KnownLeader;
+	readonly cachedLeader: CachedLeader;
 	readonly log: Log;
 };
 
-function asLearner({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
+function replaceLearner({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
 	const others = learners.filter(({name}) => name !== joining.name);
 	return others.length < learners.length ? {voters, learners: others} : {voters, learners: [...learners, joining]};
 }
 
-function asVoter({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
+function replaceVoter({voters, learners}: VoterSet, joining: VoterIdentity): VoterSet {
 	const others = voters.filter(({name}) => name !== joining.name);
 	return others.length < voters.length
 		? {voters: others, learners}
 		: {voters: [...voters, joining], learners: learners.filter(learner => !sameVoter(learner, joining))};
 }
 
-/** The voter set after the next single step that takes a joining folder in, or undefined if nothing is left to do. */
+/** Returns the voter set after the next single-member change that adds a joining data folder, or undefined if it votes already. */
 function nextVoterSet(voterSet: VoterSet, joining: VoterIdentity): VoterSet | undefined {
 	if (includesVoter(voterSet.voters, joining)) {
 		return undefined;
 	}
 
-	return includesVoter(voterSet.learners, joining) ? asVoter(voterSet, joining) : asLearner(voterSet, joining);
+	return includesVoter(voterSet.learners, joining) ? replaceVoter(voterSet, joining) : replaceLearner(voterSet, joining);
 }
 
-/** Makes what the leader does with voters that join. */
-export function createTakeVoter({
-	listed, voter, known, log,
-}: JoiningSurroundings): TakeVoter {
+/** Creates the leader's handler for joining voters. It makes one change at a time; a request during a change is a no-op. */
+export function createJoinVotersHandler({
+	isListedVoter, voter, cachedLeader, log,
+}: JoinVoterDependencies): JoinVotersHandler {
 	let changing = false;
 
-	async function change(leading: ControlVoter, joining: VoterIdentity, voterSet: VoterSet): Promise<Result<undefined, Failure>> {
+	async function change(leadingVoter: ControlVoter, joining: VoterIdentity, voterSet: VoterSet): Promise<Result<undefined, Failure>> {
 		changing = true;
 		log.event(EventName.voterJoining, {voter: joining.name, folder: joining.folder});
-		const changed = await leading.changeVoters(voterSet);
+		const changed = await leadingVoter.changeVoters(voterSet);
 		changing = false;
 		return changed.map(() => undefined);
 	}
 
 	return async joining => {
-		const leading = voter();
-		if (!leading?.isLeader()) {
-			return err(known.notLeader());
+		const leadingVoter = voter();
+		if (!leadingVoter?.isLeader()) {
+			return err(cachedLeader.notLeader());
 		}
 
-		if (!listed(joining.name)) {
+		if (!isListedVoter(joining.name)) {
 			return err(failure(FailureKind.forbidden, `${joining.name} is not listed as a voter`));
 		}
 
-		const voterSet = nextVoterSet(leading.voterSet(), joining);
-		return voterSet === undefined || changing ? ok(undefined) : change(leading, joining, voterSet);
+		const voterSet = nextVoterSet(leadingVoter.voterSet(), joining);
+		return voterSet === undefined || changing ? ok(undefined) : change(leadingVoter, joining, voterSet);
 	};
 }
--- a/packages/daemon/src/leader-part.ts
+++ b/packages/daemon/src/leader-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the leader's decisions for as long as this process's voter leads: feeds
- * them requests and ticks, and proposes what they ask for.
+ * Runs the leader's state machine while this process's voter leads: feeds it
+ * requests and ticks, and proposes the commands that it emits.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type ControlCommand, encodeCommands} from '@dogwooddeck/control/command';
@@ -24,48 +24,48 @@
 import {err, type Result} from 'true-myth/result';
 import {type ControlCommitted, type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
-import {type KnownLeader} from './known-leader.js';
-import {checkDelegation, checkLife} from './peer-check.js';
+import {type CachedLeader} from './cached-leader.js';
+import {checkDelegation, checkIncarnation} from './peer-check.js';
 
-/** The leader's part of this process. */
-export type LeaderPart = {
+/** The leader's side of the control group, idle while another voter leads. */
+export type LeaderRunner = {
 	readonly isLeading: () => boolean;
-	/** Fails with `notLeader`, and as the checks of the request do. */
-	readonly takeDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
-	/** Fails with `notLeader`, and as the checks of the request do. */
-	readonly takeSeat: (request: SeatRequest) => Promise<Result<CatchUp, Failure>>;
-	/** The voter's role has changed. */
+	/** Fails with `notLeader`, and as the validation of the request does. */
+	readonly handleDelegation: (request: DelegationRequest) => Promise<Result<WithCatchUp<DelegationAnswer>, Failure>>;
+	/** Fails with `notLeader`, and as the validation of the request does. */
+	readonly handleSeat: (request: SeatRequest) => Promise<Result<CatchUp, Failure>>;
+	/** Called when the voter's role has changed. */
 	readonly roleChanged: () => void;
 	readonly stop: () => void;
 };
 
-/** What the leader's part needs. */
-export type LeaderPartSurroundings = {
+/** Collaborators of the leader runner. */
+export type LeaderRunnerDependencies = {
 	readonly terms: LeaseTerms;
 	readonly hash: SlotHash;
 	readonly holder: ControlHolder;
-	readonly known: KnownLeader;
+	readonly cachedLeader: CachedLeader;
 	readonly log: Log;
 	readonly voter: () => ControlVoter | undefined;
 };
 
 const tickMilliseconds: Milliseconds = 50;
-/** The pause after a refused proposal. */
-const refusedMilliseconds: Milliseconds = 50;
+/** The delay before the state machine continues after a failed proposal. */
+const failedProposalDelayMilliseconds: Milliseconds = 50;
 
-function refusalsOf(proposed: Result<ControlCommitted, Failure>): readonly Failure[] {
+function rejectionsOf(proposed: Result<ControlCommitted, Failure>): readonly Failure[] {
 	const results = proposed.isOk ? proposed.value.answers : [proposed];
 	return results.flatMap(result => result.isErr ? [result.error] : []);
 }
 
-/** Starts the leader's part. */
-export function startLeaderPart(surroundings: LeaderPartSurroundings): LeaderPart {
+/** Creates the leader runner. It ticks once this voter has won an election and has read up to its committed index. */
+export function createLeaderRunner(dependencies: LeaderRunnerDependencies): LeaderRunner {
 	const {
-		terms, hash, holder, known, log, voter,
-	} = surroundings;
-	let leading: LeaderState | undefined;
-	/** Runs while this voter leads. */
-	let ticking: NodeJS.Timeout | undefined;
+		terms, hash, holder, cachedLeader, log, voter,
+	} = dependencies;
+	let leaderState: LeaderState | undefined;
+	/** Set while this voter leads. */
+	let tickTimer: NodeJS.Timeout | undefined;
 	let delegationAnswer: DelegationAnswer | undefined;
 
 	function proposalEnded(): void {
@@ -74,14 +74,14 @@
 
 	async function propose(commands: readonly ControlCommand[]): Promise<void> {
 		const proposed = await voter()!.propose(encodeCommands(commands));
-		for (const {kind, detail} of refusalsOf(proposed)) {
+		for (const {kind, detail} of rejectionsOf(proposed)) {
 			log.warning(EventName.commandRefused, {failure: kind, detail});
 		}
 
 		if (proposed.isOk) {
 			proposalEnded();
 		} else {
-			setTimeout(proposalEnded, refusedMilliseconds);
+			setTimeout(proposalEnded, failedProposalDelayMilliseconds);
 		}
 	}
 
@@ -95,12 +95,12 @@
 	};
 
 	function step(event: LeaderEvent): void {
-		if (leading === undefined) {
+		if (leaderState === undefined) {
 			return;
 		}
 
-		const next = stepLeader(leading, event);
-		leading = next.state;
+		const next = stepLeader(leaderState, event);
+		leaderState = next.state;
 		for (const effect of next.effects) {
 			dispatch(effects, effect);
 		}
@@ -110,11 +110,11 @@
 		step({kind: 'ticked', now: monotonicNow(), control: holder.state()});
 	}
 
-	async function begin(elected: ControlVoter): Promise<void> {
+	async function startLeading(elected: ControlVoter): Promise<void> {
 		const read = await elected.read();
-		if (read.isOk && elected.isLeader() && leading === undefined) {
-			leading = createLeader(monotonicNow(), holder.state(), terms, hash);
-			ticking = setInterval(tick, tickMilliseconds);
+		if (read.isOk && elected.isLeader() && leaderState === undefined) {
+			leaderState = createLeader(monotonicNow(), holder.state(), terms, hash);
+			tickTimer = setInterval(tick, tickMilliseconds);
 		}
 	}
 
@@ -135,35 +135,35 @@
 	}
 
 	return {
-		isLeading: () => leading !== undefined,
-		async takeDelegation(request) {
+		isLeading: () => leaderState !== undefined,
+		async handleDelegation(request) {
 			const now = monotonicNow();
 			const quorumHeardAt = voter()?.quorumContactAt(now);
-			if (leading === undefined || quorumHeardAt === undefined) {
-				return err(known.notLeader());
+			if (leaderState === undefined || quorumHeardAt === undefined) {
+				return err(cachedLeader.notLeader());
 			}
 
 			const {ownership, applied} = holder.state();
 			return checkDelegation(request, ownership, applied).map(() => delegate(request, now, quorumHeardAt));
 		},
-		async takeSeat(request) {
-			if (leading === undefined) {
-				return err(known.notLeader());
+		async handleSeat(request) {
+			if (leaderState === undefined) {
+				return err(cachedLeader.notLeader());
 			}
 
 			const seated = seatedInstances(holder.state().ownership);
-			return checkLife(seated, request.instance).map(() => seat(request));
+			return checkIncarnation(seated, request.instance).map(() => seat(request));
 		},
 		roleChanged() {
-			leading = undefined;
-			clearInterval(ticking);
+			leaderState = undefined;
+			clearInterval(tickTimer);
 			const elected = voter();
 			if (elected?.isLeader() === true) {
-				void begin(elected);
+				void startLeading(elected);
 			}
 		},
 		stop() {
-			clearInterval(ticking);
+			clearInterval(tickTimer);
 		},
 	};
 }
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/local-voter.ts
@@ -1,6 +1,6 @@
 /**
- * This instance's voter: its data folder, its way to the other voters, and its
- * joining for as long as the voter set doesn't name its folder.
+ * Starts this instance's voter: opens its data folder, sends its messages to the
+ * other voters, and requests to join while the voter set doesn't list its folder.
  */
 import {type ConsensusEnvelope} from '@dogwooddeck/consensus/message';
 import {includesVoter} from '@dogwooddeck/consensus/voter-set';
@@ -18,42 +18,42 @@
 import {type InstanceSettings} from './settings.js';
 import {taken} from './taken.js';
 
-/** What the voter works with. */
-export type OwnVoterSurroundings = {
+/** Collaborators of the voter. */
+export type LocalVoterDependencies = {
 	readonly settings: InstanceSettings;
 	readonly self: InstanceIdentity;
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly clients: PeerClients;
 	readonly log: Log;
-	/** The durable state can't be written: the process has to end. */
-	readonly failed: (failure: Failure) => void;
+	/** Called when the durable state can't be written; the process has to exit. */
+	readonly storageFailed: (failure: Failure) => void;
 };
 
 const electionMilliseconds: Milliseconds = 800;
 const heartbeatMilliseconds: Milliseconds = 80;
-const joinMilliseconds: Milliseconds = 300;
+const joinRetryMilliseconds: Milliseconds = 300;
 const entriesBeforeSnapshot = 1000;
-const seeds = 2 ** 31;
+const seedLimit = 2 ** 31;
 
-function createSend({settings, clients}: OwnVoterSurroundings): (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>> {
+function createSend({settings, clients}: LocalVoterDependencies): (envelope: ConsensusEnvelope) => Promise<Result<unknown, Failure>> {
 	const addresses = new Map(settings.control.voters.map(({name, peerAddress}) => [name, peerAddress]));
 	return async envelope => {
 		const {name} = envelope.to;
 		const address = addresses.get(name);
 		return address === undefined
-			? err(failure(FailureKind.notFound, `the settings give no address of the voter ${name}`))
+			? err(failure(FailureKind.notFound, `the settings list no address for the voter ${name}`))
 			: clients.call(address, 'deliver', envelope, deliveryTimeout(envelope.message));
 	};
 }
 
 /**
- * Opens the data folder and starts the voter with what it holds. Throws a
- * `FailureError` where the folder is held by another process, damaged or not
- * to be read.
+ * Opens the data folder, restores its snapshot and starts the voter on its log.
+ * Throws a `FailureError` if the folder is locked by another process, damaged
+ * or unreadable.
  */
-export async function startOwnVoter(surroundings: OwnVoterSurroundings): Promise<ControlVoter> {
-	const {settings, self, holder, control, log, failed} = surroundings;
+export async function startLocalVoter(dependencies: LocalVoterDependencies): Promise<ControlVoter> {
+	const {settings, self, holder, control, log, storageFailed} = dependencies;
 	const folder = taken(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
 		taken(holder.restore(folder.saved.snapshot.index, folder.saved.snapshot.data));
@@ -62,27 +62,27 @@
 	const identity = {name: settings.name, folder: folder.folderIdentity};
 	const voter = startVoter({
 		options: {
-			self: identity, electionMilliseconds, heartbeatMilliseconds, entriesBeforeSnapshot, seed: self.incarnation % seeds,
+			self: identity, electionMilliseconds, heartbeatMilliseconds, entriesBeforeSnapshot, seed: self.incarnation % seedLimit,
 		},
 		saved: folder.saved,
 		storage: folder.storage,
 		holder,
 		log,
-		send: createSend(surroundings),
+		send: createSend(dependencies),
 		roleChanged() {
 			control.roleChanged();
 		},
-		storageFailed: failed,
+		storageFailed,
 	});
-	const joining = setInterval(() => {
+	const joinTimer = setInterval(() => {
 		if (!includesVoter(voter.voterSet().voters, identity)) {
 			void control.callLeader('joinVoters', identity);
 		}
-	}, joinMilliseconds);
+	}, joinRetryMilliseconds);
 	return {
 		...voter,
 		async stop() {
-			clearInterval(joining);
+			clearInterval(joinTimer);
 			await voter.stop();
 		},
 	};
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The command line of the daemon.
+ * The daemon's command line: `run` and `found`.
  */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -13,7 +13,7 @@
 } from 'cmd-ts';
 import {err, ok, type Result} from 'true-myth/result';
 import {ExitCode, exitCodeOf} from './exit-code.js';
-import {found} from './founding.js';
+import {bootstrap} from './bootstrap.js';
 import {type Instance, startInstance} from './instance.js';
 import {loadSettings} from './settings.js';
 
@@ -24,7 +24,7 @@
 	type: string, long: 'settings', short: 's', description: 'the instance\'s settings, a TOML file',
 });
 
-function endWith(failed: Failure): never {
+function exitWith(failed: Failure): never {
 	const problems = failed.problems?.slice(1).map(({file, path, reason}) => `dogwooddeck: ${file}: ${path}: ${reason}\n`) ?? [];
 	process.stderr.write(`dogwooddeck: ${failed.kind}: ${failed.detail}\n${problems.join('')}`);
 	process.exit(exitCodeOf(failed.kind)); // eslint-disable-line unicorn/no-process-exit
@@ -63,12 +63,12 @@
 
 const runCommand = command({
 	name: 'run',
-	description: 'Runs an instance until SIGTERM, which stops it without cutting off a request.',
+	description: 'Runs an instance until SIGTERM, which stops it without closing a request early.',
 	args: {settings: settingsOption},
 	async handler({settings: file}) {
 		const settings = await loadSettings(file);
 		if (settings.isErr) {
-			return endWith(settings.error);
+			return exitWith(settings.error);
 		}
 
 		const log = createLog(settings.value.name, writeLine);
@@ -79,7 +79,7 @@
 			});
 			stopOnSignals(instance, log);
 		} catch (error) {
-			endWith(toFailure(error));
+			exitWith(toFailure(error));
 		}
 	},
 });
@@ -93,9 +93,9 @@
 	}
 }
 
-const foundCommand = command({
+const bootstrapCommand = command({
 	name: 'found',
-	description: 'Founds a deployment in the empty data folder of one voter. Done once in a deployment\'s life; the other voters join.',
+	description: 'Bootstraps a deployment in the empty data folder of one voter. Done once for a deployment; the other voters join.',
 	args: {
 		settings: settingsOption,
 		tokenFile: option({type: string, long: 'operator-token-file', description: 'a file with the operators\' token'}),
@@ -104,12 +104,12 @@
 		const settings = await loadSettings(file);
 		const token = await readToken(tokenFile);
 		if (settings.isErr || token.isErr) {
-			return endWith(settings.isErr ? settings.error : token.unwrapOrElse(failed => failed) as Failure);
+			return exitWith(settings.isErr ? settings.error : token.unwrapOrElse(failed => failed) as Failure);
 		}
 
-		const founded = await found(settings.value, token.value);
-		if (founded.isErr) {
-			return endWith(founded.error);
+		const bootstrapped = await bootstrap(settings.value, token.value);
+		if (bootstrapped.isErr) {
+			return exitWith(bootstrapped.error);
 		}
 
 		process.stdout.write(`founded: ${settings.value.name} is the first voter\n`);
@@ -118,6 +118,6 @@
 
 /** Runs the command line. */
 export async function main(parameters: readonly string[]): Promise<void> {
-	const commands = subcommands({name: 'dogwooddeck', version, cmds: {run: runCommand, found: foundCommand}});
+	const commands = subcommands({name: 'dogwooddeck', version, cmds: {run: runCommand, found: bootstrapCommand}});
 	await run(binary(commands), [...parameters]);
 }
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance does with the calls of other instances.
+ * Handlers for the calls of other instances.
  */
 import {type PeerHandlers} from '@dogwooddeck/wire/server';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -9,14 +9,14 @@
 import {type ClaimRunner} from './claim-runner.js';
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
-import {checkLife, checkZone} from './peer-check.js';
+import {checkIncarnation, checkZone} from './peer-check.js';
 import {type ZoneRunner} from './zone-runner.js';
 
-/** Answers what an instance is asked to tell of itself, as JSON. */
+/** Functions that return this instance's report on a subject, as JSON. */
 export type Collectors = Readonly<Record<string, () => string>>;
 
-/** The parts that answer calls. */
-export type PeerParts = {
+/** The components that answer calls. */
+export type PeerHandlerDependencies = {
 	/** The zone that this instance serves. */
 	readonly ownZone: ZoneName;
 	readonly holder: ControlHolder;
@@ -27,41 +27,41 @@
 	readonly collectors: Collectors;
 };
 
-/** Makes the handlers. */
-export function createPeerHandlers(parts: PeerParts): PeerHandlers {
+/** Creates the handlers. Rejects lease and support requests of another zone or of a superseded incarnation. */
+export function createPeerHandlers(dependencies: PeerHandlerDependencies): PeerHandlers {
 	const {
 		ownZone, holder, control, claims, collectors,
-	} = parts;
+	} = dependencies;
 
 	function checkCaller(zone: ZoneName, caller: InstanceIdentity): Result<undefined, Failure> {
 		const members = holder.state().ownership.rosters[ownZone]?.members ?? [];
-		return checkZone(ownZone, zone).andThen(() => checkLife(members, caller));
+		return checkZone(ownZone, zone).andThen(() => checkIncarnation(members, caller));
 	}
 
 	return {
 		async deliver(envelope) {
-			const voter = parts.voter();
+			const voter = dependencies.voter();
 			return voter === undefined
 				? err(failure(FailureKind.notReady, 'this instance does not vote, or not yet'))
 				: voter.receive(envelope);
 		},
 		async renewLease(request) {
 			const checked = checkCaller(request.instance.zone, request.instance);
-			return checked.isOk ? parts.zone().takeLeaseRequest(request) : err(checked.error);
+			return checked.isOk ? dependencies.zone().handleLeaseRequest(request) : err(checked.error);
 		},
 		async support(request) {
 			const checked = checkCaller(request.zone, request.candidate);
-			return checked.isOk ? parts.zone().takeSupportRequest(request) : err(checked.error);
+			return checked.isOk ? dependencies.zone().handleSupportRequest(request) : err(checked.error);
 		},
-		delegate: control.takeDelegation,
-		seat: control.takeSeat,
+		delegate: control.handleDelegation,
+		seat: control.handleSeat,
 		fetchState: async applied => ok(holder.catchUpAfter(applied)),
 		async notify(applied) {
-			parts.zone().takeNotice(applied);
+			dependencies.zone().handleNotice(applied);
 			return ok(undefined);
 		},
-		propose: control.takeProposal,
-		joinVoters: control.takeVoter,
+		propose: control.handleProposal,
+		joinVoters: control.handleJoinVoters,
 		claim: async body => claims.take(body),
 		async collect(subject) {
 			const collector = Object.hasOwn(collectors, subject) ? collectors[subject] : undefined;
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -1,7 +1,8 @@
 /**
- * Runs this instance's part as supporter, candidate and steward of its
- * availability zone: the state of `@dogwooddeck/ownership/steward`, and a table
- * of its effects.
+ * Runs this instance's role in the election of its availability zone's steward
+ * (the instance that distributes routing leases), as supporter, candidate and
+ * steward: drives the state machine of `@dogwooddeck/ownership/steward` and
+ * performs its effects.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -22,25 +23,25 @@
 import {createRecentHolders} from './recent-holders.js';
 import {createSharePost} from './share-post.js';
 import {createZoneLimits} from './zone-limits.js';
-import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
 
-/** This instance's part as steward. */
+/** This instance's steward state machine. */
 export type StewardRunner = {
 	readonly isSteward: () => boolean;
 	readonly isSeated: () => boolean;
 	readonly tick: (now: MonotonicTime) => void;
-	/** When the next tick has something to do. */
+	/** The time at which the next tick is due. */
 	readonly dueAt: (now: MonotonicTime) => MonotonicTime;
-	/** The instance has applied a newer table. */
+	/** Called when the instance has applied a newer table. */
 	readonly tableChanged: (table: {readonly applied: number; readonly ownership: OwnershipState}) => void;
-	readonly takeLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
-	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
-	/** Renews the support of the steward that is sent a lease request now, if it asked for it. */
+	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
+	readonly handleSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
+	/** Returns the renewed support to piggyback on a lease request to the steward, if the steward requested it. */
 	readonly renewSupport: (to: InstanceRecord) => SupportRenewal | undefined;
-	/** Another instance answered a lease request. */
+	/** Called when another instance answered a lease request. */
 	readonly leaseAnswered: (answer: LeaseAnswer) => void;
-	/** Stands and renews no more. */
+	/** Stops standing for election and renewing. */
 	readonly resign: () => void;
 };
 
@@ -50,19 +51,19 @@
 	return effects.find((effect): effect is EffectOf<Kind> => effect.kind === kind);
 }
 
-/** An answer goes back to whoever took the event's request: it is found in what `step` gives. */
-const leaveToCaller = (): void => undefined;
+/** Answers are returned to the caller of `step` among its effects. */
+const returnToCaller = (): void => undefined;
 
-/** Starts the part. `changed` is called after each event. */
-export function createStewardRunner(surroundings: ZoneSurroundings, zone: ZoneView, changed: () => void): StewardRunner {
-	const {self, terms, holder, control, clients, zoneReports} = surroundings;
+/** Creates the state machine and its effects. `changed` is called after each event. */
+export function createStewardRunner(dependencies: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
+	const {self, terms, holder, control, clients, zoneReports} = dependencies;
 	const holders = createRecentHolders();
-	const sharePost = createSharePost();
+	const shareOutbox = createSharePost();
 	const zoneLimits = createZoneLimits(self.zone);
 	let state: StewardState = createSteward(self, monotonicNow(), terms);
 
-	async function askSupport({to, sentAt, request}: EffectOf<'askSupport'>): Promise<void> {
-		const answer = await clients.call(to.peerAddress, 'support', request, peerMilliseconds);
+	async function requestSupport({to, sentAt, request}: EffectOf<'askSupport'>): Promise<void> {
+		const answer = await clients.call(to.peerAddress, 'support', request, peerTimeoutMilliseconds);
 		if (answer.isOk) {
 			step({
 				kind: 'supportAnswered', now: monotonicNow(), sentAt, answer: answer.value,
@@ -70,7 +71,7 @@
 		}
 	}
 
-	async function askDelegation(sentAt: MonotonicTime, request: DelegationRequest): Promise<void> {
+	async function requestDelegation(sentAt: MonotonicTime, request: DelegationRequest): Promise<void> {
 		const report = zoneReports.take();
 		const answer = await control.callLeader('delegate', {...request, report, holders: holders.list(sentAt)});
 		if (answer.isErr) {
@@ -79,7 +80,7 @@
 		}
 
 		holder.catchUp(answer.value.catchUp);
-		sharePost.put(answer.value.answer.shares);
+		shareOutbox.put(answer.value.answer.shares);
 		step({
 			kind: 'delegationAnswered', now: monotonicNow(), sentAt, applied: request.applied, answer: answer.value.answer,
 		});
@@ -87,14 +88,14 @@
 
 	const effects: HandlerTable<StewardEffect, [], void> = {
 		askSupport(effect) {
-			void askSupport(effect);
+			void requestSupport(effect);
 		},
 		askDelegation({sentAt, request}) {
-			void askDelegation(sentAt, request);
+			void requestDelegation(sentAt, request);
 		},
-		answerSupport: leaveToCaller,
-		answerLease: leaveToCaller,
-		renewSupport: leaveToCaller,
+		answerSupport: returnToCaller,
+		answerLease: returnToCaller,
+		renewSupport: returnToCaller,
 	};
 
 	function step(event: StewardEvent): readonly StewardEffect[] {
@@ -113,7 +114,7 @@
 		return failure(FailureKind.notLeader, `${self.name} is not the steward of ${self.zone}`, leader === undefined ? {} : {leader});
 	}
 
-	function takeLeaseRequest(request: LeaseRequest): Result<WithCatchUp<LeaseAnswer>, Failure> {
+	function handleLeaseRequest(request: LeaseRequest): Result<WithCatchUp<LeaseAnswer>, Failure> {
 		const now = monotonicNow();
 		if (!isSteward(state, now)) {
 			return err(notSteward());
@@ -121,21 +122,21 @@
 
 		const limited = zoneLimits.answer(request.report, holder.state(), state.electedAt!, now);
 		zoneReports.merge(limited.report);
-		sharePost.put(limited.shares);
+		shareOutbox.put(limited.shares);
 		holders.note(request.instance, now);
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
-			? err(failure(FailureKind.notReady, `${self.name} gives no lease now`))
-			: ok({answer: {...answer, shares: sharePost.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
+			? err(failure(FailureKind.notReady, `${self.name} can't grant a lease now`))
+			: ok({answer: {...answer, shares: shareOutbox.take(request.instance)}, catchUp: holder.catchUpAfter(request.applied)});
 	}
 
-	function takeSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
+	function handleSupportRequest(request: SupportRequest): Result<SupportAnswer, Failure> {
 		const answer = effectOf(step({kind: 'supportRequested', now: monotonicNow(), request}), 'answerSupport')?.answer;
 		if (answer === undefined) {
-			return err(failure(FailureKind.notReady, `${self.name} gives no support now`));
+			return err(failure(FailureKind.notReady, `${self.name} can't answer a support request now`));
 		}
 
-		zone.heardOfSteward(answer.supported?.name);
+		zone.recordSteward(answer.supported?.name);
 		return ok(answer);
 	}
 
@@ -151,8 +152,8 @@
 				kind: 'tableChanged', now: monotonicNow(), applied, table: ownership,
 			});
 		},
-		takeLeaseRequest,
-		takeSupportRequest,
+		handleLeaseRequest,
+		handleSupportRequest,
 		renewSupport: to => effectOf(step({kind: 'leaseSent', now: monotonicNow(), to}), 'renewSupport')?.renewal,
 		leaseAnswered(answer) {
 			step({kind: 'leaseAnswered', now: monotonicNow(), answer});
--- a/packages/daemon/src/zone-notices.ts
+++ b/packages/daemon/src/zone-notices.ts
@@ -1,32 +1,32 @@
 /**
- * Passes on the notice that there is something new to fetch: a steward to the
- * members of its zone, and an instance that gets one fetches.
+ * Forwards notifications of new log entries: a steward sends them to the members
+ * of its zone, and an instance that receives one fetches the entries.
  */
 import {type InstanceName, type LogIndex} from '@dogwooddeck/model/identifiers';
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type StateFetcher} from './state-fetcher.js';
 import {type StewardRunner} from './steward-runner.js';
-import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
+import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
 
-/** Takes and passes on notices. */
+/** Sends and receives notifications. */
 export type ZoneNotices = {
-	/** This instance has applied this much: a steward tells its zone. */
+	/** Notifies the zone's other members of this instance's applied index, if it is the steward. */
 	readonly send: (applied: LogIndex) => void;
-	/** Another instance has applied this much. */
-	readonly take: (applied: LogIndex) => void;
+	/** Called with another instance's applied index. Fetches if this one is behind. */
+	readonly receive: (applied: LogIndex) => void;
 };
 
-/** What notices need beside the surroundings. */
-export type NoticeParts = {
+/** Collaborators beside the shared ones of the zone. */
+export type ZoneNoticesDependencies = {
 	readonly zone: ZoneView;
 	readonly steward: StewardRunner;
 	readonly fetcher: StateFetcher;
 };
 
-/** Starts with nobody told. */
-export function createZoneNotices({holder, control, clients}: ZoneSurroundings, {zone, steward, fetcher}: NoticeParts): ZoneNotices {
-	const told = new Map<InstanceName, LogIndex>();
+/** Creates the notifications of an instance that has sent none yet. */
+export function createZoneNotices({holder, control, clients}: ZoneDependencies, {zone, steward, fetcher}: ZoneNoticesDependencies): ZoneNotices {
+	const notifiedIndexes = new Map<InstanceName, LogIndex>();
 
 	function leaderAddress(): string | undefined {
 		const leader = control.leader();
@@ -35,13 +35,13 @@
 
 	return {
 		send(applied) {
-			const behind = steward.isSteward() ? zone.others().filter(({name}) => (told.get(name) ?? 0) < applied) : [];
+			const behind = steward.isSteward() ? zone.others().filter(({name}) => (notifiedIndexes.get(name) ?? 0) < applied) : [];
 			for (const {name, peerAddress} of behind) {
-				told.set(name, applied);
-				void clients.call(peerAddress, 'notify', applied, peerMilliseconds);
+				notifiedIndexes.set(name, applied);
+				void clients.call(peerAddress, 'notify', applied, peerTimeoutMilliseconds);
 			}
 		},
-		take(applied) {
+		receive(applied) {
 			if (applied > holder.state().applied) {
 				void fetcher.fetchFrom(steward.isSteward() ? leaderAddress() : zone.steward()?.peerAddress);
 			}
--- a/packages/daemon/src/zone-runner.ts
+++ b/packages/daemon/src/zone-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs this instance's part in its availability zone: it asks for a seat and
- * for routing leases, supports a steward, and is the steward when its turn comes.
+ * Runs this instance's membership in its availability zone: requests a seat and
+ * routing leases, supports a steward, and acts as the steward when elected.
  */
 import {startDueTimer} from '@dogwooddeck/clock/due';
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
@@ -13,64 +13,64 @@
 import {EventName} from '@dogwooddeck/telemetry/event';
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {type Result} from 'true-myth/result';
-import {createLeaseAsker} from './lease-asker.js';
-import {createSeatAsker} from './seat-asker.js';
+import {createLeaseRequester} from './lease-requester.js';
+import {createSeatRequester} from './seat-requester.js';
 import {createStateFetcher} from './state-fetcher.js';
 import {createStewardRunner} from './steward-runner.js';
 import {createZoneNotices} from './zone-notices.js';
-import {type ZoneSurroundings} from './zone-surroundings.js';
+import {type ZoneDependencies} from './zone-dependencies.js';
 import {createZoneView} from './zone-view.js';
 
-/** This instance's part in its zone. */
+/** This instance's membership in its zone. */
 export type ZoneRunner = {
-	/** The routing lease as it stands. */
+	/** The current routing lease. */
 	readonly lease: () => LeaseState;
 	readonly holdsLease: () => boolean;
 	readonly isSteward: () => boolean;
 	readonly isSeated: () => boolean;
 	readonly steward: () => InstanceName | undefined;
-	readonly takeLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
-	readonly takeSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
-	/** Another instance has applied this much: fetch what is new. */
-	readonly takeNotice: (applied: number) => void;
-	/** A request begins to wait for what the next lease brings. */
-	readonly look: () => void;
-	/** A planned stop: stand no more, and give the seat up unless it is the zone's only one. */
+	readonly handleLeaseRequest: (request: LeaseRequest) => Result<WithCatchUp<LeaseAnswer>, Failure>;
+	readonly handleSupportRequest: (request: SupportRequest) => Result<SupportAnswer, Failure>;
+	/** Called with another instance's applied index. Fetches if this one is behind. */
+	readonly handleNotice: (applied: number) => void;
+	/** Called when a request starts to wait for the next lease; reschedules the timer. */
+	readonly rearmTimer: () => void;
+	/** For a graceful shutdown: stops standing for election, and requests the seat's removal unless it is the zone's only one. */
 	readonly leave: () => void;
 	readonly stop: () => void;
 };
 
-/** Gives a function that calls `noted` when a value is not what it was at the last call, at first `false`. */
-function onChange(noted: (value: boolean) => void): (value: boolean) => void {
+/** Returns a function that calls `changed` when its argument differs from that of the last call, initially `false`. */
+function onChange(changed: (value: boolean) => void): (value: boolean) => void {
 	let last = false;
 	return value => {
 		if (value !== last) {
 			last = value;
-			noted(value);
+			changed(value);
 		}
 	};
 }
 
-/** Starts the runner. */
-export function startZone(surroundings: ZoneSurroundings): ZoneRunner {
-	const {self, holder, clients, log} = surroundings;
+/** Starts the runner and its timer. */
+export function startZone(dependencies: ZoneDependencies): ZoneRunner {
+	const {self, holder, clients, log} = dependencies;
 	const arm = () => {
-		ticking.arm();
+		timer.arm();
 	};
 
 	const zone = createZoneView(self, holder);
 	const fetcher = createStateFetcher(holder, clients);
-	const steward = createStewardRunner(surroundings, zone, arm);
-	const leases = createLeaseAsker(surroundings, zone, steward, arm);
-	const seats = createSeatAsker(surroundings, {
-		zone, steward, leases, fetcher,
+	const steward = createStewardRunner(dependencies, zone, arm);
+	const leaseRequester = createLeaseRequester(dependencies, zone, steward, arm);
+	const seatRequester = createSeatRequester(dependencies, {
+		zone, steward, leaseRequester, fetcher,
 	});
-	const notices = createZoneNotices(surroundings, {zone, steward, fetcher});
-	const noteSteward = onChange(isNow => {
-		log.event(isNow ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
+	const notices = createZoneNotices(dependencies, {zone, steward, fetcher});
+	const logStewardChange = onChange(isSteward => {
+		log.event(isSteward ? EventName.stewardStarted : EventName.stewardEnded, {zone: self.zone});
 	});
-	const noteLease = onChange(hasNow => {
-		log.event(hasNow ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
+	const logLeaseChange = onChange(hasLease => {
+		log.event(hasLease ? EventName.leaseGained : EventName.leaseLost, {applied: holder.state().applied});
 	});
 
 	holder.listen(table => {
@@ -81,32 +81,32 @@
 	function tick(): void {
 		const now = monotonicNow();
 		steward.tick(now);
-		noteSteward(steward.isSteward());
-		noteLease(holdsLease(leases.lease(), now));
-		seats.tick(now);
-		leases.tick(now);
+		logStewardChange(steward.isSteward());
+		logLeaseChange(holdsLease(leaseRequester.lease(), now));
+		seatRequester.tick(now);
+		leaseRequester.tick(now);
 	}
 
 	function dueAt(now: MonotonicTime): MonotonicTime {
-		return Math.min(steward.dueAt(now), leases.dueAt(now), seats.dueAt());
+		return Math.min(steward.dueAt(now), leaseRequester.dueAt(now), seatRequester.dueAt());
 	}
 
-	const ticking = startDueTimer({dueAt, run: tick});
+	const timer = startDueTimer({dueAt, run: tick});
 
 	return {
-		lease: leases.lease,
-		holdsLease: () => holdsLease(leases.lease(), monotonicNow()),
+		lease: leaseRequester.lease,
+		holdsLease: () => holdsLease(leaseRequester.lease(), monotonicNow()),
 		isSteward: steward.isSteward,
 		isSeated: steward.isSeated,
 		steward: () => steward.isSteward() ? self.name : zone.steward()?.name,
-		takeLeaseRequest: steward.takeLeaseRequest,
-		takeSupportRequest: steward.takeSupportRequest,
-		takeNotice: notices.take,
-		look: arm,
+		handleLeaseRequest: steward.handleLeaseRequest,
+		handleSupportRequest: steward.handleSupportRequest,
+		handleNotice: notices.receive,
+		rearmTimer: arm,
 		leave() {
-			seats.leave();
+			seatRequester.leave();
 			steward.resign();
 		},
-		stop: ticking.stop,
+		stop: timer.stop,
 	};
 }
--- a/packages/daemon/test/one-instance.ts
+++ b/packages/daemon/test/one-instance.ts
@@ -1,3 +1,7 @@
+/**
+ * Test fixture: starts a single instance in this process, with an HTTP client for
+ * its operator address.
+ */
 import assert from 'node:assert/strict';
 import {mkdtemp, readFile, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -6,23 +10,23 @@
 import {pause} from '@dogwooddeck/clock/pause';
 import {type Log} from '@dogwooddeck/telemetry/log';
 import {createPeerClients, type PeerClients} from '@dogwooddeck/wire/client';
-import {found} from '@dogwooddeck/daemon/founding';
+import {bootstrap} from '@dogwooddeck/daemon/bootstrap';
 import {startInstance} from '@dogwooddeck/daemon/instance';
 import {type InstanceSettings} from '@dogwooddeck/daemon/settings';
 
 export const keys = {peer: 'peer-key-of-the-test-0123456789', announce: 'announce-key-of-the-test-0123456789'};
 export const operatorToken = 'operator-token-of-the-test-0001';
 
-type Sending = {readonly token?: string; readonly author?: string; readonly body?: unknown};
+type SendOptions = {readonly token?: string; readonly author?: string; readonly body?: unknown};
 
 /** One instance in this process: the only voter and the steward of its zone. */
 export type OneInstance = {
 	readonly addresses: {readonly peers: string; readonly operators: string; readonly callers: string};
 	readonly peers: PeerClients;
-	/** What voters call its data folder. */
+	/** The identity of its data folder in the voter set. */
 	readonly folder: string;
 	readonly failures: string[];
-	readonly send: (method: 'GET' | 'POST', where: string, options: Sending) => Promise<{readonly status: number; readonly body: unknown}>;
+	readonly send: (method: 'GET' | 'POST', route: string, options: SendOptions) => Promise<{readonly status: number; readonly body: unknown}>;
 	readonly ready: () => Promise<boolean>;
 	readonly stop: () => Promise<void>;
 };
@@ -31,13 +35,13 @@
 const readyMilliseconds = 20_000;
 
 function settingsIn(folder: string): InstanceSettings {
-	const anywhere = '127.0.0.1:0';
+	const anyPort = '127.0.0.1:0';
 	return {
 		name: 'entry-1',
 		region: 'noord',
 		zone: 'noord-a',
-		addresses: {callers: anywhere, operators: anywhere, peers: anywhere},
-		control: {voters: [{name: 'entry-1', peerAddress: anywhere}], dataFolder: path.join(folder, 'data')},
+		addresses: {callers: anyPort, operators: anyPort, peers: anyPort},
+		control: {voters: [{name: 'entry-1', peerAddress: anyPort}], dataFolder: path.join(folder, 'data')},
 		keys,
 		stop: {balancerDelayMilliseconds: 0, longestMilliseconds: 1000},
 	};
@@ -54,7 +58,7 @@
 export async function startOne(): Promise<OneInstance> {
 	const folder = await mkdtemp(path.join(tmpdir(), 'dogwooddeck-one-'));
 	const settings = settingsIn(folder);
-	const founded = await found(settings, operatorToken);
+	const founded = await bootstrap(settings, operatorToken);
 	assert.ok(founded.isOk, JSON.stringify(founded));
 	let addresses = {peers: '', operators: '', callers: ''};
 	const failures: string[] = [];
@@ -65,7 +69,7 @@
 			}
 		},
 		warning() {
-			// Refused commands are what the tests ask for.
+			// The tests provoke refused commands.
 		},
 		error(_name, failed) {
 			failures.push(failed.detail);
