--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -1,5 +1,6 @@
 /**
- * Takes the announcements of upstreams, and answers with their grants.
+ * Handles announcements of upstreams: validates each, passes it on and answers with
+ * the grants of the upstream.
  */
 import {
 	addressField, nameField, serviceNameField, upstreamNameField,
@@ -17,7 +18,7 @@
 import {type ControlHolder} from './control-holder.js';
 import {grantsOf, type SlotGrant} from './slot-grants.js';
 
-/** The answer to an announcement that was taken. */
+/** The answer to an accepted announcement. */
 export type AnnouncementAnswer = {
 	readonly accepted: true;
 	readonly grants: readonly SlotGrant[];
@@ -41,16 +42,16 @@
 		: checkAnnouncement(control.membership, read));
 }
 
-/** What announcements are taken by. */
+/** The collaborators of the announcement handler. */
 export type AnnouncementSurroundings = {
 	readonly holder: Pick<ControlHolder, 'state'>;
 	readonly key: string;
-	/** Whether this instance stops: what it took now might not be passed on any more. */
+	/** Whether this instance is stopping. An announcement accepted now might no longer be passed on. */
 	readonly isStopping: () => boolean;
 	readonly taken: (announcement: Announcement) => void;
 };
 
-/** Makes the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
+/** Creates the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
 export function createAnnouncements({holder, key, isStopping, taken}: AnnouncementSurroundings): ApiHandler {
 	return async ({token, body}) => {
 		if (!sameSecret(token, key)) {
@@ -58,7 +59,7 @@
 		}
 
 		if (isStopping()) {
-			return err(failure(FailureKind.notReady, 'the instance stops; another one takes announcements'));
+			return err(failure(FailureKind.notReady, 'the instance is stopping; announce to another instance'));
 		}
 
 		const control = holder.state();
--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -1,6 +1,7 @@
 /**
- * Counts requests for the service-level objectives, keeps the intervals on disk
- * where there is one, and answers the report's input over all instances.
+ * Counts requests for the service-level objectives, journals the intervals to disk
+ * if a folder is configured, and collects the input of the burn report from all
+ * instances.
  */
 import {
 	appendFile, mkdir, readFile, rename, writeFile,
@@ -27,31 +28,31 @@
 import {type ControlHolder} from './control-holder.js';
 import {createOwnershipFigures} from './ownership-figures.js';
 
-/** The counts of this instance. */
+/** Counts the requests of this instance for the burn report. */
 export type BurnRunner = {
-	/** Counts a request that ended, for the objectives of the contract under which it came. */
+	/** Counts a completed request against the objectives of its contract. */
 	readonly record: (contract: ServiceContract, idempotent: boolean, report: RequestReport) => void;
 	/** Counts a request that was sent to an upstream. */
 	readonly sent: (upstream: UpstreamIdentity) => void;
-	/** What this instance counted. */
+	/** Returns the counts of this instance. */
 	readonly own: () => InstanceBurn;
-	/** The report's input, with what the other instances counted as far as they answer. */
+	/** Returns the report's input, with the counts of all other instances that answer. */
 	readonly input: () => Promise<BurnInput>;
-	/** Writes what is counted and ends. */
+	/** Writes the current interval to the journal and stops. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What the runner needs. */
+/** The collaborators of the runner. */
 export type BurnSurroundings = {
 	readonly name: InstanceName;
 	readonly holder: ControlHolder;
-	/** Where the journal lives. Absent: counts are lost with the process. */
+	/** The folder of the journal. If absent, counts are lost when the process ends. */
 	readonly folder?: string;
-	/** What another instance counted, as JSON; undefined if it can't be reached. */
+	/** Requests the counts of another instance, as JSON; undefined if it can't be reached. */
 	readonly ask: (member: InstanceRecord) => Promise<string | undefined>;
 };
 
-/** Intervals that are appended before the journal is written anew. */
+/** Intervals that are appended before the journal is rewritten. */
 const appendsBeforeFold = 360;
 
 async function readJournal(file: string | undefined): Promise<readonly BurnInterval[]> {
@@ -75,7 +76,7 @@
 	}
 }
 
-/** Starts to count. */
+/** Reads the journal and starts to count. */
 export async function startBurn(surroundings: BurnSurroundings): Promise<BurnRunner> {
 	const {name, holder} = surroundings;
 	const file = surroundings.folder === undefined ? undefined : path.join(surroundings.folder, 'burn.jsonl');
@@ -112,7 +113,7 @@
 		try {
 			await write(interval);
 		} catch {
-			// A journal that can't be written costs the report intervals, and requests nothing.
+			// If the journal can't be written, the report loses intervals; requests aren't affected.
 		}
 	}
 
--- a/packages/daemon/src/caller-handler.ts
+++ b/packages/daemon/src/caller-handler.ts
@@ -1,5 +1,5 @@
 /**
- * Joins the callers' server to the forwarder.
+ * Connects the server for callers to the forwarder.
  */
 import {type CallerHandler} from '@dogwooddeck/front/api';
 import {type UpstreamClient} from '@dogwooddeck/upstream-client/client';
@@ -7,7 +7,7 @@
 import {type RequestPath} from '@dogwooddeck/upstream-client/request-path';
 import {type Opened, type Owner} from './request-path.js';
 
-/** Makes the handler of callers' requests. While the instance stops, answers ask callers to close their connections. */
+/** Creates the handler of callers' requests. While the instance is stopping, responses ask callers to close their connections. */
 export function createCallerHandler(client: UpstreamClient, path: RequestPath<Opened, Owner>, stopping: () => boolean): CallerHandler {
 	const forwarder = {client, path};
 	return (request, response) => {
--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -1,5 +1,6 @@
 /**
- * The form of what arrives from other instances about claims.
+ * Schemas and parsers of the messages, answers and reports about claims (exactly-once
+ * records of operations) that other instances send.
  */
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -11,20 +12,20 @@
 import {err, ok, type Result} from 'true-myth/result';
 import * as v from 'valibot';
 
-/** A message to a holder of claims. */
+/** A message to an instance that holds claims. */
 export type ClaimMessage = ClaimRequest | ClaimEnded;
 
-/** What an instance tells of the claims that it holds. */
+/** The report of an instance about the claims that it holds. */
 export type ClaimReport = {
-	/** Who tells it: another life may answer at an earlier one's address. */
+	/** The reporting instance: another incarnation may answer at the address of an earlier one. */
 	readonly instance: InstanceIdentity;
-	/** The newest log entry that it has applied. */
+	/** The index of the newest log entry that the instance has applied. */
 	readonly applied: LogIndex;
-	/** The roster whose holders have answered copies of all its records; 0 while some are missing. */
+	/** The index of the roster whose holders have acknowledged copies of all its records; 0 while acknowledgements are missing. */
 	readonly copiedThrough: LogIndex;
 };
 
-/** The longest header field, and so the longest key, that Node.js takes from a caller. */
+/** The longest header field, and so the longest key, that Node.js accepts from a caller. */
 const longestCallerText = 16_384;
 const longestName = 128;
 
@@ -94,22 +95,22 @@
 		: err(failure(FailureKind.malformed, `${what} can't be read: ${v.getDotPath(result.issues[0]) ?? 'no object'}`));
 }
 
-/** Reads a message, as JSON. Fails with `malformed`. */
+/** Parses a message, as JSON. Fails with `malformed`. */
 export function readClaimMessage(body: string): Result<ClaimMessage, Failure> {
 	return read(messageSchema, body, 'the claim message');
 }
 
-/** Reads a holder's answer, as JSON. Fails with `malformed`. */
+/** Parses a holder's answer, as JSON. Fails with `malformed`. */
 export function readClaimAnswer(body: string): Result<ClaimAnswer, Failure> {
 	return read(answerSchema, body, 'the answer to a claim');
 }
 
-/** Reads what an instance told of the claims that it holds, as JSON. Fails with `malformed`. */
+/** Parses an instance's report of the claims that it holds, as JSON. Fails with `malformed`. */
 export function readClaimReport(body: string): Result<ClaimReport, Failure> {
 	return read(reportSchema, body, 'the report of claims');
 }
 
-/** Reads the rosters that an instance asks by, as JSON. Fails with `malformed`, also where the instance has no whole view. */
+/** Parses the rosters by which an instance sends its requests, as JSON. Fails with `malformed`, also if the instance has no complete view. */
 export function readClaimsView(body: string): Result<ClaimsView, Failure> {
 	return read(viewSchema, body, 'the view of claims');
 }
--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to other instances about claims, also to those that gave up their seats
+ * Calls to other instances about claims, including those that gave up their seats
  * and may still have copies to send.
  */
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -16,7 +16,7 @@
 
 const askMilliseconds: Milliseconds = 400;
 
-/** What an instance is asked to tell about its claims. */
+/** What is collected from an instance about its claims. */
 export const ClaimSubject = {
 	/** A `ClaimReport`. */
 	report: 'claims',
@@ -24,7 +24,7 @@
 	view: 'claims-view',
 } as const;
 
-/** The other instances, as far as their addresses are known. */
+/** Sends calls to the other instances whose addresses are recorded. */
 export class ClaimPeers {
 	readonly #clients: PeerClients;
 	readonly #addresses = new Map<string, string>();
@@ -33,7 +33,7 @@
 		this.#clients = clients;
 	}
 
-	/** Takes the addresses of the seated instances in; of the others, those of the instances that are awaited are kept. */
+	/** Records the addresses of the seated instances. Of the others, only the addresses of awaited instances are kept. */
 	follow(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
 		const wanted = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
 		for (const known of this.#addresses.keys()) {
@@ -47,19 +47,19 @@
 		}
 	}
 
-	/** Brings a message to its holder. Fails where that can't be reached in time. */
+	/** Sends a message to its holder. Fails if the holder can't be reached within the timeout. */
 	async send(message: ClaimMessage): Promise<Result<string, Failure>> {
 		return this.#call(message.holder, 'claim', JSON.stringify(message));
 	}
 
-	/** The report of an instance; undefined if it can't be reached, or another life answers. */
+	/** Requests the report of an instance; undefined if it can't be reached or another incarnation answers. */
 	async report(seat: InstanceIdentity): Promise<ClaimReport | undefined> {
 		const told = await this.#call(seat, 'collect', ClaimSubject.report);
 		const report = told.andThen(text => readClaimReport(text)).unwrapOr(undefined);
 		return report !== undefined && sameInstance(report.instance, seat) ? report : undefined;
 	}
 
-	/** The view of an instance. Fails where it can't be reached; undefined if it has no whole view. */
+	/** Requests the view of an instance; undefined if it has no complete view. Fails if the instance can't be reached. */
 	async view(seat: InstanceIdentity): Promise<Result<ClaimsView | undefined, Failure>> {
 		const told = await this.#call(seat, 'collect', ClaimSubject.view);
 		return told.map(text => readClaimsView(text).unwrapOr(undefined));
@@ -68,7 +68,7 @@
 	async #call(seat: InstanceIdentity, call: 'claim' | 'collect', body: string): Promise<Result<string, Failure>> {
 		const address = this.#addresses.get(incarnationKey(seat));
 		return address === undefined
-			? err(failure(FailureKind.unreachable, `${seat.name} is not seated any more`))
+			? err(failure(FailureKind.unreachable, `${seat.name} has no seat any more`))
 			: this.#clients.call(address, call, body, askMilliseconds);
 	}
 }
--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the claims of non-idempotent operations: carries messages between this
- * instance and the holders, and follows the seated instances.
+ * Runs the claims (exactly-once records) of non-idempotent operations: exchanges
+ * messages between this instance and the holders, and tracks the seated instances.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -26,36 +26,36 @@
 /** The claims of this instance. */
 export type ClaimRunner = {
 	readonly claim: ClaimCoordinator['claim'];
-	/** Takes a message of another instance, as JSON. */
+	/** Handles a message of another instance, as JSON, and returns the answer as JSON. */
 	readonly take: (body: string) => Result<string, Failure>;
-	/** What this instance tells of the claims that it holds. */
+	/** Returns this instance's report of the claims that it holds. */
 	readonly report: () => ClaimReport;
-	/** What this instance tells one that starts; undefined while rosters may be missing. */
+	/** Returns the view that is sent to an instance that starts; undefined while rosters may be missing. */
 	readonly view: () => ClaimsView | undefined;
-	/** A planned stop: waits until the others know that all records here are copied, or for so long. */
+	/** For a graceful shutdown: waits until all others have learned that every record of this instance is copied, at most for the given time. */
 	readonly handOver: (longest: Milliseconds) => Promise<void>;
 	readonly stop: () => void;
 };
 
-/** How long a claim is remembered. */
+/** How long a claim is kept. */
 export const claimLifetimeMilliseconds: Milliseconds = 3_600_000;
-/** After this long an instance that has lost its seat holds no lease any more. */
+/** The time after which an instance that has lost its seat holds no lease any more. */
 const spreadMilliseconds: Milliseconds = 5000;
 const tellPauses: readonly Milliseconds[] = [0, 500, 2000];
 const sweepMilliseconds: Milliseconds = 1000;
 const handOverMilliseconds: Milliseconds = 100;
-/** After this long an instance that has lost its seat has copied its records, or is most likely gone. */
+/** The time after which an instance that has lost its seat has copied its records or is most likely down. */
 const leavingMilliseconds: Milliseconds = 60_000;
-/** An instance that is most likely gone is asked in one of so many sweeps. */
+/** A report is requested from an instance that is most likely down in one of this many sweeps. */
 const seldomSweeps = 30;
 const holderBounds = {records: 200_000, answerBytes: 16_777_216};
 
-/** How many reports the instance that told a view still waits for. */
+/** The number of reports that the sender of a view is still waiting for. */
 function missingReports({earlier}: ClaimsView): number {
 	return earlier.reduce((sum, {unsettled}) => sum + unsettled.length, 0);
 }
 
-/** Starts the claims. */
+/** Starts to track the seated instances and to process claims. */
 export function startClaims(self: InstanceIdentity, control: ControlHolder, clients: PeerClients, hash: TextHash): ClaimRunner {
 	const seenAt = new Map<LogIndex, MonotonicTime>();
 
@@ -64,7 +64,7 @@
 	let spread: AppliedIndexes = new Map();
 	let sweeps = 0;
 
-	/** Ends are sent again until they arrive: resends rest on them. */
+	/** Resends the end of an operation until it arrives, since the answers to resent operations depend on it. */
 	async function insist(ended: ClaimEnded): Promise<void> {
 		for (const duration of tellPauses) {
 			await pause(duration);
@@ -92,8 +92,8 @@
 	}
 
 	/**
-	 * Takes over what another instance knows, where both know the same newest roster
-	 * and it misses fewer reports: those of an instance that is gone come no more.
+	 * Adopts the view of another instance if both have the same newest roster and the
+	 * other one is missing fewer reports. Reports of an instance that is down never arrive.
 	 */
 	async function askView(seat: InstanceIdentity): Promise<void> {
 		const told = await peers.view(seat);
@@ -104,7 +104,7 @@
 		}
 	}
 
-	/** Whether rosters may be missing, or reports of instances that have no seat any more. */
+	/** Whether rosters, or reports of instances without a seat, may be missing. */
 	function isViewWanted(newest: Seating, now: MonotonicTime): boolean {
 		const {view, awaited} = desk.standing();
 		return view === undefined || (!isBrief(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
@@ -116,7 +116,7 @@
 		}
 	}
 
-	/** Seatings that the log no longer keeps may have come between the last known one and those. */
+	/** Records that rosters may be missing: the log may have dropped seatings between the last recorded one and these. */
 	function noteMissed(seatings: readonly Seating[]): void {
 		const oldest = seatings.at(-1)?.index ?? 0;
 		if (seatings.length >= keptSeatings && oldest > desk.standing().newest) {
@@ -153,12 +153,12 @@
 		}
 	}
 
-	/** Whether this sweep leaves out the instances without a seat: after a while they are most likely gone. */
+	/** Whether this sweep skips the instances without a seat, which after a while are most likely down. */
 	function isBrief(newest: Seating, now: MonotonicTime): boolean {
 		return now - (seenAt.get(newest.index) ?? now) > leavingMilliseconds && sweeps % seldomSweeps !== 0;
 	}
 
-	/** Those whose reports are missing. */
+	/** The instances whose reports are missing. */
 	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
 		const isSeldom = isBrief(newest, now);
 		const awaited = desk.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
@@ -167,7 +167,7 @@
 		return [...all.values()];
 	}
 
-	/** What all seats have applied; those whose reports are missing are asked, for the next sweep. */
+	/** Returns the index that all seats have applied, and requests missing reports for the next sweep. */
 	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
 		spread = recordApplied(appliedIndexesOf(spread, newest), self, control.state().applied);
 		for (const seat of seatsToAsk(newest, now)) {
@@ -190,7 +190,7 @@
 		}
 	}
 
-	/** Whether another instance still waits for this one's report; one that does not answer is not waited for. */
+	/** Whether another instance is still waiting for this one's report; false if it doesn't answer. */
 	async function isAwaitedBy(seat: InstanceIdentity): Promise<boolean> {
 		const told = await peers.view(seat);
 		return told.isOk && (told.value === undefined
--- a/packages/daemon/src/limit-admission.ts
+++ b/packages/daemon/src/limit-admission.ts
@@ -1,4 +1,4 @@
-/** Charges a request to all limits that it meets, or to none. */
+/** Charges a request to all limits that apply to it, or to none. */
 import {admit, type Admission} from '@dogwooddeck/limits/bucket';
 import {
 	type ContractedLimit, CountedQuantity, type ServiceContract,
@@ -9,17 +9,17 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {type LimitEntry, shareNow} from './limit-entry.js';
 
-/** A limit that a request meets, and what the request costs under it. */
+/** A limit that applies to a request, and the cost of the request under it. */
 export type Charge = {readonly entry: LimitEntry; readonly cost: number};
 
-/** The limit that refuses a request. */
+/** The limit that rejects a request. */
 export type Refusal = {readonly entry: LimitEntry; readonly admission: Admission};
 
 const longestCaller = 128;
 
 type Cost = (contract: ServiceContract, head: RequestHead, idempotent: boolean) => number;
 
-/** What a request costs, in counted things. */
+/** The cost of a request, in counted items. */
 export const costs: Readonly<Record<CountedQuantity, Cost>> = {
 	[CountedQuantity.requests]: () => 1,
 	[CountedQuantity.changes]: (_contract, _head, idempotent) => idempotent ? 0 : 1,
@@ -30,13 +30,13 @@
 	},
 };
 
-/** The caller that a limit holds for; empty where all callers share it. */
+/** The caller to whom a limit applies; empty if all callers share the limit. */
 export function callerOf({callerHeader}: ContractedLimit, head: RequestHead): string {
 	const value = callerHeader === undefined ? undefined : head.headers[callerHeader];
 	return typeof value === 'string' ? value.slice(0, longestCaller) : '';
 }
 
-/** Charges all limits, where all admit the request; fails with the first that doesn't. */
+/** Charges all limits if all of them admit the request. Fails with the first limit that doesn't. */
 export function chargeAll(charges: readonly Charge[], wall: WallTime, now: MonotonicTime): Result<undefined, Refusal> {
 	const admissions = charges.map(({entry, cost}) => ({entry, admission: admit(entry.bucket, wall, now, cost, shareNow(entry, now))}));
 	const refusal = admissions.find(({admission}) => !admission.admitted);
@@ -51,7 +51,7 @@
 	return ok(undefined);
 }
 
-/** The failure of a request that a spent limit refuses. */
+/** The failure of a request that an exhausted limit rejects. */
 export function limitReached({entry: {limit, service}, admission}: Refusal): Failure {
 	return failure(FailureKind.limitReached, `the contracted limit ${limit} of ${service} is spent`, {
 		retryAfterMilliseconds: admission.retryAfterMilliseconds,
--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -1,4 +1,4 @@
-/** What an instance asks control and its zone's steward for, and what it takes of their answers. */
+/** The demands for shares of limits that an instance sends to control and to its zone's steward, and the processing of the answers. */
 import {usedShare} from '@dogwooddeck/limits/bucket';
 import {mayReceiveLargerShare} from '@dogwooddeck/limits/growth';
 import {LimitScope} from '@dogwooddeck/model/contract';
@@ -10,12 +10,12 @@
 	type Grant, grantNow, type LimitEntry, noteShare, shareNow, wantedOf,
 } from './limit-entry.js';
 
-/** A demand that isn't answered within this is made again. */
+/** A demand that isn't answered within this time is repeated. */
 const answerMilliseconds: Milliseconds = 3000;
-/** By how much the wall clocks of instances may differ. */
+/** The maximum difference between the wall clocks of instances. */
 const skewMilliseconds: Milliseconds = 1000;
 
-/** What a demand is made of, beside the entry. */
+/** The values that a demand is created from, besides the entry. */
 export type DemandSource = {
 	readonly holder: string;
 	readonly sequence: number;
@@ -27,7 +27,7 @@
 	return asked !== undefined && now < asked.at + answerMilliseconds;
 }
 
-/** Whether a spent share may be larger for the asking. */
+/** Whether a new demand may yield a larger share than the exhausted one. */
 export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
 	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
@@ -37,13 +37,13 @@
 
 type Urgency = (entry: LimitEntry, now: MonotonicTime) => boolean;
 
-/** Whether a divider is asked between the regular demands. */
+/** Whether a demand is sent to a divider between the regular demands. */
 const isUrgent: Readonly<Record<Divider, Urgency>> = {
 	[Divider.control]: ({waitsSince}) => waitsSince !== undefined,
 	[Divider.zone]: (entry, now) => entry.waitsSince !== undefined && grantMayGrow(entry, Divider.zone, now),
 };
 
-/** The dividers to ask now. A reserve that is nothing is not asked for. */
+/** The dividers to which a demand is due now. No demand is sent for a reserve of zero. */
 export function dividersToAsk(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly Divider[] {
 	if (entry.effective.scope !== LimitScope.deployment) {
 		return [];
@@ -56,7 +56,7 @@
 	});
 }
 
-/** Makes the newest demand to a divider. What was used counts fully to each: it may have been used under either share. */
+/** Creates a new demand to a divider. The usage counts fully towards each divider, since it may have been charged to either share. */
 export function makeDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandSource): LimitDemand {
 	const grant = entry.grants[divider];
 	const wanted = wantedOf(entry, divider, now);
@@ -75,7 +75,7 @@
 	};
 }
 
-/** Takes an answer to the newest demand. Tells by whom it was given; nobody, where it answers an older one. */
+/** Applies the answer to the newest demand. Returns the divider that sent it; undefined if it answers an older demand. */
 export function takeShare(entry: LimitEntry, share: LimitShare, wall: WallTime, now: MonotonicTime): Divider | undefined {
 	const divider = Object.values(Divider).find(one => entry.grants[one].asked?.sequence === share.sequence);
 	if (divider === undefined) {
@@ -93,7 +93,7 @@
 	return divider;
 }
 
-/** Whether a request has to wait for the first share: none is held, and control has not answered yet. */
+/** Whether a request must wait for the first share: no share is held, and control has not answered yet. */
 export function awaitsFirstShare(entry: LimitEntry, now: MonotonicTime): boolean {
 	return entry.grants.control.until === -Infinity && shareNow(entry, now) === 0;
 }
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance keeps of one limit and caller: what was used and wanted, and
- * the shares that it holds. Updated in place: it is on the path of every request.
+ * The state that an instance keeps for one limit and caller: usage, wanted amount
+ * and the shares that it holds. Updated in place, since every request reads it.
  */
 import {admit, type BucketState, createBucket} from '@dogwooddeck/limits/bucket';
 import {controlPart, zonePart} from '@dogwooddeck/limits/reserve';
@@ -13,23 +13,24 @@
 } from '@dogwooddeck/model/identifiers';
 import {Divider} from '@dogwooddeck/model/share';
 
-/** The share of one divider. */
+/** The share that one divider granted. */
 export type Grant = {
-	/** What the divider hands out to all holders. */
+	/** The amount that the divider distributes over all holders. */
 	partAmount: number;
 	amount: number;
-	/** The end of the share; -Infinity before the first answer. */
+	/** When the share expires; -Infinity before the first answer. */
 	until: MonotonicTime;
 	/**
-	 * The newest demand, until it is answered. No other answer is taken: by this
-	 * demand the divider learned which share is in force, and forgot any that it gave before.
+	 * The newest demand, until it is answered. Answers to other demands are ignored:
+	 * this demand told the divider which share is in force, and the divider dropped any
+	 * share that it had granted before.
 	 */
 	asked: {readonly sequence: number; readonly at: MonotonicTime; readonly wanted: number} | undefined;
-	/** What was wanted by the demand that the share answers. */
+	/** The wanted amount in the demand that the share answers. */
 	answeredFor: number;
 };
 
-/** One limit and caller. */
+/** The state of one limit and caller. */
 export type LimitEntry = {
 	readonly service: ServiceName;
 	readonly limit: string;
@@ -38,16 +39,16 @@
 	effective: EffectiveLimit;
 	readonly grants: Readonly<Record<Divider, Grant>>;
 	bucket: BucketState;
-	/** The costs that were asked for in this interval and in the one before. */
+	/** The total cost of the requests in the current interval, admitted or not, and in the previous one. */
 	wanted: number;
 	wantedBefore: number;
 	intervalAt: MonotonicTime;
 	usedAt: MonotonicTime;
-	/** Since when a request waits for control's share. */
+	/** Since when a request has been waiting for control's share. */
 	waitsSince: MonotonicTime | undefined;
 };
 
-/** An entry is dropped when no request met it for this long and an interval. */
+/** An entry is dropped when no request has used it for this time plus one interval. */
 const idleMilliseconds: Milliseconds = 60_000;
 
 function createGrant(partAmount: number): Grant {
@@ -56,7 +57,7 @@
 	};
 }
 
-/** A limit that belongs to this instance alone is held as a share that doesn't end. */
+/** Creates the grant of a limit that applies to this instance alone: a share that never expires. */
 function ownGrant({amount}: EffectiveLimit): Grant {
 	return {...createGrant(amount), amount, until: Infinity};
 }
@@ -69,7 +70,7 @@
 	};
 }
 
-/** What an entry is made of. */
+/** The values that an entry is created from. */
 export type LimitEntrySource = {
 	readonly contract: ServiceContract;
 	readonly limit: ContractedLimit;
@@ -79,7 +80,7 @@
 	readonly zone: ZoneName;
 };
 
-/** An entry that holds no share of a limit that others share. */
+/** Creates an entry. It holds no share yet of a limit that instances share. */
 export function createEntry({contract, limit, caller, effective, zone}: LimitEntrySource, now: MonotonicTime): LimitEntry {
 	return {
 		service: contract.name,
@@ -103,8 +104,8 @@
 }
 
 /**
- * Takes a changed contract in and keeps what was used, which still counts.
- * Tells whether it could: what was counted in another way says nothing.
+ * Applies a changed contract and keeps the usage, which still counts. Returns false
+ * and changes nothing if the limit counts in another way: then the usage is meaningless.
  */
 export function adjustEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntrySource): boolean {
 	const isAlike = countsAlike(entry.effective, effective);
@@ -118,17 +119,17 @@
 	return isAlike;
 }
 
-/** What is held of one divider's part now. */
+/** The amount of one divider's part that is held now. */
 export function grantNow({amount, until}: Grant, now: MonotonicTime): number {
 	return now < until ? amount : 0;
 }
 
-/** What this instance may use now, of all dividers' parts together. */
+/** The amount that this instance may use now, over the parts of all dividers. */
 export function shareNow({grants}: LimitEntry, now: MonotonicTime): number {
 	return grantNow(grants.control, now) + grantNow(grants.zone, now);
 }
 
-/** Counts what a request would use, whether it is admitted or not. */
+/** Records the cost of a request, whether it is admitted or not. */
 export function noteWanted(entry: LimitEntry, cost: number, now: MonotonicTime): void {
 	const {intervalMilliseconds} = entry.effective;
 	const passed = Math.floor((now - entry.intervalAt) / intervalMilliseconds);
@@ -142,18 +143,18 @@
 	entry.usedAt = now;
 }
 
-/** What is wanted of a divider's part. The zone's reserve is used first, so control is asked for the rest. */
+/** The amount to request of a divider's part. The zone's reserve is used first, so the rest is requested from control. */
 export function wantedOf({wanted, wantedBefore, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
 	const reserved = divider === Divider.control ? grantNow(grants.zone, now) : 0;
 	return Math.max(1, Math.max(wanted, wantedBefore) - reserved);
 }
 
-/** Whether no request met the entry for so long that it is forgotten. */
+/** Whether no request has used the entry for so long that it can be dropped. */
 export function isIdle({usedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
 	return now - usedAt > idleMilliseconds + effective.intervalMilliseconds;
 }
 
-/** Lets the window see a change of the share. */
+/** Records a change of the share in the window. */
 export function noteShare(entry: LimitEntry, wall: WallTime, now: MonotonicTime): void {
 	entry.bucket = admit(entry.bucket, wall, now, 0, shareNow(entry, now)).state;
 }
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -1,8 +1,8 @@
 /**
- * Admits requests within the contracted limits. A limit that all instances share
- * is used by the shares that this instance holds; where it holds none yet, the
- * request waits until the first share has come. Updated in place: it is on the
- * path of every request.
+ * Admits requests within the contracted limits. A limit that all instances share is
+ * enforced by the shares that this instance holds; if it holds none yet, the request
+ * waits until the first share has arrived. Updated in place, since every request
+ * uses it.
  */
 import {monotonicNow, wallNow} from '@dogwooddeck/clock/monotonic';
 import {effectiveLimit, type EffectiveLimit} from '@dogwooddeck/limits/unit';
@@ -27,31 +27,31 @@
 /** Admits requests within the contracted limits. */
 export type Limiter = {
 	/**
-	 * Charges a request. Fails with `limitReached` where a limit is spent, and
-	 * with `noLease`, to be tried again, while a first or a larger share is asked for.
+	 * Charges a request. Fails with `limitReached` if a limit is exhausted, and with
+	 * `noLease`, to be retried, while a first or a larger share is requested.
 	 */
 	readonly admit: (contract: ServiceContract, head: RequestHead, idempotent: boolean) => Result<undefined, Failure>;
-	/** What to ask for now. */
+	/** Returns the demands to send now. */
 	readonly takeDemands: () => readonly LimitDemand[];
 	readonly takeShares: (shares: readonly LimitShare[]) => void;
-	/** Whether a request waits for a share. */
+	/** Whether a request is waiting for a share. */
 	readonly lacksShares: () => boolean;
 };
 
 const demandMilliseconds: Milliseconds = 1000;
 const entriesAtMost = 10_000;
 const waitMilliseconds: Milliseconds = 25;
-/** A spent share is refused when no answer about a larger one came within this, as in a cut. */
+/** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
 const longestWaitMilliseconds: Milliseconds = 1000;
 
-const shareAwaited = failure(FailureKind.noLease, 'this instance asks for its share of a contracted limit', {retryAfterMilliseconds: waitMilliseconds});
+const shareAwaited = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: waitMilliseconds});
 const tooManyCallers = failure(FailureKind.overloaded, 'too many callers have limits of their own', {retryAfterMilliseconds: 1000});
 
 function entryKey(service: string, limit: string, caller: string): string {
 	return `${service}\n${limit}\n${caller}`;
 }
 
-/** Makes the limiter of an instance. It calls `noteAwaited` when a request begins to wait for a share. */
+/** Creates the limiter of an instance. It calls `noteAwaited` when a request begins to wait for a share. */
 export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, noteAwaited: () => void): Limiter {
 	const holder = incarnationKey(self);
 	const entries = new Map<string, LimitEntry>();
@@ -126,7 +126,7 @@
 		waiting.delete(entry);
 	}
 
-	/** Whether a larger share is asked for; until the answer has come, requests wait for it. */
+	/** Whether a larger share is requested. Requests wait until the answer has arrived. */
 	function asksForMore(entry: LimitEntry, now: MonotonicTime): boolean {
 		if (entry.waitsSince !== undefined) {
 			return now < entry.waitsSince + longestWaitMilliseconds;
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -1,5 +1,5 @@
 /**
- * What operators may ask of an instance, and by which right.
+ * The operator API of an instance: its routes, and the authority that each requires.
  */
 import {wallNow} from '@dogwooddeck/clock/monotonic';
 import {
@@ -31,12 +31,12 @@
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
 
-/** What one instance tells another of itself. */
+/** The status that an instance reports to another. */
 export type MemberReport = {readonly applied: number; readonly voter: boolean};
 
 const memberReport = v.object({applied: revisionField, voter: v.boolean()});
 
-/** Reads what an instance told of itself, as JSON; undefined if it makes no sense, as if it had not answered. */
+/** Parses the report of an instance, as JSON. Returns undefined if it is invalid, which is treated as no answer. */
 export function readMemberReport(text: string): MemberReport | undefined {
 	try {
 		const read = v.safeParse(memberReport, JSON.parse(text));
@@ -46,12 +46,12 @@
 	}
 }
 
-/** What the surface needs. */
+/** The collaborators of the operator API. */
 export type OperatorSurroundings = {
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
-	/** Asks another instance what it has applied; undefined if it can't be reached. */
+	/** Requests the report of another instance; undefined if it can't be reached. */
 	readonly askMember: (member: InstanceRecord) => Promise<MemberReport | undefined>;
 	readonly announce: ApiHandler;
 	readonly burn: ApiHandler;
@@ -107,7 +107,7 @@
 		});
 }
 
-/** Makes the operators' surface. */
+/** Creates the operator API. */
 export function createOperatorSurface(surroundings: OperatorSurroundings): OperatorApi {
 	const {holder, control} = surroundings;
 
@@ -123,7 +123,7 @@
 		return accepted.map(({index}) => ({operation, index}));
 	}
 
-	/** Reads a body, checks the right to what it asks for, and does it. */
+	/** Creates a handler that parses the body, checks the authority that the request requires, and executes it. */
 	function writing<Read>(
 		parse: (body: unknown) => Result<Read, Failure>,
 		permission: (read: Read) => Permission,
--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -1,5 +1,6 @@
 /**
- * Follows the ownership tables of all services for the burn report.
+ * Computes the ownership figures of all services for the burn report from the changes
+ * of their ownership tables.
  */
 import {
 	createFollowed, figuresOf, follow, type Followed, type SilenceOf,
@@ -11,12 +12,12 @@
 import {type ServiceName} from '@dogwooddeck/model/identifiers';
 import {type ControlHolder} from './control-holder.js';
 
-/** The figures of all services since this process started. */
+/** Tracks the figures of all services since this process started. */
 export type FiguresFollower = {
 	readonly take: () => readonly OwnershipFigures[];
 };
 
-/** Begins to follow the tables. */
+/** Starts to track the tables. */
 export function createOwnershipFigures(holder: ControlHolder): FiguresFollower {
 	const followed = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
 
--- a/packages/daemon/src/recent-holders.ts
+++ b/packages/daemon/src/recent-holders.ts
@@ -1,21 +1,21 @@
 /**
- * Remembers which instances asked a steward for a lease of late.
+ * Records which instances recently requested a lease from a steward.
  */
 import {
 	type InstanceIdentity, type InstanceName, type Milliseconds, type MonotonicTime,
 } from '@dogwooddeck/model/identifiers';
 
-/** The instances that asked of late. */
+/** The instances that recently requested a lease. */
 export type RecentHolders = {
-	/** An instance asked for a lease. */
+	/** Records that an instance requested a lease. */
 	readonly note: (instance: InstanceIdentity, now: MonotonicTime) => void;
 	readonly list: (now: MonotonicTime) => readonly InstanceIdentity[];
 };
 
-/** How long after its request an instance is listed. */
+/** How long an instance is listed after its request. */
 const holderMilliseconds: Milliseconds = 2000;
 
-/** Starts with none. */
+/** Creates an empty record. */
 export function createRecentHolders(): RecentHolders {
 	const askers = new Map<InstanceName, {readonly instance: InstanceIdentity; readonly at: MonotonicTime}>();
 	return {
--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -1,5 +1,6 @@
 /**
- * Collects what an instance saw, and what others told it, between two reports.
+ * Collects the observations of an instance, and the reports that it received from
+ * others, between two reports.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type KeyLoad, type SlotLoad, type UpstreamEvidence} from '@dogwooddeck/model/evidence';
@@ -10,27 +11,27 @@
 import {type Announcement} from '@dogwooddeck/model/registry';
 import {type LimitDemand} from '@dogwooddeck/model/share';
 
-/** Gathers reports. It is updated in place: requests are counted in it. */
+/** Collects the contents of the next report. Updated in place, since it counts every request. */
 export type ReportCollector = {
 	/** Counts a request for a slot. */
 	readonly requested: (service: ServiceName, slot: Slot, key: string) => void;
-	/** Notes an announcement; the latest of an upstream stands. */
+	/** Records an announcement; the latest of each upstream is kept. */
 	readonly announced: (announcement: Announcement) => void;
-	/** Takes in a report of another instance. */
+	/** Merges a report of another instance. */
 	readonly merge: (report: Report) => void;
-	/** Everything since the last call. */
+	/** Returns everything that was collected since the last call. */
 	readonly take: () => Report;
-	/** A report that was taken may not have arrived: its announcements that are still fresh are passed on with the next. */
+	/** Restores a report that may not have arrived: its announcements that are still fresh are sent with the next report. */
 	readonly giveBack: (report: Report) => void;
 };
 
-/** Keys that are counted between two reports. When there are more, the coolest half is dropped. */
+/** Keys that are counted between two reports. When there are more, the half with the fewest requests is dropped. */
 const countedKeys = 4096;
-/** Keys that are reported of each service. */
+/** Keys that are reported for each service. */
 const reportedKeys = 16;
-/** An announcement that is older than this isn't passed on again: the upstream may be gone since. */
+/** An announcement that is older than this isn't sent again: the upstream may have left since. */
 const freshMilliseconds: Milliseconds = 500;
-/** A key is reported if it had at least this share of its service's requests. */
+/** A key is reported if it received at least this share of its service's requests. */
 const reportedShare = 0.005;
 
 type Counts = {slots: Map<Slot, number>; keys: Map<string, number>; total: number};
@@ -62,7 +63,7 @@
 	return JSON.stringify([service, limit, caller, divider, holder]);
 }
 
-/** Makes an empty collector. `takeEvidence` gives the evidence of this instance's own requests. */
+/** Creates an empty collector. `takeEvidence` returns the evidence of this instance's own requests, and `takeDemands` its demands for shares of limits. */
 export function createReportCollector(
 	self: InstanceIdentity,
 	takeEvidence: () => readonly UpstreamEvidence[],
--- a/packages/daemon/src/request-measures.ts
+++ b/packages/daemon/src/request-measures.ts
@@ -1,6 +1,6 @@
 /**
- * Counts requests and their latencies. Series are looked up once for each
- * service, outcome and status.
+ * Records the metrics of requests: counts and latencies. Each series is looked up once
+ * for each service, outcome and status.
  */
 import {type ServiceName} from '@dogwooddeck/model/identifiers';
 import {
@@ -8,7 +8,7 @@
 } from '@dogwooddeck/telemetry/measure';
 import {type RequestReport} from '@dogwooddeck/upstream-client/request-path';
 
-/** Counts requests. */
+/** Records the metrics of completed requests. */
 export type RequestMeasures = {
 	readonly note: (service: ServiceName, report: RequestReport) => void;
 };
@@ -19,7 +19,7 @@
 	readonly counters: Map<string, Counter>;
 };
 
-/** Makes the counts of an instance's requests. */
+/** Creates the request metrics of an instance. */
 export function createRequestMeasures(measures: Measures): RequestMeasures {
 	const services = new Map<ServiceName, Series>();
 
--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -1,7 +1,7 @@
 /**
- * The decisions around each caller's request, from the tables that this
- * instance holds. Structures here are updated in place: they are on the path of
- * every request.
+ * The decisions about each caller's request (service, owner, admission, retry), made
+ * from the tables that this instance holds. Structures here are updated in place,
+ * since every request uses them.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {contractsOf} from '@dogwooddeck/configuration/tree';
@@ -39,7 +39,7 @@
 import {type Limiter} from './limiter.js';
 import {type ReportCollector} from './report-collector.js';
 
-/** A request whose head was read. */
+/** A request whose head was parsed. */
 export type Opened = OpenedRequest & {
 	readonly target: ServiceTarget;
 	readonly key: string;
@@ -55,17 +55,17 @@
 	readonly service: ServiceName;
 	readonly upstream: UpstreamIdentity;
 	readonly zone: ZoneName;
-	/** Set when the first byte may go. */
+	/** Set when the first byte may be sent. */
 	flight: InFlightRequests | undefined;
 };
 
-/** What the path needs. */
+/** The collaborators of the request path. */
 export type PathSurroundings = {
 	readonly name: InstanceName;
 	readonly zone: ZoneName;
 	readonly holder: ControlHolder;
 	readonly lease: () => LeaseState;
-	/** When requests that are under way are ended; infinite unless the instance stops. */
+	/** When requests in flight are terminated; infinite unless the instance is stopping. */
 	readonly endsAt: () => MonotonicTime;
 	readonly flights: InFlightTracker;
 	readonly evidence: EvidenceRecorder;
@@ -76,10 +76,10 @@
 	readonly requestEnded: (service: ServiceName, opened: Opened | undefined, report: RequestReport) => void;
 };
 
-/** A request without an owner or a lease comes again after this long. */
+/** The retry delay of a request without an owner or a lease. */
 const ownerRetryMilliseconds: Milliseconds = 25;
 const queueLength = 1000;
-/** Added to a claimed operation's time: what a frozen socket may still hold is past its deadline. */
+/** Added to the lifetime of a claimed operation, so that whatever a frozen socket still holds is past its deadline. */
 const claimMarginMilliseconds: Milliseconds = 500;
 const longestOperationKey = 256;
 
@@ -102,8 +102,8 @@
 
 const noOwner = failure(FailureKind.noOwner, 'the key has no owner at this moment', {retryAfterMilliseconds: ownerRetryMilliseconds});
 const noLease = failure(FailureKind.noLease, 'this instance holds no lease over the key at this moment', {retryAfterMilliseconds: ownerRetryMilliseconds});
-const noConnections = failure(FailureKind.overloaded, 'the upstream\'s connections are all divided over other instances');
-const notReady = failure(FailureKind.notReady, 'the instance takes no requests now');
+const noConnections = failure(FailureKind.overloaded, 'all connections of the upstream are allotted to other instances');
+const notReady = failure(FailureKind.notReady, 'the instance accepts no requests now');
 
 function operationKeyOf(head: RequestHead): Result<string, Failure> {
 	const value = head.headers[HeaderName.idempotencyKey];
@@ -116,7 +116,7 @@
 		: err(failure(FailureKind.malformed, `${HeaderName.idempotencyKey} must be one value of 1 to ${longestOperationKey} characters`));
 }
 
-/** The instances that share the connections and slots of upstreams, and this one's place among them. */
+/** The number of instances that share the connections and slots of upstreams, and the position of this one among them. */
 type Sharing = {readonly instances: number; readonly position: number};
 
 function sharingOf(state: ControlState, name: InstanceName): Sharing {
@@ -124,7 +124,7 @@
 	return {instances: Math.max(1, names.length), position: Math.max(0, names.indexOf(name))};
 }
 
-/** Makes the decisions around requests. */
+/** Creates the request path of an instance. */
 export function createRequestPath(surroundings: PathSurroundings): RequestPath<Opened, Owner> {
 	const {
 		holder, flights, evidence, reports, claims, limiter, hash,
@@ -203,7 +203,7 @@
 			.andThen(request => request.deadline > surroundings.endsAt() ? err(notReady) : ok(request));
 	}
 
-	/** Only a request that has an owner counts: in a cut, those for other zones' keys would spend what the zone may still use. */
+	/** Charges only requests that have an owner: in a network partition, those for other zones' keys would use up what the zone may still use. */
 	function locate(request: Opened): Result<Owner, Failure> {
 		const owner = findOwner(request);
 		return owner.isErr || request.isWithinLimits ? owner : charge(request, owner.value);
--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -1,21 +1,22 @@
 /**
- * Keeps the shares of limits that control gave until their holders ask again.
+ * Queues the shares of limits that control granted until their holders send the next
+ * request.
  */
 import {type InstanceIdentity, incarnationKey} from '@dogwooddeck/model/identifiers';
 import {type LimitShare} from '@dogwooddeck/model/share';
 
-/** Shares on their way to instances. */
+/** The queued shares of all holders. */
 export type SharePost = {
-	/** Keeps shares, each for its holder. */
+	/** Queues each share for its holder. */
 	readonly put: (shares: readonly LimitShare[]) => void;
-	/** Gives out what waits for an instance. */
+	/** Removes and returns the shares that are queued for an instance. */
 	readonly take: (instance: InstanceIdentity) => readonly LimitShare[];
 };
 
-/** The shares that wait for an instance's next request; the oldest are dropped. */
+/** The maximum number of shares that are queued for an instance; the oldest are dropped. */
 const sharesAtMost = 4096;
 
-/** Makes an empty post. */
+/** Creates an empty outbox. */
 export function createSharePost(): SharePost {
 	const waitingShares = new Map<string, readonly LimitShare[]>();
 	return {
--- a/packages/daemon/src/slot-grants.ts
+++ b/packages/daemon/src/slot-grants.ts
@@ -1,7 +1,7 @@
 /**
- * The grants that an announcement is answered with. Every upstream announces
- * itself several times a second, so the slots of a service are looked through
- * once for each change of its assignments and not for each announcement.
+ * The grants in the answer to an announcement. Every upstream announces itself several
+ * times a second, so the slots of a service are scanned once for each change of its
+ * assignments and not for each announcement.
  */
 import {type ControlState} from '@dogwooddeck/control/state';
 import {AssignmentPhase, type ServiceAssignments} from '@dogwooddeck/model/assignment';
@@ -10,7 +10,7 @@
 	type FenceNumber, incarnationKey, type Slot, type UpstreamIdentity,
 } from '@dogwooddeck/model/identifiers';
 
-/** The right to serve one slot: an upstream that checks fences refuses requests with a smaller number. */
+/** The right to serve one slot. An upstream that checks fencing tokens rejects requests with a smaller number. */
 export type SlotGrant = {readonly slot: Slot; readonly fence: FenceNumber};
 
 const grantsByOwner = memoize(({assignments}: ServiceAssignments): ReadonlyMap<string, readonly SlotGrant[]> => {
@@ -27,7 +27,7 @@
 	return grants;
 });
 
-/** The slots that an upstream owns, in their order. */
+/** The grants of the slots that an upstream owns, in slot order. */
 export function grantsOf({ownership}: ControlState, upstream: UpstreamIdentity): readonly SlotGrant[] {
 	const assignments = ownership.services[upstream.service];
 	return assignments === undefined ? [] : grantsByOwner(assignments).get(incarnationKey(upstream)) ?? [];
--- a/packages/daemon/src/taken.ts
+++ b/packages/daemon/src/taken.ts
@@ -1,10 +1,11 @@
 /**
- * From results to exceptions, for a start that can't go on without the value.
+ * Converts failed results to exceptions, for a startup that can't continue without the
+ * value.
  */
 import {type Failure, FailureError} from '@dogwooddeck/model/failure';
 import {type Result} from 'true-myth/result';
 
-/** The value of a result. Throws a `FailureError` where there is none. */
+/** Returns the value of a result. Throws a `FailureError` if the result is a failure. */
 export function taken<Value>(result: Result<Value, Failure>): Value {
 	if (result.isErr) {
 		throw new FailureError(result.error);
--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -1,6 +1,7 @@
 /**
- * Divides the zone's reserve of each limit over the zone's instances, while this
- * instance is the zone's steward, whether the zone is cut off or not.
+ * Distributes the zone's reserve of each limit over the zone's instances while this
+ * instance is the zone's steward (its elected lease distributor), whether the zone is
+ * partitioned or not.
  */
 import {allParts, demandedPart, type PartOfLimit} from '@dogwooddeck/control/limit-part';
 import {type ControlState} from '@dogwooddeck/control/state';
@@ -12,16 +13,16 @@
 import {type Report} from '@dogwooddeck/model/lease';
 import {Divider, type LimitShare} from '@dogwooddeck/model/share';
 
-/** The steward's division. Updated in place. */
+/** The steward's distribution of the reserves. Updated in place. */
 export type ZoneLimits = {
-	/** Answers the demands of a report that are for the zone, and gives the report without them. `electedAt` is the start of the tenure: a later one begins anew. */
+	/** Answers the demands of a report that are for the zone, and returns the report without them. `electedAt` is the start of the steward's tenure; a new tenure starts with an empty distribution. */
 	readonly answer: (report: Report, control: ControlState, electedAt: MonotonicTime, now: MonotonicTime) => {
 		readonly report: Report;
 		readonly shares: readonly LimitShare[];
 	};
 };
 
-/** Makes the division of a zone's steward. */
+/** Creates the distribution of a zone's steward. */
 export function createZoneLimits(zone: ZoneName): ZoneLimits {
 	let sharing: SharingState = createZoneSharing(-Infinity);
 	let noted: ControlState['configuration'] | undefined;
--- a/packages/daemon/test/limited-contract.ts
+++ b/packages/daemon/test/limited-contract.ts
@@ -4,14 +4,14 @@
 } from '@dogwooddeck/model/contract';
 import {type ZoneName} from '@dogwooddeck/model/identifiers';
 
-/** What is contracted of the limit. */
+/** The terms of the limit, its unit and the zones of the service. */
 export type LimitTerms = {
 	readonly limit: Pick<ContractedLimit, 'amount' | 'cutReserve'>;
 	readonly unit: Pick<LegacyUnit, 'intervalMilliseconds'> & Partial<LegacyUnit>;
 	readonly zones?: readonly ZoneName[];
 };
 
-/** A service whose every request counts against one limit. */
+/** Creates the contract of a service whose every request counts against one limit. */
 export function limitedContract({limit, unit, zones = []}: LimitTerms): ServiceContract {
 	return {
 		...defaultContract,
--- a/packages/daemon/test/sliding-window.ts
+++ b/packages/daemon/test/sliding-window.ts
@@ -1,7 +1,7 @@
-/** The strict check of sliding windows in schedules. */
+/** Exact check of sliding windows in simulated schedules. */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** The most times that lie within any stretch of a length; the times are in their order. */
+/** The maximum number of times within any interval of the given length. The times are in ascending order. */
 export function mostInSliding(times: readonly MonotonicTime[], stretch: Milliseconds): number {
 	let first = 0;
 	let most = 0;
--- a/packages/daemon/test/slow-mail.ts
+++ b/packages/daemon/test/slow-mail.ts
@@ -1,17 +1,17 @@
-/** Messages that are lost or late by a seed, for schedules on the paused clock. */
+/** A simulated network that loses and delays messages by a seed, for schedules on the paused clock. */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** What happens to messages. */
+/** The faults of the network. */
 export type MailFaults = {
-	/** Messages take less than this. */
+	/** Upper bound of the delay of a message, exclusive. */
 	readonly delayMilliseconds: Milliseconds;
-	/** In hundredths of all messages. */
+	/** Lost messages, in percent of all. */
 	readonly loss: number;
 };
 
 type Message = {readonly at: MonotonicTime; readonly take: () => void};
 
-/** Messages on their way. `pick` gives a whole number below its argument. */
+/** Messages in flight. `pick` returns an integer from 0 to below its argument. */
 export class SlowMail {
 	readonly #faults: MailFaults;
 	readonly #pick: (below: number) => number;
@@ -22,14 +22,14 @@
 		this.#pick = pick;
 	}
 
-	/** Sends a message, which `take` receives. */
+	/** Sends a message. `take` is called when it arrives. */
 	send(now: MonotonicTime, take: () => void): void {
 		if (this.#pick(100) >= this.#faults.loss) {
 			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), take});
 		}
 	}
 
-	/** Delivers what has arrived. */
+	/** Delivers the messages that are due. */
 	deliver(now: MonotonicTime): void {
 		const due = this.#messages.filter(({at}) => at <= now);
 		this.#messages = this.#messages.filter(({at}) => at > now);
--- a/packages/daemon/test/test-announcements.ts
+++ b/packages/daemon/test/test-announcements.ts
@@ -14,23 +14,23 @@
 		name: 'with a wrong key', token: 'wrong', isStopping: true, expected: FailureKind.unauthenticated,
 	},
 	{
-		name: 'at an instance that stops', token: key, isStopping: true, expected: FailureKind.notReady,
+		name: 'at an instance that is stopping', token: key, isStopping: true, expected: FailureKind.notReady,
 	},
 	{
-		name: 'for no service', token: key, isStopping: false, expected: FailureKind.notFound,
+		name: 'for an unknown service', token: key, isStopping: false, expected: FailureKind.notFound,
 	},
 ];
 
 for (const {
 	name, token, isStopping, expected,
 } of cases) {
-	test(`announcement: refused ${name}`, async () => {
+	test(`announcement: rejected ${name}`, async () => {
 		const announce = createAnnouncements({
-			holder: {state: () => emptyControl}, key, isStopping: () => isStopping, taken: () => assert.fail('it was taken'),
+			holder: {state: () => emptyControl}, key, isStopping: () => isStopping, taken: () => assert.fail('it was accepted'),
 		});
 		const answer = await announce({
 			token, author: '', query: {}, body: announcement,
 		});
-		assert.equal(answer.match({Ok: () => 'taken', Err: ({kind}) => kind}), expected);
+		assert.equal(answer.match({Ok: () => 'accepted', Err: ({kind}) => kind}), expected);
 	});
 }
--- a/packages/daemon/test/test-bad-calls.ts
+++ b/packages/daemon/test/test-bad-calls.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance does with well-formed calls that it must not follow: a typed
- * refusal, nothing changed in the replicated state, and the instance stays ready.
+ * Calls between instances that must be rejected: each fails with its kind, the
+ * replicated state doesn't change, and the instance stays ready.
  */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
@@ -33,7 +33,7 @@
 
 type State = {readonly applied: number; readonly members: unknown; readonly revisions: unknown};
 
-/** What bad calls must not change. The index goes on by itself. */
+/** The state that a rejected call must not change. The applied index advances by itself. */
 async function standing(): Promise<State & {readonly leader: unknown}> {
 	const status = await one.send('GET', '/operator/status', {token: operatorToken});
 	const members = await one.send('GET', '/operator/members', {token: operatorToken});
@@ -59,44 +59,44 @@
 };
 
 const cases: readonly Case[] = [
-	['a proposal that is no JSON', 'propose', '{', FailureKind.malformed],
-	['a proposal that is no list', 'propose', '{"kind":"tokenSet"}', FailureKind.malformed],
-	['a proposal of nothing', 'propose', '[]', FailureKind.malformed],
+	['a proposal that is not JSON', 'propose', '{', FailureKind.malformed],
+	['a proposal that is not a list', 'propose', '{"kind":"tokenSet"}', FailureKind.malformed],
+	['an empty proposal', 'propose', '[]', FailureKind.malformed],
 	['a command of an unknown kind', 'propose', command({kind: 'coronation'}), FailureKind.forbidden],
-	['a command of a kind that every object has', 'propose', command({kind: 'constructor'}), FailureKind.forbidden],
+	['a command whose kind is a property of every object', 'propose', command({kind: 'constructor'}), FailureKind.forbidden],
 	['a command that is the leader\'s own decision', 'propose', command({kind: 'instanceSeated', record: stranger, changedAt: 0}), FailureKind.forbidden],
 	['a leader\'s decision as an operator\'s', 'propose', command({kind: 'operatorAsked', operation: 'operation-0', command: {kind: 'assignmentsGranted'}}), FailureKind.forbidden],
-	['a command that lacks its parts', 'propose', command({kind: 'subtreeApplied'}), FailureKind.malformed],
+	['a command without its fields', 'propose', command({kind: 'subtreeApplied'}), FailureKind.malformed],
 	['an operator\'s command without the command', 'propose', command({kind: 'operatorAsked', operation: 'operation-1'}), FailureKind.malformed],
-	['a wish for nothing', 'propose', command({kind: 'operatorAsked', operation: 'operation-2', command: {kind: 'moveWished'}}), FailureKind.notFound],
-	['a zone that every object has', 'propose', command({
+	['a move request without its fields', 'propose', command({kind: 'operatorAsked', operation: 'operation-2', command: {kind: 'moveWished'}}), FailureKind.notFound],
+	['a zone named as a property of every object', 'propose', command({
 		kind: 'operatorAsked', operation: 'operation-3', command: {kind: 'zoneReleased', zone: 'constructor', reason: 'declared-lost'},
 	}), FailureKind.notFound],
-	['a voter that no settings list', 'joinVoters', {name: 'entry-9', folder: 'folder-9'}, FailureKind.forbidden],
+	['a voter that the settings don\'t list', 'joinVoters', {name: 'entry-9', folder: 'folder-9'}, FailureKind.forbidden],
 	['a consensus message for another folder', 'deliver', envelope, FailureKind.notFound],
-	['a claim that lacks its parts', 'claim', JSON.stringify(claim), FailureKind.malformed],
-	['a claim that is no JSON', 'claim', 'claim', FailureKind.malformed],
+	['a claim without its fields', 'claim', JSON.stringify(claim), FailureKind.malformed],
+	['a claim that is not JSON', 'claim', 'claim', FailureKind.malformed],
 	['a claim of an unknown kind', 'claim', JSON.stringify({...claim, kind: 'constructor'}), FailureKind.malformed],
-	['a claim\'s end with an unknown outcome', 'claim', JSON.stringify(claimEnd), FailureKind.malformed],
-	['a subject that nobody collects', 'collect', 'toString', FailureKind.notFound],
+	['the end of a claim with an unknown outcome', 'claim', JSON.stringify(claimEnd), FailureKind.malformed],
+	['an unknown subject to collect', 'collect', 'toString', FailureKind.notFound],
 	['a lease for an instance of another zone', 'renewLease', {
 		instance: stranger, applied: 0, drained: 0, report: emptyReport,
 	}, FailureKind.forbidden],
 	['a delegation for a zone without a roster', 'delegate', {
 		zone: 'noord-z', steward: stranger, applied: 0, drained: 0, report: emptyReport,
 	}, FailureKind.forbidden],
-	['a delegation for a former life of the steward', 'delegate', {
+	['a delegation for an earlier incarnation of the steward', 'delegate', {
 		zone: 'noord-a', steward: {name: 'entry-1', incarnation: 1}, applied: 0, drained: 0, report: emptyReport,
 	}, FailureKind.superseded],
 	['support for a steward of another zone', 'support', {zone: 'noord-z', candidate: stranger, applied: 0}, FailureKind.forbidden],
 	['a delegation with indexes past the log\'s end', 'delegate', {
 		zone: 'noord-a', steward: {name: 'entry-1', incarnation: Number.MAX_SAFE_INTEGER}, applied: 2 ** 40, drained: 2 ** 40, report: emptyReport,
 	}, FailureKind.malformed],
-	['a lease for a former life', 'renewLease', {
+	['a lease for an earlier incarnation', 'renewLease', {
 		instance: {...stranger, name: 'entry-1', zone: 'noord-a'}, applied: 0, drained: 0, report: emptyReport,
 	}, FailureKind.superseded],
-	['support for a former life', 'support', {zone: 'noord-a', candidate: {name: 'entry-1', incarnation: 1}, applied: 0}, FailureKind.superseded],
-	['a seat for a former life', 'seat', {instance: {...stranger, name: 'entry-1', zone: 'noord-a'}, applied: 0}, FailureKind.superseded],
+	['support for an earlier incarnation', 'support', {zone: 'noord-a', candidate: {name: 'entry-1', incarnation: 1}, applied: 0}, FailureKind.superseded],
+	['a seat for an earlier incarnation', 'seat', {instance: {...stranger, name: 'entry-1', zone: 'noord-a'}, applied: 0}, FailureKind.superseded],
 ];
 
 const gap = {
@@ -112,10 +112,10 @@
 }
 
 const messages: ReadonlyArray<readonly [name: string, message: ConsensusMessage]> = [
-	['entries that do not follow each other', gap],
-	['a snapshot that is no JSON', snapshotOf('{')],
-	['a snapshot that is no state', snapshotOf('7')],
-	['a snapshot with a part of another form', snapshotOf('{"ownership":[]}')],
+	['entries whose indexes are not consecutive', gap],
+	['a snapshot that is not JSON', snapshotOf('{')],
+	['a snapshot that is not a state', snapshotOf('7')],
+	['a snapshot with a field of another type', snapshotOf('{"ownership":[]}')],
 ];
 
 async function isNoMessage(name: string, message: ConsensusMessage): Promise<void> {
@@ -123,18 +123,18 @@
 }
 
 for (const [name, message] of messages) {
-	test(`a bad call is refused: ${name} (deliver)`, async () => isNoMessage(name, message));
+	test(`a bad call is rejected: ${name} (deliver)`, async () => isNoMessage(name, message));
 }
 
 async function isRefused([name, call, request, kind]: Case): Promise<void> {
 	const earlier = await standing();
 	const answer = await one.peers.call(one.addresses.peers, call, request, callMilliseconds);
-	assert.equal(answer.match({Ok: value => JSON.stringify(value ?? 'taken'), Err: refusal => refusal.kind}), kind, name);
+	assert.equal(answer.match({Ok: value => JSON.stringify(value ?? 'accepted'), Err: refusal => refusal.kind}), kind, name);
 	const later = await standing();
 	assert.deepEqual({...later, applied: 0}, {...earlier, applied: 0});
 	assert.equal(await one.ready(), true);
 }
 
 for (const bad of cases) {
-	test(`a bad call is refused: ${bad[0]} (${bad[1]})`, async () => isRefused(bad));
+	test(`a bad call is rejected: ${bad[0]} (${bad[1]})`, async () => isRefused(bad));
 }
--- a/packages/daemon/test/test-bad-claims.ts
+++ b/packages/daemon/test/test-bad-claims.ts
@@ -1,6 +1,6 @@
 /**
- * What a claimant makes of a holder that answers nonsense: it refuses the
- * operation, and no rejected promise ends the process.
+ * Malformed answers from a holder of claims: the claimant rejects the operation, and
+ * no unhandled rejection ends the process.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -53,12 +53,12 @@
 });
 
 const answers: ReadonlyArray<readonly [name: string, answer: string]> = [
-	['no JSON', '{'],
-	['nothing', ''],
+	['not JSON', '{'],
+	['an empty answer', ''],
 	['null', 'null'],
 	['a number', '7'],
 	['no verdict', '{"kind":"claim-answer"}'],
-	['a verdict that every object has', JSON.stringify({
+	['a verdict named as a property of every object', JSON.stringify({
 		kind: 'claim-answer', token: {claimant: {name: 'entry-0', incarnation: 1}, sequence: 1}, holder: {name: 'entry-1', incarnation: 1}, verdict: 'constructor', rosterIndex: 1,
 	})],
 	['a taken claim without its status', JSON.stringify({
--- a/packages/daemon/test/test-bad-requests.ts
+++ b/packages/daemon/test/test-bad-requests.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance does with requests of operators and upstreams that it must
- * not follow: each is refused with a kind, and what stands stays as it was.
+ * Requests of operators and upstreams that must be rejected: each fails with its kind,
+ * the configuration doesn't change, and the instance stays ready.
  */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
@@ -99,23 +99,23 @@
 		name: 'the owners of an unknown service', method: 'GET', where: '/operator/owners?service=bermrand/schedule', token: operatorToken, kind: FailureKind.notFound,
 	},
 	{
-		name: 'the owners of a name that every object has', method: 'GET', where: '/operator/owners?service=constructor', token: operatorToken, kind: FailureKind.notFound,
+		name: 'the owners of a service named as a property of every object', method: 'GET', where: '/operator/owners?service=constructor', token: operatorToken, kind: FailureKind.notFound,
 	},
 	{
-		name: 'no service', method: 'GET', where: '/operator/owners', token: operatorToken, kind: FailureKind.malformed,
+		name: 'no service in the query', method: 'GET', where: '/operator/owners', token: operatorToken, kind: FailureKind.malformed,
 	},
 	{
 		name: 'an unknown zone', where: '/operator/zone-declare-lost', token: operatorToken, body: lost, kind: FailureKind.notFound,
 	},
 	{
-		name: 'a zone that every object has',
+		name: 'a zone named as a property of every object',
 		where: '/operator/zone-declare-lost',
 		token: operatorToken,
 		body: {zone: 'constructor', operation: 'operation-6', confirm: 'the upstreams of constructor are stopped'},
 		kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'a zone without the words', where: '/operator/zone-declare-lost', token: operatorToken, body: {...lost, confirm: 'yes'}, kind: FailureKind.malformed,
+		name: 'a zone without the confirmation', where: '/operator/zone-declare-lost', token: operatorToken, body: {...lost, confirm: 'yes'}, kind: FailureKind.malformed,
 	},
 	{
 		name: 'a base that is ahead', where: '/operator/apply', token: bermrandToken, body: {...apply, base: 7}, kind: FailureKind.conflict,
@@ -124,7 +124,7 @@
 		name: 'a service of another team', where: '/operator/apply', token: valbremboToken, body: {...apply, team: 'valbrembo', services: [service]}, kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'a stated time to serve again that the bound does not meet',
+		name: 'a stated time until keys are served again that is below the computed bound',
 		where: '/operator/apply',
 		token: bermrandToken,
 		body: {...apply, services: [{...defaultContract, ...service, servedAgainWithinMilliseconds: 3905}]},
@@ -151,10 +151,10 @@
 		name: `an announcement with a wrong ${field}`, where: '/announce', token: keys.announce, body: {...announcement, [field]: value}, kind: FailureKind.settingsInvalid,
 	})),
 	{
-		name: 'an announcement with a field too many', where: '/announce', token: keys.announce, body: {...announcement, slots: 3}, kind: FailureKind.settingsInvalid,
+		name: 'an announcement with an additional field', where: '/announce', token: keys.announce, body: {...announcement, slots: 3}, kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'an announced port past all ports', where: '/announce', token: keys.announce, body: {...announcement, address: '127.0.0.1:99999'}, kind: FailureKind.settingsInvalid,
+		name: 'an announced port above 65535', where: '/announce', token: keys.announce, body: {...announcement, address: '127.0.0.1:99999'}, kind: FailureKind.settingsInvalid,
 	},
 ];
 
@@ -173,5 +173,5 @@
 }
 
 for (const bad of cases) {
-	test(`a bad request is refused: ${bad.name}`, async () => isRefused(bad));
+	test(`a bad request is rejected: ${bad.name}`, async () => isRefused(bad));
 }
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -1,7 +1,7 @@
 /**
- * Limiters, control's division and the divisions of the zones' stewards
- * together: zones that are cut off, changes of the steward, the leader and the
- * contract, with loss, delay and reorder, on the paused clock.
+ * Simulates limiters with the distribution of shares by control and by the zones'
+ * stewards on the paused clock: network partitions of zones, changes of the steward,
+ * the leader and the contract, and messages that are lost, delayed and reordered.
  */
 import assert from 'node:assert/strict';
 import {performance} from 'node:perf_hooks';
@@ -32,7 +32,7 @@
 const lackingMilliseconds = 60;
 const durationMilliseconds = 300_000;
 const busyMilliseconds = 7000;
-/** The longest time until a zone learns of a change of the contract. */
+/** Upper bound, exclusive, of the time until a zone learns of a changed contract. */
 const learningMilliseconds = 3000;
 const head = {method: 'GET', path: '/schedule/verge-1', headers: {}};
 
@@ -109,7 +109,7 @@
 		}
 	}
 
-	/** The contracts that were accepted until so long ago. */
+	/** The control state that a participant has which learns of changes after this time. */
 	#control(learnsAfter: number): ControlState {
 		return this.#controls.findLast(({at}) => at === 0 || now - this.#start >= at + learnsAfter)!.control;
 	}
@@ -172,7 +172,7 @@
 		this.#answer(limiter, shares);
 	}
 
-	/** A lease request, which the steward is sent whether there are demands or not. */
+	/** Sends a lease request to the steward, whether there are demands or not. */
 	#askSteward({record: {zone}, limiter}: Place, demands: readonly LimitDemand[]): void {
 		const {limits, electedAt, learnsAfter} = this.#stewards.get(zone)!;
 		const {shares} = limits.answer({...emptyReport, demands}, this.#control(learnsAfter), electedAt, now);
@@ -208,32 +208,32 @@
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 3);
 const steady = [{at: 0, cutReserve: 0.3}];
-/** What a zone has of the limit of 200 with a reserve of 0.3 over three zones. */
+/** The part of one zone: the limit of 200 with a reserve of 0.3 over three zones. */
 const zoneReserve = 20;
 const longCut: Cut = {zone: 'zuid-a', from: 60_000, to: 260_000};
-/** Control's shares are over, and forgotten by a window. */
+/** The time after which control's shares have expired and dropped out of the window. */
 const afterShares = 26_000;
 
 const schedules: ReadonlyArray<{readonly name: string; readonly schedule: Schedule}> = [
 	{name: 'no reserve', schedule: {delayMilliseconds: 400, loss: 5, changes: [{at: 0, cutReserve: 0}]}},
-	{name: 'no cut', schedule: {delayMilliseconds: 800, loss: 10, changes: steady}},
+	{name: 'no partition', schedule: {delayMilliseconds: 800, loss: 10, changes: steady}},
 	{
-		name: 'a cut of minutes', schedule: {
+		name: 'a partition of minutes', schedule: {
 			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut],
 		},
 	},
 	{
-		name: 'a cut with another steward', schedule: {
+		name: 'a partition with a new steward', schedule: {
 			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut], newStewards: [{zone: 'zuid-a', at: 120_000}],
 		},
 	},
 	{
-		name: 'a cut with another leader', schedule: {
+		name: 'a partition with new leaders', schedule: {
 			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut], newLeaders: [61_000, 150_000],
 		},
 	},
 	{
-		name: 'short cuts, slow answers, stewards and leaders that change', schedule: {
+		name: 'short partitions, slow answers, changes of stewards and leaders', schedule: {
 			delayMilliseconds: 2500,
 			loss: 20,
 			changes: steady,
@@ -243,7 +243,7 @@
 		},
 	},
 	{
-		name: 'instances that restart, in the cut and out of it', schedule: {
+		name: 'instances that restart, inside the partition and outside', schedule: {
 			delayMilliseconds: 200,
 			loss: 5,
 			changes: steady,
@@ -252,21 +252,21 @@
 		},
 	},
 	{
-		name: 'a reserve that comes, grows, shrinks and goes', schedule: {
+		name: 'a reserve that is added, increased, reduced and removed', schedule: {
 			delayMilliseconds: 300,
 			loss: 5,
 			changes: [{at: 0, cutReserve: 0}, {at: 60_000, cutReserve: 0.9}, {at: 130_000, cutReserve: 0.3}, {at: 135_000, cutReserve: 0.6}, {at: 220_000, cutReserve: 0}],
 		},
 	},
 	{
-		name: 'zones that are listed no more, and again', schedule: {
+		name: 'zones that are removed from the list and added again', schedule: {
 			delayMilliseconds: 300,
 			loss: 5,
 			changes: [{at: 0, cutReserve: 0.9}, {at: 80_000, cutReserve: 0.9, zones: ['zuid-a']}, {at: 160_000, cutReserve: 0.9, zones: ['noord-a', 'noord-b']}, {at: 220_000, cutReserve: 0.9}],
 		},
 	},
 	...[{window: WindowForm.fixed, burst: 1}, {window: WindowForm.fixed, burst: 2}, {window: WindowForm.sliding, burst: 2}].map(unit => ({
-		name: `${unit.window} windows, burst ${unit.burst}, with all of it`, schedule: {
+		name: `${unit.window} windows, burst ${unit.burst}, with all faults combined`, schedule: {
 			delayMilliseconds: 800,
 			loss: 10,
 			unit,
@@ -279,7 +279,7 @@
 	})),
 ];
 
-/** What the cut zone was admitted from when control's shares were forgotten: in one window at most, and in all as a part of its reserve. */
+/** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
 function usedInCut(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
 	const [from, to] = [start + longCut.from + afterShares, start + longCut.to];
 	const inCut = admitted.filter(({at, zone}) => zone === longCut.zone && at >= from && at < to);
@@ -288,8 +288,8 @@
 
 function checkCut(context: TestContext, admitted: readonly Admitted[], start: number): void {
 	const {most, ratio} = usedInCut(admitted, start);
-	context.diagnostic(`the cut zone: at most ${most} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
-	assert.ok(ratio > 0.8, 'the cut zone goes on');
+	context.diagnostic(`the partitioned zone: at most ${most} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
+	assert.ok(ratio > 0.8, 'the partitioned zone continues to admit requests');
 	assert.ok(most <= zoneReserve, `${most} of the zone's ${zoneReserve} in one window`);
 }
 
@@ -307,7 +307,7 @@
 }
 
 for (const {name, schedule} of schedules) {
-	test(`reserves: no window has more than the contract: ${name} (seeds from ${seed})`, context => {
+	test(`reserves: no window exceeds the contract: ${name} (seeds from ${seed})`, context => {
 		for (let run = seed; run < seed + runs; run++) {
 			const {admitted, start} = play(run, schedule);
 			const {window, burst} = schedule.unit ?? {window: WindowForm.sliding, burst: 1};
--- a/packages/daemon/test/test-late-requests.ts
+++ b/packages/daemon/test/test-late-requests.ts
@@ -1,6 +1,7 @@
 /**
- * A planned stop: a request that comes late and can't be answered before the
- * instance ends is refused as not run; it is never cut off (LOST).
+ * Graceful shutdown: a request that arrives while the instance is stopping and can't be
+ * answered before it ends is rejected as not run. Its connection is never closed
+ * without a response, which the caller would see as LOST.
  */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
@@ -12,7 +13,7 @@
 
 const token = 'bermrand-token-of-the-test-00001';
 
-/** No upstream of it ever comes: its requests wait for an owner until their deadline. */
+/** A service without upstreams: its requests wait for an owner until their deadline. */
 const service = {
 	...defaultContract, name: 'bermrand/schedule', prefix: '/schedule', key: {place: 'path', segment: 0},
 };
@@ -37,7 +38,7 @@
 ];
 
 for (const {name, sentAfterMilliseconds} of cases) {
-	test(`late requests: one that comes ${name} is answered before the instance ends`, async () => {
+	test(`late requests: one that arrives ${name} is answered before the instance ends`, async () => {
 		const one = await startOne();
 		await declare(one);
 		const [host, port] = one.addresses.callers.split(':') as [string, string];
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * The limiter of an instance against the division of control: demands and
- * answers that are late, lost or overtaken, on the paused clock.
+ * The limiter of an instance with the distribution of shares by control, on the paused
+ * clock: demands and answers that are delayed, lost or reordered.
  */
 import assert from 'node:assert/strict';
 import {performance} from 'node:perf_hooks';
@@ -61,7 +61,7 @@
 		},
 	},
 	{
-		name: 'one demand is under way at a time',
+		name: 'one demand is in flight at a time',
 		run(limiter) {
 			admits(limiter);
 			assert.equal(limiter.takeDemands().length, 1);
@@ -70,7 +70,7 @@
 		},
 	},
 	{
-		name: 'a demand without an answer is made again',
+		name: 'a demand without an answer is repeated',
 		run(limiter) {
 			admits(limiter);
 			const [first] = limiter.takeDemands();
@@ -80,7 +80,7 @@
 		},
 	},
 	{
-		name: 'an answer is taken for the newest demand alone: control no longer counts what it gave for the one before',
+		name: 'only an answer to the newest demand is applied: control no longer counts the share that it granted for an earlier one',
 		run(limiter) {
 			admits(limiter);
 			const [first] = limiter.takeDemands();
@@ -94,7 +94,7 @@
 		},
 	},
 	{
-		name: 'a spent share that was given for little is asked for anew at once',
+		name: 'an exhausted share that was granted for a small demand is requested again at once',
 		run(limiter) {
 			admits(limiter);
 			limiter.takeShares([answer(limiter.takeDemands()[0]!, 2)]);
@@ -121,11 +121,11 @@
 const busyMilliseconds = 7000;
 
 type Faults = MailFaults & {
-	/** Another leader begins at this time. */
+	/** When a new leader starts, in milliseconds from the start. */
 	readonly newLeaderAt?: number;
 };
 
-/** Instances whose demands travel to one leader. */
+/** Instances that send their demands to one leader. */
 class Instances {
 	/** The times at which requests were admitted. */
 	readonly admitted: number[] = [];
@@ -193,14 +193,14 @@
 
 const schedules: ReadonlyArray<{readonly name: string; readonly faults: Faults}> = [
 	{name: 'quick answers', faults: {delayMilliseconds: 20, loss: 0}},
-	{name: 'answers that overtake each other', faults: {delayMilliseconds: 800, loss: 0}},
+	{name: 'reordered answers', faults: {delayMilliseconds: 800, loss: 0}},
 	{name: 'slow answers', faults: {delayMilliseconds: 4000, loss: 0}},
 	{name: 'loss', faults: {delayMilliseconds: 400, loss: 20}},
-	{name: 'another leader', faults: {delayMilliseconds: 800, loss: 5, newLeaderAt: 20_000}},
+	{name: 'a new leader', faults: {delayMilliseconds: 800, loss: 5, newLeaderAt: 20_000}},
 ];
 
 for (const {name, faults} of schedules) {
-	test(`limiters: no window has more than the contract: ${name} (seeds from ${seed})`, () => {
+	test(`limiters: no window exceeds the contract: ${name} (seeds from ${seed})`, () => {
 		for (let run = 0; run < runs; run++) {
 			onPausedClock(() => {
 				const deployment = new Instances(seed + run, faults);
--- a/packages/daemon/test/test-report-collector.ts
+++ b/packages/daemon/test/test-report-collector.ts
@@ -12,21 +12,21 @@
 
 let now = 0;
 
-/** The announcements of the next report. */
+/** Takes the next report and returns its announcements. */
 function told(collector: ReportCollector): readonly string[] {
 	return collector.take().announcements.map(({name, incarnation}) => `${name}#${incarnation}`);
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly run: (collector: ReportCollector) => void}> = [
 	{
-		name: 'an announcement is told once',
+		name: 'an announcement is reported once',
 		run(collector) {
 			collector.announced(announcement('one'));
 			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
 		},
 	},
 	{
-		name: 'one of a report that did not arrive is told again',
+		name: 'an announcement of a report that did not arrive is reported again',
 		run(collector) {
 			collector.announced(announcement('one'));
 			const report = collector.take();
@@ -36,7 +36,7 @@
 		},
 	},
 	{
-		name: 'one that is no longer fresh is not told again, however often its report came back',
+		name: 'an announcement that is no longer fresh is not reported again, however often its report was restored',
 		run(collector) {
 			collector.announced(announcement('one'));
 			const report = collector.take();
@@ -49,7 +49,7 @@
 		},
 	},
 	{
-		name: 'a newer one stands',
+		name: 'a newer announcement replaces an older one',
 		run(collector) {
 			collector.announced(announcement('one'));
 			const report = collector.take();
--- a/packages/daemon/test/test-slot-grants.ts
+++ b/packages/daemon/test/test-slot-grants.ts
@@ -1,5 +1,5 @@
 /**
- * Which grants an announcement is answered with.
+ * The grants in the answer to an announcement.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -34,11 +34,11 @@
 const cases: ReadonlyArray<readonly [name: string, state: ControlState, upstream: UpstreamIdentity, fences: ReadonlyArray<readonly [slot: number, fence: number]>]> = [
 	['all slots of an owner', before, one, [[0, 3], [2, 3]]],
 	['of another owner', before, two, [[1, 3]]],
-	['after a slot was taken', after, one, [[2, 3]]],
-	['after one was given and one is being revoked', after, two, [[0, 5]]],
-	['the earlier state once more', before, one, [[0, 3], [2, 3]]],
-	['of a later life', before, {...one, incarnation: 2}, []],
-	['of a service that isn\'t there', emptyControl, one, []],
+	['after a slot was moved to another owner', after, one, [[2, 3]]],
+	['after one slot was granted and another is being revoked', after, two, [[0, 5]]],
+	['of the earlier state again', before, one, [[0, 3], [2, 3]]],
+	['of a later incarnation', before, {...one, incarnation: 2}, []],
+	['of an unknown service', emptyControl, one, []],
 ];
 
 for (const [name, state, upstream, fences] of cases) {
