--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -7,7 +7,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {Divider, type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
 import {
-	type Grant, grantNow, type LimitEntry, noteShare, shareNow, wantedOf,
+	type Grant, grantNow, type LimitEntry, recordShare, shareNow, wantedOf,
 } from './limit-entry.js';
 
 /** A demand that isn't answered within this time is repeated. */
@@ -84,12 +84,12 @@
 
 	const grant = entry.grants[divider];
 	const {at, wanted} = grant.asked!;
-	noteShare(entry, wall, now);
+	recordShare(entry, wall, now);
 	grant.asked = undefined;
 	grant.amount = share.amount;
 	grant.until = at + share.validMilliseconds;
 	grant.answeredFor = wanted;
-	noteShare(entry, wall, now);
+	recordShare(entry, wall, now);
 	return divider;
 }
 
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -155,6 +155,6 @@
 }
 
 /** Records a change of the share in the window. */
-export function noteShare(entry: LimitEntry, wall: WallTime, now: MonotonicTime): void {
+export function recordShare(entry: LimitEntry, wall: WallTime, now: MonotonicTime): void {
 	entry.bucket = admit(entry.bucket, wall, now, 0, shareNow(entry, now)).state;
 }
