--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -130,7 +130,7 @@
 }
 
 /** Records the cost of a request, whether it is admitted or not. */
-export function noteWanted(entry: LimitEntry, cost: number, now: MonotonicTime): void {
+export function recordWanted(entry: LimitEntry, cost: number, now: MonotonicTime): void {
 	const {intervalMilliseconds} = entry.effective;
 	const passed = Math.floor((now - entry.intervalAt) / intervalMilliseconds);
 	if (passed > 0) {
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -21,7 +21,7 @@
 	awaitsFirstShare, dividersToAsk, grantMayGrow, makeDemand, takeShare,
 } from './limit-demand.js';
 import {
-	adjustEntry, createEntry, isIdle, type LimitEntry, noteWanted,
+	adjustEntry, createEntry, isIdle, type LimitEntry, recordWanted,
 } from './limit-entry.js';
 
 /** Admits requests within the contracted limits. */
@@ -161,7 +161,7 @@
 		}
 
 		for (const {entry, cost} of charges) {
-			noteWanted(entry, cost, now);
+			recordWanted(entry, cost, now);
 		}
 
 		return chargeAll(charges, wallNow(), now).mapErr(refusal => asksForMore(refusal.entry, now) ? shareAwaited : limitReached(refusal));
