--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -58,14 +58,14 @@
 }
 
 /** Creates the grant of a limit that applies to this instance alone: a share that never expires. */
-function ownGrant({amount}: EffectiveLimit): Grant {
+function createInstanceGrant({amount}: EffectiveLimit): Grant {
 	return {...createGrant(amount), amount, until: Infinity};
 }
 
 function createGrants(contract: ServiceContract, limit: ContractedLimit, effective: EffectiveLimit, zone: ZoneName): LimitEntry['grants'] {
 	const isOwn = effective.scope === LimitScope.instance;
 	return {
-		[Divider.control]: isOwn ? ownGrant(effective) : createGrant(controlPart(contract, limit, effective).amount),
+		[Divider.control]: isOwn ? createInstanceGrant(effective) : createGrant(controlPart(contract, limit, effective).amount),
 		[Divider.zone]: createGrant(zonePart(contract, limit, effective, zone).amount),
 	};
 }
