--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -63,9 +63,9 @@
 }
 
 function createGrants(contract: ServiceContract, limit: ContractedLimit, effective: EffectiveLimit, zone: ZoneName): LimitEntry['grants'] {
-	const isOwn = effective.scope === LimitScope.instance;
+	const isPerInstance = effective.scope === LimitScope.instance;
 	return {
-		[Divider.control]: isOwn ? createInstanceGrant(effective) : createGrant(controlPart(contract, limit, effective).amount),
+		[Divider.control]: isPerInstance ? createInstanceGrant(effective) : createGrant(controlPart(contract, limit, effective).amount),
 		[Divider.zone]: createGrant(zonePart(contract, limit, effective, zone).amount),
 	};
 }
