--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -98,7 +98,7 @@
 	};
 }
 
-function countsAlike(one: EffectiveLimit, other: EffectiveLimit): boolean {
+function hasSameCounting(one: EffectiveLimit, other: EffectiveLimit): boolean {
 	return one.intervalMilliseconds === other.intervalMilliseconds && one.window === other.window && one.burst === other.burst
 		&& one.counts === other.counts && one.scope === other.scope && one.scope === LimitScope.deployment;
 }
@@ -108,7 +108,7 @@
  * and changes nothing if the limit counts in another way: then the usage is meaningless.
  */
 export function adjustEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntrySource): boolean {
-	const isAlike = countsAlike(entry.effective, effective);
+	const isAlike = hasSameCounting(entry.effective, effective);
 	if (isAlike) {
 		entry.contract = contract;
 		entry.effective = effective;
