--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -108,15 +108,15 @@
  * and changes nothing if the limit counts in another way: then the usage is meaningless.
  */
 export function adjustEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntrySource): boolean {
-	const isAlike = hasSameCounting(entry.effective, effective);
-	if (isAlike) {
+	const isCompatible = hasSameCounting(entry.effective, effective);
+	if (isCompatible) {
 		entry.contract = contract;
 		entry.effective = effective;
 		entry.grants.control.partAmount = controlPart(contract, limit, effective).amount;
 		entry.grants.zone.partAmount = zonePart(contract, limit, effective, zone).amount;
 	}
 
-	return isAlike;
+	return isCompatible;
 }
 
 /** The amount of one divider's part that is held now. */
