--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -71,7 +71,7 @@
 }
 
 /** The values that an entry is created from. */
-export type LimitEntrySource = {
+export type LimitEntryOptions = {
 	readonly contract: ServiceContract;
 	readonly limit: ContractedLimit;
 	readonly caller: string;
@@ -81,7 +81,7 @@
 };
 
 /** Creates an entry. It holds no share yet of a limit that instances share. */
-export function createEntry({contract, limit, caller, effective, zone}: LimitEntrySource, now: MonotonicTime): LimitEntry {
+export function createEntry({contract, limit, caller, effective, zone}: LimitEntryOptions, now: MonotonicTime): LimitEntry {
 	return {
 		service: contract.name,
 		limit: limit.name,
@@ -107,7 +107,7 @@
  * Applies a changed contract and keeps the usage, which still counts. Returns false
  * and changes nothing if the limit counts in another way: then the usage is meaningless.
  */
-export function adjustEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntrySource): boolean {
+export function adjustEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntryOptions): boolean {
 	const isCompatible = hasSameCounting(entry.effective, effective);
 	if (isCompatible) {
 		entry.contract = contract;
