--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -41,7 +41,7 @@
 	bucket: BucketState;
 	/** The total cost of the requests in the current interval, admitted or not, and in the previous one. */
 	wanted: number;
-	wantedBefore: number;
+	previousWanted: number;
 	intervalAt: MonotonicTime;
 	usedAt: MonotonicTime;
 	/** Since when a request has been waiting for control's share. */
@@ -91,7 +91,7 @@
 		grants: createGrants(contract, limit, effective, zone),
 		bucket: createBucket(effective),
 		wanted: 0,
-		wantedBefore: 0,
+		previousWanted: 0,
 		intervalAt: now,
 		usedAt: now,
 		waitsSince: undefined,
@@ -134,7 +134,7 @@
 	const {intervalMilliseconds} = entry.effective;
 	const passed = Math.floor((now - entry.intervalAt) / intervalMilliseconds);
 	if (passed > 0) {
-		entry.wantedBefore = passed === 1 ? entry.wanted : 0;
+		entry.previousWanted = passed === 1 ? entry.wanted : 0;
 		entry.wanted = 0;
 		entry.intervalAt += passed * intervalMilliseconds;
 	}
@@ -144,7 +144,7 @@
 }
 
 /** The amount to request of a divider's part. The zone's reserve is used first, so the rest is requested from control. */
-export function wantedOf({wanted, wantedBefore, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
+export function wantedOf({wanted, previousWanted: wantedBefore, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
 	const reserved = divider === Divider.control ? grantNow(grants.zone, now) : 0;
 	return Math.max(1, Math.max(wanted, wantedBefore) - reserved);
 }
