--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -42,7 +42,7 @@
 	/** The total cost of the requests in the current interval, admitted or not, and in the previous one. */
 	wanted: number;
 	previousWanted: number;
-	intervalAt: MonotonicTime;
+	intervalStartedAt: MonotonicTime;
 	usedAt: MonotonicTime;
 	/** Since when a request has been waiting for control's share. */
 	waitsSince: MonotonicTime | undefined;
@@ -92,7 +92,7 @@
 		bucket: createBucket(effective),
 		wanted: 0,
 		previousWanted: 0,
-		intervalAt: now,
+		intervalStartedAt: now,
 		usedAt: now,
 		waitsSince: undefined,
 	};
@@ -132,11 +132,11 @@
 /** Records the cost of a request, whether it is admitted or not. */
 export function recordWanted(entry: LimitEntry, cost: number, now: MonotonicTime): void {
 	const {intervalMilliseconds} = entry.effective;
-	const passed = Math.floor((now - entry.intervalAt) / intervalMilliseconds);
+	const passed = Math.floor((now - entry.intervalStartedAt) / intervalMilliseconds);
 	if (passed > 0) {
 		entry.previousWanted = passed === 1 ? entry.wanted : 0;
 		entry.wanted = 0;
-		entry.intervalAt += passed * intervalMilliseconds;
+		entry.intervalStartedAt += passed * intervalMilliseconds;
 	}
 
 	entry.wanted += cost;
