--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -43,7 +43,7 @@
 	wanted: number;
 	previousWanted: number;
 	intervalStartedAt: MonotonicTime;
-	usedAt: MonotonicTime;
+	lastUsedAt: MonotonicTime;
 	/** Since when a request has been waiting for control's share. */
 	waitsSince: MonotonicTime | undefined;
 };
@@ -93,7 +93,7 @@
 		wanted: 0,
 		previousWanted: 0,
 		intervalStartedAt: now,
-		usedAt: now,
+		lastUsedAt: now,
 		waitsSince: undefined,
 	};
 }
@@ -140,7 +140,7 @@
 	}
 
 	entry.wanted += cost;
-	entry.usedAt = now;
+	entry.lastUsedAt = now;
 }
 
 /** The amount to request of a divider's part. The zone's reserve is used first, so the rest is requested from control. */
@@ -150,7 +150,7 @@
 }
 
 /** Whether no request has used the entry for so long that it can be dropped. */
-export function isIdle({usedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
+export function isIdle({lastUsedAt: usedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
 	return now - usedAt > idleMilliseconds + effective.intervalMilliseconds;
 }
 
