--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -39,8 +39,8 @@
 
 /** Whether a demand is sent to a divider between the regular demands. */
 const isUrgent: Readonly<Record<Divider, Urgency>> = {
-	[Divider.control]: ({waitsSince}) => waitsSince !== undefined,
-	[Divider.zone]: (entry, now) => entry.waitsSince !== undefined && grantMayGrow(entry, Divider.zone, now),
+	[Divider.control]: ({waitingSince: waitsSince}) => waitsSince !== undefined,
+	[Divider.zone]: (entry, now) => entry.waitingSince !== undefined && grantMayGrow(entry, Divider.zone, now),
 };
 
 /** The dividers to which a demand is due now. No demand is sent for a reserve of zero. */
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -45,7 +45,7 @@
 	intervalStartedAt: MonotonicTime;
 	lastUsedAt: MonotonicTime;
 	/** Since when a request has been waiting for control's share. */
-	waitsSince: MonotonicTime | undefined;
+	waitingSince: MonotonicTime | undefined;
 };
 
 /** An entry is dropped when no request has used it for this time plus one interval. */
@@ -94,7 +94,7 @@
 		previousWanted: 0,
 		intervalStartedAt: now,
 		lastUsedAt: now,
-		waitsSince: undefined,
+		waitingSince: undefined,
 	};
 }
 
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -114,22 +114,22 @@
 	}
 
 	function beginToWait(entry: LimitEntry, now: MonotonicTime): void {
-		if (entry.waitsSince === undefined) {
-			entry.waitsSince = now;
+		if (entry.waitingSince === undefined) {
+			entry.waitingSince = now;
 			waiting.add(entry);
 			noteAwaited();
 		}
 	}
 
 	function endToWait(entry: LimitEntry): void {
-		entry.waitsSince = undefined;
+		entry.waitingSince = undefined;
 		waiting.delete(entry);
 	}
 
 	/** Whether a larger share is requested. Requests wait until the answer has arrived. */
 	function asksForMore(entry: LimitEntry, now: MonotonicTime): boolean {
-		if (entry.waitsSince !== undefined) {
-			return now < entry.waitsSince + longestWaitMilliseconds;
+		if (entry.waitingSince !== undefined) {
+			return now < entry.waitingSince + longestWaitMilliseconds;
 		}
 
 		const grows = grantMayGrow(entry, Divider.control, now);
