--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -87,7 +87,7 @@
 	recordShare(entry, wall, now);
 	grant.asked = undefined;
 	grant.amount = share.amount;
-	grant.until = at + share.validMilliseconds;
+	grant.expiresAt = at + share.validMilliseconds;
 	grant.answeredFor = wanted;
 	recordShare(entry, wall, now);
 	return divider;
@@ -95,5 +95,5 @@
 
 /** Whether a request must wait for the first share: no share is held, and control has not answered yet. */
 export function awaitsFirstShare(entry: LimitEntry, now: MonotonicTime): boolean {
-	return entry.grants.control.until === -Infinity && shareNow(entry, now) === 0;
+	return entry.grants.control.expiresAt === -Infinity && shareNow(entry, now) === 0;
 }
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -19,7 +19,7 @@
 	partAmount: number;
 	amount: number;
 	/** When the share expires; -Infinity before the first answer. */
-	until: MonotonicTime;
+	expiresAt: MonotonicTime;
 	/**
 	 * The newest demand, until it is answered. Answers to other demands are ignored:
 	 * this demand told the divider which share is in force, and the divider dropped any
@@ -53,13 +53,13 @@
 
 function createGrant(partAmount: number): Grant {
 	return {
-		partAmount, amount: 0, until: -Infinity, asked: undefined, answeredFor: 0,
+		partAmount, amount: 0, expiresAt: -Infinity, asked: undefined, answeredFor: 0,
 	};
 }
 
 /** Creates the grant of a limit that applies to this instance alone: a share that never expires. */
 function createInstanceGrant({amount}: EffectiveLimit): Grant {
-	return {...createGrant(amount), amount, until: Infinity};
+	return {...createGrant(amount), amount, expiresAt: Infinity};
 }
 
 function createGrants(contract: ServiceContract, limit: ContractedLimit, effective: EffectiveLimit, zone: ZoneName): LimitEntry['grants'] {
@@ -120,7 +120,7 @@
 }
 
 /** The amount of one divider's part that is held now. */
-export function grantNow({amount, until}: Grant, now: MonotonicTime): number {
+export function grantNow({amount, expiresAt: until}: Grant, now: MonotonicTime): number {
 	return now < until ? amount : 0;
 }
 
