--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -23,7 +23,7 @@
 	readonly wall: WallTime;
 };
 
-function isAsked({asked}: Grant, now: MonotonicTime): boolean {
+function isAsked({pendingDemand: asked}: Grant, now: MonotonicTime): boolean {
 	return asked !== undefined && now < asked.at + answerMilliseconds;
 }
 
@@ -61,7 +61,7 @@
 	const grant = entry.grants[divider];
 	const wanted = wantedOf(entry, divider, now);
 	const held = grantNow(grant, now);
-	grant.asked = {sequence, at: now, wanted};
+	grant.pendingDemand = {sequence, at: now, wanted};
 	return {
 		service: entry.service,
 		limit: entry.limit,
@@ -77,15 +77,15 @@
 
 /** Applies the answer to the newest demand. Returns the divider that sent it; undefined if it answers an older demand. */
 export function takeShare(entry: LimitEntry, share: LimitShare, wall: WallTime, now: MonotonicTime): Divider | undefined {
-	const divider = Object.values(Divider).find(one => entry.grants[one].asked?.sequence === share.sequence);
+	const divider = Object.values(Divider).find(one => entry.grants[one].pendingDemand?.sequence === share.sequence);
 	if (divider === undefined) {
 		return undefined;
 	}
 
 	const grant = entry.grants[divider];
-	const {at, wanted} = grant.asked!;
+	const {at, wanted} = grant.pendingDemand!;
 	recordShare(entry, wall, now);
-	grant.asked = undefined;
+	grant.pendingDemand = undefined;
 	grant.amount = share.amount;
 	grant.expiresAt = at + share.validMilliseconds;
 	grant.answeredFor = wanted;
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -25,7 +25,7 @@
 	 * this demand told the divider which share is in force, and the divider dropped any
 	 * share that it had granted before.
 	 */
-	asked: {readonly sequence: number; readonly at: MonotonicTime; readonly wanted: number} | undefined;
+	pendingDemand: {readonly sequence: number; readonly at: MonotonicTime; readonly wanted: number} | undefined;
 	/** The wanted amount in the demand that the share answers. */
 	answeredFor: number;
 };
@@ -53,7 +53,7 @@
 
 function createGrant(partAmount: number): Grant {
 	return {
-		partAmount, amount: 0, expiresAt: -Infinity, asked: undefined, answeredFor: 0,
+		partAmount, amount: 0, expiresAt: -Infinity, pendingDemand: undefined, answeredFor: 0,
 	};
 }
 
