--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -31,7 +31,7 @@
 export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
 	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
-		share: grantNow(grant, now), amount: grant.partAmount, wantedAtGrant: grant.answeredFor, wanted: wantedOf(entry, divider, now),
+		share: grantNow(grant, now), amount: grant.partAmount, wantedAtGrant: grant.wantedAtGrant, wanted: wantedOf(entry, divider, now),
 	});
 }
 
@@ -88,7 +88,7 @@
 	grant.pendingDemand = undefined;
 	grant.amount = share.amount;
 	grant.expiresAt = at + share.validMilliseconds;
-	grant.answeredFor = wanted;
+	grant.wantedAtGrant = wanted;
 	recordShare(entry, wall, now);
 	return divider;
 }
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -27,7 +27,7 @@
 	 */
 	pendingDemand: {readonly sequence: number; readonly at: MonotonicTime; readonly wanted: number} | undefined;
 	/** The wanted amount in the demand that the share answers. */
-	answeredFor: number;
+	wantedAtGrant: number;
 };
 
 /** The state of one limit and caller. */
@@ -53,7 +53,7 @@
 
 function createGrant(partAmount: number): Grant {
 	return {
-		partAmount, amount: 0, expiresAt: -Infinity, pendingDemand: undefined, answeredFor: 0,
+		partAmount, amount: 0, expiresAt: -Infinity, pendingDemand: undefined, wantedAtGrant: 0,
 	};
 }
 
