--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -120,13 +120,13 @@
 }
 
 /** The amount of one divider's part that is held now. */
-export function grantNow({amount, expiresAt: until}: Grant, now: MonotonicTime): number {
+export function currentGrantAmount({amount, expiresAt: until}: Grant, now: MonotonicTime): number {
 	return now < until ? amount : 0;
 }
 
 /** The amount that this instance may use now, over the parts of all dividers. */
 export function shareNow({grants}: LimitEntry, now: MonotonicTime): number {
-	return grantNow(grants.control, now) + grantNow(grants.zone, now);
+	return currentGrantAmount(grants.control, now) + currentGrantAmount(grants.zone, now);
 }
 
 /** Records the cost of a request, whether it is admitted or not. */
@@ -145,7 +145,7 @@
 
 /** The amount to request of a divider's part. The zone's reserve is used first, so the rest is requested from control. */
 export function wantedOf({wanted, previousWanted: wantedBefore, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
-	const reserved = divider === Divider.control ? grantNow(grants.zone, now) : 0;
+	const reserved = divider === Divider.control ? currentGrantAmount(grants.zone, now) : 0;
 	return Math.max(1, Math.max(wanted, wantedBefore) - reserved);
 }
 
