--- a/packages/daemon/src/limit-admission.ts
+++ b/packages/daemon/src/limit-admission.ts
@@ -7,7 +7,7 @@
 import {type MonotonicTime, type WallTime} from '@dogwooddeck/model/identifiers';
 import {type RequestHead} from '@dogwooddeck/routing/target';
 import {err, ok, type Result} from 'true-myth/result';
-import {type LimitEntry, shareNow} from './limit-entry.js';
+import {type LimitEntry, currentShare} from './limit-entry.js';
 
 /** A limit that applies to a request, and the cost of the request under it. */
 export type Charge = {readonly entry: LimitEntry; readonly cost: number};
@@ -38,7 +38,7 @@
 
 /** Charges all limits if all of them admit the request. Fails with the first limit that doesn't. */
 export function chargeAll(charges: readonly Charge[], wall: WallTime, now: MonotonicTime): Result<undefined, Refusal> {
-	const admissions = charges.map(({entry, cost}) => ({entry, admission: admit(entry.bucket, wall, now, cost, shareNow(entry, now))}));
+	const admissions = charges.map(({entry, cost}) => ({entry, admission: admit(entry.bucket, wall, now, cost, currentShare(entry, now))}));
 	const refusal = admissions.find(({admission}) => !admission.admitted);
 	if (refusal !== undefined) {
 		return err(refusal);
--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -7,7 +7,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {Divider, type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
 import {
-	type Grant, currentGrantAmount, type LimitEntry, recordShare, shareNow, wantedOf,
+	type Grant, currentGrantAmount, type LimitEntry, recordShare, currentShare, wantedOf,
 } from './limit-entry.js';
 
 /** A demand that isn't answered within this time is repeated. */
@@ -95,5 +95,5 @@
 
 /** Whether a request must wait for the first share: no share is held, and control has not answered yet. */
 export function awaitsFirstShare(entry: LimitEntry, now: MonotonicTime): boolean {
-	return entry.grants.control.expiresAt === -Infinity && shareNow(entry, now) === 0;
+	return entry.grants.control.expiresAt === -Infinity && currentShare(entry, now) === 0;
 }
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -125,7 +125,7 @@
 }
 
 /** The amount that this instance may use now, over the parts of all dividers. */
-export function shareNow({grants}: LimitEntry, now: MonotonicTime): number {
+export function currentShare({grants}: LimitEntry, now: MonotonicTime): number {
 	return currentGrantAmount(grants.control, now) + currentGrantAmount(grants.zone, now);
 }
 
@@ -156,5 +156,5 @@
 
 /** Records a change of the share in the window. */
 export function recordShare(entry: LimitEntry, wall: WallTime, now: MonotonicTime): void {
-	entry.bucket = admit(entry.bucket, wall, now, 0, shareNow(entry, now)).state;
+	entry.bucket = admit(entry.bucket, wall, now, 0, currentShare(entry, now)).state;
 }
