--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -7,7 +7,7 @@
 } from '@dogwooddeck/model/identifiers';
 import {Divider, type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
 import {
-	type Grant, currentGrantAmount, type LimitEntry, recordShare, currentShare, wantedOf,
+	type Grant, currentGrantAmount, type LimitEntry, recordShare, currentShare, wantedAmount,
 } from './limit-entry.js';
 
 /** A demand that isn't answered within this time is repeated. */
@@ -31,7 +31,7 @@
 export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
 	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
-		share: currentGrantAmount(grant, now), amount: grant.partAmount, wantedAtGrant: grant.wantedAtGrant, wanted: wantedOf(entry, divider, now),
+		share: currentGrantAmount(grant, now), amount: grant.partAmount, wantedAtGrant: grant.wantedAtGrant, wanted: wantedAmount(entry, divider, now),
 	});
 }
 
@@ -59,7 +59,7 @@
 /** Creates a new demand to a divider. The usage counts fully towards each divider, since it may have been charged to either share. */
 export function makeDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandSource): LimitDemand {
 	const grant = entry.grants[divider];
-	const wanted = wantedOf(entry, divider, now);
+	const wanted = wantedAmount(entry, divider, now);
 	const held = currentGrantAmount(grant, now);
 	grant.pendingDemand = {sequence, at: now, wanted};
 	return {
