--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -132,11 +132,11 @@
 /** Records the cost of a request, whether it is admitted or not. */
 export function recordWanted(entry: LimitEntry, cost: number, now: MonotonicTime): void {
 	const {intervalMilliseconds} = entry.effective;
-	const passed = Math.floor((now - entry.intervalStartedAt) / intervalMilliseconds);
-	if (passed > 0) {
-		entry.previousWanted = passed === 1 ? entry.wanted : 0;
+	const elapsedIntervals = Math.floor((now - entry.intervalStartedAt) / intervalMilliseconds);
+	if (elapsedIntervals > 0) {
+		entry.previousWanted = elapsedIntervals === 1 ? entry.wanted : 0;
 		entry.wanted = 0;
-		entry.intervalStartedAt += passed * intervalMilliseconds;
+		entry.intervalStartedAt += elapsedIntervals * intervalMilliseconds;
 	}
 
 	entry.wanted += cost;
