--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -107,7 +107,7 @@
  * Applies a changed contract and keeps the usage, which still counts. Returns false
  * and changes nothing if the limit counts in another way: then the usage is meaningless.
  */
-export function adjustEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntryOptions): boolean {
+export function updateEntry(entry: LimitEntry, {contract, limit, effective, zone}: LimitEntryOptions): boolean {
 	const isCompatible = hasSameCounting(entry.effective, effective);
 	if (isCompatible) {
 		entry.contract = contract;
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -21,7 +21,7 @@
 	awaitsFirstShare, dividersToAsk, grantMayGrow, makeDemand, takeShare,
 } from './limit-demand.js';
 import {
-	adjustEntry, createEntry, isIdle, type LimitEntry, recordWanted,
+	updateEntry, createEntry, isIdle, type LimitEntry, recordWanted,
 } from './limit-entry.js';
 
 /** Admits requests within the contracted limits. */
@@ -90,7 +90,7 @@
 		const source = {
 			contract, limit, caller, effective, zone: self.zone,
 		};
-		if (known !== undefined && adjustEntry(known, source)) {
+		if (known !== undefined && updateEntry(known, source)) {
 			return known;
 		}
 
