--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -11,7 +11,7 @@
 } from './limit-entry.js';
 
 /** A demand that isn't answered within this time is repeated. */
-const answerMilliseconds: Milliseconds = 3000;
+const answerTimeoutMilliseconds: Milliseconds = 3000;
 /** The maximum difference between the wall clocks of instances. */
 const skewMilliseconds: Milliseconds = 1000;
 
@@ -24,7 +24,7 @@
 };
 
 function isAsked({pendingDemand: asked}: Grant, now: MonotonicTime): boolean {
-	return asked !== undefined && now < asked.at + answerMilliseconds;
+	return asked !== undefined && now < asked.at + answerTimeoutMilliseconds;
 }
 
 /** Whether a new demand may yield a larger share than the exhausted one. */
