--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -13,7 +13,7 @@
 /** A demand that isn't answered within this time is repeated. */
 const answerTimeoutMilliseconds: Milliseconds = 3000;
 /** The maximum difference between the wall clocks of instances. */
-const skewMilliseconds: Milliseconds = 1000;
+const maximumClockSkewMilliseconds: Milliseconds = 1000;
 
 /** The values that a demand is created from, besides the entry. */
 export type DemandSource = {
@@ -71,7 +71,7 @@
 		sequence,
 		wanted,
 		held,
-		usable: Math.max(held, usedShare(entry.bucket, wall, now, skewMilliseconds)),
+		usable: Math.max(held, usedShare(entry.bucket, wall, now, maximumClockSkewMilliseconds)),
 	};
 }
 
