--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -16,7 +16,7 @@
 const maximumClockSkewMilliseconds: Milliseconds = 1000;
 
 /** The values that a demand is created from, besides the entry. */
-export type DemandSource = {
+export type DemandOptions = {
 	readonly holder: string;
 	readonly sequence: number;
 	readonly now: MonotonicTime;
@@ -57,7 +57,7 @@
 }
 
 /** Creates a new demand to a divider. The usage counts fully towards each divider, since it may have been charged to either share. */
-export function makeDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandSource): LimitDemand {
+export function makeDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandOptions): LimitDemand {
 	const grant = entry.grants[divider];
 	const wanted = wantedAmount(entry, divider, now);
 	const held = currentGrantAmount(grant, now);
