--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -23,7 +23,7 @@
 	readonly wall: WallTime;
 };
 
-function isAsked({pendingDemand: asked}: Grant, now: MonotonicTime): boolean {
+function isDemandPending({pendingDemand: asked}: Grant, now: MonotonicTime): boolean {
 	return asked !== undefined && now < asked.at + answerTimeoutMilliseconds;
 }
 
@@ -52,7 +52,7 @@
 	return Object.values(Divider).filter(divider => {
 		const grant = entry.grants[divider];
 		const holdsAny = grant.partAmount > 0 || divider === Divider.control;
-		return holdsAny && !isAsked(grant, now) && (isDue || isUrgent[divider](entry, now));
+		return holdsAny && !isDemandPending(grant, now) && (isDue || isUrgent[divider](entry, now));
 	});
 }
 
