--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -35,10 +35,10 @@
 	});
 }
 
-type Urgency = (entry: LimitEntry, now: MonotonicTime) => boolean;
+type UrgencyRule = (entry: LimitEntry, now: MonotonicTime) => boolean;
 
 /** Whether a demand is sent to a divider between the regular demands. */
-const isUrgent: Readonly<Record<Divider, Urgency>> = {
+const isUrgent: Readonly<Record<Divider, UrgencyRule>> = {
 	[Divider.control]: ({waitingSince: waitsSince}) => waitsSince !== undefined,
 	[Divider.zone]: (entry, now) => entry.waitingSince !== undefined && grantMayGrow(entry, Divider.zone, now),
 };
