--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -44,7 +44,7 @@
 };
 
 /** The dividers to which a demand is due now. No demand is sent for a reserve of zero. */
-export function dividersToAsk(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly Divider[] {
+export function dividersDue(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly Divider[] {
 	if (entry.effective.scope !== LimitScope.deployment) {
 		return [];
 	}
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -18,7 +18,7 @@
 	callerOf, type Charge, chargeAll, costs, limitReached,
 } from './limit-admission.js';
 import {
-	awaitsFirstShare, dividersToAsk, grantMayGrow, makeDemand, takeShare,
+	awaitsFirstShare, dividersDue, grantMayGrow, makeDemand, takeShare,
 } from './limit-demand.js';
 import {
 	updateEntry, createEntry, isIdle, type LimitEntry, recordWanted,
@@ -177,7 +177,7 @@
 	}
 
 	function demandsOf(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly LimitDemand[] {
-		return dividersToAsk(entry, isDue, now).map(divider => {
+		return dividersDue(entry, isDue, now).map(divider => {
 			sequence += 1;
 			return makeDemand(entry, divider, {
 				holder, sequence, now, wall: wallNow(),
