--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -18,7 +18,7 @@
 	callerOf, type Charge, chargeAll, costs, limitReached,
 } from './limit-admission.js';
 import {
-	awaitsFirstShare, dividersDue, grantMayGrow, makeDemand, takeShare,
+	awaitsFirstShare, dividersDue, grantMayGrow, makeDemand, applyShare,
 } from './limit-demand.js';
 import {
 	updateEntry, createEntry, isIdle, type LimitEntry, recordWanted,
@@ -202,7 +202,7 @@
 			const now = monotonicNow();
 			for (const share of shares) {
 				const entry = entries.get(entryKey(share.service, share.limit, share.caller));
-				const divider = entry === undefined ? undefined : takeShare(entry, share, wallNow(), now);
+				const divider = entry === undefined ? undefined : applyShare(entry, share, wallNow(), now);
 				if (divider === Divider.control) {
 					endToWait(entry!);
 				}
