--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -28,7 +28,7 @@
 }
 
 /** Whether a new demand may yield a larger share than the exhausted one. */
-export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
+export function mayReceiveMore(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
 	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
 		share: currentGrantAmount(grant, now), amount: grant.partAmount, wantedAtGrant: grant.wantedAtGrant, wanted: wantedAmount(entry, divider, now),
@@ -40,7 +40,7 @@
 /** Whether a demand is sent to a divider between the regular demands. */
 const isUrgent: Readonly<Record<Divider, UrgencyRule>> = {
 	[Divider.control]: ({waitingSince: waitsSince}) => waitsSince !== undefined,
-	[Divider.zone]: (entry, now) => entry.waitingSince !== undefined && grantMayGrow(entry, Divider.zone, now),
+	[Divider.zone]: (entry, now) => entry.waitingSince !== undefined && mayReceiveMore(entry, Divider.zone, now),
 };
 
 /** The dividers to which a demand is due now. No demand is sent for a reserve of zero. */
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -18,7 +18,7 @@
 	callerOf, type Charge, chargeAll, costs, limitReached,
 } from './limit-admission.js';
 import {
-	awaitsFirstShare, dividersDue, grantMayGrow, makeDemand, applyShare,
+	awaitsFirstShare, dividersDue, mayReceiveMore, makeDemand, applyShare,
 } from './limit-demand.js';
 import {
 	updateEntry, createEntry, isIdle, type LimitEntry, recordWanted,
@@ -132,7 +132,7 @@
 			return now < entry.waitingSince + longestWaitMilliseconds;
 		}
 
-		const grows = grantMayGrow(entry, Divider.control, now);
+		const grows = mayReceiveMore(entry, Divider.control, now);
 		if (grows) {
 			beginToWait(entry, now);
 		}
