--- a/packages/daemon/src/limit-admission.ts
+++ b/packages/daemon/src/limit-admission.ts
@@ -15,7 +15,7 @@
 /** The limit that rejects a request. */
 export type Refusal = {readonly entry: LimitEntry; readonly admission: Admission};
 
-const longestCaller = 128;
+const maximumCallerLength = 128;
 
 type Cost = (contract: ServiceContract, head: RequestHead, idempotent: boolean) => number;
 
@@ -33,7 +33,7 @@
 /** The caller to whom a limit applies; empty if all callers share the limit. */
 export function callerOf({callerHeader}: ContractedLimit, head: RequestHead): string {
 	const value = callerHeader === undefined ? undefined : head.headers[callerHeader];
-	return typeof value === 'string' ? value.slice(0, longestCaller) : '';
+	return typeof value === 'string' ? value.slice(0, maximumCallerLength) : '';
 }
 
 /** Charges all limits if all of them admit the request. Fails with the first limit that doesn't. */
