--- a/packages/daemon/src/limit-admission.ts
+++ b/packages/daemon/src/limit-admission.ts
@@ -17,10 +17,10 @@
 
 const maximumCallerLength = 128;
 
-type Cost = (contract: ServiceContract, head: RequestHead, idempotent: boolean) => number;
+type CostFunction = (contract: ServiceContract, head: RequestHead, idempotent: boolean) => number;
 
 /** The cost of a request, in counted items. */
-export const costs: Readonly<Record<CountedQuantity, Cost>> = {
+export const costs: Readonly<Record<CountedQuantity, CostFunction>> = {
 	[CountedQuantity.requests]: () => 1,
 	[CountedQuantity.changes]: (_contract, _head, idempotent) => idempotent ? 0 : 1,
 	[CountedQuantity.bodyBytes](contract, head) {
