--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -38,7 +38,7 @@
 	readonly lacksShares: () => boolean;
 };
 
-const demandMilliseconds: Milliseconds = 1000;
+const demandIntervalMilliseconds: Milliseconds = 1000;
 const entriesAtMost = 10_000;
 const waitMilliseconds: Milliseconds = 25;
 /** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
@@ -189,7 +189,7 @@
 		admit: (contract, head, idempotent) => contract.limits.length === 0 ? ok(undefined) : admitRequest(contract, head, idempotent),
 		takeDemands() {
 			const now = monotonicNow();
-			const isDue = now >= demandedAt + demandMilliseconds;
+			const isDue = now >= demandedAt + demandIntervalMilliseconds;
 			if (isDue) {
 				demandedAt = now;
 				dropIdle(now);
