--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -39,7 +39,7 @@
 };
 
 const demandIntervalMilliseconds: Milliseconds = 1000;
-const entriesAtMost = 10_000;
+const maximumEntries = 10_000;
 const waitMilliseconds: Milliseconds = 25;
 /** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
 const longestWaitMilliseconds: Milliseconds = 1000;
@@ -169,11 +169,11 @@
 
 	function admitRequest(contract: ServiceContract, head: RequestHead, idempotent: boolean): Result<undefined, Failure> {
 		const now = monotonicNow();
-		if (entries.size > entriesAtMost) {
+		if (entries.size > maximumEntries) {
 			dropIdle(now);
 		}
 
-		return entries.size > entriesAtMost ? err(tooManyCallers) : admitCharges(chargesOf(contract, head, idempotent, now), now);
+		return entries.size > maximumEntries ? err(tooManyCallers) : admitCharges(chargesOf(contract, head, idempotent, now), now);
 	}
 
 	function demandsOf(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly LimitDemand[] {
