--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -40,11 +40,11 @@
 
 const demandIntervalMilliseconds: Milliseconds = 1000;
 const maximumEntries = 10_000;
-const waitMilliseconds: Milliseconds = 25;
+const retryMilliseconds: Milliseconds = 25;
 /** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
 const longestWaitMilliseconds: Milliseconds = 1000;
 
-const shareAwaited = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: waitMilliseconds});
+const shareAwaited = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: retryMilliseconds});
 const tooManyCallers = failure(FailureKind.overloaded, 'too many callers have limits of their own', {retryAfterMilliseconds: 1000});
 
 function entryKey(service: string, limit: string, caller: string): string {
