--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -42,7 +42,7 @@
 const maximumEntries = 10_000;
 const retryMilliseconds: Milliseconds = 25;
 /** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
-const longestWaitMilliseconds: Milliseconds = 1000;
+const maximumWaitMilliseconds: Milliseconds = 1000;
 
 const shareAwaited = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: retryMilliseconds});
 const tooManyCallers = failure(FailureKind.overloaded, 'too many callers have limits of their own', {retryAfterMilliseconds: 1000});
@@ -129,7 +129,7 @@
 	/** Whether a larger share is requested. Requests wait until the answer has arrived. */
 	function asksForMore(entry: LimitEntry, now: MonotonicTime): boolean {
 		if (entry.waitingSince !== undefined) {
-			return now < entry.waitingSince + longestWaitMilliseconds;
+			return now < entry.waitingSince + maximumWaitMilliseconds;
 		}
 
 		const grows = mayReceiveMore(entry, Divider.control, now);
