--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -44,7 +44,7 @@
 /** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
 const maximumWaitMilliseconds: Milliseconds = 1000;
 
-const shareAwaited = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: retryMilliseconds});
+const awaitingShare = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: retryMilliseconds});
 const tooManyCallers = failure(FailureKind.overloaded, 'too many callers have limits of their own', {retryAfterMilliseconds: 1000});
 
 function entryKey(service: string, limit: string, caller: string): string {
@@ -157,14 +157,14 @@
 		const awaited = charges.find(({entry}) => awaitsFirstShare(entry, now));
 		if (awaited !== undefined) {
 			beginToWait(awaited.entry, now);
-			return err(shareAwaited);
+			return err(awaitingShare);
 		}
 
 		for (const {entry, cost} of charges) {
 			recordWanted(entry, cost, now);
 		}
 
-		return chargeAll(charges, wallNow(), now).mapErr(refusal => asksForMore(refusal.entry, now) ? shareAwaited : limitReached(refusal));
+		return chargeAll(charges, wallNow(), now).mapErr(refusal => asksForMore(refusal.entry, now) ? awaitingShare : limitReached(refusal));
 	}
 
 	function admitRequest(contract: ServiceContract, head: RequestHead, idempotent: boolean): Result<undefined, Failure> {
