--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -52,7 +52,7 @@
 }
 
 /** Creates the limiter of an instance. It calls `noteAwaited` when a request begins to wait for a share. */
-export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, noteAwaited: () => void): Limiter {
+export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, onWaitStarted: () => void): Limiter {
 	const holder = incarnationKey(self);
 	const entries = new Map<string, LimitEntry>();
 	const effectives = new WeakMap<ContractedLimit, EffectiveLimit>();
@@ -117,7 +117,7 @@
 		if (entry.waitingSince === undefined) {
 			entry.waitingSince = now;
 			waiting.add(entry);
-			noteAwaited();
+			onWaitStarted();
 		}
 	}
 
