--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -58,7 +58,7 @@
 	const effectives = new WeakMap<ContractedLimit, EffectiveLimit>();
 	const waiting = new Set<LimitEntry>();
 	let sequence = 0;
-	let demandedAt = -Infinity;
+	let lastDemandsAt = -Infinity;
 
 	function effectiveOf(contract: ServiceContract, limit: ContractedLimit): EffectiveLimit | undefined {
 		const known = effectives.get(limit);
@@ -189,9 +189,9 @@
 		admit: (contract, head, idempotent) => contract.limits.length === 0 ? ok(undefined) : admitRequest(contract, head, idempotent),
 		takeDemands() {
 			const now = monotonicNow();
-			const isDue = now >= demandedAt + demandIntervalMilliseconds;
+			const isDue = now >= lastDemandsAt + demandIntervalMilliseconds;
 			if (isDue) {
-				demandedAt = now;
+				lastDemandsAt = now;
 				dropIdle(now);
 			}
 
