--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -61,9 +61,9 @@
 	let lastDemandsAt = -Infinity;
 
 	function effectiveOf(contract: ServiceContract, limit: ContractedLimit): EffectiveLimit | undefined {
-		const known = effectives.get(limit);
-		if (known !== undefined) {
-			return known;
+		const cached = effectives.get(limit);
+		if (cached !== undefined) {
+			return cached;
 		}
 
 		const made = effectiveLimit(limit, contract.units);
