--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -82,16 +82,16 @@
 
 		const caller = callerOf(limit, head);
 		const key = entryKey(contract.name, limit.name, caller);
-		const known = entries.get(key);
-		if (known?.contract === contract) {
-			return known;
+		const existing = entries.get(key);
+		if (existing?.contract === contract) {
+			return existing;
 		}
 
 		const source = {
 			contract, limit, caller, effective, zone: self.zone,
 		};
-		if (known !== undefined && updateEntry(known, source)) {
-			return known;
+		if (existing !== undefined && updateEntry(existing, source)) {
+			return existing;
 		}
 
 		const made = createEntry(source, now);
