--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -66,12 +66,12 @@
 			return cached;
 		}
 
-		const made = effectiveLimit(limit, contract.units);
-		if (made.isOk) {
-			effectives.set(limit, made.value);
+		const computed = effectiveLimit(limit, contract.units);
+		if (computed.isOk) {
+			effectives.set(limit, computed.value);
 		}
 
-		return made.unwrapOr(undefined);
+		return computed.unwrapOr(undefined);
 	}
 
 	function entryOf(contract: ServiceContract, limit: ContractedLimit, head: RequestHead, now: MonotonicTime): LimitEntry | undefined {
