--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -94,10 +94,10 @@
 			return existing;
 		}
 
-		const made = createEntry(source, now);
+		const created = createEntry(source, now);
 		drop(key);
-		entries.set(key, made);
-		return made;
+		entries.set(key, created);
+		return created;
 	}
 
 	function drop(key: string): void {
