--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -113,7 +113,7 @@
 		}
 	}
 
-	function beginToWait(entry: LimitEntry, now: MonotonicTime): void {
+	function startWaiting(entry: LimitEntry, now: MonotonicTime): void {
 		if (entry.waitingSince === undefined) {
 			entry.waitingSince = now;
 			waiting.add(entry);
@@ -134,7 +134,7 @@
 
 		const grows = mayReceiveMore(entry, Divider.control, now);
 		if (grows) {
-			beginToWait(entry, now);
+			startWaiting(entry, now);
 		}
 
 		return grows;
@@ -156,7 +156,7 @@
 	function admitCharges(charges: readonly Charge[], now: MonotonicTime): Result<undefined, Failure> {
 		const awaited = charges.find(({entry}) => awaitsFirstShare(entry, now));
 		if (awaited !== undefined) {
-			beginToWait(awaited.entry, now);
+			startWaiting(awaited.entry, now);
 			return err(awaitingShare);
 		}
 
