--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -121,7 +121,7 @@
 		}
 	}
 
-	function endToWait(entry: LimitEntry): void {
+	function stopWaiting(entry: LimitEntry): void {
 		entry.waitingSince = undefined;
 		waiting.delete(entry);
 	}
@@ -204,7 +204,7 @@
 				const entry = entries.get(entryKey(share.service, share.limit, share.caller));
 				const divider = entry === undefined ? undefined : applyShare(entry, share, wallNow(), now);
 				if (divider === Divider.control) {
-					endToWait(entry!);
+					stopWaiting(entry!);
 				}
 			}
 		},
