--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -127,7 +127,7 @@
 	}
 
 	/** Whether a larger share is requested. Requests wait until the answer has arrived. */
-	function asksForMore(entry: LimitEntry, now: MonotonicTime): boolean {
+	function awaitsLargerShare(entry: LimitEntry, now: MonotonicTime): boolean {
 		if (entry.waitingSince !== undefined) {
 			return now < entry.waitingSince + maximumWaitMilliseconds;
 		}
@@ -164,7 +164,7 @@
 			recordWanted(entry, cost, now);
 		}
 
-		return chargeAll(charges, wallNow(), now).mapErr(refusal => asksForMore(refusal.entry, now) ? awaitingShare : limitReached(refusal));
+		return chargeAll(charges, wallNow(), now).mapErr(refusal => awaitsLargerShare(refusal.entry, now) ? awaitingShare : limitReached(refusal));
 	}
 
 	function admitRequest(contract: ServiceContract, head: RequestHead, idempotent: boolean): Result<undefined, Failure> {
