--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -132,12 +132,12 @@
 			return now < entry.waitingSince + maximumWaitMilliseconds;
 		}
 
-		const grows = mayReceiveMore(entry, Divider.control, now);
-		if (grows) {
+		const mayGrow = mayReceiveMore(entry, Divider.control, now);
+		if (mayGrow) {
 			startWaiting(entry, now);
 		}
 
-		return grows;
+		return mayGrow;
 	}
 
 	function chargesOf(contract: ServiceContract, head: RequestHead, idempotent: boolean, now: MonotonicTime): readonly Charge[] {
