--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -195,8 +195,8 @@
 				dropIdle(now);
 			}
 
-			const asking = isDue ? entries.values() : waiting;
-			return [...asking].flatMap(entry => demandsOf(entry, isDue, now));
+			const demandingEntries = isDue ? entries.values() : waiting;
+			return [...demandingEntries].flatMap(entry => demandsOf(entry, isDue, now));
 		},
 		takeShares(shares) {
 			const now = monotonicNow();
