--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -87,14 +87,14 @@
 			return existing;
 		}
 
-		const source = {
+		const options = {
 			contract, limit, caller, effective, zone: self.zone,
 		};
-		if (existing !== undefined && updateEntry(existing, source)) {
+		if (existing !== undefined && updateEntry(existing, options)) {
 			return existing;
 		}
 
-		const created = createEntry(source, now);
+		const created = createEntry(options, now);
 		drop(key);
 		entries.set(key, created);
 		return created;
