--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -154,9 +154,9 @@
 	}
 
 	function admitCharges(charges: readonly Charge[], now: MonotonicTime): Result<undefined, Failure> {
-		const awaited = charges.find(({entry}) => awaitsFirstShare(entry, now));
-		if (awaited !== undefined) {
-			startWaiting(awaited.entry, now);
+		const awaitingCharge = charges.find(({entry}) => awaitsFirstShare(entry, now));
+		if (awaitingCharge !== undefined) {
+			startWaiting(awaitingCharge.entry, now);
 			return err(awaitingShare);
 		}
 
