--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -35,7 +35,7 @@
 	load: v.pipe(v.number(), v.minValue(0), v.maxValue(1)),
 });
 
-function checked(control: ControlState, body: unknown): Result<Announcement, Failure> {
+function validateAnnouncement(control: ControlState, body: unknown): Result<Announcement, Failure> {
 	const announcement = parseStrictly(schema, body, 'announcement');
 	return announcement.andThen(read => contractOf(control.configuration, read.service) === undefined
 		? err(failure(FailureKind.notFound, `there is no service ${read.service}`))
@@ -63,7 +63,7 @@
 		}
 
 		const control = holder.state();
-		return checked(control, body).map((announcement): AnnouncementAnswer => {
+		return validateAnnouncement(control, body).map((announcement): AnnouncementAnswer => {
 			taken(announcement);
 			return {accepted: true, grants: grantsOf(control, announcement)};
 		});
