--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -43,7 +43,7 @@
 }
 
 /** The collaborators of the announcement handler. */
-export type AnnouncementSurroundings = {
+export type AnnouncementDependencies = {
 	readonly holder: Pick<ControlHolder, 'state'>;
 	readonly key: string;
 	/** Whether this instance is stopping. An announcement accepted now might no longer be passed on. */
@@ -52,7 +52,7 @@
 };
 
 /** Creates the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
-export function createAnnouncements({holder, key, isStopping, taken}: AnnouncementSurroundings): ApiHandler {
+export function createAnnouncements({holder, key, isStopping, taken}: AnnouncementDependencies): ApiHandler {
 	return async ({token, body}) => {
 		if (!sameSecret(token, key)) {
 			return err(failure(FailureKind.unauthenticated, 'the announcement carries no right token'));
