--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -52,7 +52,7 @@
 };
 
 /** Creates the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
-export function createAnnouncements({holder, key, isStopping, taken}: AnnouncementDependencies): ApiHandler {
+export function createAnnouncementHandler({holder, key, isStopping, taken}: AnnouncementDependencies): ApiHandler {
 	return async ({token, body}) => {
 		if (!sameSecret(token, key)) {
 			return err(failure(FailureKind.unauthenticated, 'the announcement carries no right token'));
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -23,7 +23,7 @@
 import {ok} from 'true-myth/result';
 import {type ControlVoter} from './control-voter.js';
 import {createCallerHandler} from './caller-handler.js';
-import {createAnnouncements} from './announcements.js';
+import {createAnnouncementHandler} from './announcements.js';
 import {startBurn} from './burn-runner.js';
 import {ClaimSubject} from './claim-peers.js';
 import {startClaims} from './claim-runner.js';
@@ -116,7 +116,7 @@
 			const answer = await clients.call(record.peerAddress, 'collect', 'member', memberMilliseconds);
 			return answer.isOk ? readMemberReport(answer.value) : undefined;
 		},
-		announce: createAnnouncements({
+		announce: createAnnouncementHandler({
 			holder,
 			key: settings.keys.announce,
 			isStopping: () => stopping,
--- a/packages/daemon/test/test-announcements.ts
+++ b/packages/daemon/test/test-announcements.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {emptyControl} from '@dogwooddeck/control/state';
 import {FailureKind} from '@dogwooddeck/model/failure';
-import {createAnnouncements} from '@dogwooddeck/daemon/announcements';
+import {createAnnouncementHandler} from '@dogwooddeck/daemon/announcements';
 
 const key = 'announce-key-of-the-test-0123456789';
 const announcement = {
@@ -25,7 +25,7 @@
 	name, token, isStopping, expected,
 } of cases) {
 	test(`announcement: rejected ${name}`, async () => {
-		const announce = createAnnouncements({
+		const announce = createAnnouncementHandler({
 			holder: {state: () => emptyControl}, key, isStopping: () => isStopping, taken: () => assert.fail('it was accepted'),
 		});
 		const answer = await announce({
