--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -48,11 +48,11 @@
 	readonly key: string;
 	/** Whether this instance is stopping. An announcement accepted now might no longer be passed on. */
 	readonly isStopping: () => boolean;
-	readonly taken: (announcement: Announcement) => void;
+	readonly accept: (announcement: Announcement) => void;
 };
 
 /** Creates the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
-export function createAnnouncementHandler({holder, key, isStopping, taken}: AnnouncementDependencies): ApiHandler {
+export function createAnnouncementHandler({holder, key, isStopping, accept: taken}: AnnouncementDependencies): ApiHandler {
 	return async ({token, body}) => {
 		if (!sameSecret(token, key)) {
 			return err(failure(FailureKind.unauthenticated, 'the announcement carries no right token'));
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -120,7 +120,7 @@
 			holder,
 			key: settings.keys.announce,
 			isStopping: () => stopping,
-			taken(announcement) {
+			accept(announcement) {
 				measures.counter(MeasureName.announcements, {service: announcement.service}).value += 1;
 				ownReports.announced(announcement);
 			},
--- a/packages/daemon/test/test-announcements.ts
+++ b/packages/daemon/test/test-announcements.ts
@@ -26,7 +26,7 @@
 } of cases) {
 	test(`announcement: rejected ${name}`, async () => {
 		const announce = createAnnouncementHandler({
-			holder: {state: () => emptyControl}, key, isStopping: () => isStopping, taken: () => assert.fail('it was accepted'),
+			holder: {state: () => emptyControl}, key, isStopping: () => isStopping, accept: () => assert.fail('it was accepted'),
 		});
 		const answer = await announce({
 			token, author: '', query: {}, body: announcement,
