--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -117,7 +117,7 @@
 		}
 	}
 
-	function take(): void {
+	function closeInterval(): void {
 		const now: WallTime = wallNow();
 		const interval = recorder.take(intervalStart(startedAt));
 		startedAt = now;
@@ -127,10 +127,10 @@
 		}
 	}
 
-	const taking = setInterval(take, intervalMilliseconds);
+	const taking = setInterval(closeInterval, intervalMilliseconds);
 
 	function own(): InstanceBurn {
-		take();
+		closeInterval();
 		return {instance: name, intervals, loads: loads.loads(monotonicNow())};
 	}
 
@@ -166,7 +166,7 @@
 		},
 		async stop() {
 			clearInterval(taking);
-			take();
+			closeInterval();
 			await writing;
 		},
 	};
