--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -127,7 +127,7 @@
 		}
 	}
 
-	const taking = setInterval(closeInterval, intervalMilliseconds);
+	const intervalTimer = setInterval(closeInterval, intervalMilliseconds);
 
 	function own(): InstanceBurn {
 		closeInterval();
@@ -165,7 +165,7 @@
 			};
 		},
 		async stop() {
-			clearInterval(taking);
+			clearInterval(intervalTimer);
 			closeInterval();
 			await writing;
 		},
