--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -53,7 +53,7 @@
 };
 
 /** Intervals that are appended before the journal is rewritten. */
-const appendsBeforeFold = 360;
+const appendsBeforeRewrite = 360;
 
 async function readJournal(file: string | undefined): Promise<readonly BurnInterval[]> {
 	if (file === undefined) {
@@ -98,7 +98,7 @@
 		}
 
 		appends += 1;
-		if (appends < appendsBeforeFold) {
+		if (appends < appendsBeforeRewrite) {
 			await appendFile(file, `${encodeInterval(interval)}\n`);
 			return;
 		}
