--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -67,7 +67,7 @@
 	}
 }
 
-function readInstance(text: string | undefined): readonly InstanceBurn[] {
+function parseInstanceBurn(text: string | undefined): readonly InstanceBurn[] {
 	try {
 		const value: unknown = JSON.parse(text ?? '');
 		return isInstanceBurn(value) ? [value] : [];
@@ -160,7 +160,7 @@
 				objectives: contractsOf(holder.state().configuration).flatMap(({name: service, objectives}) =>
 					objectives.map(objective => ({...objective, service}))),
 				expected: [...new Set([name, ...members.map(member => member.name)])],
-				instances: [own(), ...answers.flatMap(answer => readInstance(answer))],
+				instances: [own(), ...answers.flatMap(answer => parseInstanceBurn(answer))],
 				figures: figures.take(),
 			};
 		},
