--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -90,7 +90,7 @@
 	let intervals = await readJournal(file);
 	let startedAt = wallNow();
 	let appends = 0;
-	let writing: Promise<void> = Promise.resolve();
+	let pendingWrite: Promise<void> = Promise.resolve();
 
 	async function write(interval: BurnInterval): Promise<void> {
 		if (file === undefined) {
@@ -123,7 +123,7 @@
 		startedAt = now;
 		if (interval.objectives.length > 0) {
 			intervals = foldIntervals([...intervals, interval], now);
-			writing = writeAfter(writing, interval);
+			pendingWrite = writeAfter(pendingWrite, interval);
 		}
 	}
 
@@ -167,7 +167,7 @@
 		async stop() {
 			clearInterval(intervalTimer);
 			closeInterval();
-			await writing;
+			await pendingWrite;
 		},
 	};
 }
