--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -129,7 +129,7 @@
 
 	const intervalTimer = setInterval(closeInterval, intervalMilliseconds);
 
-	function own(): InstanceBurn {
+	function ownCounts(): InstanceBurn {
 		closeInterval();
 		return {instance: name, intervals, loads: loads.loads(monotonicNow())};
 	}
@@ -150,7 +150,7 @@
 		sent({service, name: upstream}) {
 			loads.record(service, upstream, monotonicNow());
 		},
-		own,
+		own: ownCounts,
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
@@ -160,7 +160,7 @@
 				objectives: contractsOf(holder.state().configuration).flatMap(({name: service, objectives}) =>
 					objectives.map(objective => ({...objective, service}))),
 				expected: [...new Set([name, ...members.map(member => member.name)])],
-				instances: [own(), ...answers.flatMap(answer => parseInstanceBurn(answer))],
+				instances: [ownCounts(), ...answers.flatMap(answer => parseInstanceBurn(answer))],
 				figures: figures.take(),
 			};
 		},
