--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -35,7 +35,7 @@
 	/** Counts a request that was sent to an upstream. */
 	readonly sent: (upstream: UpstreamIdentity) => void;
 	/** Returns the counts of this instance. */
-	readonly own: () => InstanceBurn;
+	readonly ownCounts: () => InstanceBurn;
 	/** Returns the report's input, with the counts of all other instances that answer. */
 	readonly input: () => Promise<BurnInput>;
 	/** Writes the current interval to the journal and stops. */
@@ -150,7 +150,7 @@
 		sent({service, name: upstream}) {
 			loads.record(service, upstream, monotonicNow());
 		},
-		own: ownCounts,
+		ownCounts: ownCounts,
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -179,7 +179,7 @@
 		voter: () => voter,
 		collectors: {
 			member: () => JSON.stringify(health.member()),
-			burn: () => JSON.stringify(burn.own()),
+			burn: () => JSON.stringify(burn.ownCounts()),
 			[ClaimSubject.report]: () => JSON.stringify(claims.report()),
 			[ClaimSubject.view]: () => JSON.stringify(claims.view() ?? null),
 		},
