--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -49,7 +49,7 @@
 	/** The folder of the journal. If absent, counts are lost when the process ends. */
 	readonly folder?: string;
 	/** Requests the counts of another instance, as JSON; undefined if it can't be reached. */
-	readonly ask: (member: InstanceRecord) => Promise<string | undefined>;
+	readonly requestCounts: (member: InstanceRecord) => Promise<string | undefined>;
 };
 
 /** Intervals that are appended before the journal is rewritten. */
@@ -154,7 +154,7 @@
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
-			const answers = await Promise.all(others.map(async member => surroundings.ask(member)));
+			const answers = await Promise.all(others.map(async member => surroundings.requestCounts(member)));
 			return {
 				at: wallNow(),
 				objectives: contractsOf(holder.state().configuration).flatMap(({name: service, objectives}) =>
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -134,7 +134,7 @@
 		name: settings.name,
 		holder,
 		...(dataFolder === undefined ? {} : {folder: dataFolder}),
-		async ask(record) {
+		async requestCounts(record) {
 			const answer = await clients.call(record.peerAddress, 'collect', 'burn', memberMilliseconds);
 			return answer.isOk ? answer.value : undefined;
 		},
