--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -43,7 +43,7 @@
 };
 
 /** The collaborators of the runner. */
-export type BurnSurroundings = {
+export type BurnDependencies = {
 	readonly name: InstanceName;
 	readonly holder: ControlHolder;
 	/** The folder of the journal. If absent, counts are lost when the process ends. */
@@ -77,7 +77,7 @@
 }
 
 /** Reads the journal and starts to count. */
-export async function startBurn(surroundings: BurnSurroundings): Promise<BurnRunner> {
+export async function startBurn(surroundings: BurnDependencies): Promise<BurnRunner> {
 	const {name, holder} = surroundings;
 	const file = surroundings.folder === undefined ? undefined : path.join(surroundings.folder, 'burn.jsonl');
 	const recorder = new BurnRecorder();
