--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -77,14 +77,14 @@
 }
 
 /** Reads the journal and starts to count. */
-export async function startBurn(surroundings: BurnDependencies): Promise<BurnRunner> {
-	const {name, holder} = surroundings;
-	const file = surroundings.folder === undefined ? undefined : path.join(surroundings.folder, 'burn.jsonl');
+export async function startBurn(dependencies: BurnDependencies): Promise<BurnRunner> {
+	const {name, holder} = dependencies;
+	const file = dependencies.folder === undefined ? undefined : path.join(dependencies.folder, 'burn.jsonl');
 	const recorder = new BurnRecorder();
 	const loads = new LoadRecorder(monotonicNow());
 	const figures = createOwnershipFigures(holder);
-	if (surroundings.folder !== undefined) {
-		await mkdir(surroundings.folder, {recursive: true});
+	if (dependencies.folder !== undefined) {
+		await mkdir(dependencies.folder, {recursive: true});
 	}
 
 	let intervals = await readJournal(file);
@@ -154,7 +154,7 @@
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
-			const answers = await Promise.all(others.map(async member => surroundings.requestCounts(member)));
+			const answers = await Promise.all(others.map(async member => dependencies.requestCounts(member)));
 			return {
 				at: wallNow(),
 				objectives: contractsOf(holder.state().configuration).flatMap(({name: service, objectives}) =>
