--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -82,7 +82,7 @@
 	const file = dependencies.folder === undefined ? undefined : path.join(dependencies.folder, 'burn.jsonl');
 	const recorder = new BurnRecorder();
 	const loads = new LoadRecorder(monotonicNow());
-	const figures = createOwnershipFigures(holder);
+	const ownershipFigures = createOwnershipFigures(holder);
 	if (dependencies.folder !== undefined) {
 		await mkdir(dependencies.folder, {recursive: true});
 	}
@@ -161,7 +161,7 @@
 					objectives.map(objective => ({...objective, service}))),
 				expected: [...new Set([name, ...members.map(member => member.name)])],
 				instances: [ownCounts(), ...answers.flatMap(answer => parseInstanceBurn(answer))],
-				figures: figures.take(),
+				figures: ownershipFigures.take(),
 			};
 		},
 		async stop() {
