--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -140,12 +140,12 @@
 				return;
 			}
 
-			const end = completionStatusOf({
+			const completion = completionStatusOf({
 				outcome: report.outcome,
 				limited: report.failure?.kind === FailureKind.limitReached,
 				...(report.status === undefined ? {} : {status: report.status}),
 			});
-			recorder.record(contract, {end, idempotent, latencyMilliseconds: report.latencyMilliseconds});
+			recorder.record(contract, {end: completion, idempotent, latencyMilliseconds: report.latencyMilliseconds});
 		},
 		sent({service, name: upstream}) {
 			loads.record(service, upstream, monotonicNow());
