--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -77,7 +77,7 @@
 }
 
 /** Reads the journal and starts to count. */
-export async function startBurn(dependencies: BurnDependencies): Promise<BurnRunner> {
+export async function startBurnRunner(dependencies: BurnDependencies): Promise<BurnRunner> {
 	const {name, holder} = dependencies;
 	const file = dependencies.folder === undefined ? undefined : path.join(dependencies.folder, 'burn.jsonl');
 	const recorder = new BurnRecorder();
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -24,7 +24,7 @@
 import {type ControlVoter} from './control-voter.js';
 import {createCallerHandler} from './caller-handler.js';
 import {createAnnouncementHandler} from './announcements.js';
-import {startBurn} from './burn-runner.js';
+import {startBurnRunner} from './burn-runner.js';
 import {ClaimSubject} from './claim-peers.js';
 import {startClaims} from './claim-runner.js';
 import {createControlHolder} from './control-holder.js';
@@ -130,7 +130,7 @@
 
 	const {dataFolder} = settings.control;
 	const burnLock = dataFolder === undefined || isVoter(settings) ? undefined : await holdFolder(dataFolder);
-	const burn = await startBurn({
+	const burn = await startBurnRunner({
 		name: settings.name,
 		holder,
 		...(dataFolder === undefined ? {} : {folder: dataFolder}),
