--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -26,11 +26,11 @@
 };
 
 /** The longest header field, and so the longest key, that Node.js accepts from a caller. */
-const longestCallerText = 16_384;
+const maximumCallerTextLength = 16_384;
 const longestName = 128;
 
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(longestName));
-const callerText = v.pipe(v.string(), v.maxLength(longestCallerText));
+const callerText = v.pipe(v.string(), v.maxLength(maximumCallerTextLength));
 const whole = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const duration = v.pipe(v.number(), v.finite());
 const identity = v.object({name, incarnation: whole});
