--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -27,9 +27,9 @@
 
 /** The longest header field, and so the longest key, that Node.js accepts from a caller. */
 const maximumCallerTextLength = 16_384;
-const longestName = 128;
+const maximumNameLength = 128;
 
-const name = v.pipe(v.string(), v.minLength(1), v.maxLength(longestName));
+const name = v.pipe(v.string(), v.minLength(1), v.maxLength(maximumNameLength));
 const callerText = v.pipe(v.string(), v.maxLength(maximumCallerTextLength));
 const whole = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const duration = v.pipe(v.number(), v.finite());
