--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -31,14 +31,14 @@
 
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(maximumNameLength));
 const callerText = v.pipe(v.string(), v.maxLength(maximumCallerTextLength));
-const whole = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
+const nonNegativeInteger = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const duration = v.pipe(v.number(), v.finite());
-const identity = v.object({name, incarnation: whole});
+const identity = v.object({name, incarnation: nonNegativeInteger});
 const operation = v.object({service: name, key: callerText, operationKey: callerText});
-const token = v.object({claimant: identity, sequence: whole});
+const token = v.object({claimant: identity, sequence: nonNegativeInteger});
 const outcome = v.picklist(Object.values(Outcome));
 const answer = v.exactOptional(v.object({
-	status: v.pipe(whole, v.minValue(100), v.maxValue(599)), headers: v.array(v.string()), body: v.string(),
+	status: v.pipe(nonNegativeInteger, v.minValue(100), v.maxValue(599)), headers: v.array(v.string()), body: v.string(),
 }));
 
 const status = v.variant('kind', [
@@ -54,7 +54,7 @@
 		fingerprint: name,
 		token,
 		holder: identity,
-		rosterIndex: whole,
+		rosterIndex: nonNegativeInteger,
 		status,
 		lifetimeMilliseconds: duration,
 	}),
@@ -64,7 +64,7 @@
 ]);
 
 const answerParts = {
-	kind: v.literal('claim-answer'), token, holder: identity, rosterIndex: whole,
+	kind: v.literal('claim-answer'), token, holder: identity, rosterIndex: nonNegativeInteger,
 };
 
 const {taken: _taken, ...withoutStatus} = ClaimVerdict;
@@ -74,10 +74,10 @@
 	v.object({...answerParts, verdict: v.picklist(Object.values(withoutStatus))}),
 ]);
 
-const seats = v.array(v.object({name, incarnation: whole, zone: name}));
-const reportSchema = v.object({instance: identity, applied: whole, copiedThrough: whole});
+const seats = v.array(v.object({name, incarnation: nonNegativeInteger, zone: name}));
+const reportSchema = v.object({instance: identity, applied: nonNegativeInteger, copiedThrough: nonNegativeInteger});
 const viewSchema = v.object({
-	newest: whole, earlier: v.array(v.object({roster: v.object({index: whole, seats}), unsettled: seats})),
+	newest: nonNegativeInteger, earlier: v.array(v.object({roster: v.object({index: nonNegativeInteger, seats}), unsettled: seats})),
 });
 
 function parsed(body: string): unknown {
