--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -80,7 +80,7 @@
 	newest: nonNegativeInteger, earlier: v.array(v.object({roster: v.object({index: nonNegativeInteger, seats}), unsettled: seats})),
 });
 
-function parsed(body: string): unknown {
+function parseJson(body: string): unknown {
 	try {
 		return JSON.parse(body);
 	} catch {
@@ -89,7 +89,7 @@
 }
 
 function read<Schema extends v.GenericSchema>(schema: Schema, body: string, what: string): Result<v.InferOutput<Schema>, Failure> {
-	const result = v.safeParse(schema, parsed(body));
+	const result = v.safeParse(schema, parseJson(body));
 	return result.success
 		? ok(result.output)
 		: err(failure(FailureKind.malformed, `${what} can't be read: ${v.getDotPath(result.issues[0]) ?? 'no object'}`));
