--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -88,7 +88,7 @@
 	}
 }
 
-function read<Schema extends v.GenericSchema>(schema: Schema, body: string, what: string): Result<v.InferOutput<Schema>, Failure> {
+function parseMessage<Schema extends v.GenericSchema>(schema: Schema, body: string, what: string): Result<v.InferOutput<Schema>, Failure> {
 	const result = v.safeParse(schema, parseJson(body));
 	return result.success
 		? ok(result.output)
@@ -97,20 +97,20 @@
 
 /** Parses a message, as JSON. Fails with `malformed`. */
 export function readClaimMessage(body: string): Result<ClaimMessage, Failure> {
-	return read(messageSchema, body, 'the claim message');
+	return parseMessage(messageSchema, body, 'the claim message');
 }
 
 /** Parses a holder's answer, as JSON. Fails with `malformed`. */
 export function readClaimAnswer(body: string): Result<ClaimAnswer, Failure> {
-	return read(answerSchema, body, 'the answer to a claim');
+	return parseMessage(answerSchema, body, 'the answer to a claim');
 }
 
 /** Parses an instance's report of the claims that it holds, as JSON. Fails with `malformed`. */
 export function readClaimReport(body: string): Result<ClaimReport, Failure> {
-	return read(reportSchema, body, 'the report of claims');
+	return parseMessage(reportSchema, body, 'the report of claims');
 }
 
 /** Parses the rosters by which an instance sends its requests, as JSON. Fails with `malformed`, also if the instance has no complete view. */
 export function readClaimsView(body: string): Result<ClaimsView, Failure> {
-	return read(viewSchema, body, 'the view of claims');
+	return parseMessage(viewSchema, body, 'the view of claims');
 }
