--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -88,11 +88,11 @@
 	}
 }
 
-function parseMessage<Schema extends v.GenericSchema>(schema: Schema, body: string, what: string): Result<v.InferOutput<Schema>, Failure> {
+function parseMessage<Schema extends v.GenericSchema>(schema: Schema, body: string, subject: string): Result<v.InferOutput<Schema>, Failure> {
 	const result = v.safeParse(schema, parseJson(body));
 	return result.success
 		? ok(result.output)
-		: err(failure(FailureKind.malformed, `${what} can't be read: ${v.getDotPath(result.issues[0]) ?? 'no object'}`));
+		: err(failure(FailureKind.malformed, `${subject} can't be read: ${v.getDotPath(result.issues[0]) ?? 'no object'}`));
 }
 
 /** Parses a message, as JSON. Fails with `malformed`. */
