--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -63,15 +63,15 @@
 	}),
 ]);
 
-const answerParts = {
+const answerFields = {
 	kind: v.literal('claim-answer'), token, holder: identity, rosterIndex: nonNegativeInteger,
 };
 
 const {taken: _taken, ...withoutStatus} = ClaimVerdict;
 
 const answerSchema = v.variant('verdict', [
-	v.object({...answerParts, verdict: v.literal(ClaimVerdict.taken), status}),
-	v.object({...answerParts, verdict: v.picklist(Object.values(withoutStatus))}),
+	v.object({...answerFields, verdict: v.literal(ClaimVerdict.taken), status}),
+	v.object({...answerFields, verdict: v.picklist(Object.values(withoutStatus))}),
 ]);
 
 const seats = v.array(v.object({name, incarnation: nonNegativeInteger, zone: name}));
