--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -67,11 +67,11 @@
 	kind: v.literal('claim-answer'), token, holder: identity, rosterIndex: nonNegativeInteger,
 };
 
-const {taken: _taken, ...withoutStatus} = ClaimVerdict;
+const {taken: _taken, ...verdictsWithoutStatus} = ClaimVerdict;
 
 const answerSchema = v.variant('verdict', [
 	v.object({...answerFields, verdict: v.literal(ClaimVerdict.taken), status}),
-	v.object({...answerFields, verdict: v.picklist(Object.values(withoutStatus))}),
+	v.object({...answerFields, verdict: v.picklist(Object.values(verdictsWithoutStatus))}),
 ]);
 
 const seats = v.array(v.object({name, incarnation: nonNegativeInteger, zone: name}));
