--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -14,7 +14,7 @@
 	type ClaimMessage, type ClaimReport, readClaimReport, readClaimsView,
 } from './claim-message.js';
 
-const askMilliseconds: Milliseconds = 400;
+const callTimeoutMilliseconds: Milliseconds = 400;
 
 /** What is collected from an instance about its claims. */
 export const ClaimSubject = {
@@ -69,6 +69,6 @@
 		const address = this.#addresses.get(incarnationKey(seat));
 		return address === undefined
 			? err(failure(FailureKind.unreachable, `${seat.name} has no seat any more`))
-			: this.#clients.call(address, call, body, askMilliseconds);
+			: this.#clients.call(address, call, body, callTimeoutMilliseconds);
 	}
 }
