--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -54,8 +54,8 @@
 
 	/** Requests the report of an instance; undefined if it can't be reached or another incarnation answers. */
 	async report(seat: InstanceIdentity): Promise<ClaimReport | undefined> {
-		const told = await this.#call(seat, 'collect', ClaimSubject.report);
-		const report = told.andThen(text => readClaimReport(text)).unwrapOr(undefined);
+		const answer = await this.#call(seat, 'collect', ClaimSubject.report);
+		const report = answer.andThen(text => readClaimReport(text)).unwrapOr(undefined);
 		return report !== undefined && sameInstance(report.instance, seat) ? report : undefined;
 	}
 
