--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -61,8 +61,8 @@
 
 	/** Requests the view of an instance; undefined if it has no complete view. Fails if the instance can't be reached. */
 	async view(seat: InstanceIdentity): Promise<Result<ClaimsView | undefined, Failure>> {
-		const told = await this.#call(seat, 'collect', ClaimSubject.view);
-		return told.map(text => readClaimsView(text).unwrapOr(undefined));
+		const answer = await this.#call(seat, 'collect', ClaimSubject.view);
+		return answer.map(text => readClaimsView(text).unwrapOr(undefined));
 	}
 
 	async #call(seat: InstanceIdentity, call: 'claim' | 'collect', body: string): Promise<Result<string, Failure>> {
