--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -36,9 +36,9 @@
 	/** Records the addresses of the seated instances. Of the others, only the addresses of awaited instances are kept. */
 	follow(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
 		const wanted = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
-		for (const known of this.#addresses.keys()) {
-			if (!wanted.has(known)) {
-				this.#addresses.delete(known);
+		for (const recordedKey of this.#addresses.keys()) {
+			if (!wanted.has(recordedKey)) {
+				this.#addresses.delete(recordedKey);
 			}
 		}
 
