--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -35,9 +35,9 @@
 
 	/** Records the addresses of the seated instances. Of the others, only the addresses of awaited instances are kept. */
 	follow(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
-		const wanted = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
+		const retainedKeys = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
 		for (const recordedKey of this.#addresses.keys()) {
-			if (!wanted.has(recordedKey)) {
+			if (!retainedKeys.has(recordedKey)) {
 				this.#addresses.delete(recordedKey);
 			}
 		}
