--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** Records the addresses of the seated instances. Of the others, only the addresses of awaited instances are kept. */
-	follow(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
+	updateAddresses(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
 		const retainedKeys = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
 		for (const recordedKey of this.#addresses.keys()) {
 			if (!retainedKeys.has(recordedKey)) {
--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -140,7 +140,7 @@
 			}
 		}
 
-		peers.follow(seatedInstances(control.state().ownership), desk.standing().awaited);
+		peers.updateAddresses(seatedInstances(control.state().ownership), desk.standing().awaited);
 		lookForView(newest, now);
 	}
 
