--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -75,7 +75,7 @@
 		}
 	}
 
-	const desk = createClaimCoordinator({
+	const coordinator = createClaimCoordinator({
 		self, hash, bounds: holderBounds, lifetimeMilliseconds: claimLifetimeMilliseconds, rosters: [], rostersComplete: true, now: monotonicNow(),
 	}, {
 		async ask(request) {
@@ -98,15 +98,15 @@
 	async function askView(seat: InstanceIdentity): Promise<void> {
 		const told = await peers.view(seat);
 		const view = told.unwrapOr(undefined);
-		const {newest, view: own} = desk.standing();
+		const {newest, view: own} = coordinator.standing();
 		if (view?.newest === newest && (own === undefined || missingReports(view) < missingReports(own))) {
-			desk.learn({kind: 'view-told', view});
+			coordinator.learn({kind: 'view-told', view});
 		}
 	}
 
 	/** Whether rosters, or reports of instances without a seat, may be missing. */
 	function isViewWanted(newest: Seating, now: MonotonicTime): boolean {
-		const {view, awaited} = desk.standing();
+		const {view, awaited} = coordinator.standing();
 		return view === undefined || (!isBrief(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
 	}
 
@@ -119,8 +119,8 @@
 	/** Records that rosters may be missing: the log may have dropped seatings between the last recorded one and these. */
 	function noteMissed(seatings: readonly Seating[]): void {
 		const oldest = seatings.at(-1)?.index ?? 0;
-		if (seatings.length >= keptSeatings && oldest > desk.standing().newest) {
-			desk.learn({kind: 'rosters-missed'});
+		if (seatings.length >= keptSeatings && oldest > coordinator.standing().newest) {
+			coordinator.learn({kind: 'rosters-missed'});
 		}
 	}
 
@@ -136,20 +136,20 @@
 		for (const roster of [...seatings].reverse()) {
 			if (!seenAt.has(roster.index)) {
 				seenAt.set(roster.index, now);
-				desk.learn({kind: 'roster', roster});
+				coordinator.learn({kind: 'roster', roster});
 			}
 		}
 
-		peers.updateAddresses(seatedInstances(control.state().ownership), desk.standing().awaited);
+		peers.updateAddresses(seatedInstances(control.state().ownership), coordinator.standing().awaited);
 		lookForView(newest, now);
 	}
 
 	async function askReport(seat: InstanceIdentity): Promise<void> {
-		const asked = desk.standing().newest;
+		const asked = coordinator.standing().newest;
 		const report = await peers.report(seat);
 		if (report !== undefined) {
 			spread = recordApplied(spread, seat, report.applied);
-			desk.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: asked, copiedThrough: report.copiedThrough}});
+			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: asked, copiedThrough: report.copiedThrough}});
 		}
 	}
 
@@ -161,7 +161,7 @@
 	/** The instances whose reports are missing. */
 	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
 		const isSeldom = isBrief(newest, now);
-		const awaited = desk.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
+		const awaited = coordinator.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
 		const all = new Map([...seatsBehind(spread, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
 		all.delete(incarnationKey(self));
 		return [...all.values()];
@@ -174,8 +174,8 @@
 			void askReport(seat);
 		}
 
-		const standing = desk.standing();
-		desk.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: standing.newest, copiedThrough: standing.copiedThrough}});
+		const standing = coordinator.standing();
+		coordinator.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: standing.newest, copiedThrough: standing.copiedThrough}});
 		return acknowledgedBy(spread, newest);
 	}
 
@@ -184,7 +184,7 @@
 		const old = [...seenAt].filter(([, at]) => now - at >= spreadMilliseconds).map(([index]) => index);
 		const [newest] = control.state().seatings;
 		sweeps += 1;
-		desk.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
+		coordinator.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
 		if (newest !== undefined) {
 			lookForView(newest, now);
 		}
@@ -194,7 +194,7 @@
 	async function isAwaitedBy(seat: InstanceIdentity): Promise<boolean> {
 		const told = await peers.view(seat);
 		return told.isOk && (told.value === undefined
-			|| told.value.newest < desk.standing().newest
+			|| told.value.newest < coordinator.standing().newest
 			|| told.value.earlier.some(known => includesInstance(known.unsettled, self)));
 	}
 
@@ -203,16 +203,16 @@
 
 	return {
 		claim(wish, decided) {
-			return desk.claim(wish, decided);
+			return coordinator.claim(wish, decided);
 		},
 		take(body) {
 			return readClaimMessage(body).map(message => {
-				const answer = desk.receive(message);
+				const answer = coordinator.receive(message);
 				return answer === undefined ? '' : JSON.stringify(answer);
 			});
 		},
-		report: () => ({instance: self, applied: control.state().applied, copiedThrough: desk.standing().copiedThrough}),
-		view: () => desk.standing().view,
+		report: () => ({instance: self, applied: control.state().applied, copiedThrough: coordinator.standing().copiedThrough}),
+		view: () => coordinator.standing().view,
 		async handOver(longest) {
 			const end = monotonicNow() + longest;
 			let awaited = true;
