--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -202,8 +202,8 @@
 	const sweeping = setInterval(sweep, sweepMilliseconds);
 
 	return {
-		claim(wish, decided) {
-			return coordinator.claim(wish, decided);
+		claim(intent, decided) {
+			return coordinator.claim(intent, decided);
 		},
 		take(body) {
 			return readClaimMessage(body).map(message => {
