--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -61,7 +61,7 @@
 
 	const peers = new ClaimPeers(clients);
 
-	let spread: AppliedIndexes = new Map();
+	let appliedIndexes: AppliedIndexes = new Map();
 	let sweeps = 0;
 
 	/** Resends the end of an operation until it arrives, since the answers to resent operations depend on it. */
@@ -148,7 +148,7 @@
 		const asked = coordinator.standing().newest;
 		const report = await peers.report(seat);
 		if (report !== undefined) {
-			spread = recordApplied(spread, seat, report.applied);
+			appliedIndexes = recordApplied(appliedIndexes, seat, report.applied);
 			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: asked, copiedThrough: report.copiedThrough}});
 		}
 	}
@@ -162,21 +162,21 @@
 	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
 		const isSeldom = isBrief(newest, now);
 		const awaited = coordinator.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
-		const all = new Map([...seatsBehind(spread, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
+		const all = new Map([...seatsBehind(appliedIndexes, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
 		all.delete(incarnationKey(self));
 		return [...all.values()];
 	}
 
 	/** Returns the index that all seats have applied, and requests missing reports for the next sweep. */
 	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
-		spread = recordApplied(appliedIndexesOf(spread, newest), self, control.state().applied);
+		appliedIndexes = recordApplied(appliedIndexesOf(appliedIndexes, newest), self, control.state().applied);
 		for (const seat of seatsToAsk(newest, now)) {
 			void askReport(seat);
 		}
 
 		const standing = coordinator.standing();
 		coordinator.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: standing.newest, copiedThrough: standing.copiedThrough}});
-		return acknowledgedBy(spread, newest);
+		return acknowledgedBy(appliedIndexes, newest);
 	}
 
 	function sweep(): void {
