--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -57,7 +57,7 @@
 
 /** Starts to track the seated instances and to process claims. */
 export function startClaims(self: InstanceIdentity, control: ControlHolder, clients: PeerClients, hash: TextHash): ClaimRunner {
-	const seenAt = new Map<LogIndex, MonotonicTime>();
+	const recordedAt = new Map<LogIndex, MonotonicTime>();
 
 	const peers = new ClaimPeers(clients);
 
@@ -128,14 +128,14 @@
 		const now = monotonicNow();
 		const {seatings} = control.state();
 		const [newest] = seatings;
-		if (newest === undefined || seenAt.has(newest.index)) {
+		if (newest === undefined || recordedAt.has(newest.index)) {
 			return;
 		}
 
 		noteMissed(seatings);
 		for (const roster of [...seatings].reverse()) {
-			if (!seenAt.has(roster.index)) {
-				seenAt.set(roster.index, now);
+			if (!recordedAt.has(roster.index)) {
+				recordedAt.set(roster.index, now);
 				coordinator.learn({kind: 'roster', roster});
 			}
 		}
@@ -155,7 +155,7 @@
 
 	/** Whether this sweep skips the instances without a seat, which after a while are most likely down. */
 	function isBrief(newest: Seating, now: MonotonicTime): boolean {
-		return now - (seenAt.get(newest.index) ?? now) > leavingMilliseconds && sweeps % seldomSweeps !== 0;
+		return now - (recordedAt.get(newest.index) ?? now) > leavingMilliseconds && sweeps % seldomSweeps !== 0;
 	}
 
 	/** The instances whose reports are missing. */
@@ -181,7 +181,7 @@
 
 	function sweep(): void {
 		const now = monotonicNow();
-		const old = [...seenAt].filter(([, at]) => now - at >= spreadMilliseconds).map(([index]) => index);
+		const old = [...recordedAt].filter(([, at]) => now - at >= spreadMilliseconds).map(([index]) => index);
 		const [newest] = control.state().seatings;
 		sweeps += 1;
 		coordinator.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
