--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -65,7 +65,7 @@
 	let sweeps = 0;
 
 	/** Resends the end of an operation until it arrives, since the answers to resent operations depend on it. */
-	async function insist(ended: ClaimEnded): Promise<void> {
+	async function sendUntilDelivered(ended: ClaimEnded): Promise<void> {
 		for (const duration of tellPauses) {
 			await pause(duration);
 			const told = await peers.send(ended);
@@ -83,7 +83,7 @@
 			return answer.andThen(text => readClaimAnswer(text));
 		},
 		tell(ended) {
-			void insist(ended);
+			void sendUntilDelivered(ended);
 		},
 	}, monotonicNow);
 
