--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -68,8 +68,8 @@
 	async function sendUntilDelivered(ended: ClaimEnded): Promise<void> {
 		for (const duration of tellPauses) {
 			await pause(duration);
-			const told = await peers.send(ended);
-			if (told.isOk) {
+			const result = await peers.send(ended);
+			if (result.isOk) {
 				return;
 			}
 		}
