--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -96,8 +96,8 @@
 	 * other one is missing fewer reports. Reports of an instance that is down never arrive.
 	 */
 	async function askView(seat: InstanceIdentity): Promise<void> {
-		const told = await peers.view(seat);
-		const view = told.unwrapOr(undefined);
+		const answer = await peers.view(seat);
+		const view = answer.unwrapOr(undefined);
 		const {newest, view: own} = coordinator.standing();
 		if (view?.newest === newest && (own === undefined || missingReports(view) < missingReports(own))) {
 			coordinator.learn({kind: 'view-told', view});
