--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -192,10 +192,10 @@
 
 	/** Whether another instance is still waiting for this one's report; false if it doesn't answer. */
 	async function isAwaitedBy(seat: InstanceIdentity): Promise<boolean> {
-		const told = await peers.view(seat);
-		return told.isOk && (told.value === undefined
-			|| told.value.newest < coordinator.standing().newest
-			|| told.value.earlier.some(known => includesInstance(known.unsettled, self)));
+		const answer = await peers.view(seat);
+		return answer.isOk && (answer.value === undefined
+			|| answer.value.newest < coordinator.standing().newest
+			|| answer.value.earlier.some(known => includesInstance(known.unsettled, self)));
 	}
 
 	control.listen(followSeatings);
