--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -41,7 +41,7 @@
 export const claimLifetimeMilliseconds: Milliseconds = 3_600_000;
 /** The time after which an instance that has lost its seat holds no lease any more. */
 const spreadMilliseconds: Milliseconds = 5000;
-const tellPauses: readonly Milliseconds[] = [0, 500, 2000];
+const resendDelays: readonly Milliseconds[] = [0, 500, 2000];
 const sweepMilliseconds: Milliseconds = 1000;
 const handOverMilliseconds: Milliseconds = 100;
 /** The time after which an instance that has lost its seat has copied its records or is most likely down. */
@@ -66,7 +66,7 @@
 
 	/** Resends the end of an operation until it arrives, since the answers to resent operations depend on it. */
 	async function sendUntilDelivered(ended: ClaimEnded): Promise<void> {
-		for (const duration of tellPauses) {
+		for (const duration of resendDelays) {
 			await pause(duration);
 			const result = await peers.send(ended);
 			if (result.isOk) {
