--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -40,7 +40,7 @@
 /** How long a claim is kept. */
 export const claimLifetimeMilliseconds: Milliseconds = 3_600_000;
 /** The time after which an instance that has lost its seat holds no lease any more. */
-const spreadMilliseconds: Milliseconds = 5000;
+const leaseExpiryMilliseconds: Milliseconds = 5000;
 const resendDelays: readonly Milliseconds[] = [0, 500, 2000];
 const sweepMilliseconds: Milliseconds = 1000;
 const handOverMilliseconds: Milliseconds = 100;
@@ -181,7 +181,7 @@
 
 	function sweep(): void {
 		const now = monotonicNow();
-		const old = [...recordedAt].filter(([, at]) => now - at >= spreadMilliseconds).map(([index]) => index);
+		const old = [...recordedAt].filter(([, at]) => now - at >= leaseExpiryMilliseconds).map(([index]) => index);
 		const [newest] = control.state().seatings;
 		sweeps += 1;
 		coordinator.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
