--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -43,7 +43,7 @@
 const leaseExpiryMilliseconds: Milliseconds = 5000;
 const resendDelays: readonly Milliseconds[] = [0, 500, 2000];
 const sweepMilliseconds: Milliseconds = 1000;
-const handOverMilliseconds: Milliseconds = 100;
+const handOverPollMilliseconds: Milliseconds = 100;
 /** The time after which an instance that has lost its seat has copied its records or is most likely down. */
 const copyTimeoutMilliseconds: Milliseconds = 60_000;
 /** A report is requested from an instance that is most likely down in one of this many sweeps. */
@@ -219,7 +219,7 @@
 			while (awaited && monotonicNow() < end) {
 				const answers = await Promise.all(otherSeats().map(async seat => isAwaitedBy(seat)));
 				awaited = answers.includes(true);
-				await pause(awaited ? handOverMilliseconds : 0);
+				await pause(awaited ? handOverPollMilliseconds : 0);
 			}
 		},
 		stop() {
