--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -213,8 +213,8 @@
 		},
 		report: () => ({instance: self, applied: control.state().applied, copiedThrough: coordinator.standing().copiedThrough}),
 		view: () => coordinator.standing().view,
-		async handOver(longest) {
-			const end = monotonicNow() + longest;
+		async handOver(maximumWait) {
+			const end = monotonicNow() + maximumWait;
 			let awaited = true;
 			while (awaited && monotonicNow() < end) {
 				const answers = await Promise.all(otherSeats().map(async seat => isAwaitedBy(seat)));
