--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -33,7 +33,7 @@
 	/** Returns the view that is sent to an instance that starts; undefined while rosters may be missing. */
 	readonly view: () => ClaimsView | undefined;
 	/** For a graceful shutdown: waits until all others have learned that every record of this instance is copied, at most for the given time. */
-	readonly handOver: (longest: Milliseconds) => Promise<void>;
+	readonly handOver: (maximumWait: Milliseconds) => Promise<void>;
 	readonly stop: () => void;
 };
 
