--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -47,7 +47,7 @@
 /** The time after which an instance that has lost its seat has copied its records or is most likely down. */
 const copyTimeoutMilliseconds: Milliseconds = 60_000;
 /** A report is requested from an instance that is most likely down in one of this many sweeps. */
-const seldomSweeps = 30;
+const sweepsPerFullSweep = 30;
 const holderBounds = {records: 200_000, answerBytes: 16_777_216};
 
 /** The number of reports that the sender of a view is still waiting for. */
@@ -155,7 +155,7 @@
 
 	/** Whether this sweep skips the instances without a seat, which after a while are most likely down. */
 	function isBrief(newest: Seating, now: MonotonicTime): boolean {
-		return now - (recordedAt.get(newest.index) ?? now) > copyTimeoutMilliseconds && sweeps % seldomSweeps !== 0;
+		return now - (recordedAt.get(newest.index) ?? now) > copyTimeoutMilliseconds && sweeps % sweepsPerFullSweep !== 0;
 	}
 
 	/** The instances whose reports are missing. */
