--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -107,7 +107,7 @@
 	/** Whether rosters, or reports of instances without a seat, may be missing. */
 	function isViewWanted(newest: Seating, now: MonotonicTime): boolean {
 		const {view, awaited} = coordinator.standing();
-		return view === undefined || (!isBrief(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
+		return view === undefined || (!skipsUnseated(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
 	}
 
 	function lookForView(newest: Seating, now: MonotonicTime): void {
@@ -154,13 +154,13 @@
 	}
 
 	/** Whether this sweep skips the instances without a seat, which after a while are most likely down. */
-	function isBrief(newest: Seating, now: MonotonicTime): boolean {
+	function skipsUnseated(newest: Seating, now: MonotonicTime): boolean {
 		return now - (recordedAt.get(newest.index) ?? now) > copyTimeoutMilliseconds && sweeps % sweepsPerFullSweep !== 0;
 	}
 
 	/** The instances whose reports are missing. */
 	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
-		const isSeldom = isBrief(newest, now);
+		const isSeldom = skipsUnseated(newest, now);
 		const awaited = coordinator.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
 		const all = new Map([...seatsBehind(appliedIndexes, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
 		all.delete(incarnationKey(self));
