--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -160,8 +160,8 @@
 
 	/** The instances whose reports are missing. */
 	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
-		const isSeldom = skipsUnseated(newest, now);
-		const awaited = coordinator.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
+		const skips = skipsUnseated(newest, now);
+		const awaited = coordinator.standing().awaited.filter(seat => !skips || includesInstance(newest.seats, seat));
 		const all = new Map([...seatsBehind(appliedIndexes, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
 		all.delete(incarnationKey(self));
 		return [...all.values()];
