--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -95,7 +95,7 @@
 	 * Adopts the view of another instance if both have the same newest roster and the
 	 * other one is missing fewer reports. Reports of an instance that is down never arrive.
 	 */
-	async function askView(seat: InstanceIdentity): Promise<void> {
+	async function requestView(seat: InstanceIdentity): Promise<void> {
 		const answer = await peers.view(seat);
 		const view = answer.unwrapOr(undefined);
 		const {newest, view: own} = coordinator.standing();
@@ -112,7 +112,7 @@
 
 	function lookForView(newest: Seating, now: MonotonicTime): void {
 		for (const seat of isViewWanted(newest, now) ? otherSeats() : []) {
-			void askView(seat);
+			void requestView(seat);
 		}
 	}
 
