--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -144,7 +144,7 @@
 		lookForView(newest, now);
 	}
 
-	async function askReport(seat: InstanceIdentity): Promise<void> {
+	async function requestReport(seat: InstanceIdentity): Promise<void> {
 		const asked = coordinator.standing().newest;
 		const report = await peers.report(seat);
 		if (report !== undefined) {
@@ -171,7 +171,7 @@
 	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
 		appliedIndexes = recordApplied(appliedIndexesOf(appliedIndexes, newest), self, control.state().applied);
 		for (const seat of seatsToAsk(newest, now)) {
-			void askReport(seat);
+			void requestReport(seat);
 		}
 
 		const standing = coordinator.standing();
