--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -159,7 +159,7 @@
 	}
 
 	/** The instances whose reports are missing. */
-	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
+	function seatsWithMissingReports(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
 		const skips = skipsUnseated(newest, now);
 		const awaited = coordinator.standing().awaited.filter(seat => !skips || includesInstance(newest.seats, seat));
 		const all = new Map([...seatsBehind(appliedIndexes, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
@@ -170,7 +170,7 @@
 	/** Returns the index that all seats have applied, and requests missing reports for the next sweep. */
 	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
 		appliedIndexes = recordApplied(appliedIndexesOf(appliedIndexes, newest), self, control.state().applied);
-		for (const seat of seatsToAsk(newest, now)) {
+		for (const seat of seatsWithMissingReports(newest, now)) {
 			void requestReport(seat);
 		}
 
