--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -105,13 +105,13 @@
 	}
 
 	/** Whether rosters, or reports of instances without a seat, may be missing. */
-	function isViewWanted(newest: Seating, now: MonotonicTime): boolean {
+	function needsView(newest: Seating, now: MonotonicTime): boolean {
 		const {view, awaited} = coordinator.standing();
 		return view === undefined || (!skipsUnseated(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
 	}
 
 	function lookForView(newest: Seating, now: MonotonicTime): void {
-		for (const seat of isViewWanted(newest, now) ? otherSeats() : []) {
+		for (const seat of needsView(newest, now) ? otherSeats() : []) {
 			void requestView(seat);
 		}
 	}
