--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -110,7 +110,7 @@
 		return view === undefined || (!skipsUnseated(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
 	}
 
-	function lookForView(newest: Seating, now: MonotonicTime): void {
+	function requestViews(newest: Seating, now: MonotonicTime): void {
 		for (const seat of needsView(newest, now) ? otherSeats() : []) {
 			void requestView(seat);
 		}
@@ -141,7 +141,7 @@
 		}
 
 		peers.updateAddresses(seatedInstances(control.state().ownership), coordinator.standing().awaited);
-		lookForView(newest, now);
+		requestViews(newest, now);
 	}
 
 	async function requestReport(seat: InstanceIdentity): Promise<void> {
@@ -186,7 +186,7 @@
 		sweeps += 1;
 		coordinator.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
 		if (newest !== undefined) {
-			lookForView(newest, now);
+			requestViews(newest, now);
 		}
 	}
 
