--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -117,7 +117,7 @@
 	}
 
 	/** Records that rosters may be missing: the log may have dropped seatings between the last recorded one and these. */
-	function noteMissed(seatings: readonly Seating[]): void {
+	function recordMissedRosters(seatings: readonly Seating[]): void {
 		const oldest = seatings.at(-1)?.index ?? 0;
 		if (seatings.length >= keptSeatings && oldest > coordinator.standing().newest) {
 			coordinator.learn({kind: 'rosters-missed'});
@@ -132,7 +132,7 @@
 			return;
 		}
 
-		noteMissed(seatings);
+		recordMissedRosters(seatings);
 		for (const roster of [...seatings].reverse()) {
 			if (!recordedAt.has(roster.index)) {
 				recordedAt.set(roster.index, now);
