--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -174,8 +174,8 @@
 			void requestReport(seat);
 		}
 
-		const standing = coordinator.standing();
-		coordinator.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: standing.newest, copiedThrough: standing.copiedThrough}});
+		const state = coordinator.standing();
+		coordinator.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: state.newest, copiedThrough: state.copiedThrough}});
 		return acknowledgedBy(appliedIndexes, newest);
 	}
 
