--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -145,11 +145,11 @@
 	}
 
 	async function requestReport(seat: InstanceIdentity): Promise<void> {
-		const asked = coordinator.standing().newest;
+		const requesterRosterIndex = coordinator.standing().newest;
 		const report = await peers.report(seat);
 		if (report !== undefined) {
 			appliedIndexes = recordApplied(appliedIndexes, seat, report.applied);
-			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: asked, copiedThrough: report.copiedThrough}});
+			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: requesterRosterIndex, copiedThrough: report.copiedThrough}});
 		}
 	}
 
