--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -168,7 +168,7 @@
 	}
 
 	/** Returns the index that all seats have applied, and requests missing reports for the next sweep. */
-	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
+	function updateAcknowledged(newest: Seating, now: MonotonicTime): LogIndex {
 		appliedIndexes = recordApplied(appliedIndexesOf(appliedIndexes, newest), self, control.state().applied);
 		for (const seat of seatsWithMissingReports(newest, now)) {
 			void requestReport(seat);
@@ -184,7 +184,7 @@
 		const old = [...recordedAt].filter(([, at]) => now - at >= leaseExpiryMilliseconds).map(([index]) => index);
 		const [newest] = control.state().seatings;
 		sweeps += 1;
-		coordinator.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
+		coordinator.sweep(newest === undefined ? 0 : Math.min(updateAcknowledged(newest, now), Math.max(0, ...old)));
 		if (newest !== undefined) {
 			requestViews(newest, now);
 		}
