--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -195,7 +195,7 @@
 		const answer = await peers.view(seat);
 		return answer.isOk && (answer.value === undefined
 			|| answer.value.newest < coordinator.standing().newest
-			|| answer.value.earlier.some(known => includesInstance(known.unsettled, self)));
+			|| answer.value.earlier.some(entry => includesInstance(entry.unsettled, self)));
 	}
 
 	control.listen(followSeatings);
