--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -199,7 +199,7 @@
 	}
 
 	control.listen(followSeatings);
-	const sweeping = setInterval(sweep, sweepMilliseconds);
+	const sweepTimer = setInterval(sweep, sweepMilliseconds);
 
 	return {
 		claim(intent, decided) {
@@ -223,7 +223,7 @@
 			}
 		},
 		stop() {
-			clearInterval(sweeping);
+			clearInterval(sweepTimer);
 		},
 	};
 }
