--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -214,9 +214,9 @@
 		report: () => ({instance: self, applied: control.state().applied, copiedThrough: coordinator.standing().copiedThrough}),
 		view: () => coordinator.standing().view,
 		async handOver(maximumWait) {
-			const end = monotonicNow() + maximumWait;
+			const deadline = monotonicNow() + maximumWait;
 			let awaited = true;
-			while (awaited && monotonicNow() < end) {
+			while (awaited && monotonicNow() < deadline) {
 				const answers = await Promise.all(otherSeats().map(async seat => isAwaitedBy(seat)));
 				awaited = answers.includes(true);
 				await pause(awaited ? handOverPollMilliseconds : 0);
