--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -215,11 +215,11 @@
 		view: () => coordinator.standing().view,
 		async handOver(maximumWait) {
 			const deadline = monotonicNow() + maximumWait;
-			let awaited = true;
-			while (awaited && monotonicNow() < deadline) {
+			let isAwaited = true;
+			while (isAwaited && monotonicNow() < deadline) {
 				const answers = await Promise.all(otherSeats().map(async seat => isAwaitedBy(seat)));
-				awaited = answers.includes(true);
-				await pause(awaited ? handOverPollMilliseconds : 0);
+				isAwaited = answers.includes(true);
+				await pause(isAwaited ? handOverPollMilliseconds : 0);
 			}
 		},
 		stop() {
