--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -181,10 +181,10 @@
 
 	function sweep(): void {
 		const now = monotonicNow();
-		const old = [...recordedAt].filter(([, at]) => now - at >= leaseExpiryMilliseconds).map(([index]) => index);
+		const settled = [...recordedAt].filter(([, at]) => now - at >= leaseExpiryMilliseconds).map(([index]) => index);
 		const [newest] = control.state().seatings;
 		sweeps += 1;
-		coordinator.sweep(newest === undefined ? 0 : Math.min(updateAcknowledged(newest, now), Math.max(0, ...old)));
+		coordinator.sweep(newest === undefined ? 0 : Math.min(updateAcknowledged(newest, now), Math.max(0, ...settled)));
 		if (newest !== undefined) {
 			requestViews(newest, now);
 		}
