--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -27,7 +27,7 @@
 export type ClaimRunner = {
 	readonly claim: ClaimCoordinator['claim'];
 	/** Handles a message of another instance, as JSON, and returns the answer as JSON. */
-	readonly take: (body: string) => Result<string, Failure>;
+	readonly receive: (body: string) => Result<string, Failure>;
 	/** Returns this instance's report of the claims that it holds. */
 	readonly report: () => ClaimReport;
 	/** Returns the view that is sent to an instance that starts; undefined while rosters may be missing. */
@@ -205,7 +205,7 @@
 		claim(intent, decided) {
 			return coordinator.claim(intent, decided);
 		},
-		take(body) {
+		receive(body) {
 			return readClaimMessage(body).map(message => {
 				const answer = coordinator.receive(message);
 				return answer === undefined ? '' : JSON.stringify(answer);
--- a/packages/daemon/src/peer-service.ts
+++ b/packages/daemon/src/peer-service.ts
@@ -62,7 +62,7 @@
 		},
 		propose: control.takeProposal,
 		joinVoters: control.takeVoter,
-		claim: async body => claims.take(body),
+		claim: async body => claims.receive(body),
 		async collect(subject) {
 			const collector = Object.hasOwn(collectors, subject) ? collectors[subject] : undefined;
 			return collector === undefined
