--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -56,7 +56,7 @@
 }
 
 /** Starts to track the seated instances and to process claims. */
-export function startClaims(self: InstanceIdentity, control: ControlHolder, clients: PeerClients, hash: TextHash): ClaimRunner {
+export function startClaimRunner(self: InstanceIdentity, control: ControlHolder, clients: PeerClients, hash: TextHash): ClaimRunner {
 	const recordedAt = new Map<LogIndex, MonotonicTime>();
 
 	const peers = new ClaimPeers(clients);
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -26,7 +26,7 @@
 import {createAnnouncementHandler} from './announcements.js';
 import {startBurnRunner} from './burn-runner.js';
 import {ClaimSubject} from './claim-peers.js';
-import {startClaims} from './claim-runner.js';
+import {startClaimRunner} from './claim-runner.js';
 import {createControlHolder} from './control-holder.js';
 import {startControl} from './control-runner.js';
 import {createInstanceStatus} from './instance-status.js';
@@ -81,7 +81,7 @@
 	});
 	const ownReports = createReportCollector(identity, () => evidence.take(), () => limiter.takeDemands());
 	const zoneReports = createReportCollector(identity, () => [], () => []);
-	const claims = startClaims(identity, holder, clients, textHash);
+	const claims = startClaimRunner(identity, holder, clients, textHash);
 	let voter: ControlVoter | undefined;
 	let callersEndAt: MonotonicTime = Infinity;
 	let stopping = false;
--- a/packages/daemon/test/test-bad-claims.ts
+++ b/packages/daemon/test/test-bad-claims.ts
@@ -11,7 +11,7 @@
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {ok} from 'true-myth/result';
-import {startClaims} from '@dogwooddeck/daemon/claim-runner';
+import {startClaimRunner} from '@dogwooddeck/daemon/claim-runner';
 import {type ControlHolder} from '@dogwooddeck/daemon/control-holder';
 
 const members = ['noord-a', 'zuid-a'].map((zone, number) => ({
@@ -68,7 +68,7 @@
 
 async function decisionWith(answer: string): Promise<ClaimDecision> {
 	const clients = {call: async () => ok(answer)} as unknown as PeerClients;
-	const claims = startClaims({name: 'entry-0', incarnation: 1}, holder(), clients, await loadTextHash());
+	const claims = startClaimRunner({name: 'entry-0', incarnation: 1}, holder(), clients, await loadTextHash());
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
