--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -108,8 +108,8 @@
 }
 
 /** Creates the operator API. */
-export function createOperatorSurface(surroundings: OperatorSurroundings): OperatorApi {
-	const {holder, control} = surroundings;
+export function createOperatorSurface(dependencies: OperatorSurroundings): OperatorApi {
+	const {holder, control} = dependencies;
 
 	async function configure(command: ConfigurationCommand): Promise<Result<ConfigurationAccepted, Failure>> {
 		const accepted = await control.submit(command);
@@ -147,7 +147,7 @@
 	}
 
 	async function memberAnswer(member: InstanceRecord): Promise<MemberAnswer> {
-		const report = await surroundings.askMember(member);
+		const report = await dependencies.askMember(member);
 		return {
 			...member, applied: report?.applied ?? 0, alive: report !== undefined, voter: report?.voter ?? false,
 		};
@@ -170,14 +170,14 @@
 
 	function statusAnswer(state: ControlState): StatusAnswer {
 		return {
-			...surroundings.status(),
+			...dependencies.status(),
 			applied: state.applied,
 			revisions: state.configuration.teams.map(({team, revision}) => ({team, revision})),
 		};
 	}
 
 	return {
-		announce: surroundings.announce,
+		announce: dependencies.announce,
 		apply: writing(parseApplyRequest, ({team}) => ofTeam(team), async (read, {author}) => {
 			const checked = requireAuthor(author).andThen(() => requireServedAgain(read.services));
 			return checked.isErr
@@ -210,7 +210,7 @@
 		members,
 		async burn(request) {
 			const allowed = permitted(request, holder.state(), anyAuthority);
-			return allowed.isOk ? surroundings.burn(request) : err(allowed.error);
+			return allowed.isOk ? dependencies.burn(request) : err(allowed.error);
 		},
 	};
 }
