--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -47,7 +47,7 @@
 }
 
 /** The collaborators of the operator API. */
-export type OperatorSurroundings = {
+export type OperatorApiDependencies = {
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
@@ -108,7 +108,7 @@
 }
 
 /** Creates the operator API. */
-export function createOperatorSurface(dependencies: OperatorSurroundings): OperatorApi {
+export function createOperatorSurface(dependencies: OperatorApiDependencies): OperatorApi {
 	const {holder, control} = dependencies;
 
 	async function configure(command: ConfigurationCommand): Promise<Result<ConfigurationAccepted, Failure>> {
