--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -31,7 +31,7 @@
 import {startControl} from './control-runner.js';
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
-import {createOperatorSurface, readMemberReport} from './operator-surface.js';
+import {createOperatorApi, readMemberReport} from './operator-surface.js';
 import {startOwnVoter} from './own-voter.js';
 import {createPeerHandlers} from './peer-service.js';
 import {stopAsPlanned} from './planned-stop.js';
@@ -108,7 +108,7 @@
 	const health = createInstanceStatus({
 		self, holder, control, zone, voter: () => voter, isStopping: () => stopping, measures,
 	});
-	const surface = createOperatorSurface({
+	const surface = createOperatorApi({
 		holder,
 		control,
 		status: health.status,
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -108,7 +108,7 @@
 }
 
 /** Creates the operator API. */
-export function createOperatorSurface(dependencies: OperatorApiDependencies): OperatorApi {
+export function createOperatorApi(dependencies: OperatorApiDependencies): OperatorApi {
 	const {holder, control} = dependencies;
 
 	async function configure(command: ConfigurationCommand): Promise<Result<ConfigurationAccepted, Failure>> {
