--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -112,7 +112,7 @@
 		holder,
 		control,
 		status: health.status,
-		async askMember(record) {
+		async requestMemberReport(record) {
 			const answer = await clients.call(record.peerAddress, 'collect', 'member', memberMilliseconds);
 			return answer.isOk ? readMemberReport(answer.value) : undefined;
 		},
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -52,7 +52,7 @@
 	readonly control: ControlRunner;
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
 	/** Requests the report of another instance; undefined if it can't be reached. */
-	readonly askMember: (member: InstanceRecord) => Promise<MemberReport | undefined>;
+	readonly requestMemberReport: (member: InstanceRecord) => Promise<MemberReport | undefined>;
 	readonly announce: ApiHandler;
 	readonly burn: ApiHandler;
 };
@@ -147,7 +147,7 @@
 	}
 
 	async function memberAnswer(member: InstanceRecord): Promise<MemberAnswer> {
-		const report = await dependencies.askMember(member);
+		const report = await dependencies.requestMemberReport(member);
 		return {
 			...member, applied: report?.applied ?? 0, alive: report !== undefined, voter: report?.voter ?? false,
 		};
