--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -59,7 +59,7 @@
 
 type Permission = (state: ControlState, authority: Authority) => Result<Authority, Failure>;
 
-const anyAuthority: Permission = (_state, authority) => ok(authority);
+const allowAnyAuthority: Permission = (_state, authority) => ok(authority);
 const ofTeam = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
 function permitted({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
@@ -130,7 +130,7 @@
 		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): ApiHandler {
 		return async request => {
-			const known = permitted(request, holder.state(), anyAuthority);
+			const known = permitted(request, holder.state(), allowAnyAuthority);
 			const read = known.andThen(() => parse(request.body));
 			const allowed = read.andThen(body => permitted(request, holder.state(), permission(body)).map(() => body));
 			return allowed.isOk ? act(allowed.value, request) : err(allowed.error);
@@ -140,7 +140,7 @@
 	function reading(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
 		return async request => {
 			const state = holder.state();
-			return permitted(request, state, anyAuthority)
+			return permitted(request, state, allowAnyAuthority)
 				.andThen(() => queried(request, name))
 				.andThen(value => permitted(request, state, ofTeam(team(value))).andThen(() => answer(state, value)));
 		};
@@ -155,7 +155,7 @@
 
 	async function members(request: ApiRequest): Promise<Result<unknown, Failure>> {
 		const state = holder.state();
-		const allowed = permitted(request, state, anyAuthority);
+		const allowed = permitted(request, state, allowAnyAuthority);
 		if (allowed.isErr) {
 			return err(allowed.error);
 		}
@@ -205,11 +205,11 @@
 			: ownersAnswer(state, service)),
 		async status(request) {
 			const state = holder.state();
-			return permitted(request, state, anyAuthority).map(() => statusAnswer(state));
+			return permitted(request, state, allowAnyAuthority).map(() => statusAnswer(state));
 		},
 		members,
 		async burn(request) {
-			const allowed = permitted(request, holder.state(), anyAuthority);
+			const allowed = permitted(request, holder.state(), allowAnyAuthority);
 			return allowed.isOk ? dependencies.burn(request) : err(allowed.error);
 		},
 	};
