--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -60,7 +60,7 @@
 type Permission = (state: ControlState, authority: Authority) => Result<Authority, Failure>;
 
 const allowAnyAuthority: Permission = (_state, authority) => ok(authority);
-const ofTeam = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
+const requireTeamAuthority = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
 function permitted({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
 	return authorityOf(state.configuration, hashToken(token)).andThen(authority => permission(state, authority));
@@ -142,7 +142,7 @@
 			const state = holder.state();
 			return permitted(request, state, allowAnyAuthority)
 				.andThen(() => queried(request, name))
-				.andThen(value => permitted(request, state, ofTeam(team(value))).andThen(() => answer(state, value)));
+				.andThen(value => permitted(request, state, requireTeamAuthority(team(value))).andThen(() => answer(state, value)));
 		};
 	}
 
@@ -178,7 +178,7 @@
 
 	return {
 		announce: dependencies.announce,
-		apply: writing(parseApplyRequest, ({team}) => ofTeam(team), async (read, {author}) => {
+		apply: writing(parseApplyRequest, ({team}) => requireTeamAuthority(team), async (read, {author}) => {
 			const checked = requireAuthor(author).andThen(() => requireServedAgain(read.services));
 			return checked.isErr
 				? err(checked.error)
@@ -189,8 +189,8 @@
 		token: writing(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: writing(parseMoveRequest, ({service}) => ofTeam(teamOf(service)), async ({operation, ...wish}) => ask(operation, {kind: 'moveWished', ...wish})),
-		drain: writing(parseDrainRequest, ({service}) => ofTeam(teamOf(service)), async ({operation, ...asked}) => ask(operation, {kind: 'drainAsked', ...asked})),
+		move: writing(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...wish}) => ask(operation, {kind: 'moveWished', ...wish})),
+		drain: writing(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => ask(operation, {kind: 'drainAsked', ...asked})),
 		zoneDeclareLost: writing(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
 				? ask(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
