--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -62,7 +62,7 @@
 const allowAnyAuthority: Permission = (_state, authority) => ok(authority);
 const requireTeamAuthority = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
-function permitted({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
+function authorize({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
 	return authorityOf(state.configuration, hashToken(token)).andThen(authority => permission(state, authority));
 }
 
@@ -130,9 +130,9 @@
 		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): ApiHandler {
 		return async request => {
-			const known = permitted(request, holder.state(), allowAnyAuthority);
+			const known = authorize(request, holder.state(), allowAnyAuthority);
 			const read = known.andThen(() => parse(request.body));
-			const allowed = read.andThen(body => permitted(request, holder.state(), permission(body)).map(() => body));
+			const allowed = read.andThen(body => authorize(request, holder.state(), permission(body)).map(() => body));
 			return allowed.isOk ? act(allowed.value, request) : err(allowed.error);
 		};
 	}
@@ -140,9 +140,9 @@
 	function reading(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
 		return async request => {
 			const state = holder.state();
-			return permitted(request, state, allowAnyAuthority)
+			return authorize(request, state, allowAnyAuthority)
 				.andThen(() => queried(request, name))
-				.andThen(value => permitted(request, state, requireTeamAuthority(team(value))).andThen(() => answer(state, value)));
+				.andThen(value => authorize(request, state, requireTeamAuthority(team(value))).andThen(() => answer(state, value)));
 		};
 	}
 
@@ -155,7 +155,7 @@
 
 	async function members(request: ApiRequest): Promise<Result<unknown, Failure>> {
 		const state = holder.state();
-		const allowed = permitted(request, state, allowAnyAuthority);
+		const allowed = authorize(request, state, allowAnyAuthority);
 		if (allowed.isErr) {
 			return err(allowed.error);
 		}
@@ -205,11 +205,11 @@
 			: ownersAnswer(state, service)),
 		async status(request) {
 			const state = holder.state();
-			return permitted(request, state, allowAnyAuthority).map(() => statusAnswer(state));
+			return authorize(request, state, allowAnyAuthority).map(() => statusAnswer(state));
 		},
 		members,
 		async burn(request) {
-			const allowed = permitted(request, holder.state(), allowAnyAuthority);
+			const allowed = authorize(request, holder.state(), allowAnyAuthority);
 			return allowed.isOk ? dependencies.burn(request) : err(allowed.error);
 		},
 	};
