--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -66,7 +66,7 @@
 	return authorityOf(state.configuration, hashToken(token)).andThen(authority => permission(state, authority));
 }
 
-function queried({query}: ApiRequest, name: string): Result<string, Failure> {
+function requireQueryValue({query}: ApiRequest, name: string): Result<string, Failure> {
 	const value = query[name];
 	return value === undefined || value === '' ? err(failure(FailureKind.malformed, `the query lacks "${name}"`)) : ok(value);
 }
@@ -141,7 +141,7 @@
 		return async request => {
 			const state = holder.state();
 			return authorize(request, state, allowAnyAuthority)
-				.andThen(() => queried(request, name))
+				.andThen(() => requireQueryValue(request, name))
 				.andThen(value => authorize(request, state, requireTeamAuthority(team(value))).andThen(() => answer(state, value)));
 		};
 	}
