--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -118,7 +118,7 @@
 			: ok(configuration));
 	}
 
-	async function ask(operation: OperationIdentifier, command: OperatorAsked['command']): Promise<Result<WriteAnswer, Failure>> {
+	async function submitOperatorCommand(operation: OperationIdentifier, command: OperatorAsked['command']): Promise<Result<WriteAnswer, Failure>> {
 		const accepted: Result<ControlAccepted, Failure> = await control.submit({kind: 'operatorAsked', operation, command});
 		return accepted.map(({index}) => ({operation, index}));
 	}
@@ -189,11 +189,11 @@
 		token: writing(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: writing(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...wish}) => ask(operation, {kind: 'moveWished', ...wish})),
-		drain: writing(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => ask(operation, {kind: 'drainAsked', ...asked})),
+		move: writing(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...wish}) => submitOperatorCommand(operation, {kind: 'moveWished', ...wish})),
+		drain: writing(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...asked})),
 		zoneDeclareLost: writing(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
-				? ask(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
+				? submitOperatorCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
 				: err(failure(FailureKind.malformed, `"confirm" must read: ${declareLostConfirmation(zone)}`))),
 		configuration: reading('team', team => team, (state, team) => {
 			const {revision, services} = subtreeOf(state.configuration, team);
