--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -124,7 +124,7 @@
 	}
 
 	/** Creates a handler that parses the body, checks the authority that the request requires, and executes it. */
-	function writing<Read>(
+	function createWriteHandler<Read>(
 		parse: (body: unknown) => Result<Read, Failure>,
 		permission: (read: Read) => Permission,
 		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
@@ -178,7 +178,7 @@
 
 	return {
 		announce: dependencies.announce,
-		apply: writing(parseApplyRequest, ({team}) => requireTeamAuthority(team), async (read, {author}) => {
+		apply: createWriteHandler(parseApplyRequest, ({team}) => requireTeamAuthority(team), async (read, {author}) => {
 			const checked = requireAuthor(author).andThen(() => requireServedAgain(read.services));
 			return checked.isErr
 				? err(checked.error)
@@ -186,12 +186,12 @@
 					kind: 'subtreeApplied', ...read, author, at: wallNow(),
 				});
 		}),
-		token: writing(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
+		token: createWriteHandler(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: writing(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...wish}) => submitOperatorCommand(operation, {kind: 'moveWished', ...wish})),
-		drain: writing(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...asked})),
-		zoneDeclareLost: writing(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
+		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...wish}) => submitOperatorCommand(operation, {kind: 'moveWished', ...wish})),
+		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...asked})),
+		zoneDeclareLost: createWriteHandler(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
 				? submitOperatorCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
 				: err(failure(FailureKind.malformed, `"confirm" must read: ${declareLostConfirmation(zone)}`))),
