--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -137,7 +137,7 @@
 		};
 	}
 
-	function reading(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
+	function createReadHandler(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
 		return async request => {
 			const state = holder.state();
 			return authorize(request, state, allowAnyAuthority)
@@ -195,12 +195,12 @@
 			confirm === declareLostConfirmation(zone)
 				? submitOperatorCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
 				: err(failure(FailureKind.malformed, `"confirm" must read: ${declareLostConfirmation(zone)}`))),
-		configuration: reading('team', team => team, (state, team) => {
+		configuration: createReadHandler('team', team => team, (state, team) => {
 			const {revision, services} = subtreeOf(state.configuration, team);
 			return ok<ConfigurationAnswer, Failure>({team, revision, services});
 		}),
-		history: reading('team', team => team, (state, team) => ok<HistoryAnswer, Failure>({team, entries: subtreeOf(state.configuration, team).history})),
-		owners: reading('service', teamOf, (state, service) => contractOf(state.configuration, service) === undefined
+		history: createReadHandler('team', team => team, (state, team) => ok<HistoryAnswer, Failure>({team, entries: subtreeOf(state.configuration, team).history})),
+		owners: createReadHandler('service', teamOf, (state, service) => contractOf(state.configuration, service) === undefined
 			? err(failure(FailureKind.notFound, `there is no service ${service}`))
 			: ownersAnswer(state, service)),
 		async status(request) {
