--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -130,8 +130,8 @@
 		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): ApiHandler {
 		return async request => {
-			const known = authorize(request, holder.state(), allowAnyAuthority);
-			const read = known.andThen(() => parse(request.body));
+			const authenticated = authorize(request, holder.state(), allowAnyAuthority);
+			const read = authenticated.andThen(() => parse(request.body));
 			const allowed = read.andThen(body => authorize(request, holder.state(), permission(body)).map(() => body));
 			return allowed.isOk ? act(allowed.value, request) : err(allowed.error);
 		};
