--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -127,13 +127,13 @@
 	function createWriteHandler<Read>(
 		parse: (body: unknown) => Result<Read, Failure>,
 		permission: (read: Read) => Permission,
-		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
+		execute: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): ApiHandler {
 		return async request => {
 			const authenticated = authorize(request, holder.state(), allowAnyAuthority);
 			const read = authenticated.andThen(() => parse(request.body));
 			const allowed = read.andThen(body => authorize(request, holder.state(), permission(body)).map(() => body));
-			return allowed.isOk ? act(allowed.value, request) : err(allowed.error);
+			return allowed.isOk ? execute(allowed.value, request) : err(allowed.error);
 		};
 	}
 
