--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -189,7 +189,7 @@
 		token: createWriteHandler(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...wish}) => submitOperatorCommand(operation, {kind: 'moveWished', ...wish})),
+		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitOperatorCommand(operation, {kind: 'moveWished', ...request})),
 		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...asked})),
 		zoneDeclareLost: createWriteHandler(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
