--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -190,7 +190,7 @@
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
 		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitOperatorCommand(operation, {kind: 'moveWished', ...request})),
-		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...asked}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...asked})),
+		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...request})),
 		zoneDeclareLost: createWriteHandler(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
 				? submitOperatorCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
