--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -79,9 +79,9 @@
 
 function ownerAnswer(state: ControlState, assignment: Assignment, pinned: readonly PinnedKey[]): OwnerAnswer {
 	const key = pinned.find(({slot}) => slot === assignment.slot)?.key;
-	const named = key === undefined ? {} : {key};
+	const keyField = key === undefined ? {} : {key};
 	if (assignment.phase === AssignmentPhase.vacant) {
-		return {slot: assignment.slot, phase: assignment.phase, ...named};
+		return {slot: assignment.slot, phase: assignment.phase, ...keyField};
 	}
 
 	const zone = upstreamOf(state.membership, assignment.owner)?.zone;
@@ -91,7 +91,7 @@
 		upstream: assignment.owner.name,
 		incarnation: assignment.owner.incarnation,
 		fence: assignment.fence,
-		...named,
+		...keyField,
 		...(zone === undefined ? {} : {zone}),
 	};
 }
