--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -31,7 +31,7 @@
 import {startControl} from './control-runner.js';
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
-import {createOperatorApi, readMemberReport} from './operator-surface.js';
+import {createOperatorApi, parseMemberReport} from './operator-surface.js';
 import {startOwnVoter} from './own-voter.js';
 import {createPeerHandlers} from './peer-service.js';
 import {stopAsPlanned} from './planned-stop.js';
@@ -114,7 +114,7 @@
 		status: health.status,
 		async requestMemberReport(record) {
 			const answer = await clients.call(record.peerAddress, 'collect', 'member', memberMilliseconds);
-			return answer.isOk ? readMemberReport(answer.value) : undefined;
+			return answer.isOk ? parseMemberReport(answer.value) : undefined;
 		},
 		announce: createAnnouncementHandler({
 			holder,
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-surface.ts
@@ -37,7 +37,7 @@
 const memberReport = v.object({applied: revisionField, voter: v.boolean()});
 
 /** Parses the report of an instance, as JSON. Returns undefined if it is invalid, which is treated as no answer. */
-export function readMemberReport(text: string): MemberReport | undefined {
+export function parseMemberReport(text: string): MemberReport | undefined {
 	try {
 		const read = v.safeParse(memberReport, JSON.parse(text));
 		return read.success ? read.output : undefined;
