--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -19,21 +19,21 @@
 
 /** Starts to track the tables. */
 export function createOwnershipFigures(holder: ControlHolder): FiguresFollower {
-	const followed = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
+	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
 
 	holder.listen(({ownership, membership}) => {
 		const silenceOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
 		for (const table of Object.values(ownership.services)) {
-			const before = followed.get(table.service);
+			const before = tracked.get(table.service);
 			if (before?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
 				const seen = follow(before?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
-				followed.set(table.service, {table, seen});
+				tracked.set(table.service, {table, seen});
 			}
 		}
 	});
 
 	return {
-		take: () => [...followed.values()].map(({seen}) => figuresOf(seen, monotonicNow())),
+		take: () => [...tracked.values()].map(({seen}) => figuresOf(seen, monotonicNow())),
 	};
 }
