--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -24,10 +24,10 @@
 	holder.listen(({ownership, membership}) => {
 		const silenceOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
 		for (const table of Object.values(ownership.services)) {
-			const before = tracked.get(table.service);
-			if (before?.table !== table) {
+			const previous = tracked.get(table.service);
+			if (previous?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
-				const seen = follow(before?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
+				const seen = follow(previous?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
 				tracked.set(table.service, {table, seen});
 			}
 		}
