--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -13,12 +13,12 @@
 import {type ControlHolder} from './control-holder.js';
 
 /** Tracks the figures of all services since this process started. */
-export type FiguresFollower = {
+export type OwnershipFiguresTracker = {
 	readonly take: () => readonly OwnershipFigures[];
 };
 
 /** Starts to track the tables. */
-export function createOwnershipFigures(holder: ControlHolder): FiguresFollower {
+export function createOwnershipFigures(holder: ControlHolder): OwnershipFiguresTracker {
 	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
 
 	holder.listen(({ownership, membership}) => {
