--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -26,7 +26,7 @@
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type RequestReport} from '@dogwooddeck/upstream-client/request-path';
 import {type ControlHolder} from './control-holder.js';
-import {createOwnershipFigures} from './ownership-figures.js';
+import {createOwnershipFiguresTracker} from './ownership-figures.js';
 
 /** Counts the requests of this instance for the burn report. */
 export type BurnRunner = {
@@ -82,7 +82,7 @@
 	const file = dependencies.folder === undefined ? undefined : path.join(dependencies.folder, 'burn.jsonl');
 	const recorder = new BurnRecorder();
 	const loads = new LoadRecorder(monotonicNow());
-	const ownershipFigures = createOwnershipFigures(holder);
+	const ownershipFigures = createOwnershipFiguresTracker(holder);
 	if (dependencies.folder !== undefined) {
 		await mkdir(dependencies.folder, {recursive: true});
 	}
--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -18,7 +18,7 @@
 };
 
 /** Starts to track the tables. */
-export function createOwnershipFigures(holder: ControlHolder): OwnershipFiguresTracker {
+export function createOwnershipFiguresTracker(holder: ControlHolder): OwnershipFiguresTracker {
 	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
 
 	holder.listen(({ownership, membership}) => {
