--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -27,8 +27,8 @@
 			const previous = tracked.get(table.service);
 			if (previous?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
-				const seen = follow(previous?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
-				tracked.set(table.service, {table, seen});
+				const state = follow(previous?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
+				tracked.set(table.service, {table, seen: state});
 			}
 		}
 	});
