--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -19,7 +19,7 @@
 
 /** Starts to track the tables. */
 export function createOwnershipFiguresTracker(holder: ControlHolder): OwnershipFiguresTracker {
-	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
+	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly state: Followed}>();
 
 	holder.listen(({ownership, membership}) => {
 		const silenceOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
@@ -27,13 +27,13 @@
 			const previous = tracked.get(table.service);
 			if (previous?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
-				const state = follow(previous?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
-				tracked.set(table.service, {table, seen: state});
+				const state = follow(previous?.state ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
+				tracked.set(table.service, {table, state: state});
 			}
 		}
 	});
 
 	return {
-		take: () => [...tracked.values()].map(({seen}) => figuresOf(seen, monotonicNow())),
+		take: () => [...tracked.values()].map(({state: seen}) => figuresOf(seen, monotonicNow())),
 	};
 }
