--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -161,7 +161,7 @@
 					objectives.map(objective => ({...objective, service}))),
 				expected: [...new Set([name, ...members.map(member => member.name)])],
 				instances: [ownCounts(), ...answers.flatMap(answer => parseInstanceBurn(answer))],
-				figures: ownershipFigures.take(),
+				figures: ownershipFigures.list(),
 			};
 		},
 		async stop() {
--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -14,7 +14,7 @@
 
 /** Tracks the figures of all services since this process started. */
 export type OwnershipFiguresTracker = {
-	readonly take: () => readonly OwnershipFigures[];
+	readonly list: () => readonly OwnershipFigures[];
 };
 
 /** Starts to track the tables. */
@@ -34,6 +34,6 @@
 	});
 
 	return {
-		take: () => [...tracked.values()].map(({state: seen}) => figuresOf(seen, monotonicNow())),
+		list: () => [...tracked.values()].map(({state: seen}) => figuresOf(seen, monotonicNow())),
 	};
 }
