--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -22,12 +22,12 @@
 	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly state: Followed}>();
 
 	holder.listen(({ownership, membership}) => {
-		const silenceOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
+		const timeWithoutContactOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
 		for (const table of Object.values(ownership.services)) {
 			const previous = tracked.get(table.service);
 			if (previous?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
-				const state = follow(previous?.state ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
+				const state = follow(previous?.state ?? createFollowed(table.service), {table, slots, silenceOf: timeWithoutContactOf}, monotonicNow());
 				tracked.set(table.service, {table, state: state});
 			}
 		}
