--- a/packages/daemon/src/recent-holders.ts
+++ b/packages/daemon/src/recent-holders.ts
@@ -17,13 +17,13 @@
 
 /** Creates an empty record. */
 export function createRecentHolders(): RecentHolders {
-	const askers = new Map<InstanceName, {readonly instance: InstanceIdentity; readonly at: MonotonicTime}>();
+	const requests = new Map<InstanceName, {readonly instance: InstanceIdentity; readonly at: MonotonicTime}>();
 	return {
 		note(instance, now) {
-			askers.set(instance.name, {instance, at: now});
+			requests.set(instance.name, {instance, at: now});
 		},
 		list(now) {
-			const recent = [...askers.values()].filter(({at}) => now - at < holderMilliseconds);
+			const recent = [...requests.values()].filter(({at}) => now - at < holderMilliseconds);
 			return recent.map(({instance}) => ({name: instance.name, incarnation: instance.incarnation}));
 		},
 	};
