--- a/packages/daemon/src/recent-holders.ts
+++ b/packages/daemon/src/recent-holders.ts
@@ -8,7 +8,7 @@
 /** The instances that recently requested a lease. */
 export type RecentHolders = {
 	/** Records that an instance requested a lease. */
-	readonly note: (instance: InstanceIdentity, now: MonotonicTime) => void;
+	readonly record: (instance: InstanceIdentity, now: MonotonicTime) => void;
 	readonly list: (now: MonotonicTime) => readonly InstanceIdentity[];
 };
 
@@ -19,7 +19,7 @@
 export function createRecentHolders(): RecentHolders {
 	const requests = new Map<InstanceName, {readonly instance: InstanceIdentity; readonly at: MonotonicTime}>();
 	return {
-		note(instance, now) {
+		record(instance, now) {
 			requests.set(instance.name, {instance, at: now});
 		},
 		list(now) {
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -122,7 +122,7 @@
 		const limited = zoneLimits.answer(request.report, holder.state(), state.electedAt!, now);
 		zoneReports.merge(limited.report);
 		sharePost.put(limited.shares);
-		holders.note(request.instance, now);
+		holders.record(request.instance, now);
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
 			? err(failure(FailureKind.notReady, `${self.name} gives no lease now`))
