--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -36,7 +36,7 @@
 
 type Counts = {slots: Map<Slot, number>; keys: Map<string, number>; total: number};
 
-type Heard = {readonly announcement: Announcement; readonly at: MonotonicTime};
+type ReceivedAnnouncement = {readonly announcement: Announcement; readonly at: MonotonicTime};
 
 function announcementKey({service, name}: Announcement): string {
 	return `${service}\n${name}`;
@@ -70,8 +70,8 @@
 	takeDemands: () => readonly LimitDemand[],
 ): ReportCollector {
 	const services = new Map<ServiceName, Counts>();
-	const announcements = new Map<string, Heard>();
-	let passedOn = new Map<string, Heard>();
+	const announcements = new Map<string, ReceivedAnnouncement>();
+	let passedOn = new Map<string, ReceivedAnnouncement>();
 	let evidence: Array<Report['evidence'][number]> = [];
 	const demands = new Map<string, LimitDemand>();
 
