--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -165,9 +165,9 @@
 		giveBack(report) {
 			const now = monotonicNow();
 			for (const key of report.announcements.map(announcement => announcementKey(announcement))) {
-				const heard = passedOn.get(key);
-				if (heard !== undefined && now - heard.at < freshMilliseconds && !announcements.has(key)) {
-					announcements.set(key, heard);
+				const received = passedOn.get(key);
+				if (received !== undefined && now - received.at < freshMilliseconds && !announcements.has(key)) {
+					announcements.set(key, received);
 				}
 			}
 		},
