--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -71,7 +71,7 @@
 ): ReportCollector {
 	const services = new Map<ServiceName, Counts>();
 	const announcements = new Map<string, ReceivedAnnouncement>();
-	let passedOn = new Map<string, ReceivedAnnouncement>();
+	let sentAnnouncements = new Map<string, ReceivedAnnouncement>();
 	let evidence: Array<Report['evidence'][number]> = [];
 	const demands = new Map<string, LimitDemand>();
 
@@ -154,8 +154,8 @@
 				demands: [...demands.values()],
 			};
 			const now = monotonicNow();
-			const fresh = [...passedOn].filter(([, {at}]) => now - at < freshMilliseconds);
-			passedOn = new Map([...fresh, ...announcements]);
+			const fresh = [...sentAnnouncements].filter(([, {at}]) => now - at < freshMilliseconds);
+			sentAnnouncements = new Map([...fresh, ...announcements]);
 			services.clear();
 			announcements.clear();
 			demands.clear();
@@ -165,7 +165,7 @@
 		giveBack(report) {
 			const now = monotonicNow();
 			for (const key of report.announcements.map(announcement => announcementKey(announcement))) {
-				const received = passedOn.get(key);
+				const received = sentAnnouncements.get(key);
 				if (received !== undefined && now - received.at < freshMilliseconds && !announcements.has(key)) {
 					announcements.set(key, received);
 				}
