--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -26,7 +26,7 @@
 };
 
 /** Keys that are counted between two reports. When there are more, the half with the fewest requests is dropped. */
-const countedKeys = 4096;
+const maximumCountedKeys = 4096;
 /** Keys that are reported for each service. */
 const reportedKeys = 16;
 /** An announcement that is older than this isn't sent again: the upstream may have left since. */
@@ -47,7 +47,7 @@
 }
 
 function dropCoolest(counts: Map<string, number>): Map<string, number> {
-	const hottest = [...counts].sort(([, one], [, other]) => other - one).slice(0, countedKeys / 2);
+	const hottest = [...counts].sort(([, one], [, other]) => other - one).slice(0, maximumCountedKeys / 2);
 	return new Map(hottest);
 }
 
@@ -87,7 +87,7 @@
 
 	function countKey(counts: Counts, key: string, requests: number): void {
 		increase(counts.keys, key, requests);
-		if (counts.keys.size > countedKeys) {
+		if (counts.keys.size > maximumCountedKeys) {
 			counts.keys = dropCoolest(counts.keys);
 		}
 	}
