--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -28,7 +28,7 @@
 /** Keys that are counted between two reports. When there are more, the half with the fewest requests is dropped. */
 const maximumCountedKeys = 4096;
 /** Keys that are reported for each service. */
-const reportedKeys = 16;
+const maximumReportedKeys = 16;
 /** An announcement that is older than this isn't sent again: the upstream may have left since. */
 const freshMilliseconds: Milliseconds = 500;
 /** A key is reported if it received at least this share of its service's requests. */
@@ -55,7 +55,7 @@
 	return [...keys]
 		.filter(([, requests]) => requests >= total * reportedShare)
 		.sort(([, one], [, other]) => other - one)
-		.slice(0, reportedKeys)
+		.slice(0, maximumReportedKeys)
 		.map(([key, requests]) => ({service, key, requests}));
 }
 
