--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -32,7 +32,7 @@
 /** An announcement that is older than this isn't sent again: the upstream may have left since. */
 const freshMilliseconds: Milliseconds = 500;
 /** A key is reported if it received at least this share of its service's requests. */
-const reportedShare = 0.005;
+const minimumReportedShare = 0.005;
 
 type Counts = {slots: Map<Slot, number>; keys: Map<string, number>; total: number};
 
@@ -53,7 +53,7 @@
 
 function hotKeys(service: ServiceName, {keys, total}: Counts): readonly KeyLoad[] {
 	return [...keys]
-		.filter(([, requests]) => requests >= total * reportedShare)
+		.filter(([, requests]) => requests >= total * minimumReportedShare)
 		.sort(([, one], [, other]) => other - one)
 		.slice(0, maximumReportedKeys)
 		.map(([key, requests]) => ({service, key, requests}));
