--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -46,7 +46,7 @@
 	counts.set(key, (counts.get(key) ?? 0) + amount);
 }
 
-function dropCoolest(counts: Map<string, number>): Map<string, number> {
+function dropLeastRequested(counts: Map<string, number>): Map<string, number> {
 	const hottest = [...counts].sort(([, one], [, other]) => other - one).slice(0, maximumCountedKeys / 2);
 	return new Map(hottest);
 }
@@ -88,7 +88,7 @@
 	function countKey(counts: Counts, key: string, requests: number): void {
 		increase(counts.keys, key, requests);
 		if (counts.keys.size > maximumCountedKeys) {
-			counts.keys = dropCoolest(counts.keys);
+			counts.keys = dropLeastRequested(counts.keys);
 		}
 	}
 
