--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -47,8 +47,8 @@
 }
 
 function dropLeastRequested(counts: Map<string, number>): Map<string, number> {
-	const hottest = [...counts].sort(([, one], [, other]) => other - one).slice(0, maximumCountedKeys / 2);
-	return new Map(hottest);
+	const mostRequested = [...counts].sort(([, one], [, other]) => other - one).slice(0, maximumCountedKeys / 2);
+	return new Map(mostRequested);
 }
 
 function hotKeys(service: ServiceName, {keys, total}: Counts): readonly KeyLoad[] {
