--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -51,7 +51,7 @@
 	return new Map(mostRequested);
 }
 
-function hotKeys(service: ServiceName, {keys, total}: Counts): readonly KeyLoad[] {
+function mostRequestedKeys(service: ServiceName, {keys, total}: Counts): readonly KeyLoad[] {
 	return [...keys]
 		.filter(([, requests]) => requests >= total * minimumReportedShare)
 		.sort(([, one], [, other]) => other - one)
@@ -150,7 +150,7 @@
 				announcements: [...announcements.values()].map(({announcement}) => announcement),
 				evidence: [...evidence, ...own],
 				slotLoads: slotLoads(),
-				keyLoads: [...services].flatMap(([service, counts]) => hotKeys(service, counts)),
+				keyLoads: [...services].flatMap(([service, counts]) => mostRequestedKeys(service, counts)),
 				demands: [...demands.values()],
 			};
 			const now = monotonicNow();
