--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -94,8 +94,8 @@
 
 	function announced(announcement: Announcement): void {
 		const key = announcementKey(announcement);
-		const known = announcements.get(key)?.announcement;
-		if (known === undefined || known.incarnation <= announcement.incarnation) {
+		const existing = announcements.get(key)?.announcement;
+		if (existing === undefined || existing.incarnation <= announcement.incarnation) {
 			announcements.set(key, {announcement, at: monotonicNow()});
 		}
 	}
