--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -100,7 +100,7 @@
 		}
 	}
 
-	function demanded(demand: LimitDemand): void {
+	function recordDemand(demand: LimitDemand): void {
 		demands.set(demandKey(demand), demand);
 	}
 
@@ -134,7 +134,7 @@
 			}
 
 			for (const demand of report.demands) {
-				demanded(demand);
+				recordDemand(demand);
 			}
 
 			evidence.push(...report.evidence);
@@ -142,7 +142,7 @@
 		},
 		take() {
 			for (const demand of takeDemands()) {
-				demanded(demand);
+				recordDemand(demand);
 			}
 
 			const own = takeEvidence().map(item => ({...item, seenBy: self}));
