--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -145,10 +145,10 @@
 				recordDemand(demand);
 			}
 
-			const own = takeEvidence().map(item => ({...item, seenBy: self}));
+			const ownEvidence = takeEvidence().map(item => ({...item, seenBy: self}));
 			const report: Report = {
 				announcements: [...announcements.values()].map(({announcement}) => announcement),
-				evidence: [...evidence, ...own],
+				evidence: [...evidence, ...ownEvidence],
 				slotLoads: slotLoads(),
 				keyLoads: [...services].flatMap(([service, counts]) => mostRequestedKeys(service, counts)),
 				demands: [...demands.values()],
