--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -92,7 +92,7 @@
 		}
 	}
 
-	function announced(announcement: Announcement): void {
+	function recordAnnouncement(announcement: Announcement): void {
 		const key = announcementKey(announcement);
 		const existing = announcements.get(key)?.announcement;
 		if (existing === undefined || existing.incarnation <= announcement.incarnation) {
@@ -127,10 +127,10 @@
 			counts.total += 1;
 			countKey(counts, key, 1);
 		},
-		announced,
+		announced: recordAnnouncement,
 		merge(report) {
 			for (const announcement of report.announcements) {
-				announced(announcement);
+				recordAnnouncement(announcement);
 			}
 
 			for (const demand of report.demands) {
