--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -122,7 +122,7 @@
 			isStopping: () => stopping,
 			accept(announcement) {
 				measures.counter(MeasureName.announcements, {service: announcement.service}).value += 1;
-				ownReports.announced(announcement);
+				ownReports.recordAnnouncement(announcement);
 			},
 		}),
 		burn: async () => ok(await burn.input()),
--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -16,7 +16,7 @@
 	/** Counts a request for a slot. */
 	readonly requested: (service: ServiceName, slot: Slot, key: string) => void;
 	/** Records an announcement; the latest of each upstream is kept. */
-	readonly announced: (announcement: Announcement) => void;
+	readonly recordAnnouncement: (announcement: Announcement) => void;
 	/** Merges a report of another instance. */
 	readonly merge: (report: Report) => void;
 	/** Returns everything that was collected since the last call. */
@@ -127,7 +127,7 @@
 			counts.total += 1;
 			countKey(counts, key, 1);
 		},
-		announced: recordAnnouncement,
+		recordAnnouncement: recordAnnouncement,
 		merge(report) {
 			for (const announcement of report.announcements) {
 				recordAnnouncement(announcement);
--- a/packages/daemon/test/test-report-collector.ts
+++ b/packages/daemon/test/test-report-collector.ts
@@ -21,14 +21,14 @@
 	{
 		name: 'an announcement is reported once',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
 		},
 	},
 	{
 		name: 'an announcement of a report that did not arrive is reported again',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			now += 300;
 			collector.giveBack(report);
@@ -38,7 +38,7 @@
 	{
 		name: 'an announcement that is no longer fresh is not reported again, however often its report was restored',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			now += 300;
 			collector.giveBack(report);
@@ -51,9 +51,9 @@
 	{
 		name: 'a newer announcement replaces an older one',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
-			collector.announced(announcement('one', 2));
+			collector.recordAnnouncement(announcement('one', 2));
 			collector.giveBack(report);
 			assert.deepEqual(told(collector), ['one#2']);
 		},
