--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -14,7 +14,7 @@
 /** Collects the contents of the next report. Updated in place, since it counts every request. */
 export type ReportCollector = {
 	/** Counts a request for a slot. */
-	readonly requested: (service: ServiceName, slot: Slot, key: string) => void;
+	readonly recordRequest: (service: ServiceName, slot: Slot, key: string) => void;
 	/** Records an announcement; the latest of each upstream is kept. */
 	readonly recordAnnouncement: (announcement: Announcement) => void;
 	/** Merges a report of another instance. */
@@ -121,7 +121,7 @@
 	}
 
 	return {
-		requested(service, slot, key) {
+		recordRequest(service, slot, key) {
 			const counts = countsOf(service);
 			increase(counts.slots, slot, 1);
 			counts.total += 1;
--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -282,7 +282,7 @@
 		attemptStarted(request, owner, retry) {
 			budgets.set(owner.service, recordAttempt(budgetOf(request), {kind: retry ? 'retry' : 'first-attempt'}).state);
 			evidence.started(owner.upstream);
-			reports.requested(owner.service, owner.slot, request.key);
+			reports.recordRequest(owner.service, owner.slot, request.key);
 		},
 		attemptEnded(_request, owner, {seen, latencyMilliseconds}) {
 			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
