--- a/packages/daemon/src/lease-asker.ts
+++ b/packages/daemon/src/lease-asker.ts
@@ -83,7 +83,7 @@
 		if (answer.isOk) {
 			take(now, answer.value);
 		} else {
-			surroundings.ownReports.giveBack(report);
+			surroundings.ownReports.restore(report);
 		}
 
 		changed();
--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -22,7 +22,7 @@
 	/** Returns everything that was collected since the last call. */
 	readonly take: () => Report;
 	/** Restores a report that may not have arrived: its announcements that are still fresh are sent with the next report. */
-	readonly giveBack: (report: Report) => void;
+	readonly restore: (report: Report) => void;
 };
 
 /** Keys that are counted between two reports. When there are more, the half with the fewest requests is dropped. */
@@ -162,7 +162,7 @@
 			evidence = [];
 			return report;
 		},
-		giveBack(report) {
+		restore(report) {
 			const now = monotonicNow();
 			for (const key of report.announcements.map(announcement => announcementKey(announcement))) {
 				const received = sentAnnouncements.get(key);
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -74,7 +74,7 @@
 		const report = zoneReports.take();
 		const answer = await control.callLeader('delegate', {...request, report, holders: holders.list(sentAt)});
 		if (answer.isErr) {
-			zoneReports.giveBack(report);
+			zoneReports.restore(report);
 			return;
 		}
 
--- a/packages/daemon/test/test-report-collector.ts
+++ b/packages/daemon/test/test-report-collector.ts
@@ -31,7 +31,7 @@
 			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			now += 300;
-			collector.giveBack(report);
+			collector.restore(report);
 			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
 		},
 	},
@@ -41,10 +41,10 @@
 			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			now += 300;
-			collector.giveBack(report);
+			collector.restore(report);
 			const again = collector.take();
 			now += 300;
-			collector.giveBack(again);
+			collector.restore(again);
 			assert.deepEqual(told(collector), []);
 		},
 	},
@@ -54,7 +54,7 @@
 			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			collector.recordAnnouncement(announcement('one', 2));
-			collector.giveBack(report);
+			collector.restore(report);
 			assert.deepEqual(told(collector), ['one#2']);
 		},
 	},
