--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -163,7 +163,7 @@
 				burn.record(opened.target.contract, opened.idempotent, report);
 			}
 
-			requestMeasures.note(service, report);
+			requestMeasures.record(service, report);
 			if (report.failure !== undefined) {
 				log.event(EventName.requestFailed, {service, failure: report.failure.kind, outcome: report.outcome});
 			}
--- a/packages/daemon/src/request-measures.ts
+++ b/packages/daemon/src/request-measures.ts
@@ -10,7 +10,7 @@
 
 /** Records the metrics of completed requests. */
 export type RequestMeasures = {
-	readonly note: (service: ServiceName, report: RequestReport) => void;
+	readonly record: (service: ServiceName, report: RequestReport) => void;
 };
 
 type Series = {
@@ -34,7 +34,7 @@
 	}
 
 	return {
-		note(service, {outcome, status = 0, latencyMilliseconds}) {
+		record(service, {outcome, status = 0, latencyMilliseconds}) {
 			const {latencies, counters} = seriesOf(service);
 			const key = `${outcome}${status}`;
 			let counter = counters.get(key);
