--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -159,8 +159,8 @@
 		return made;
 	}
 
-	function budgetOf(opened: Opened): RetryBudget {
-		const {name, retry} = opened.target.contract;
+	function budgetOf(request: Opened): RetryBudget {
+		const {name, retry} = request.target.contract;
 		return budgets.get(name) ?? createRetryBudget(retry.budgetRatio);
 	}
 
