--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -164,7 +164,7 @@
 		return budgets.get(name) ?? createRetryBudget(retry.budgetRatio);
 	}
 
-	function opened(target: ServiceTarget, head: RequestHead, key: string, operationKey: string): Opened {
+	function createRequest(target: ServiceTarget, head: RequestHead, key: string, operationKey: string): Opened {
 		const {contract} = target;
 		const now = monotonicNow();
 		const policy = holder.state().ownership.policies[contract.name];
@@ -199,7 +199,7 @@
 		}
 
 		return operationKeyOf(head)
-			.map(operationKey => opened(target, head, key.value, operationKey))
+			.map(operationKey => createRequest(target, head, key.value, operationKey))
 			.andThen(request => request.deadline > surroundings.endsAt() ? err(notReady) : ok(request));
 	}
 
