--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -73,7 +73,7 @@
 	readonly claims: ClaimRunner;
 	readonly limiter: Limiter;
 	readonly hash: SlotHash;
-	readonly requestEnded: (service: ServiceName, opened: Opened | undefined, report: RequestReport) => void;
+	readonly requestEnded: (service: ServiceName, request: Opened | undefined, report: RequestReport) => void;
 };
 
 /** The retry delay of a request without an owner or a lease. */
