--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -40,7 +40,7 @@
 import {type ReportCollector} from './report-collector.js';
 
 /** A request whose head was parsed. */
-export type Opened = OpenedRequest & {
+export type ParsedRequest = OpenedRequest & {
 	readonly target: ServiceTarget;
 	readonly key: string;
 	readonly hashSlot: Slot;
@@ -73,7 +73,7 @@
 	readonly claims: ClaimRunner;
 	readonly limiter: Limiter;
 	readonly hash: SlotHash;
-	readonly requestEnded: (service: ServiceName, request: Opened | undefined, report: RequestReport) => void;
+	readonly requestEnded: (service: ServiceName, request: ParsedRequest | undefined, report: RequestReport) => void;
 };
 
 /** The retry delay of a request without an owner or a lease. */
@@ -125,7 +125,7 @@
 }
 
 /** Creates the request path of an instance. */
-export function createRequestPath(surroundings: PathSurroundings): RequestPath<Opened, Owner> {
+export function createRequestPath(surroundings: PathSurroundings): RequestPath<ParsedRequest, Owner> {
 	const {
 		holder, flights, evidence, reports, claims, limiter, hash,
 	} = surroundings;
@@ -159,12 +159,12 @@
 		return made;
 	}
 
-	function budgetOf(request: Opened): RetryBudget {
+	function budgetOf(request: ParsedRequest): RetryBudget {
 		const {name, retry} = request.target.contract;
 		return budgets.get(name) ?? createRetryBudget(retry.budgetRatio);
 	}
 
-	function createRequest(target: ServiceTarget, head: RequestHead, key: string, operationKey: string): Opened {
+	function createRequest(target: ServiceTarget, head: RequestHead, key: string, operationKey: string): ParsedRequest {
 		const {contract} = target;
 		const now = monotonicNow();
 		const policy = holder.state().ownership.policies[contract.name];
@@ -187,7 +187,7 @@
 		};
 	}
 
-	function open(head: RequestHead): Result<Opened, Failure> {
+	function open(head: RequestHead): Result<ParsedRequest, Failure> {
 		const target = matchService(index, head.path);
 		if (target === undefined) {
 			return err(failure(FailureKind.notFound, 'no service has this path'));
@@ -204,19 +204,19 @@
 	}
 
 	/** Charges only requests that have an owner: in a network partition, those for other zones' keys would use up what the zone may still use. */
-	function locate(request: Opened): Result<Owner, Failure> {
+	function locate(request: ParsedRequest): Result<Owner, Failure> {
 		const owner = findOwner(request);
 		return owner.isErr || request.isWithinLimits ? owner : charge(request, owner.value);
 	}
 
-	function charge(request: Opened, owner: Owner): Result<Owner, Failure> {
+	function charge(request: ParsedRequest, owner: Owner): Result<Owner, Failure> {
 		return limiter.admit(request.target.contract, request.head, request.idempotent).map(() => {
 			request.isWithinLimits = true;
 			return owner;
 		});
 	}
 
-	function findOwner(request: Opened): Result<Owner, Failure> {
+	function findOwner(request: ParsedRequest): Result<Owner, Failure> {
 		const state = holder.state();
 		const {contract} = request.target;
 		const assignments = state.ownership.services[contract.name];
@@ -255,7 +255,7 @@
 		});
 	}
 
-	function mayStartNow(request: Opened, owner: Owner): boolean {
+	function mayStartNow(request: ParsedRequest, owner: Owner): boolean {
 		const assignment = assignmentOf(holder.state().ownership, owner.service, owner.slot);
 		const now = monotonicNow();
 		if (assignment?.phase !== AssignmentPhase.granted || assignment.fence !== owner.fence || now >= request.deadline) {
