--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -60,7 +60,7 @@
 };
 
 /** The collaborators of the request path. */
-export type PathSurroundings = {
+export type RequestPathDependencies = {
 	readonly name: InstanceName;
 	readonly zone: ZoneName;
 	readonly holder: ControlHolder;
@@ -125,7 +125,7 @@
 }
 
 /** Creates the request path of an instance. */
-export function createRequestPath(surroundings: PathSurroundings): RequestPath<ParsedRequest, Owner> {
+export function createRequestPath(surroundings: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
 	const {
 		holder, flights, evidence, reports, claims, limiter, hash,
 	} = surroundings;
