--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -125,10 +125,10 @@
 }
 
 /** Creates the request path of an instance. */
-export function createRequestPath(surroundings: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
+export function createRequestPath(dependencies: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
 	const {
 		holder, flights, evidence, reports, claims, limiter, hash,
-	} = surroundings;
+	} = dependencies;
 	let index: TargetIndex = createTargetIndex([]);
 	let configuration: ControlState['configuration'] | undefined;
 	let sharing: Sharing = {instances: 1, position: 0};
@@ -140,7 +140,7 @@
 	}
 
 	function follow(state: ControlState): void {
-		sharing = sharingOf(state, surroundings.name);
+		sharing = sharingOf(state, dependencies.name);
 		if (state.configuration !== configuration) {
 			configuration = state.configuration;
 			index = createTargetIndex(contractsOf(configuration));
@@ -200,7 +200,7 @@
 
 		return operationKeyOf(head)
 			.map(operationKey => createRequest(target, head, key.value, operationKey))
-			.andThen(request => request.deadline > surroundings.endsAt() ? err(notReady) : ok(request));
+			.andThen(request => request.deadline > dependencies.endsAt() ? err(notReady) : ok(request));
 	}
 
 	/** Charges only requests that have an owner: in a network partition, those for other zones' keys would use up what the zone may still use. */
@@ -232,8 +232,8 @@
 			return err(noOwner);
 		}
 
-		const held = isHeld(policy, upstream.zone, surroundings.zone);
-		if (!mayStart(surroundings.lease(), monotonicNow(), assignment, held)) {
+		const held = isHeld(policy, upstream.zone, dependencies.zone);
+		if (!mayStart(dependencies.lease(), monotonicNow(), assignment, held)) {
 			return err(noLease);
 		}
 
@@ -263,7 +263,7 @@
 		}
 
 		const policy = holder.state().ownership.policies[owner.service];
-		if (policy === undefined || !mayStart(surroundings.lease(), now, assignment, isHeld(policy, owner.zone, surroundings.zone))) {
+		if (policy === undefined || !mayStart(dependencies.lease(), now, assignment, isHeld(policy, owner.zone, dependencies.zone))) {
 			return false;
 		}
 
@@ -300,7 +300,7 @@
 			}, decided);
 		},
 		requestEnded(request, report) {
-			surroundings.requestEnded(request?.target.contract.name ?? '', request, report);
+			dependencies.requestEnded(request?.target.contract.name ?? '', request, report);
 		},
 	};
 }
