--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -56,7 +56,7 @@
 	readonly upstream: UpstreamIdentity;
 	readonly zone: ZoneName;
 	/** Set when the first byte may be sent. */
-	flight: InFlightRequests | undefined;
+	inFlightRequest: InFlightRequests | undefined;
 };
 
 /** The collaborators of the request path. */
@@ -267,7 +267,7 @@
 			return false;
 		}
 
-		owner.flight = flights.start(owner.service, owner.slot, owner.fence, now, request.deadline);
+		owner.inFlightRequest = flights.start(owner.service, owner.slot, owner.fence, now, request.deadline);
 		return true;
 	}
 
@@ -286,10 +286,10 @@
 		},
 		attemptEnded(_request, owner, {seen, latencyMilliseconds}) {
 			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
-			if (owner.flight !== undefined) {
+			if (owner.inFlightRequest !== undefined) {
 				const isOver = observationRules[seen].outcome !== Outcome.unknown;
-				(isOver ? flights.end : flights.abandon)(owner.flight);
-				owner.flight = undefined;
+				(isOver ? flights.end : flights.abandon)(owner.inFlightRequest);
+				owner.inFlightRequest = undefined;
 			}
 		},
 		claim(request, body, decided) {
