--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -146,7 +146,7 @@
 		holder,
 		lease: zone.lease,
 		endsAt: () => callersEndAt,
-		flights,
+		inFlightRequests: flights,
 		evidence: {
 			...evidence,
 			started(upstream) {
--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -67,7 +67,7 @@
 	readonly lease: () => LeaseState;
 	/** When requests in flight are terminated; infinite unless the instance is stopping. */
 	readonly endsAt: () => MonotonicTime;
-	readonly flights: InFlightTracker;
+	readonly inFlightRequests: InFlightTracker;
 	readonly evidence: EvidenceRecorder;
 	readonly reports: ReportCollector;
 	readonly claims: ClaimRunner;
@@ -127,7 +127,7 @@
 /** Creates the request path of an instance. */
 export function createRequestPath(dependencies: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
 	const {
-		holder, flights, evidence, reports, claims, limiter, hash,
+		holder, inFlightRequests: flights, evidence, reports, claims, limiter, hash,
 	} = dependencies;
 	let index: TargetIndex = createTargetIndex([]);
 	let configuration: ControlState['configuration'] | undefined;
