--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -127,7 +127,7 @@
 /** Creates the request path of an instance. */
 export function createRequestPath(dependencies: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
 	const {
-		holder, inFlightRequests: flights, evidence, reports, claims, limiter, hash,
+		holder, inFlightRequests: inFlightRequests, evidence, reports, claims, limiter, hash,
 	} = dependencies;
 	let index: TargetIndex = createTargetIndex([]);
 	let configuration: ControlState['configuration'] | undefined;
@@ -267,7 +267,7 @@
 			return false;
 		}
 
-		owner.inFlightRequest = flights.start(owner.service, owner.slot, owner.fence, now, request.deadline);
+		owner.inFlightRequest = inFlightRequests.start(owner.service, owner.slot, owner.fence, now, request.deadline);
 		return true;
 	}
 
@@ -288,7 +288,7 @@
 			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
 			if (owner.inFlightRequest !== undefined) {
 				const isOver = observationRules[seen].outcome !== Outcome.unknown;
-				(isOver ? flights.end : flights.abandon)(owner.inFlightRequest);
+				(isOver ? inFlightRequests.end : inFlightRequests.abandon)(owner.inFlightRequest);
 				owner.inFlightRequest = undefined;
 			}
 		},
