--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -83,7 +83,7 @@
 const claimMarginMilliseconds: Milliseconds = 500;
 const longestOperationKey = 256;
 
-const endOfSeen: Readonly<Record<AttemptObservation, AttemptEnd>> = {
+const attemptEnds: Readonly<Record<AttemptObservation, AttemptEnd>> = {
 	[AttemptObservation.refusedConnection]: AttemptEnd.failed,
 	[AttemptObservation.closedBeforeFirstByte]: AttemptEnd.failed,
 	[AttemptObservation.closedAfterFirstByte]: AttemptEnd.failed,
@@ -285,7 +285,7 @@
 			reports.recordRequest(owner.service, owner.slot, request.key);
 		},
 		attemptEnded(_request, owner, {seen, latencyMilliseconds}) {
-			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
+			evidence.ended(owner.upstream, attemptEnds[seen], latencyMilliseconds);
 			if (owner.inFlightRequest !== undefined) {
 				const isOver = observationRules[seen].outcome !== Outcome.unknown;
 				(isOver ? inFlightRequests.end : inFlightRequests.abandon)(owner.inFlightRequest);
