--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -81,7 +81,7 @@
 const queueLength = 1000;
 /** Added to the lifetime of a claimed operation, so that whatever a frozen socket still holds is past its deadline. */
 const claimMarginMilliseconds: Milliseconds = 500;
-const longestOperationKey = 256;
+const maximumOperationKeyLength = 256;
 
 const attemptEnds: Readonly<Record<AttemptObservation, AttemptEnd>> = {
 	[AttemptObservation.refusedConnection]: AttemptEnd.failed,
@@ -111,9 +111,9 @@
 		return ok('');
 	}
 
-	return typeof value === 'string' && value.length > 0 && value.length <= longestOperationKey
+	return typeof value === 'string' && value.length > 0 && value.length <= maximumOperationKeyLength
 		? ok(value)
-		: err(failure(FailureKind.malformed, `${HeaderName.idempotencyKey} must be one value of 1 to ${longestOperationKey} characters`));
+		: err(failure(FailureKind.malformed, `${HeaderName.idempotencyKey} must be one value of 1 to ${maximumOperationKeyLength} characters`));
 }
 
 /** The number of instances that share the connections and slots of upstreams, and the position of this one among them. */
