--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -78,7 +78,7 @@
 
 /** The retry delay of a request without an owner or a lease. */
 const ownerRetryMilliseconds: Milliseconds = 25;
-const queueLength = 1000;
+const maximumQueueLength = 1000;
 /** Added to the lifetime of a claimed operation, so that whatever a frozen socket still holds is past its deadline. */
 const claimMarginMilliseconds: Milliseconds = 500;
 const maximumOperationKeyLength = 256;
@@ -136,7 +136,7 @@
 	const budgets = new Map<ServiceName, RetryBudget>();
 
 	function boundsOf(slots: number) {
-		return {slots, instances: sharing.instances, queueLength};
+		return {slots, instances: sharing.instances, queueLength: maximumQueueLength};
 	}
 
 	function follow(state: ControlState): void {
