--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -139,7 +139,7 @@
 		return {slots, instances: sharing.instances, queueLength: maximumQueueLength};
 	}
 
-	function follow(state: ControlState): void {
+	function applyState(state: ControlState): void {
 		sharing = sharingOf(state, dependencies.name);
 		if (state.configuration !== configuration) {
 			configuration = state.configuration;
@@ -271,7 +271,7 @@
 		return true;
 	}
 
-	holder.listen(follow);
+	holder.listen(applyState);
 
 	return {
 		now: monotonicNow,
