--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -148,10 +148,10 @@
 	}
 
 	function admissionOf(address: string, slots: number): Admission {
-		const known = admissions.get(address);
-		if (known !== undefined) {
-			known.updateBounds(boundsOf(slots));
-			return known;
+		const existing = admissions.get(address);
+		if (existing !== undefined) {
+			existing.updateBounds(boundsOf(slots));
+			return existing;
 		}
 
 		const made = createAdmission(boundsOf(slots));
