--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -154,9 +154,9 @@
 			return existing;
 		}
 
-		const made = createAdmission(boundsOf(slots));
-		admissions.set(address, made);
-		return made;
+		const created = createAdmission(boundsOf(slots));
+		admissions.set(address, created);
+		return created;
 	}
 
 	function budgetOf(request: ParsedRequest): RetryBudget {
