--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -169,7 +169,7 @@
 		const now = monotonicNow();
 		const policy = holder.state().ownership.policies[contract.name];
 		const treatment = routeOf(target, head.method, head.path);
-		const longest = policy === undefined ? contract.longestDeadlineMilliseconds : longestRequestDeadline(policy);
+		const maximumDuration = policy === undefined ? contract.longestDeadlineMilliseconds : longestRequestDeadline(policy);
 		return {
 			target,
 			key,
@@ -177,7 +177,7 @@
 			operationKey,
 			head,
 			isWithinLimits: false,
-			deadline: Math.min(deadlineOf(contract, head, now), now + longest),
+			deadline: Math.min(deadlineOf(contract, head, now), now + maximumDuration),
 			idempotent: treatment.idempotent,
 			importance: treatment.importance,
 			retry: contract.retry,
