--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -168,7 +168,7 @@
 		const {contract} = target;
 		const now = monotonicNow();
 		const policy = holder.state().ownership.policies[contract.name];
-		const treatment = routeOf(target, head.method, head.path);
+		const route = routeOf(target, head.method, head.path);
 		const maximumDuration = policy === undefined ? contract.longestDeadlineMilliseconds : longestRequestDeadline(policy);
 		return {
 			target,
@@ -178,12 +178,12 @@
 			head,
 			isWithinLimits: false,
 			deadline: Math.min(deadlineOf(contract, head, now), now + maximumDuration),
-			idempotent: treatment.idempotent,
-			importance: treatment.importance,
+			idempotent: route.idempotent,
+			importance: route.importance,
 			retry: contract.retry,
 			largestBodyBytes: contract.largestBodyBytes,
 			notRunStatuses: contract.upstream.notRunStatuses,
-			claims: operationKey !== '' && !treatment.idempotent,
+			claims: operationKey !== '' && !route.idempotent,
 		};
 	}
 
