--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -287,8 +287,8 @@
 		attemptEnded(_request, owner, {seen, latencyMilliseconds}) {
 			evidence.ended(owner.upstream, attemptEnds[seen], latencyMilliseconds);
 			if (owner.inFlightRequest !== undefined) {
-				const isOver = observationRules[seen].outcome !== Outcome.unknown;
-				(isOver ? inFlightRequests.end : inFlightRequests.abandon)(owner.inFlightRequest);
+				const isDefinite = observationRules[seen].outcome !== Outcome.unknown;
+				(isDefinite ? inFlightRequests.end : inFlightRequests.abandon)(owner.inFlightRequest);
 				owner.inFlightRequest = undefined;
 			}
 		},
