--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -129,7 +129,7 @@
 	const {
 		holder, inFlightRequests: inFlightRequests, evidence, reports, claims, limiter, hash,
 	} = dependencies;
-	let index: TargetIndex = createTargetIndex([]);
+	let targetIndex: TargetIndex = createTargetIndex([]);
 	let configuration: ControlState['configuration'] | undefined;
 	let sharing: Sharing = {instances: 1, position: 0};
 	const admissions = new Map<string, Admission>();
@@ -143,7 +143,7 @@
 		sharing = sharingOf(state, dependencies.name);
 		if (state.configuration !== configuration) {
 			configuration = state.configuration;
-			index = createTargetIndex(contractsOf(configuration));
+			targetIndex = createTargetIndex(contractsOf(configuration));
 		}
 	}
 
@@ -188,7 +188,7 @@
 	}
 
 	function open(head: RequestHead): Result<ParsedRequest, Failure> {
-		const target = matchService(index, head.path);
+		const target = matchService(targetIndex, head.path);
 		if (target === undefined) {
 			return err(failure(FailureKind.notFound, 'no service has this path'));
 		}
