--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -120,8 +120,8 @@
 type Sharing = {readonly instances: number; readonly position: number};
 
 function sharingOf(state: ControlState, name: InstanceName): Sharing {
-	const names = seatedInstances(state.ownership).map(member => member.name).sort();
-	return {instances: Math.max(1, names.length), position: Math.max(0, names.indexOf(name))};
+	const sortedNames = seatedInstances(state.ownership).map(member => member.name).sort();
+	return {instances: Math.max(1, sortedNames.length), position: Math.max(0, sortedNames.indexOf(name))};
 }
 
 /** Creates the request path of an instance. */
