--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -6,7 +6,7 @@
 import {type LimitShare} from '@dogwooddeck/model/share';
 
 /** The queued shares of all holders. */
-export type SharePost = {
+export type ShareOutbox = {
 	/** Queues each share for its holder. */
 	readonly put: (shares: readonly LimitShare[]) => void;
 	/** Removes and returns the shares that are queued for an instance. */
@@ -17,7 +17,7 @@
 const sharesAtMost = 4096;
 
 /** Creates an empty outbox. */
-export function createSharePost(): SharePost {
+export function createSharePost(): ShareOutbox {
 	const waitingShares = new Map<string, readonly LimitShare[]>();
 	return {
 		put(shares) {
