--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -17,7 +17,7 @@
 const sharesAtMost = 4096;
 
 /** Creates an empty outbox. */
-export function createSharePost(): ShareOutbox {
+export function createShareOutbox(): ShareOutbox {
 	const waitingShares = new Map<string, readonly LimitShare[]>();
 	return {
 		put(shares) {
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -20,7 +20,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, ok, type Result} from 'true-myth/result';
 import {createRecentHolders} from './recent-holders.js';
-import {createSharePost} from './share-post.js';
+import {createShareOutbox} from './share-post.js';
 import {createZoneLimits} from './zone-limits.js';
 import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
@@ -57,7 +57,7 @@
 export function createStewardRunner(surroundings: ZoneSurroundings, zone: ZoneView, changed: () => void): StewardRunner {
 	const {self, terms, holder, control, clients, zoneReports} = surroundings;
 	const holders = createRecentHolders();
-	const sharePost = createSharePost();
+	const sharePost = createShareOutbox();
 	const zoneLimits = createZoneLimits(self.zone);
 	let state: StewardState = createSteward(self, monotonicNow(), terms);
 
