--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -8,7 +8,7 @@
 /** The queued shares of all holders. */
 export type ShareOutbox = {
 	/** Queues each share for its holder. */
-	readonly put: (shares: readonly LimitShare[]) => void;
+	readonly enqueue: (shares: readonly LimitShare[]) => void;
 	/** Removes and returns the shares that are queued for an instance. */
 	readonly take: (instance: InstanceIdentity) => readonly LimitShare[];
 };
@@ -20,7 +20,7 @@
 export function createShareOutbox(): ShareOutbox {
 	const waitingShares = new Map<string, readonly LimitShare[]>();
 	return {
-		put(shares) {
+		enqueue(shares) {
 			for (const share of shares) {
 				const waiting = waitingShares.get(share.holder) ?? [];
 				waitingShares.set(share.holder, [...waiting, share].slice(-sharesAtMost));
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -79,7 +79,7 @@
 		}
 
 		holder.catchUp(answer.value.catchUp);
-		sharePost.put(answer.value.answer.shares);
+		sharePost.enqueue(answer.value.answer.shares);
 		step({
 			kind: 'delegationAnswered', now: monotonicNow(), sentAt, applied: request.applied, answer: answer.value.answer,
 		});
@@ -121,7 +121,7 @@
 
 		const limited = zoneLimits.answer(request.report, holder.state(), state.electedAt!, now);
 		zoneReports.merge(limited.report);
-		sharePost.put(limited.shares);
+		sharePost.enqueue(limited.shares);
 		holders.record(request.instance, now);
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
