--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -14,7 +14,7 @@
 };
 
 /** The maximum number of shares that are queued for an instance; the oldest are dropped. */
-const sharesAtMost = 4096;
+const maximumSharesPerHolder = 4096;
 
 /** Creates an empty outbox. */
 export function createShareOutbox(): ShareOutbox {
@@ -23,7 +23,7 @@
 		enqueue(shares) {
 			for (const share of shares) {
 				const waiting = waitingShares.get(share.holder) ?? [];
-				waitingShares.set(share.holder, [...waiting, share].slice(-sharesAtMost));
+				waitingShares.set(share.holder, [...waiting, share].slice(-maximumSharesPerHolder));
 			}
 		},
 		take(instance) {
