--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -18,18 +18,18 @@
 
 /** Creates an empty outbox. */
 export function createShareOutbox(): ShareOutbox {
-	const waitingShares = new Map<string, readonly LimitShare[]>();
+	const sharesByHolder = new Map<string, readonly LimitShare[]>();
 	return {
 		enqueue(shares) {
 			for (const share of shares) {
-				const waiting = waitingShares.get(share.holder) ?? [];
-				waitingShares.set(share.holder, [...waiting, share].slice(-maximumSharesPerHolder));
+				const waiting = sharesByHolder.get(share.holder) ?? [];
+				sharesByHolder.set(share.holder, [...waiting, share].slice(-maximumSharesPerHolder));
 			}
 		},
 		take(instance) {
 			const holder = incarnationKey(instance);
-			const shares = waitingShares.get(holder) ?? [];
-			waitingShares.delete(holder);
+			const shares = sharesByHolder.get(holder) ?? [];
+			sharesByHolder.delete(holder);
 			return shares;
 		},
 	};
