--- a/packages/daemon/src/share-post.ts
+++ b/packages/daemon/src/share-post.ts
@@ -22,8 +22,8 @@
 	return {
 		enqueue(shares) {
 			for (const share of shares) {
-				const waiting = sharesByHolder.get(share.holder) ?? [];
-				sharesByHolder.set(share.holder, [...waiting, share].slice(-maximumSharesPerHolder));
+				const queued = sharesByHolder.get(share.holder) ?? [];
+				sharesByHolder.set(share.holder, [...queued, share].slice(-maximumSharesPerHolder));
 			}
 		},
 		take(instance) {
