--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -39,7 +39,7 @@
 import {createRequestMeasures} from './request-measures.js';
 import {createRequestPath} from './request-path.js';
 import {type InstanceSettings, isVoter} from './settings.js';
-import {taken} from './taken.js';
+import {unwrapOrThrow} from './taken.js';
 import {startZone, type ZoneRunner} from './zone-runner.js';
 
 /** An instance that runs. */
@@ -170,7 +170,7 @@
 		},
 	});
 
-	const peers: PeerServer = taken(await startPeerServer(settings.addresses.peers, settings.keys.peer, createPeerHandlers({
+	const peers: PeerServer = unwrapOrThrow(await startPeerServer(settings.addresses.peers, settings.keys.peer, createPeerHandlers({
 		ownZone: self.zone,
 		holder,
 		control,
@@ -184,8 +184,8 @@
 			[ClaimSubject.view]: () => JSON.stringify(claims.view() ?? null),
 		},
 	})));
-	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, surface, health));
-	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
+	const operators: FrontServer = unwrapOrThrow(await startOperatorServer(settings.addresses.operators, surface, health));
+	const callers: FrontServer = unwrapOrThrow(await startCallerServer(settings.addresses.callers, createCallerHandler(client, path, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startOwnVoter({
 			settings, self: identity, holder, control, clients, log, failed,
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -16,7 +16,7 @@
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
 import {type InstanceSettings} from './settings.js';
-import {taken} from './taken.js';
+import {unwrapOrThrow} from './taken.js';
 
 /** What the voter works with. */
 export type OwnVoterSurroundings = {
@@ -54,9 +54,9 @@
  */
 export async function startOwnVoter(surroundings: OwnVoterSurroundings): Promise<ControlVoter> {
 	const {settings, self, holder, control, log, failed} = surroundings;
-	const folder = taken(await openFolder(settings.control.dataFolder!));
+	const folder = unwrapOrThrow(await openFolder(settings.control.dataFolder!));
 	if (folder.saved.snapshot !== undefined) {
-		taken(holder.restore(folder.saved.snapshot.index, folder.saved.snapshot.data));
+		unwrapOrThrow(holder.restore(folder.saved.snapshot.index, folder.saved.snapshot.data));
 	}
 
 	const identity = {name: settings.name, folder: folder.folderIdentity};
--- a/packages/daemon/src/taken.ts
+++ b/packages/daemon/src/taken.ts
@@ -6,7 +6,7 @@
 import {type Result} from 'true-myth/result';
 
 /** Returns the value of a result. Throws a `FailureError` if the result is a failure. */
-export function taken<Value>(result: Result<Value, Failure>): Value {
+export function unwrapOrThrow<Value>(result: Result<Value, Failure>): Value {
 	if (result.isErr) {
 		throw new FailureError(result.error);
 	}
