--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -28,7 +28,7 @@
 	let noted: ControlState['configuration'] | undefined;
 	const partOf: PartOfLimit = (contract, contracted, limit) => zonePart(contract, contracted, limit, zone);
 
-	function begin(electedAt: MonotonicTime): void {
+	function startTenure(electedAt: MonotonicTime): void {
 		if (sharing.startedAt !== electedAt) {
 			sharing = createZoneSharing(electedAt);
 			noted = undefined;
@@ -44,7 +44,7 @@
 
 	return {
 		answer(report, control, electedAt, now) {
-			begin(electedAt);
+			startTenure(electedAt);
 			note(control, now);
 			const demanded = report.demands.filter(({divider}) => divider === Divider.zone)
 				.map(demand => ({demand, part: demandedPart(control, demand, partOf)}));
