--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -35,7 +35,7 @@
 		}
 	}
 
-	function note(control: ControlState, now: MonotonicTime): void {
+	function updateConfiguration(control: ControlState, now: MonotonicTime): void {
 		if (noted !== control.configuration) {
 			noted = control.configuration;
 			sharing = updateParts(sharing, allParts(control, partOf), now);
@@ -45,7 +45,7 @@
 	return {
 		answer(report, control, electedAt, now) {
 			startTenure(electedAt);
-			note(control, now);
+			updateConfiguration(control, now);
 			const demanded = report.demands.filter(({divider}) => divider === Divider.zone)
 				.map(demand => ({demand, part: demandedPart(control, demand, partOf)}));
 			const members = control.ownership.rosters[zone]?.members.length ?? 0;
