--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -25,19 +25,19 @@
 /** Creates the distribution of a zone's steward. */
 export function createZoneLimits(zone: ZoneName): ZoneLimits {
 	let sharing: SharingState = createZoneSharing(-Infinity);
-	let noted: ControlState['configuration'] | undefined;
+	let lastConfiguration: ControlState['configuration'] | undefined;
 	const partOf: PartOfLimit = (contract, contracted, limit) => zonePart(contract, contracted, limit, zone);
 
 	function startTenure(electedAt: MonotonicTime): void {
 		if (sharing.startedAt !== electedAt) {
 			sharing = createZoneSharing(electedAt);
-			noted = undefined;
+			lastConfiguration = undefined;
 		}
 	}
 
 	function updateConfiguration(control: ControlState, now: MonotonicTime): void {
-		if (noted !== control.configuration) {
-			noted = control.configuration;
+		if (lastConfiguration !== control.configuration) {
+			lastConfiguration = control.configuration;
 			sharing = updateParts(sharing, allParts(control, partOf), now);
 		}
 	}
