--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -46,10 +46,10 @@
 		answer(report, control, electedAt, now) {
 			startTenure(electedAt);
 			updateConfiguration(control, now);
-			const demanded = report.demands.filter(({divider}) => divider === Divider.zone)
+			const zoneDemands = report.demands.filter(({divider}) => divider === Divider.zone)
 				.map(demand => ({demand, part: demandedPart(control, demand, partOf)}));
 			const members = control.ownership.rosters[zone]?.members.length ?? 0;
-			const answered = grantLimitShares(sharing, demanded, members, now);
+			const answered = grantLimitShares(sharing, zoneDemands, members, now);
 			sharing = answered.state;
 			const passedOn = report.demands.filter(({divider}) => divider === Divider.control);
 			return {report: {...report, demands: passedOn}, shares: answered.shares};
