--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -49,10 +49,10 @@
 			const zoneDemands = report.demands.filter(({divider}) => divider === Divider.zone)
 				.map(demand => ({demand, part: demandedPart(control, demand, partOf)}));
 			const members = control.ownership.rosters[zone]?.members.length ?? 0;
-			const answered = grantLimitShares(sharing, zoneDemands, members, now);
-			sharing = answered.state;
+			const granted = grantLimitShares(sharing, zoneDemands, members, now);
+			sharing = granted.state;
 			const passedOn = report.demands.filter(({divider}) => divider === Divider.control);
-			return {report: {...report, demands: passedOn}, shares: answered.shares};
+			return {report: {...report, demands: passedOn}, shares: granted.shares};
 		},
 	};
 }
