--- a/packages/daemon/src/zone-limits.ts
+++ b/packages/daemon/src/zone-limits.ts
@@ -51,8 +51,8 @@
 			const members = control.ownership.rosters[zone]?.members.length ?? 0;
 			const granted = grantLimitShares(sharing, zoneDemands, members, now);
 			sharing = granted.state;
-			const passedOn = report.demands.filter(({divider}) => divider === Divider.control);
-			return {report: {...report, demands: passedOn}, shares: granted.shares};
+			const controlDemands = report.demands.filter(({divider}) => divider === Divider.control);
+			return {report: {...report, demands: controlDemands}, shares: granted.shares};
 		},
 	};
 }
