--- a/packages/daemon/test/sliding-window.ts
+++ b/packages/daemon/test/sliding-window.ts
@@ -2,7 +2,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** The maximum number of times within any interval of the given length. The times are in ascending order. */
-export function mostInSliding(times: readonly MonotonicTime[], stretch: Milliseconds): number {
+export function maximumInSlidingWindow(times: readonly MonotonicTime[], stretch: Milliseconds): number {
 	let first = 0;
 	let most = 0;
 	for (const [position, at] of times.entries()) {
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -20,7 +20,7 @@
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {createZoneLimits} from '../src/zone-limits.js';
 import {limitedContract} from './limited-contract.js';
-import {mostInSliding} from './sliding-window.js';
+import {maximumInSlidingWindow} from './sliding-window.js';
 import {type MailFaults, SlowMail} from './slow-mail.js';
 
 const amount = 200;
@@ -201,7 +201,7 @@
 }
 
 const mostInWindow: Readonly<Record<WindowForm, MostInWindow>> = {
-	[WindowForm.sliding]: (times, burst) => mostInSliding(times, windowMilliseconds * burst),
+	[WindowForm.sliding]: (times, burst) => maximumInSlidingWindow(times, windowMilliseconds * burst),
 	[WindowForm.fixed]: mostInFixed,
 };
 
@@ -283,7 +283,7 @@
 function usedInCut(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
 	const [from, to] = [start + longCut.from + afterShares, start + longCut.to];
 	const inCut = admitted.filter(({at, zone}) => zone === longCut.zone && at >= from && at < to);
-	return {most: mostInSliding(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
+	return {most: maximumInSlidingWindow(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
 function checkCut(context: TestContext, admitted: readonly Admitted[], start: number): void {
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -13,7 +13,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {limitedContract} from './limited-contract.js';
-import {mostInSliding} from './sliding-window.js';
+import {maximumInSlidingWindow} from './sliding-window.js';
 import {type MailFaults, SlowMail} from './slow-mail.js';
 
 const amount = 200;
@@ -206,7 +206,7 @@
 				const deployment = new Instances(seed + run, faults);
 				deployment.play();
 				const {admitted} = deployment;
-				const most = mostInSliding(admitted, windowMilliseconds);
+				const most = maximumInSlidingWindow(admitted, windowMilliseconds);
 				assert.ok(admitted.length > amount && most <= amount, `${most} of ${amount} in one window, seed ${seed + run}`);
 			});
 		}
