--- a/packages/daemon/test/sliding-window.ts
+++ b/packages/daemon/test/sliding-window.ts
@@ -2,11 +2,11 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** The maximum number of times within any interval of the given length. The times are in ascending order. */
-export function maximumInSlidingWindow(times: readonly MonotonicTime[], stretch: Milliseconds): number {
+export function maximumInSlidingWindow(times: readonly MonotonicTime[], windowLength: Milliseconds): number {
 	let first = 0;
 	let most = 0;
 	for (const [position, at] of times.entries()) {
-		while (times[first]! <= at - stretch) {
+		while (times[first]! <= at - windowLength) {
 			first++;
 		}
 
