--- a/packages/daemon/test/slow-mail.ts
+++ b/packages/daemon/test/slow-mail.ts
@@ -12,7 +12,7 @@
 type Message = {readonly at: MonotonicTime; readonly take: () => void};
 
 /** Messages in flight. `pick` returns an integer from 0 to below its argument. */
-export class SlowMail {
+export class SimulatedNetwork {
 	readonly #faults: MailFaults;
 	readonly #pick: (below: number) => number;
 	#messages: Message[] = [];
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -21,7 +21,7 @@
 import {createZoneLimits} from '../src/zone-limits.js';
 import {limitedContract} from './limited-contract.js';
 import {maximumInSlidingWindow} from './sliding-window.js';
-import {type MailFaults, SlowMail} from './slow-mail.js';
+import {type MailFaults, SimulatedNetwork} from './slow-mail.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
@@ -76,7 +76,7 @@
 	readonly #start = now;
 	readonly #schedule: Schedule;
 	readonly #pick: (below: number) => number;
-	readonly #mail: SlowMail;
+	readonly #mail: SimulatedNetwork;
 	readonly #controls: ReadonlyArray<{readonly at: number; readonly control: ControlState}>;
 	readonly #places: readonly Place[];
 	readonly #stewards = new Map(zones.map(zone => [zone, {limits: createZoneLimits(zone), electedAt: now, learnsAfter: 0}]));
@@ -86,7 +86,7 @@
 		const random = xoroshiro128plus(seed);
 		this.#pick = below => uniformInt(random, 0, below - 1);
 		this.#schedule = schedule;
-		this.#mail = new SlowMail(schedule, this.#pick);
+		this.#mail = new SimulatedNetwork(schedule, this.#pick);
 		const unit = {intervalMilliseconds: windowMilliseconds, ...schedule.unit};
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
 			({at, control: controlWith(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -14,7 +14,7 @@
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {limitedContract} from './limited-contract.js';
 import {maximumInSlidingWindow} from './sliding-window.js';
-import {type MailFaults, SlowMail} from './slow-mail.js';
+import {type MailFaults, SimulatedNetwork} from './slow-mail.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
@@ -134,14 +134,14 @@
 	readonly #start = now;
 	readonly #faults: Faults;
 	readonly #pick: (below: number) => number;
-	readonly #mail: SlowMail;
+	readonly #mail: SimulatedNetwork;
 	#sharing: SharingState = createSharing(now, []);
 
 	constructor(seed: number, faults: Faults) {
 		const random = xoroshiro128plus(seed);
 		this.#pick = below => uniformInt(random, 0, below - 1);
 		this.#faults = faults;
-		this.#mail = new SlowMail(faults, this.#pick);
+		this.#mail = new SimulatedNetwork(faults, this.#pick);
 	}
 
 	play(): void {
