--- a/packages/daemon/test/slow-mail.ts
+++ b/packages/daemon/test/slow-mail.ts
@@ -2,7 +2,7 @@
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
 /** The faults of the network. */
-export type MailFaults = {
+export type NetworkFaults = {
 	/** Upper bound of the delay of a message, exclusive. */
 	readonly delayMilliseconds: Milliseconds;
 	/** Lost messages, in percent of all. */
@@ -13,11 +13,11 @@
 
 /** Messages in flight. `pick` returns an integer from 0 to below its argument. */
 export class SimulatedNetwork {
-	readonly #faults: MailFaults;
+	readonly #faults: NetworkFaults;
 	readonly #pick: (below: number) => number;
 	#messages: Message[] = [];
 
-	constructor(faults: MailFaults, pick: (below: number) => number) {
+	constructor(faults: NetworkFaults, pick: (below: number) => number) {
 		this.#faults = faults;
 		this.#pick = pick;
 	}
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -21,7 +21,7 @@
 import {createZoneLimits} from '../src/zone-limits.js';
 import {limitedContract} from './limited-contract.js';
 import {maximumInSlidingWindow} from './sliding-window.js';
-import {type MailFaults, SimulatedNetwork} from './slow-mail.js';
+import {type NetworkFaults, SimulatedNetwork} from './slow-mail.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
@@ -59,7 +59,7 @@
 type Change = {readonly at: number; readonly cutReserve: number; readonly zones?: readonly string[]};
 type Cut = {readonly zone: string; readonly from: number; readonly to: number};
 
-type Schedule = MailFaults & {
+type Schedule = NetworkFaults & {
 	readonly unit?: Pick<LegacyUnit, 'window' | 'burst'>;
 	readonly changes: readonly Change[];
 	readonly cuts?: readonly Cut[];
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -14,7 +14,7 @@
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {limitedContract} from './limited-contract.js';
 import {maximumInSlidingWindow} from './sliding-window.js';
-import {type MailFaults, SimulatedNetwork} from './slow-mail.js';
+import {type NetworkFaults, SimulatedNetwork} from './slow-mail.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
@@ -120,7 +120,7 @@
 const instances = 4;
 const busyMilliseconds = 7000;
 
-type Faults = MailFaults & {
+type Faults = NetworkFaults & {
 	/** When a new leader starts, in milliseconds from the start. */
 	readonly newLeaderAt?: number;
 };
