--- a/packages/daemon/test/slow-mail.ts
+++ b/packages/daemon/test/slow-mail.ts
@@ -9,7 +9,7 @@
 	readonly loss: number;
 };
 
-type Message = {readonly at: MonotonicTime; readonly take: () => void};
+type Message = {readonly at: MonotonicTime; readonly receive: () => void};
 
 /** Messages in flight. `pick` returns an integer from 0 to below its argument. */
 export class SimulatedNetwork {
@@ -25,7 +25,7 @@
 	/** Sends a message. `take` is called when it arrives. */
 	send(now: MonotonicTime, take: () => void): void {
 		if (this.#pick(100) >= this.#faults.loss) {
-			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), take});
+			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), receive: take});
 		}
 	}
 
@@ -33,7 +33,7 @@
 	deliver(now: MonotonicTime): void {
 		const due = this.#messages.filter(({at}) => at <= now);
 		this.#messages = this.#messages.filter(({at}) => at > now);
-		for (const {take} of due) {
+		for (const {receive: take} of due) {
 			take();
 		}
 	}
