--- a/packages/daemon/test/slow-mail.ts
+++ b/packages/daemon/test/slow-mail.ts
@@ -23,9 +23,9 @@
 	}
 
 	/** Sends a message. `take` is called when it arrives. */
-	send(now: MonotonicTime, take: () => void): void {
+	send(now: MonotonicTime, receive: () => void): void {
 		if (this.#pick(100) >= this.#faults.loss) {
-			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), receive: take});
+			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), receive: receive});
 		}
 	}
 
