--- a/packages/daemon/test/slow-mail.ts
+++ b/packages/daemon/test/slow-mail.ts
@@ -33,8 +33,8 @@
 	deliver(now: MonotonicTime): void {
 		const due = this.#messages.filter(({at}) => at <= now);
 		this.#messages = this.#messages.filter(({at}) => at > now);
-		for (const {receive: take} of due) {
-			take();
+		for (const {receive: receive} of due) {
+			receive();
 		}
 	}
 }
