--- a/packages/daemon/test/test-bad-calls.ts
+++ b/packages/daemon/test/test-bad-calls.ts
@@ -34,7 +34,7 @@
 type State = {readonly applied: number; readonly members: unknown; readonly revisions: unknown};
 
 /** The state that a rejected call must not change. The applied index advances by itself. */
-async function standing(): Promise<State & {readonly leader: unknown}> {
+async function observedState(): Promise<State & {readonly leader: unknown}> {
 	const status = await one.send('GET', '/operator/status', {token: operatorToken});
 	const members = await one.send('GET', '/operator/members', {token: operatorToken});
 	const {applied, leader, revisions} = status.body as {readonly applied: number; readonly leader: unknown; readonly revisions: unknown};
@@ -127,10 +127,10 @@
 }
 
 async function isRefused([name, call, request, kind]: Case): Promise<void> {
-	const earlier = await standing();
+	const earlier = await observedState();
 	const answer = await one.peers.call(one.addresses.peers, call, request, callMilliseconds);
 	assert.equal(answer.match({Ok: value => JSON.stringify(value ?? 'accepted'), Err: refusal => refusal.kind}), kind, name);
-	const later = await standing();
+	const later = await observedState();
 	assert.deepEqual({...later, applied: 0}, {...earlier, applied: 0});
 	assert.equal(await one.ready(), true);
 }
