--- a/packages/daemon/test/test-bad-calls.ts
+++ b/packages/daemon/test/test-bad-calls.ts
@@ -118,12 +118,12 @@
 	['a snapshot with a field of another type', snapshotOf('{"ownership":[]}')],
 ];
 
-async function isNoMessage(name: string, message: ConsensusMessage): Promise<void> {
+async function assertMessageRejected(name: string, message: ConsensusMessage): Promise<void> {
 	await isRefused([name, 'deliver', {...envelope, to: {name: 'entry-1', folder: one.folder}, message}, FailureKind.malformed]);
 }
 
 for (const [name, message] of messages) {
-	test(`a bad call is rejected: ${name} (deliver)`, async () => isNoMessage(name, message));
+	test(`a bad call is rejected: ${name} (deliver)`, async () => assertMessageRejected(name, message));
 }
 
 async function isRefused([name, call, request, kind]: Case): Promise<void> {
