--- a/packages/daemon/test/test-bad-calls.ts
+++ b/packages/daemon/test/test-bad-calls.ts
@@ -119,14 +119,14 @@
 ];
 
 async function assertMessageRejected(name: string, message: ConsensusMessage): Promise<void> {
-	await isRefused([name, 'deliver', {...envelope, to: {name: 'entry-1', folder: one.folder}, message}, FailureKind.malformed]);
+	await assertRejected([name, 'deliver', {...envelope, to: {name: 'entry-1', folder: one.folder}, message}, FailureKind.malformed]);
 }
 
 for (const [name, message] of messages) {
 	test(`a bad call is rejected: ${name} (deliver)`, async () => assertMessageRejected(name, message));
 }
 
-async function isRefused([name, call, request, kind]: Case): Promise<void> {
+async function assertRejected([name, call, request, kind]: Case): Promise<void> {
 	const earlier = await observedState();
 	const answer = await one.peers.call(one.addresses.peers, call, request, callMilliseconds);
 	assert.equal(answer.match({Ok: value => JSON.stringify(value ?? 'accepted'), Err: refusal => refusal.kind}), kind, name);
@@ -136,5 +136,5 @@
 }
 
 for (const bad of cases) {
-	test(`a bad call is rejected: ${bad[0]} (${bad[1]})`, async () => isRefused(bad));
+	test(`a bad call is rejected: ${bad[0]} (${bad[1]})`, async () => assertRejected(bad));
 }
