--- a/packages/daemon/test/test-bad-calls.ts
+++ b/packages/daemon/test/test-bad-calls.ts
@@ -129,7 +129,7 @@
 async function assertRejected([name, call, request, kind]: Case): Promise<void> {
 	const earlier = await observedState();
 	const answer = await one.peers.call(one.addresses.peers, call, request, callMilliseconds);
-	assert.equal(answer.match({Ok: value => JSON.stringify(value ?? 'accepted'), Err: refusal => refusal.kind}), kind, name);
+	assert.equal(answer.match({Ok: value => JSON.stringify(value ?? 'accepted'), Err: error => error.kind}), kind, name);
 	const later = await observedState();
 	assert.deepEqual({...later, applied: 0}, {...earlier, applied: 0});
 	assert.equal(await one.ready(), true);
