--- a/packages/daemon/test/test-bad-claims.ts
+++ b/packages/daemon/test/test-bad-claims.ts
@@ -40,16 +40,16 @@
 }
 
 const rejected: unknown[] = [];
-const noteRejection = (error: unknown) => {
+const recordRejection = (error: unknown) => {
 	rejected.push(error);
 };
 
 before(() => {
-	process.on('unhandledRejection', noteRejection);
+	process.on('unhandledRejection', recordRejection);
 });
 
 after(() => {
-	process.off('unhandledRejection', noteRejection);
+	process.off('unhandledRejection', recordRejection);
 });
 
 const answers: ReadonlyArray<readonly [name: string, answer: string]> = [
