--- a/packages/daemon/test/test-bad-requests.ts
+++ b/packages/daemon/test/test-bad-requests.ts
@@ -158,17 +158,17 @@
 	},
 ];
 
-async function standing(): Promise<unknown> {
+async function observedState(): Promise<unknown> {
 	const answers = await Promise.all(['configuration?team=bermrand', 'history?team=bermrand', 'configuration?team=valbrembo', 'members'].map(async path =>
 		one.send('GET', `/operator/${path}`, {token: operatorToken})));
 	return answers.map(({body}) => JSON.stringify(body).replaceAll(/"applied":\d+/gv, ''));
 }
 
 async function isRefused({method = 'POST', where, kind, ...options}: Case): Promise<void> {
-	const earlier = await standing();
+	const earlier = await observedState();
 	const answer = await one.send(method, where, options);
 	assert.equal((answer.body as {readonly kind?: string}).kind, kind, JSON.stringify(answer.body));
-	assert.deepEqual(await standing(), earlier);
+	assert.deepEqual(await observedState(), earlier);
 	assert.equal(await one.ready(), true);
 }
 
