--- a/packages/daemon/test/test-bad-requests.ts
+++ b/packages/daemon/test/test-bad-requests.ts
@@ -164,7 +164,7 @@
 	return answers.map(({body}) => JSON.stringify(body).replaceAll(/"applied":\d+/gv, ''));
 }
 
-async function isRefused({method = 'POST', where, kind, ...options}: Case): Promise<void> {
+async function assertRejected({method = 'POST', where, kind, ...options}: Case): Promise<void> {
 	const earlier = await observedState();
 	const answer = await one.send(method, where, options);
 	assert.equal((answer.body as {readonly kind?: string}).kind, kind, JSON.stringify(answer.body));
@@ -173,5 +173,5 @@
 }
 
 for (const bad of cases) {
-	test(`a bad request is rejected: ${bad.name}`, async () => isRefused(bad));
+	test(`a bad request is rejected: ${bad.name}`, async () => assertRejected(bad));
 }
