--- a/packages/daemon/test/test-bad-requests.ts
+++ b/packages/daemon/test/test-bad-requests.ts
@@ -43,7 +43,7 @@
 	service: 'bermrand/schedule', slot: 0, upstream: 'viewer-1', operation: 'operation-2',
 };
 const drain = {service: 'bermrand/schedule', upstream: 'viewer-1', operation: 'operation-3'};
-const lost = {zone: 'noord-z', operation: 'operation-4', confirm: 'the upstreams of noord-z are stopped'};
+const declareLost = {zone: 'noord-z', operation: 'operation-4', confirm: 'the upstreams of noord-z are stopped'};
 
 type Case = {
 	readonly name: string;
@@ -87,7 +87,7 @@
 		name: 'a team that sets a token', where: '/operator/token', token: bermrandToken, body: {team: 'bermrand', operation: 'operation-5', token: valbremboToken}, kind: FailureKind.forbidden,
 	},
 	{
-		name: 'a team that declares a zone lost', where: '/operator/zone-declare-lost', token: bermrandToken, body: lost, kind: FailureKind.forbidden,
+		name: 'a team that declares a zone lost', where: '/operator/zone-declare-lost', token: bermrandToken, body: declareLost, kind: FailureKind.forbidden,
 	},
 	{
 		name: 'a move of an unknown service', where: '/operator/move', token: bermrandToken, body: move, kind: FailureKind.notFound,
@@ -105,7 +105,7 @@
 		name: 'no service in the query', method: 'GET', where: '/operator/owners', token: operatorToken, kind: FailureKind.malformed,
 	},
 	{
-		name: 'an unknown zone', where: '/operator/zone-declare-lost', token: operatorToken, body: lost, kind: FailureKind.notFound,
+		name: 'an unknown zone', where: '/operator/zone-declare-lost', token: operatorToken, body: declareLost, kind: FailureKind.notFound,
 	},
 	{
 		name: 'a zone named as a property of every object',
@@ -115,7 +115,7 @@
 		kind: FailureKind.settingsInvalid,
 	},
 	{
-		name: 'a zone without the confirmation', where: '/operator/zone-declare-lost', token: operatorToken, body: {...lost, confirm: 'yes'}, kind: FailureKind.malformed,
+		name: 'a zone without the confirmation', where: '/operator/zone-declare-lost', token: operatorToken, body: {...declareLost, confirm: 'yes'}, kind: FailureKind.malformed,
 	},
 	{
 		name: 'a base that is ahead', where: '/operator/apply', token: bermrandToken, body: {...apply, base: 7}, kind: FailureKind.conflict,
