--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -57,12 +57,12 @@
 }
 
 type Change = {readonly at: number; readonly cutReserve: number; readonly zones?: readonly string[]};
-type Cut = {readonly zone: string; readonly from: number; readonly to: number};
+type Partition = {readonly zone: string; readonly from: number; readonly to: number};
 
 type Schedule = NetworkFaults & {
 	readonly unit?: Pick<LegacyUnit, 'window' | 'burst'>;
 	readonly changes: readonly Change[];
-	readonly cuts?: readonly Cut[];
+	readonly cuts?: readonly Partition[];
 	readonly newLeaders?: readonly number[];
 	readonly newStewards?: ReadonlyArray<{readonly zone: string; readonly at: number}>;
 	readonly restarts?: ReadonlyArray<{readonly instance: string; readonly at: number}>;
@@ -210,7 +210,7 @@
 const steady = [{at: 0, cutReserve: 0.3}];
 /** The part of one zone: the limit of 200 with a reserve of 0.3 over three zones. */
 const zoneReserve = 20;
-const longCut: Cut = {zone: 'zuid-a', from: 60_000, to: 260_000};
+const longCut: Partition = {zone: 'zuid-a', from: 60_000, to: 260_000};
 /** The time after which control's shares have expired and dropped out of the window. */
 const afterShares = 26_000;
 
