--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -68,7 +68,7 @@
 	readonly restarts?: ReadonlyArray<{readonly instance: string; readonly at: number}>;
 };
 
-type Place = {readonly record: InstanceRecord; limiter: Limiter; askedAt: number; learnsAfter: number};
+type Participant = {readonly record: InstanceRecord; limiter: Limiter; askedAt: number; learnsAfter: number};
 type Admitted = {readonly at: number; readonly zone: string};
 
 class Deployment {
@@ -78,7 +78,7 @@
 	readonly #pick: (below: number) => number;
 	readonly #mail: SimulatedNetwork;
 	readonly #controls: ReadonlyArray<{readonly at: number; readonly control: ControlState}>;
-	readonly #places: readonly Place[];
+	readonly #places: readonly Participant[];
 	readonly #stewards = new Map(zones.map(zone => [zone, {limits: createZoneLimits(zone), electedAt: now, learnsAfter: 0}]));
 	#sharing: SharingState = createSharing(now, []);
 
@@ -136,7 +136,7 @@
 		}
 	}
 
-	#request({record, limiter, learnsAfter}: Place, number: number): void {
+	#request({record, limiter, learnsAfter}: Participant, number: number): void {
 		const busy = Math.floor((now - this.#start) / busyMilliseconds) % members.length;
 		const [contract] = this.#control(learnsAfter).configuration.teams[0]!.services;
 		const requests = this.#pick(number === busy ? 6 : 3);
@@ -145,7 +145,7 @@
 		}
 	}
 
-	#renew(place: Place): void {
+	#renew(place: Participant): void {
 		const {limiter} = place;
 		if (now >= place.askedAt + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
 			place.askedAt = now;
@@ -161,7 +161,7 @@
 		}
 	}
 
-	#askControl({record: {zone}, limiter}: Place, demand: LimitDemand): void {
+	#askControl({record: {zone}, limiter}: Participant, demand: LimitDemand): void {
 		if (this.#isCut(zone)) {
 			return;
 		}
@@ -173,7 +173,7 @@
 	}
 
 	/** Sends a lease request to the steward, whether there are demands or not. */
-	#askSteward({record: {zone}, limiter}: Place, demands: readonly LimitDemand[]): void {
+	#askSteward({record: {zone}, limiter}: Participant, demands: readonly LimitDemand[]): void {
 		const {limits, electedAt, learnsAfter} = this.#stewards.get(zone)!;
 		const {shares} = limits.answer({...emptyReport, demands}, this.#control(learnsAfter), electedAt, now);
 		this.#answer(limiter, shares);
