--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -76,7 +76,7 @@
 	readonly #start = now;
 	readonly #schedule: Schedule;
 	readonly #pick: (below: number) => number;
-	readonly #mail: SimulatedNetwork;
+	readonly #network: SimulatedNetwork;
 	readonly #controls: ReadonlyArray<{readonly at: number; readonly control: ControlState}>;
 	readonly #places: readonly Participant[];
 	readonly #stewards = new Map(zones.map(zone => [zone, {limits: createZoneLimits(zone), electedAt: now, learnsAfter: 0}]));
@@ -86,7 +86,7 @@
 		const random = xoroshiro128plus(seed);
 		this.#pick = below => uniformInt(random, 0, below - 1);
 		this.#schedule = schedule;
-		this.#mail = new SimulatedNetwork(schedule, this.#pick);
+		this.#network = new SimulatedNetwork(schedule, this.#pick);
 		const unit = {intervalMilliseconds: windowMilliseconds, ...schedule.unit};
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
 			({at, control: controlWith(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
@@ -101,7 +101,7 @@
 	play(): void {
 		for (; now < this.#start + durationMilliseconds; now += stepMilliseconds) {
 			this.#fail();
-			this.#mail.deliver(now);
+			this.#network.deliver(now);
 			for (const [number, place] of this.#places.entries()) {
 				this.#request(place, number);
 				this.#renew(place);
@@ -150,11 +150,11 @@
 		if (now >= place.askedAt + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
 			place.askedAt = now;
 			const demands = limiter.takeDemands();
-			this.#mail.send(now, () => {
+			this.#network.send(now, () => {
 				this.#askSteward(place, demands.filter(({divider}) => divider === Divider.zone));
 			});
 			for (const demand of demands.filter(({divider}) => divider === Divider.control)) {
-				this.#mail.send(now, () => {
+				this.#network.send(now, () => {
 					this.#askControl(place, demand);
 				});
 			}
@@ -181,7 +181,7 @@
 
 	#answer(limiter: Limiter, shares: readonly LimitShare[]): void {
 		if (shares.length > 0) {
-			this.#mail.send(now, () => {
+			this.#network.send(now, () => {
 				limiter.takeShares(shares);
 			});
 		}
