--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -78,7 +78,7 @@
 	readonly #pick: (below: number) => number;
 	readonly #network: SimulatedNetwork;
 	readonly #controls: ReadonlyArray<{readonly at: number; readonly control: ControlState}>;
-	readonly #places: readonly Participant[];
+	readonly #participants: readonly Participant[];
 	readonly #stewards = new Map(zones.map(zone => [zone, {limits: createZoneLimits(zone), electedAt: now, learnsAfter: 0}]));
 	#sharing: SharingState = createSharing(now, []);
 
@@ -90,7 +90,7 @@
 		const unit = {intervalMilliseconds: windowMilliseconds, ...schedule.unit};
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
 			({at, control: controlWith(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
-		this.#places = members.map(record => ({
+		this.#participants = members.map(record => ({
 			record, limiter: createLimiter(record, () => undefined), askedAt: -Infinity, learnsAfter: this.#pick(learningMilliseconds),
 		}));
 		for (const steward of this.#stewards.values()) {
@@ -102,7 +102,7 @@
 		for (; now < this.#start + durationMilliseconds; now += stepMilliseconds) {
 			this.#fail();
 			this.#network.deliver(now);
-			for (const [number, place] of this.#places.entries()) {
+			for (const [number, place] of this.#participants.entries()) {
 				this.#request(place, number);
 				this.#renew(place);
 			}
@@ -131,7 +131,7 @@
 		}
 
 		for (const {instance} of restarts.filter(({at}) => at === elapsed)) {
-			const place = this.#places.find(({record}) => record.name === instance)!;
+			const place = this.#participants.find(({record}) => record.name === instance)!;
 			place.limiter = createLimiter({...place.record, incarnation: now}, () => undefined);
 		}
 	}
