--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -155,13 +155,13 @@
 			});
 			for (const demand of demands.filter(({divider}) => divider === Divider.control)) {
 				this.#network.send(now, () => {
-					this.#askControl(place, demand);
+					this.#requestFromControl(place, demand);
 				});
 			}
 		}
 	}
 
-	#askControl({record: {zone}, limiter}: Participant, demand: LimitDemand): void {
+	#requestFromControl({record: {zone}, limiter}: Participant, demand: LimitDemand): void {
 		if (this.#isCut(zone)) {
 			return;
 		}
