--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -151,7 +151,7 @@
 			place.askedAt = now;
 			const demands = limiter.takeDemands();
 			this.#network.send(now, () => {
-				this.#askSteward(place, demands.filter(({divider}) => divider === Divider.zone));
+				this.#requestFromSteward(place, demands.filter(({divider}) => divider === Divider.zone));
 			});
 			for (const demand of demands.filter(({divider}) => divider === Divider.control)) {
 				this.#network.send(now, () => {
@@ -173,7 +173,7 @@
 	}
 
 	/** Sends a lease request to the steward, whether there are demands or not. */
-	#askSteward({record: {zone}, limiter}: Participant, demands: readonly LimitDemand[]): void {
+	#requestFromSteward({record: {zone}, limiter}: Participant, demands: readonly LimitDemand[]): void {
 		const {limits, electedAt, learnsAfter} = this.#stewards.get(zone)!;
 		const {shares} = limits.answer({...emptyReport, demands}, this.#control(learnsAfter), electedAt, now);
 		this.#answer(limiter, shares);
