--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -114,7 +114,7 @@
 		return this.#controls.findLast(({at}) => at === 0 || now - this.#start >= at + learnsAfter)!.control;
 	}
 
-	#isCut(zone: string): boolean {
+	#isPartitioned(zone: string): boolean {
 		const elapsed = now - this.#start;
 		return (this.#schedule.cuts ?? []).some(cut => cut.zone === zone && elapsed >= cut.from && elapsed < cut.to);
 	}
@@ -162,7 +162,7 @@
 	}
 
 	#requestFromControl({record: {zone}, limiter}: Participant, demand: LimitDemand): void {
-		if (this.#isCut(zone)) {
+		if (this.#isPartitioned(zone)) {
 			return;
 		}
 
