--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -210,7 +210,7 @@
 const steady = [{at: 0, cutReserve: 0.3}];
 /** The part of one zone: the limit of 200 with a reserve of 0.3 over three zones. */
 const zoneReserve = 20;
-const longCut: Partition = {zone: 'zuid-a', from: 60_000, to: 260_000};
+const longPartition: Partition = {zone: 'zuid-a', from: 60_000, to: 260_000};
 /** The time after which control's shares have expired and dropped out of the window. */
 const afterShares = 26_000;
 
@@ -219,17 +219,17 @@
 	{name: 'no partition', schedule: {delayMilliseconds: 800, loss: 10, changes: steady}},
 	{
 		name: 'a partition of minutes', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut],
+			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longPartition],
 		},
 	},
 	{
 		name: 'a partition with a new steward', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut], newStewards: [{zone: 'zuid-a', at: 120_000}],
+			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longPartition], newStewards: [{zone: 'zuid-a', at: 120_000}],
 		},
 	},
 	{
 		name: 'a partition with new leaders', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut], newLeaders: [61_000, 150_000],
+			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longPartition], newLeaders: [61_000, 150_000],
 		},
 	},
 	{
@@ -247,7 +247,7 @@
 			delayMilliseconds: 200,
 			loss: 5,
 			changes: steady,
-			cuts: [longCut],
+			cuts: [longPartition],
 			restarts: [{instance: 'zuid-a-0', at: 100_000}, {instance: 'noord-a-1', at: 101_000}, {instance: 'zuid-a-1', at: 270_000}],
 		},
 	},
@@ -281,8 +281,8 @@
 
 /** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
 function usedInCut(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
-	const [from, to] = [start + longCut.from + afterShares, start + longCut.to];
-	const inCut = admitted.filter(({at, zone}) => zone === longCut.zone && at >= from && at < to);
+	const [from, to] = [start + longPartition.from + afterShares, start + longPartition.to];
+	const inCut = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
 	return {most: maximumInSlidingWindow(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
@@ -315,7 +315,7 @@
 			const allowed = amount * burst;
 			context.diagnostic(`seed ${run}: at most ${most} of ${allowed} in one window`);
 			assert.ok(admitted.length > allowed && most <= allowed, `${most} of ${allowed} in one window, seed ${run}`);
-			if (schedule.cuts?.includes(longCut)) {
+			if (schedule.cuts?.includes(longPartition)) {
 				checkCut(context, admitted, start);
 			}
 		}
