--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -280,14 +280,14 @@
 ];
 
 /** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
-function usedInCut(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
+function usedInPartition(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
 	const [from, to] = [start + longPartition.from + afterShares, start + longPartition.to];
 	const inCut = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
 	return {most: maximumInSlidingWindow(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
 function checkCut(context: TestContext, admitted: readonly Admitted[], start: number): void {
-	const {most, ratio} = usedInCut(admitted, start);
+	const {most, ratio} = usedInPartition(admitted, start);
 	context.diagnostic(`the partitioned zone: at most ${most} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
 	assert.ok(ratio > 0.8, 'the partitioned zone continues to admit requests');
 	assert.ok(most <= zoneReserve, `${most} of the zone's ${zoneReserve} in one window`);
