--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -286,7 +286,7 @@
 	return {most: maximumInSlidingWindow(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
-function checkCut(context: TestContext, admitted: readonly Admitted[], start: number): void {
+function checkPartition(context: TestContext, admitted: readonly Admitted[], start: number): void {
 	const {most, ratio} = usedInPartition(admitted, start);
 	context.diagnostic(`the partitioned zone: at most ${most} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
 	assert.ok(ratio > 0.8, 'the partitioned zone continues to admit requests');
@@ -316,7 +316,7 @@
 			context.diagnostic(`seed ${run}: at most ${most} of ${allowed} in one window`);
 			assert.ok(admitted.length > allowed && most <= allowed, `${most} of ${allowed} in one window, seed ${run}`);
 			if (schedule.cuts?.includes(longPartition)) {
-				checkCut(context, admitted, start);
+				checkPartition(context, admitted, start);
 			}
 		}
 	});
