--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -282,8 +282,8 @@
 /** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
 function usedInPartition(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
 	const [from, to] = [start + longPartition.from + afterShares, start + longPartition.to];
-	const inCut = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
-	return {most: maximumInSlidingWindow(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
+	const inPartition = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
+	return {most: maximumInSlidingWindow(inPartition.map(({at}) => at), windowMilliseconds), ratio: inPartition.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
 function checkPartition(context: TestContext, admitted: readonly Admitted[], start: number): void {
