--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -188,7 +188,7 @@
 	}
 }
 
-type MostInWindow = (times: readonly number[], burst: number) => number;
+type MaximumInWindow = (times: readonly number[], burst: number) => number;
 
 function mostInFixed(times: readonly number[]): number {
 	const counts = new Map<number, number>();
@@ -200,7 +200,7 @@
 	return Math.max(0, ...counts.values());
 }
 
-const mostInWindow: Readonly<Record<WindowForm, MostInWindow>> = {
+const mostInWindow: Readonly<Record<WindowForm, MaximumInWindow>> = {
 	[WindowForm.sliding]: (times, burst) => maximumInSlidingWindow(times, windowMilliseconds * burst),
 	[WindowForm.fixed]: mostInFixed,
 };
