--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -190,7 +190,7 @@
 
 type MaximumInWindow = (times: readonly number[], burst: number) => number;
 
-function mostInFixed(times: readonly number[]): number {
+function maximumInFixedWindow(times: readonly number[]): number {
 	const counts = new Map<number, number>();
 	for (const at of times) {
 		const number = Math.floor(at / windowMilliseconds);
@@ -202,7 +202,7 @@
 
 const mostInWindow: Readonly<Record<WindowForm, MaximumInWindow>> = {
 	[WindowForm.sliding]: (times, burst) => maximumInSlidingWindow(times, windowMilliseconds * burst),
-	[WindowForm.fixed]: mostInFixed,
+	[WindowForm.fixed]: maximumInFixedWindow,
 };
 
 const seed = Number(process.env.SEED ?? 1);
