--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -200,7 +200,7 @@
 	return Math.max(0, ...counts.values());
 }
 
-const mostInWindow: Readonly<Record<WindowForm, MaximumInWindow>> = {
+const maximumInWindow: Readonly<Record<WindowForm, MaximumInWindow>> = {
 	[WindowForm.sliding]: (times, burst) => maximumInSlidingWindow(times, windowMilliseconds * burst),
 	[WindowForm.fixed]: maximumInFixedWindow,
 };
@@ -311,7 +311,7 @@
 		for (let run = seed; run < seed + runs; run++) {
 			const {admitted, start} = play(run, schedule);
 			const {window, burst} = schedule.unit ?? {window: WindowForm.sliding, burst: 1};
-			const most = mostInWindow[window](admitted.map(({at}) => at), burst);
+			const most = maximumInWindow[window](admitted.map(({at}) => at), burst);
 			const allowed = amount * burst;
 			context.diagnostic(`seed ${run}: at most ${most} of ${allowed} in one window`);
 			assert.ok(admitted.length > allowed && most <= allowed, `${most} of ${allowed} in one window, seed ${run}`);
