--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -212,7 +212,7 @@
 const zoneReserve = 20;
 const longPartition: Partition = {zone: 'zuid-a', from: 60_000, to: 260_000};
 /** The time after which control's shares have expired and dropped out of the window. */
-const afterShares = 26_000;
+const shareExpiryMilliseconds = 26_000;
 
 const schedules: ReadonlyArray<{readonly name: string; readonly schedule: Schedule}> = [
 	{name: 'no reserve', schedule: {delayMilliseconds: 400, loss: 5, changes: [{at: 0, cutReserve: 0}]}},
@@ -281,7 +281,7 @@
 
 /** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
 function usedInPartition(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
-	const [from, to] = [start + longPartition.from + afterShares, start + longPartition.to];
+	const [from, to] = [start + longPartition.from + shareExpiryMilliseconds, start + longPartition.to];
 	const inPartition = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
 	return {most: maximumInSlidingWindow(inPartition.map(({at}) => at), windowMilliseconds), ratio: inPartition.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
