--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -68,7 +68,7 @@
 	readonly restarts?: ReadonlyArray<{readonly instance: string; readonly at: number}>;
 };
 
-type Participant = {readonly record: InstanceRecord; limiter: Limiter; askedAt: number; learnsAfter: number};
+type Participant = {readonly record: InstanceRecord; limiter: Limiter; lastRequestAt: number; learnsAfter: number};
 type Admitted = {readonly at: number; readonly zone: string};
 
 class Deployment {
@@ -147,8 +147,8 @@
 
 	#renew(place: Participant): void {
 		const {limiter} = place;
-		if (now >= place.askedAt + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
-			place.askedAt = now;
+		if (now >= place.lastRequestAt + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
+			place.lastRequestAt = now;
 			const demands = limiter.takeDemands();
 			this.#network.send(now, () => {
 				this.#requestFromSteward(place, demands.filter(({divider}) => divider === Divider.zone));
