--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -100,7 +100,7 @@
 
 	play(): void {
 		for (; now < this.#start + durationMilliseconds; now += stepMilliseconds) {
-			this.#fail();
+			this.#applyFaults();
 			this.#network.deliver(now);
 			for (const [number, place] of this.#participants.entries()) {
 				this.#request(place, number);
@@ -119,7 +119,7 @@
 		return (this.#schedule.cuts ?? []).some(cut => cut.zone === zone && elapsed >= cut.from && elapsed < cut.to);
 	}
 
-	#fail(): void {
+	#applyFaults(): void {
 		const elapsed = now - this.#start;
 		const {newLeaders = [], newStewards = [], restarts = []} = this.#schedule;
 		if (newLeaders.includes(elapsed)) {
