--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -46,7 +46,7 @@
 
 const members = zones.flatMap(zone => Array.from({length: instancesInZone}, (_, number) => member(zone, number)));
 
-function controlWith(contract: ServiceContract): ControlState {
+function createControlState(contract: ServiceContract): ControlState {
 	const rosters = Object.fromEntries(zones.map(zone => [zone, {
 		zone, region: 'region', members: members.filter(one => one.zone === zone), previousMembers: [], changedAt: 0,
 	}]));
@@ -89,7 +89,7 @@
 		this.#network = new SimulatedNetwork(schedule, this.#pick);
 		const unit = {intervalMilliseconds: windowMilliseconds, ...schedule.unit};
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
-			({at, control: controlWith(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
+			({at, control: createControlState(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
 		this.#participants = members.map(record => ({
 			record, limiter: createLimiter(record, () => undefined), askedAt: -Infinity, learnsAfter: this.#pick(learningMilliseconds),
 		}));
