--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -29,7 +29,7 @@
 const instancesInZone = 2;
 const stepMilliseconds = 40;
 const renewMilliseconds = 240;
-const lackingMilliseconds = 60;
+const renewLackingMilliseconds = 60;
 const durationMilliseconds = 300_000;
 const busyMilliseconds = 7000;
 /** Upper bound, exclusive, of the time until a zone learns of a changed contract. */
@@ -147,7 +147,7 @@
 
 	#renew(place: Participant): void {
 		const {limiter} = place;
-		if (now >= place.lastRequestAt + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
+		if (now >= place.lastRequestAt + (limiter.lacksShares() ? renewLackingMilliseconds : renewMilliseconds)) {
 			place.lastRequestAt = now;
 			const demands = limiter.takeDemands();
 			this.#network.send(now, () => {
