--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -33,7 +33,7 @@
 const durationMilliseconds = 300_000;
 const busyMilliseconds = 7000;
 /** Upper bound, exclusive, of the time until a zone learns of a changed contract. */
-const learningMilliseconds = 3000;
+const maximumLearningMilliseconds = 3000;
 const head = {method: 'GET', path: '/schedule/verge-1', headers: {}};
 
 let now = 0;
@@ -91,10 +91,10 @@
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
 			({at, control: createControlState(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
 		this.#participants = members.map(record => ({
-			record, limiter: createLimiter(record, () => undefined), askedAt: -Infinity, learnsAfter: this.#pick(learningMilliseconds),
+			record, limiter: createLimiter(record, () => undefined), askedAt: -Infinity, learnsAfter: this.#pick(maximumLearningMilliseconds),
 		}));
 		for (const steward of this.#stewards.values()) {
-			steward.learnsAfter = this.#pick(learningMilliseconds);
+			steward.learnsAfter = this.#pick(maximumLearningMilliseconds);
 		}
 	}
 
