--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -134,14 +134,14 @@
 	readonly #start = now;
 	readonly #faults: Faults;
 	readonly #pick: (below: number) => number;
-	readonly #mail: SimulatedNetwork;
+	readonly #network: SimulatedNetwork;
 	#sharing: SharingState = createSharing(now, []);
 
 	constructor(seed: number, faults: Faults) {
 		const random = xoroshiro128plus(seed);
 		this.#pick = below => uniformInt(random, 0, below - 1);
 		this.#faults = faults;
-		this.#mail = new SimulatedNetwork(faults, this.#pick);
+		this.#network = new SimulatedNetwork(faults, this.#pick);
 	}
 
 	play(): void {
@@ -150,7 +150,7 @@
 				this.#sharing = createSharing(now, [contract.name]);
 			}
 
-			this.#mail.deliver(now);
+			this.#network.deliver(now);
 			for (const number of this.#limiters.keys()) {
 				this.#request(number);
 				this.#renew(number);
@@ -170,7 +170,7 @@
 		if (now >= this.#askedAt[number]! + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
 			this.#askedAt[number] = now;
 			for (const demand of limiter.takeDemands()) {
-				this.#mail.send(now, () => {
+				this.#network.send(now, () => {
 					this.#answer(limiter, demand);
 				});
 			}
@@ -181,7 +181,7 @@
 		const {state, share} = grantLimitShare(this.#sharing, demand, {limit, amount}, instances, now);
 		this.#sharing = state;
 		if (share !== undefined) {
-			this.#mail.send(now, () => {
+			this.#network.send(now, () => {
 				limiter.takeShares([share]);
 			});
 		}
