--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -130,7 +130,7 @@
 	/** The times at which requests were admitted. */
 	readonly admitted: number[] = [];
 	readonly #limiters = Array.from({length: instances}, (_, number) => limiterOf(`entry-${number}`));
-	readonly #askedAt = this.#limiters.map(() => -Infinity);
+	readonly #lastRequestAt = this.#limiters.map(() => -Infinity);
 	readonly #start = now;
 	readonly #faults: Faults;
 	readonly #pick: (below: number) => number;
@@ -167,8 +167,8 @@
 
 	#renew(number: number): void {
 		const limiter = this.#limiters[number]!;
-		if (now >= this.#askedAt[number]! + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
-			this.#askedAt[number] = now;
+		if (now >= this.#lastRequestAt[number]! + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
+			this.#lastRequestAt[number] = now;
 			for (const demand of limiter.takeDemands()) {
 				this.#network.send(now, () => {
 					this.#answer(limiter, demand);
