--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -115,7 +115,7 @@
 
 const stepMilliseconds = 20;
 const renewMilliseconds = 240;
-const lackingMilliseconds = 60;
+const renewLackingMilliseconds = 60;
 const durationMilliseconds = 60_000;
 const instances = 4;
 const busyMilliseconds = 7000;
@@ -167,7 +167,7 @@
 
 	#renew(number: number): void {
 		const limiter = this.#limiters[number]!;
-		if (now >= this.#lastRequestAt[number]! + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
+		if (now >= this.#lastRequestAt[number]! + (limiter.lacksShares() ? renewLackingMilliseconds : renewMilliseconds)) {
 			this.#lastRequestAt[number] = now;
 			for (const demand of limiter.takeDemands()) {
 				this.#network.send(now, () => {
