--- a/packages/daemon/test/test-report-collector.ts
+++ b/packages/daemon/test/test-report-collector.ts
@@ -13,7 +13,7 @@
 let now = 0;
 
 /** Takes the next report and returns its announcements. */
-function told(collector: ReportCollector): readonly string[] {
+function takeAnnouncements(collector: ReportCollector): readonly string[] {
 	return collector.take().announcements.map(({name, incarnation}) => `${name}#${incarnation}`);
 }
 
@@ -22,7 +22,7 @@
 		name: 'an announcement is reported once',
 		run(collector) {
 			collector.recordAnnouncement(announcement('one'));
-			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
+			assert.deepEqual([takeAnnouncements(collector), takeAnnouncements(collector)], [['one#1'], []]);
 		},
 	},
 	{
@@ -32,7 +32,7 @@
 			const report = collector.take();
 			now += 300;
 			collector.restore(report);
-			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
+			assert.deepEqual([takeAnnouncements(collector), takeAnnouncements(collector)], [['one#1'], []]);
 		},
 	},
 	{
@@ -45,7 +45,7 @@
 			const again = collector.take();
 			now += 300;
 			collector.restore(again);
-			assert.deepEqual(told(collector), []);
+			assert.deepEqual(takeAnnouncements(collector), []);
 		},
 	},
 	{
@@ -55,7 +55,7 @@
 			const report = collector.take();
 			collector.recordAnnouncement(announcement('one', 2));
 			collector.restore(report);
-			assert.deepEqual(told(collector), ['one#2']);
+			assert.deepEqual(takeAnnouncements(collector), ['one#2']);
 		},
 	},
 ];
