--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -39,7 +39,7 @@
 import {createRequestMeasures} from './request-measures.js';
 import {createRequestPath} from './request-path.js';
 import {type InstanceSettings, isVoter} from './settings.js';
-import {unwrapOrThrow} from './taken.js';
+import {unwrapOrThrow} from './unwrap-or-throw.js';
 import {startZone, type ZoneRunner} from './zone-runner.js';
 
 /** An instance that runs. */
--- a/packages/daemon/src/own-voter.ts
+++ b/packages/daemon/src/own-voter.ts
@@ -16,7 +16,7 @@
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
 import {type InstanceSettings} from './settings.js';
-import {unwrapOrThrow} from './taken.js';
+import {unwrapOrThrow} from './unwrap-or-throw.js';
 
 /** What the voter works with. */
 export type OwnVoterSurroundings = {
