--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -20,7 +20,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, ok, type Result} from 'true-myth/result';
 import {createRecentHolders} from './recent-holders.js';
-import {createShareOutbox} from './share-post.js';
+import {createShareOutbox} from './share-outbox.js';
 import {createZoneLimits} from './zone-limits.js';
 import {peerMilliseconds, type ZoneSurroundings} from './zone-surroundings.js';
 import {type ZoneView} from './zone-view.js';
