--- a/packages/daemon/src/instance-status.ts
+++ b/packages/daemon/src/instance-status.ts
@@ -10,7 +10,7 @@
 import {type ControlVoter} from './control-voter.js';
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
-import {type MemberReport} from './operator-surface.js';
+import {type MemberReport} from './operator-api.js';
 import {type ZoneRunner} from './zone-runner.js';
 
 /** The parts that are told of. */
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -31,7 +31,7 @@
 import {startControl} from './control-runner.js';
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
-import {createOperatorApi, parseMemberReport} from './operator-surface.js';
+import {createOperatorApi, parseMemberReport} from './operator-api.js';
 import {startOwnVoter} from './own-voter.js';
 import {createPeerHandlers} from './peer-service.js';
 import {stopAsPlanned} from './planned-stop.js';
