--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -21,7 +21,7 @@
 import {createZoneLimits} from '../src/zone-limits.js';
 import {limitedContract} from './limited-contract.js';
 import {maximumInSlidingWindow} from './sliding-window.js';
-import {type NetworkFaults, SimulatedNetwork} from './slow-mail.js';
+import {type NetworkFaults, SimulatedNetwork} from './simulated-network.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -14,7 +14,7 @@
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {limitedContract} from './limited-contract.js';
 import {maximumInSlidingWindow} from './sliding-window.js';
-import {type NetworkFaults, SimulatedNetwork} from './slow-mail.js';
+import {type NetworkFaults, SimulatedNetwork} from './simulated-network.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
