--- a/packages/daemon/src/announcements.ts
+++ b/packages/daemon/src/announcements.ts
@@ -52,7 +52,7 @@
 };
 
 /** Creates the handler of announcements. Fails with `unauthenticated`, `notReady`, `settingsInvalid`, `notFound` and `superseded`. */
-export function createAnnouncementHandler({holder, key, isStopping, accept: accept}: AnnouncementDependencies): ApiHandler {
+export function createAnnouncementHandler({holder, key, isStopping, accept}: AnnouncementDependencies): ApiHandler {
 	return async ({token, body}) => {
 		if (!sameSecret(token, key)) {
 			return err(failure(FailureKind.unauthenticated, 'the announcement carries no right token'));
--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -150,7 +150,7 @@
 		sent({service, name: upstream}) {
 			loads.record(service, upstream, monotonicNow());
 		},
-		ownCounts: ownCounts,
+		ownCounts,
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -149,7 +149,7 @@
 		const report = await peers.report(seat);
 		if (report !== undefined) {
 			appliedIndexes = recordApplied(appliedIndexes, seat, report.applied);
-			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: requesterRosterIndex, copiedThrough: report.copiedThrough}});
+			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex, copiedThrough: report.copiedThrough}});
 		}
 	}
 
--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -28,7 +28,7 @@
 			if (previous?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
 				const state = follow(previous?.state ?? createFollowed(table.service), {table, slots, silenceOf: timeWithoutContactOf}, monotonicNow());
-				tracked.set(table.service, {table, state: state});
+				tracked.set(table.service, {table, state});
 			}
 		}
 	});
--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -127,7 +127,7 @@
 			counts.total += 1;
 			countKey(counts, key, 1);
 		},
-		recordAnnouncement: recordAnnouncement,
+		recordAnnouncement,
 		merge(report) {
 			for (const announcement of report.announcements) {
 				recordAnnouncement(announcement);
--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -127,7 +127,7 @@
 /** Creates the request path of an instance. */
 export function createRequestPath(dependencies: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
 	const {
-		holder, inFlightRequests: inFlightRequests, evidence, reports, claims, limiter, hash,
+		holder, inFlightRequests, evidence, reports, claims, limiter, hash,
 	} = dependencies;
 	let targetIndex: TargetIndex = createTargetIndex([]);
 	let configuration: ControlState['configuration'] | undefined;
--- a/packages/daemon/test/simulated-network.ts
+++ b/packages/daemon/test/simulated-network.ts
@@ -25,7 +25,7 @@
 	/** Sends a message. `take` is called when it arrives. */
 	send(now: MonotonicTime, receive: () => void): void {
 		if (this.#pick(100) >= this.#faults.loss) {
-			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), receive: receive});
+			this.#messages.push({at: now + this.#pick(this.#faults.delayMilliseconds), receive});
 		}
 	}
 
@@ -33,7 +33,7 @@
 	deliver(now: MonotonicTime): void {
 		const due = this.#messages.filter(({at}) => at <= now);
 		this.#messages = this.#messages.filter(({at}) => at > now);
-		for (const {receive: receive} of due) {
+		for (const {receive} of due) {
 			receive();
 		}
 	}
