--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -251,7 +251,7 @@
 			service: contract.name,
 			upstream: assignment.owner,
 			zone: upstream.zone,
-			flight: undefined,
+			inFlightRequest: undefined,
 		});
 	}
 
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -91,7 +91,7 @@
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
 			({at, control: createControlState(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
 		this.#participants = members.map(record => ({
-			record, limiter: createLimiter(record, () => undefined), askedAt: -Infinity, learnsAfter: this.#pick(maximumLearningMilliseconds),
+			record, limiter: createLimiter(record, () => undefined), lastRequestAt: -Infinity, learnsAfter: this.#pick(maximumLearningMilliseconds),
 		}));
 		for (const steward of this.#stewards.values()) {
 			steward.learnsAfter = this.#pick(maximumLearningMilliseconds);
