--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -120,8 +120,8 @@
 }
 
 /** The amount of one divider's part that is held now. */
-export function currentGrantAmount({amount, expiresAt: until}: Grant, now: MonotonicTime): number {
-	return now < until ? amount : 0;
+export function currentGrantAmount({amount, expiresAt: expiresAt}: Grant, now: MonotonicTime): number {
+	return now < expiresAt ? amount : 0;
 }
 
 /** The amount that this instance may use now, over the parts of all dividers. */
