--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -144,9 +144,9 @@
 }
 
 /** The amount to request of a divider's part. The zone's reserve is used first, so the rest is requested from control. */
-export function wantedAmount({wanted, previousWanted: wantedBefore, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
+export function wantedAmount({wanted, previousWanted: previousWanted, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
 	const reserved = divider === Divider.control ? currentGrantAmount(grants.zone, now) : 0;
-	return Math.max(1, Math.max(wanted, wantedBefore) - reserved);
+	return Math.max(1, Math.max(wanted, previousWanted) - reserved);
 }
 
 /** Whether no request has used the entry for so long that it can be dropped. */
