--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -150,8 +150,8 @@
 }
 
 /** Whether no request has used the entry for so long that it can be dropped. */
-export function isIdle({lastUsedAt: usedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
-	return now - usedAt > idleMilliseconds + effective.intervalMilliseconds;
+export function isIdle({lastUsedAt: lastUsedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
+	return now - lastUsedAt > idleMilliseconds + effective.intervalMilliseconds;
 }
 
 /** Records a change of the share in the window. */
