--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -23,8 +23,8 @@
 	readonly wall: WallTime;
 };
 
-function isDemandPending({pendingDemand: asked}: Grant, now: MonotonicTime): boolean {
-	return asked !== undefined && now < asked.at + answerTimeoutMilliseconds;
+function isDemandPending({pendingDemand: pendingDemand}: Grant, now: MonotonicTime): boolean {
+	return pendingDemand !== undefined && now < pendingDemand.at + answerTimeoutMilliseconds;
 }
 
 /** Whether a new demand may yield a larger share than the exhausted one. */
