--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -77,7 +77,7 @@
 
 /** Applies the answer to the newest demand. Returns the divider that sent it; undefined if it answers an older demand. */
 export function applyShare(entry: LimitEntry, share: LimitShare, wall: WallTime, now: MonotonicTime): Divider | undefined {
-	const divider = Object.values(Divider).find(one => entry.grants[one].pendingDemand?.sequence === share.sequence);
+	const divider = Object.values(Divider).find(candidate => entry.grants[candidate].pendingDemand?.sequence === share.sequence);
 	if (divider === undefined) {
 		return undefined;
 	}
