--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -34,6 +34,6 @@
 	});
 
 	return {
-		list: () => [...tracked.values()].map(({state: seen}) => figuresOf(seen, monotonicNow())),
+		list: () => [...tracked.values()].map(({state: state}) => figuresOf(state, monotonicNow())),
 	};
 }
