--- a/packages/daemon/src/claim-peers.ts
+++ b/packages/daemon/src/claim-peers.ts
@@ -34,8 +34,8 @@
 	}
 
 	/** Records the addresses of the seated instances. Of the others, only the addresses of awaited instances are kept. */
-	updateAddresses(seated: readonly InstanceRecord[], awaited: readonly InstanceIdentity[]): void {
-		const retainedKeys = new Set([...seated, ...awaited].map(seat => incarnationKey(seat)));
+	updateAddresses(seated: readonly InstanceRecord[], awaitedSeats: readonly InstanceIdentity[]): void {
+		const retainedKeys = new Set([...seated, ...awaitedSeats].map(seat => incarnationKey(seat)));
 		for (const recordedKey of this.#addresses.keys()) {
 			if (!retainedKeys.has(recordedKey)) {
 				this.#addresses.delete(recordedKey);
