--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -99,7 +99,7 @@
 		ownReports,
 		zoneReports,
 		takeShares(shares) {
-			limiter.takeShares(shares);
+			limiter.applyShares(shares);
 		},
 		lacksShares: () => limiter.lacksShares(),
 		log,
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -33,7 +33,7 @@
 	readonly admit: (contract: ServiceContract, head: RequestHead, idempotent: boolean) => Result<undefined, Failure>;
 	/** Returns the demands to send now. */
 	readonly takeDemands: () => readonly LimitDemand[];
-	readonly takeShares: (shares: readonly LimitShare[]) => void;
+	readonly applyShares: (shares: readonly LimitShare[]) => void;
 	/** Whether a request is waiting for a share. */
 	readonly lacksShares: () => boolean;
 };
@@ -198,7 +198,7 @@
 			const demandingEntries = isDue ? entries.values() : waiting;
 			return [...demandingEntries].flatMap(entry => demandsOf(entry, isDue, now));
 		},
-		takeShares(shares) {
+		applyShares(shares) {
 			const now = monotonicNow();
 			for (const share of shares) {
 				const entry = entries.get(entryKey(share.service, share.limit, share.caller));
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -182,7 +182,7 @@
 	#answer(limiter: Limiter, shares: readonly LimitShare[]): void {
 		if (shares.length > 0) {
 			this.#network.send(now, () => {
-				limiter.takeShares(shares);
+				limiter.applyShares(shares);
 			});
 		}
 	}
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -55,7 +55,7 @@
 		run(limiter) {
 			assert.equal(admits(limiter), false);
 			const [demand] = limiter.takeDemands();
-			limiter.takeShares([answer(demand!, 1)]);
+			limiter.applyShares([answer(demand!, 1)]);
 			assert.equal(admits(limiter), true);
 			assert.equal(admits(limiter), false);
 		},
@@ -86,9 +86,9 @@
 			const [first] = limiter.takeDemands();
 			now += 5000;
 			const [second] = limiter.takeDemands();
-			limiter.takeShares([answer(first!, 100)]);
+			limiter.applyShares([answer(first!, 100)]);
 			assert.equal(admits(limiter), false);
-			limiter.takeShares([answer(second!, 1)]);
+			limiter.applyShares([answer(second!, 1)]);
 			assert.equal(admits(limiter), true);
 			assert.equal(admits(limiter), false);
 		},
@@ -97,7 +97,7 @@
 		name: 'an exhausted share that was granted for a small demand is requested again at once',
 		run(limiter) {
 			admits(limiter);
-			limiter.takeShares([answer(limiter.takeDemands()[0]!, 2)]);
+			limiter.applyShares([answer(limiter.takeDemands()[0]!, 2)]);
 			assert.deepEqual([admits(limiter), admits(limiter), admits(limiter)], [true, true, false]);
 			assert.equal(limiter.lacksShares(), true);
 			assert.equal(limiter.takeDemands()[0]!.wanted, 3);
@@ -182,7 +182,7 @@
 		this.#sharing = state;
 		if (share !== undefined) {
 			this.#network.send(now, () => {
-				limiter.takeShares([share]);
+				limiter.applyShares([share]);
 			});
 		}
 	}
