--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -154,13 +154,13 @@
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
-			const answers = await Promise.all(others.map(async member => dependencies.requestCounts(member)));
+			const responses = await Promise.all(others.map(async member => dependencies.requestCounts(member)));
 			return {
 				at: wallNow(),
 				objectives: contractsOf(holder.state().configuration).flatMap(({name: service, objectives}) =>
 					objectives.map(objective => ({...objective, service}))),
 				expected: [...new Set([name, ...members.map(member => member.name)])],
-				instances: [ownCounts(), ...answers.flatMap(answer => parseInstanceBurn(answer))],
+				instances: [ownCounts(), ...responses.flatMap(answer => parseInstanceBurn(answer))],
 				figures: ownershipFigures.list(),
 			};
 		},
