--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -62,7 +62,7 @@
 type Schedule = NetworkFaults & {
 	readonly unit?: Pick<LegacyUnit, 'window' | 'burst'>;
 	readonly changes: readonly Change[];
-	readonly cuts?: readonly Partition[];
+	readonly partitions?: readonly Partition[];
 	readonly newLeaders?: readonly number[];
 	readonly newStewards?: ReadonlyArray<{readonly zone: string; readonly at: number}>;
 	readonly restarts?: ReadonlyArray<{readonly instance: string; readonly at: number}>;
@@ -116,7 +116,7 @@
 
 	#isPartitioned(zone: string): boolean {
 		const elapsed = now - this.#start;
-		return (this.#schedule.cuts ?? []).some(cut => cut.zone === zone && elapsed >= cut.from && elapsed < cut.to);
+		return (this.#schedule.partitions ?? []).some(cut => cut.zone === zone && elapsed >= cut.from && elapsed < cut.to);
 	}
 
 	#applyFaults(): void {
@@ -219,17 +219,17 @@
 	{name: 'no partition', schedule: {delayMilliseconds: 800, loss: 10, changes: steady}},
 	{
 		name: 'a partition of minutes', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longPartition],
+			delayMilliseconds: 200, loss: 5, changes: steady, partitions: [longPartition],
 		},
 	},
 	{
 		name: 'a partition with a new steward', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longPartition], newStewards: [{zone: 'zuid-a', at: 120_000}],
+			delayMilliseconds: 200, loss: 5, changes: steady, partitions: [longPartition], newStewards: [{zone: 'zuid-a', at: 120_000}],
 		},
 	},
 	{
 		name: 'a partition with new leaders', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longPartition], newLeaders: [61_000, 150_000],
+			delayMilliseconds: 200, loss: 5, changes: steady, partitions: [longPartition], newLeaders: [61_000, 150_000],
 		},
 	},
 	{
@@ -237,7 +237,7 @@
 			delayMilliseconds: 2500,
 			loss: 20,
 			changes: steady,
-			cuts: [{zone: 'noord-a', from: 50_000, to: 62_000}, {zone: 'zuid-a', from: 58_000, to: 90_000}, {zone: 'noord-b', from: 130_000, to: 170_000}],
+			partitions: [{zone: 'noord-a', from: 50_000, to: 62_000}, {zone: 'zuid-a', from: 58_000, to: 90_000}, {zone: 'noord-b', from: 130_000, to: 170_000}],
 			newStewards: [{zone: 'noord-a', at: 55_000}, {zone: 'zuid-a', at: 59_000}, {zone: 'noord-b', at: 200_000}, {zone: 'noord-b', at: 202_000}],
 			newLeaders: [40_000, 140_000, 145_000],
 		},
@@ -247,7 +247,7 @@
 			delayMilliseconds: 200,
 			loss: 5,
 			changes: steady,
-			cuts: [longPartition],
+			partitions: [longPartition],
 			restarts: [{instance: 'zuid-a-0', at: 100_000}, {instance: 'noord-a-1', at: 101_000}, {instance: 'zuid-a-1', at: 270_000}],
 		},
 	},
@@ -315,7 +315,7 @@
 			const allowed = amount * burst;
 			context.diagnostic(`seed ${run}: at most ${most} of ${allowed} in one window`);
 			assert.ok(admitted.length > allowed && most <= allowed, `${most} of ${allowed} in one window, seed ${run}`);
-			if (schedule.cuts?.includes(longPartition)) {
+			if (schedule.partitions?.includes(longPartition)) {
 				checkPartition(context, admitted, start);
 			}
 		}
