--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -116,7 +116,7 @@
 
 	#isPartitioned(zone: string): boolean {
 		const elapsed = now - this.#start;
-		return (this.#schedule.partitions ?? []).some(cut => cut.zone === zone && elapsed >= cut.from && elapsed < cut.to);
+		return (this.#schedule.partitions ?? []).some(partition => partition.zone === zone && elapsed >= partition.from && elapsed < partition.to);
 	}
 
 	#applyFaults(): void {
