--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -287,10 +287,10 @@
 }
 
 function checkPartition(context: TestContext, admitted: readonly Admitted[], start: number): void {
-	const {most, ratio} = usedInPartition(admitted, start);
-	context.diagnostic(`the partitioned zone: at most ${most} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
+	const {most: maximum, ratio} = usedInPartition(admitted, start);
+	context.diagnostic(`the partitioned zone: at most ${maximum} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
 	assert.ok(ratio > 0.8, 'the partitioned zone continues to admit requests');
-	assert.ok(most <= zoneReserve, `${most} of the zone's ${zoneReserve} in one window`);
+	assert.ok(maximum <= zoneReserve, `${maximum} of the zone's ${zoneReserve} in one window`);
 }
 
 function play(runSeed: number, schedule: Schedule): {readonly admitted: readonly Admitted[]; readonly start: number} {
