--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -102,9 +102,9 @@
 		for (; now < this.#start + durationMilliseconds; now += stepMilliseconds) {
 			this.#applyFaults();
 			this.#network.deliver(now);
-			for (const [number, place] of this.#participants.entries()) {
-				this.#request(place, number);
-				this.#renew(place);
+			for (const [number, participant] of this.#participants.entries()) {
+				this.#request(participant, number);
+				this.#renew(participant);
 			}
 		}
 	}
