--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -131,8 +131,8 @@
 		}
 
 		for (const {instance} of restarts.filter(({at}) => at === elapsed)) {
-			const place = this.#participants.find(({record}) => record.name === instance)!;
-			place.limiter = createLimiter({...place.record, incarnation: now}, () => undefined);
+			const participant = this.#participants.find(({record}) => record.name === instance)!;
+			participant.limiter = createLimiter({...participant.record, incarnation: now}, () => undefined);
 		}
 	}
 
