--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -145,17 +145,17 @@
 		}
 	}
 
-	#renew(place: Participant): void {
-		const {limiter} = place;
-		if (now >= place.lastRequestAt + (limiter.lacksShares() ? renewLackingMilliseconds : renewMilliseconds)) {
-			place.lastRequestAt = now;
+	#renew(participant: Participant): void {
+		const {limiter} = participant;
+		if (now >= participant.lastRequestAt + (limiter.lacksShares() ? renewLackingMilliseconds : renewMilliseconds)) {
+			participant.lastRequestAt = now;
 			const demands = limiter.takeDemands();
 			this.#network.send(now, () => {
-				this.#requestFromSteward(place, demands.filter(({divider}) => divider === Divider.zone));
+				this.#requestFromSteward(participant, demands.filter(({divider}) => divider === Divider.zone));
 			});
 			for (const demand of demands.filter(({divider}) => divider === Divider.control)) {
 				this.#network.send(now, () => {
-					this.#requestFromControl(place, demand);
+					this.#requestFromControl(participant, demand);
 				});
 			}
 		}
