--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -23,7 +23,7 @@
 	readonly wall: WallTime;
 };
 
-function isDemandPending({pendingDemand: pendingDemand}: Grant, now: MonotonicTime): boolean {
+function isDemandPending({pendingDemand}: Grant, now: MonotonicTime): boolean {
 	return pendingDemand !== undefined && now < pendingDemand.at + answerTimeoutMilliseconds;
 }
 
@@ -39,7 +39,7 @@
 
 /** Whether a demand is sent to a divider between the regular demands. */
 const isUrgent: Readonly<Record<Divider, UrgencyRule>> = {
-	[Divider.control]: ({waitingSince: waitingSince}) => waitingSince !== undefined,
+	[Divider.control]: ({waitingSince}) => waitingSince !== undefined,
 	[Divider.zone]: (entry, now) => entry.waitingSince !== undefined && mayReceiveMore(entry, Divider.zone, now),
 };
 
--- a/packages/daemon/src/limit-entry.ts
+++ b/packages/daemon/src/limit-entry.ts
@@ -120,7 +120,7 @@
 }
 
 /** The amount of one divider's part that is held now. */
-export function currentGrantAmount({amount, expiresAt: expiresAt}: Grant, now: MonotonicTime): number {
+export function currentGrantAmount({amount, expiresAt}: Grant, now: MonotonicTime): number {
 	return now < expiresAt ? amount : 0;
 }
 
@@ -144,13 +144,13 @@
 }
 
 /** The amount to request of a divider's part. The zone's reserve is used first, so the rest is requested from control. */
-export function wantedAmount({wanted, previousWanted: previousWanted, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
+export function wantedAmount({wanted, previousWanted, grants}: LimitEntry, divider: Divider, now: MonotonicTime): number {
 	const reserved = divider === Divider.control ? currentGrantAmount(grants.zone, now) : 0;
 	return Math.max(1, Math.max(wanted, previousWanted) - reserved);
 }
 
 /** Whether no request has used the entry for so long that it can be dropped. */
-export function isIdle({lastUsedAt: lastUsedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
+export function isIdle({lastUsedAt, effective}: LimitEntry, now: MonotonicTime): boolean {
 	return now - lastUsedAt > idleMilliseconds + effective.intervalMilliseconds;
 }
 
--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -34,6 +34,6 @@
 	});
 
 	return {
-		list: () => [...tracked.values()].map(({state: state}) => figuresOf(state, monotonicNow())),
+		list: () => [...tracked.values()].map(({state}) => figuresOf(state, monotonicNow())),
 	};
 }
