--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -64,7 +64,7 @@
 	let appliedIndexes: AppliedIndexes = new Map();
 	let sweeps = 0;
 
-	/** Resends the end of an operation until it arrives, since the answers to resent operations depend on it. */
+	/** Sends the end of an operation again until it arrives or `resendDelays` is exhausted: answers to a resent operation rely on the recorded end. */
 	async function sendUntilDelivered(ended: ClaimEnded): Promise<void> {
 		for (const duration of resendDelays) {
 			await pause(duration);
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -51,7 +51,7 @@
 	return `${service}\n${limit}\n${caller}`;
 }
 
-/** Creates the limiter of an instance. It calls `noteAwaited` when a request begins to wait for a share. */
+/** Creates the limiter of an instance. It calls `onWaitStarted` when a request begins to wait for a share. */
 export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, onWaitStarted: () => void): Limiter {
 	const holder = incarnationKey(self);
 	const entries = new Map<string, LimitEntry>();
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -271,7 +271,7 @@
 			loss: 10,
 			unit,
 			changes: [...steady, {at: 100_000, cutReserve: 0.9}, {at: 190_000, cutReserve: 0.1}],
-			cuts: [{zone: 'zuid-a', from: 60_000, to: 95_000}, {zone: 'noord-a', from: 240_000, to: 290_000}],
+			partitions: [{zone: 'zuid-a', from: 60_000, to: 95_000}, {zone: 'noord-a', from: 240_000, to: 290_000}],
 			newStewards: [{zone: 'zuid-a', at: 70_000}, {zone: 'noord-b', at: 130_000}],
 			newLeaders: [75_000, 160_000],
 			restarts: [{instance: 'zuid-a-0', at: 85_000}, {instance: 'noord-b-0', at: 250_000}],
@@ -280,14 +280,14 @@
 ];
 
 /** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
-function usedInPartition(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
+function usedInPartition(admitted: readonly Admitted[], start: number): {readonly maximum: number; readonly ratio: number} {
 	const [from, to] = [start + longPartition.from + shareExpiryMilliseconds, start + longPartition.to];
 	const inPartition = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
-	return {most: maximumInSlidingWindow(inPartition.map(({at}) => at), windowMilliseconds), ratio: inPartition.length / (zoneReserve * (to - from) / windowMilliseconds)};
+	return {maximum: maximumInSlidingWindow(inPartition.map(({at}) => at), windowMilliseconds), ratio: inPartition.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
 function checkPartition(context: TestContext, admitted: readonly Admitted[], start: number): void {
-	const {most: maximum, ratio} = usedInPartition(admitted, start);
+	const {maximum, ratio} = usedInPartition(admitted, start);
 	context.diagnostic(`the partitioned zone: at most ${maximum} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
 	assert.ok(ratio > 0.8, 'the partitioned zone continues to admit requests');
 	assert.ok(maximum <= zoneReserve, `${maximum} of the zone's ${zoneReserve} in one window`);
