--- a/packages/daemon/src/operator-api.ts
+++ b/packages/daemon/src/operator-api.ts
@@ -118,7 +118,7 @@
 			: ok(configuration));
 	}
 
-	async function submitOperatorCommand(operation: OperationIdentifier, command: OperatorAsked['command']): Promise<Result<WriteAnswer, Failure>> {
+	async function submitCommand(operation: OperationIdentifier, command: OperatorAsked['command']): Promise<Result<WriteAnswer, Failure>> {
 		const accepted: Result<ControlAccepted, Failure> = await control.submit({kind: 'operatorAsked', operation, command});
 		return accepted.map(({index}) => ({operation, index}));
 	}
@@ -189,11 +189,11 @@
 		token: createWriteHandler(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitOperatorCommand(operation, {kind: 'moveWished', ...request})),
-		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitOperatorCommand(operation, {kind: 'drainAsked', ...request})),
+		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'moveWished', ...request})),
+		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'drainAsked', ...request})),
 		zoneDeclareLost: createWriteHandler(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
-				? submitOperatorCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
+				? submitCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
 				: err(failure(FailureKind.malformed, `"confirm" must read: ${declareLostConfirmation(zone)}`))),
 		configuration: createReadHandler('team', team => team, (state, team) => {
 			const {revision, services} = subtreeOf(state.configuration, team);
