--- a/packages/daemon/src/operator-api.ts
+++ b/packages/daemon/src/operator-api.ts
@@ -60,7 +60,7 @@
 type Permission = (state: ControlState, authority: Authority) => Result<Authority, Failure>;
 
 const allowAnyAuthority: Permission = (_state, authority) => ok(authority);
-const requireTeamAuthority = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
+const teamPermission = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
 function authorize({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
 	return authorityOf(state.configuration, hashToken(token)).andThen(authority => permission(state, authority));
@@ -142,7 +142,7 @@
 			const state = holder.state();
 			return authorize(request, state, allowAnyAuthority)
 				.andThen(() => requireQueryValue(request, name))
-				.andThen(value => authorize(request, state, requireTeamAuthority(team(value))).andThen(() => answer(state, value)));
+				.andThen(value => authorize(request, state, teamPermission(team(value))).andThen(() => answer(state, value)));
 		};
 	}
 
@@ -178,7 +178,7 @@
 
 	return {
 		announce: dependencies.announce,
-		apply: createWriteHandler(parseApplyRequest, ({team}) => requireTeamAuthority(team), async (read, {author}) => {
+		apply: createWriteHandler(parseApplyRequest, ({team}) => teamPermission(team), async (read, {author}) => {
 			const checked = requireAuthor(author).andThen(() => requireServedAgain(read.services));
 			return checked.isErr
 				? err(checked.error)
@@ -189,8 +189,8 @@
 		token: createWriteHandler(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: createWriteHandler(parseMoveRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'moveWished', ...request})),
-		drain: createWriteHandler(parseDrainRequest, ({service}) => requireTeamAuthority(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'drainAsked', ...request})),
+		move: createWriteHandler(parseMoveRequest, ({service}) => teamPermission(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'moveWished', ...request})),
+		drain: createWriteHandler(parseDrainRequest, ({service}) => teamPermission(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'drainAsked', ...request})),
 		zoneDeclareLost: createWriteHandler(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
 				? submitCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
