--- a/packages/daemon/src/operator-api.ts
+++ b/packages/daemon/src/operator-api.ts
@@ -59,7 +59,7 @@
 
 type Permission = (state: ControlState, authority: Authority) => Result<Authority, Failure>;
 
-const allowAnyAuthority: Permission = (_state, authority) => ok(authority);
+const anyPermission: Permission = (_state, authority) => ok(authority);
 const teamPermission = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
 function authorize({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
@@ -130,7 +130,7 @@
 		execute: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): ApiHandler {
 		return async request => {
-			const authenticated = authorize(request, holder.state(), allowAnyAuthority);
+			const authenticated = authorize(request, holder.state(), anyPermission);
 			const read = authenticated.andThen(() => parse(request.body));
 			const allowed = read.andThen(body => authorize(request, holder.state(), permission(body)).map(() => body));
 			return allowed.isOk ? execute(allowed.value, request) : err(allowed.error);
@@ -140,7 +140,7 @@
 	function createReadHandler(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
 		return async request => {
 			const state = holder.state();
-			return authorize(request, state, allowAnyAuthority)
+			return authorize(request, state, anyPermission)
 				.andThen(() => requireQueryValue(request, name))
 				.andThen(value => authorize(request, state, teamPermission(team(value))).andThen(() => answer(state, value)));
 		};
@@ -155,7 +155,7 @@
 
 	async function members(request: ApiRequest): Promise<Result<unknown, Failure>> {
 		const state = holder.state();
-		const allowed = authorize(request, state, allowAnyAuthority);
+		const allowed = authorize(request, state, anyPermission);
 		if (allowed.isErr) {
 			return err(allowed.error);
 		}
@@ -205,11 +205,11 @@
 			: ownersAnswer(state, service)),
 		async status(request) {
 			const state = holder.state();
-			return authorize(request, state, allowAnyAuthority).map(() => statusAnswer(state));
+			return authorize(request, state, anyPermission).map(() => statusAnswer(state));
 		},
 		members,
 		async burn(request) {
-			const allowed = authorize(request, holder.state(), allowAnyAuthority);
+			const allowed = authorize(request, holder.state(), anyPermission);
 			return allowed.isOk ? dependencies.burn(request) : err(allowed.error);
 		},
 	};
