--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -57,7 +57,7 @@
 }
 
 /** Creates a new demand to a divider. The usage counts fully towards each divider, since it may have been charged to either share. */
-export function makeDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandOptions): LimitDemand {
+export function createDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandOptions): LimitDemand {
 	const grant = entry.grants[divider];
 	const wanted = wantedAmount(entry, divider, now);
 	const held = currentGrantAmount(grant, now);
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -18,7 +18,7 @@
 	callerOf, type Charge, chargeAll, costs, limitReached,
 } from './limit-admission.js';
 import {
-	awaitsFirstShare, dividersDue, mayReceiveMore, makeDemand, applyShare,
+	awaitsFirstShare, dividersDue, mayReceiveMore, createDemand, applyShare,
 } from './limit-demand.js';
 import {
 	updateEntry, createEntry, isIdle, type LimitEntry, recordWanted,
@@ -179,7 +179,7 @@
 	function demandsOf(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly LimitDemand[] {
 		return dividersDue(entry, isDue, now).map(divider => {
 			sequence += 1;
-			return makeDemand(entry, divider, {
+			return createDemand(entry, divider, {
 				holder, sequence, now, wall: wallNow(),
 			});
 		});
