--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -55,20 +55,20 @@
 export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, onWaitStarted: () => void): Limiter {
 	const holder = incarnationKey(self);
 	const entries = new Map<string, LimitEntry>();
-	const effectives = new WeakMap<ContractedLimit, EffectiveLimit>();
+	const effectiveLimits = new WeakMap<ContractedLimit, EffectiveLimit>();
 	const waiting = new Set<LimitEntry>();
 	let sequence = 0;
 	let lastDemandsAt = -Infinity;
 
 	function effectiveOf(contract: ServiceContract, limit: ContractedLimit): EffectiveLimit | undefined {
-		const cached = effectives.get(limit);
+		const cached = effectiveLimits.get(limit);
 		if (cached !== undefined) {
 			return cached;
 		}
 
 		const computed = effectiveLimit(limit, contract.units);
 		if (computed.isOk) {
-			effectives.set(limit, computed.value);
+			effectiveLimits.set(limit, computed.value);
 		}
 
 		return computed.unwrapOr(undefined);
