--- a/packages/daemon/src/burn-runner.ts
+++ b/packages/daemon/src/burn-runner.ts
@@ -1,6 +1,7 @@
 /**
- * Counts requests for the service-level objectives, keeps the intervals on disk
- * where there is one, and answers the report's input over all instances.
+ * Counts requests for the service-level objectives, journals the intervals to disk
+ * if a folder is configured, and collects the input of the burn report from all
+ * instances.
  */
 import {
 	appendFile, mkdir, readFile, rename, writeFile,
@@ -25,34 +26,34 @@
 import {seatedInstances} from '@dogwooddeck/ownership/table';
 import {type RequestReport} from '@dogwooddeck/upstream-client/request-path';
 import {type ControlHolder} from './control-holder.js';
-import {createOwnershipFigures} from './ownership-figures.js';
+import {createOwnershipFiguresTracker} from './ownership-figures.js';
 
-/** The counts of this instance. */
+/** Counts the requests of this instance for the burn report. */
 export type BurnRunner = {
-	/** Counts a request that ended, for the objectives of the contract under which it came. */
+	/** Counts a completed request against the objectives of its contract. */
 	readonly record: (contract: ServiceContract, idempotent: boolean, report: RequestReport) => void;
 	/** Counts a request that was sent to an upstream. */
 	readonly sent: (upstream: UpstreamIdentity) => void;
-	/** What this instance counted. */
-	readonly own: () => InstanceBurn;
-	/** The report's input, with what the other instances counted as far as they answer. */
+	/** Returns the counts of this instance. */
+	readonly ownCounts: () => InstanceBurn;
+	/** Returns the report's input, with the counts of all other instances that answer. */
 	readonly input: () => Promise<BurnInput>;
-	/** Writes what is counted and ends. */
+	/** Writes the current interval to the journal and stops. */
 	readonly stop: () => Promise<void>;
 };
 
-/** What the runner needs. */
-export type BurnSurroundings = {
+/** The collaborators of the runner. */
+export type BurnDependencies = {
 	readonly name: InstanceName;
 	readonly holder: ControlHolder;
-	/** Where the journal lives. Absent: counts are lost with the process. */
+	/** The folder of the journal. If absent, counts are lost when the process ends. */
 	readonly folder?: string;
-	/** What another instance counted, as JSON; undefined if it can't be reached. */
-	readonly ask: (member: InstanceRecord) => Promise<string | undefined>;
+	/** Requests the counts of another instance, as JSON; undefined if it can't be reached. */
+	readonly requestCounts: (member: InstanceRecord) => Promise<string | undefined>;
 };
 
-/** Intervals that are appended before the journal is written anew. */
-const appendsBeforeFold = 360;
+/** Intervals that are appended before the journal is rewritten. */
+const appendsBeforeRewrite = 360;
 
 async function readJournal(file: string | undefined): Promise<readonly BurnInterval[]> {
 	if (file === undefined) {
@@ -66,7 +67,7 @@
 	}
 }
 
-function readInstance(text: string | undefined): readonly InstanceBurn[] {
+function parseInstanceBurn(text: string | undefined): readonly InstanceBurn[] {
 	try {
 		const value: unknown = JSON.parse(text ?? '');
 		return isInstanceBurn(value) ? [value] : [];
@@ -75,21 +76,21 @@
 	}
 }
 
-/** Starts to count. */
-export async function startBurn(surroundings: BurnSurroundings): Promise<BurnRunner> {
-	const {name, holder} = surroundings;
-	const file = surroundings.folder === undefined ? undefined : path.join(surroundings.folder, 'burn.jsonl');
+/** Reads the journal and starts to count. */
+export async function startBurnRunner(dependencies: BurnDependencies): Promise<BurnRunner> {
+	const {name, holder} = dependencies;
+	const file = dependencies.folder === undefined ? undefined : path.join(dependencies.folder, 'burn.jsonl');
 	const recorder = new BurnRecorder();
 	const loads = new LoadRecorder(monotonicNow());
-	const figures = createOwnershipFigures(holder);
-	if (surroundings.folder !== undefined) {
-		await mkdir(surroundings.folder, {recursive: true});
+	const ownershipFigures = createOwnershipFiguresTracker(holder);
+	if (dependencies.folder !== undefined) {
+		await mkdir(dependencies.folder, {recursive: true});
 	}
 
 	let intervals = await readJournal(file);
 	let startedAt = wallNow();
 	let appends = 0;
-	let writing: Promise<void> = Promise.resolve();
+	let pendingWrite: Promise<void> = Promise.resolve();
 
 	async function write(interval: BurnInterval): Promise<void> {
 		if (file === undefined) {
@@ -97,7 +98,7 @@
 		}
 
 		appends += 1;
-		if (appends < appendsBeforeFold) {
+		if (appends < appendsBeforeRewrite) {
 			await appendFile(file, `${encodeInterval(interval)}\n`);
 			return;
 		}
@@ -112,24 +113,24 @@
 		try {
 			await write(interval);
 		} catch {
-			// A journal that can't be written costs the report intervals, and requests nothing.
+			// If the journal can't be written, the report loses intervals; requests aren't affected.
 		}
 	}
 
-	function take(): void {
+	function closeInterval(): void {
 		const now: WallTime = wallNow();
 		const interval = recorder.take(intervalStart(startedAt));
 		startedAt = now;
 		if (interval.objectives.length > 0) {
 			intervals = foldIntervals([...intervals, interval], now);
-			writing = writeAfter(writing, interval);
+			pendingWrite = writeAfter(pendingWrite, interval);
 		}
 	}
 
-	const taking = setInterval(take, intervalMilliseconds);
+	const intervalTimer = setInterval(closeInterval, intervalMilliseconds);
 
-	function own(): InstanceBurn {
-		take();
+	function ownCounts(): InstanceBurn {
+		closeInterval();
 		return {instance: name, intervals, loads: loads.loads(monotonicNow())};
 	}
 
@@ -139,34 +140,34 @@
 				return;
 			}
 
-			const end = completionStatusOf({
+			const completion = completionStatusOf({
 				outcome: report.outcome,
 				limited: report.failure?.kind === FailureKind.limitReached,
 				...(report.status === undefined ? {} : {status: report.status}),
 			});
-			recorder.record(contract, {end, idempotent, latencyMilliseconds: report.latencyMilliseconds});
+			recorder.record(contract, {end: completion, idempotent, latencyMilliseconds: report.latencyMilliseconds});
 		},
 		sent({service, name: upstream}) {
 			loads.record(service, upstream, monotonicNow());
 		},
-		own,
+		ownCounts,
 		async input() {
 			const members = seatedInstances(holder.state().ownership);
 			const others = members.filter(member => member.name !== name);
-			const answers = await Promise.all(others.map(async member => surroundings.ask(member)));
+			const responses = await Promise.all(others.map(async member => dependencies.requestCounts(member)));
 			return {
 				at: wallNow(),
 				objectives: contractsOf(holder.state().configuration).flatMap(({name: service, objectives}) =>
 					objectives.map(objective => ({...objective, service}))),
 				expected: [...new Set([name, ...members.map(member => member.name)])],
-				instances: [own(), ...answers.flatMap(answer => readInstance(answer))],
-				figures: figures.take(),
+				instances: [ownCounts(), ...responses.flatMap(answer => parseInstanceBurn(answer))],
+				figures: ownershipFigures.list(),
 			};
 		},
 		async stop() {
-			clearInterval(taking);
-			take();
-			await writing;
+			clearInterval(intervalTimer);
+			closeInterval();
+			await pendingWrite;
 		},
 	};
 }
--- a/packages/daemon/src/claim-message.ts
+++ b/packages/daemon/src/claim-message.ts
@@ -1,5 +1,6 @@
 /**
- * The form of what arrives from other instances about claims.
+ * Schemas and parsers of the messages, answers and reports about claims (exactly-once
+ * records of operations) that other instances send.
  */
 import {Outcome} from '@dogwooddeck/model/outcome';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -11,33 +12,33 @@
 import {err, ok, type Result} from 'true-myth/result';
 import * as v from 'valibot';
 
-/** A message to a holder of claims. */
+/** A message to an instance that holds claims. */
 export type ClaimMessage = ClaimRequest | ClaimEnded;
 
-/** What an instance tells of the claims that it holds. */
+/** The report of an instance about the claims that it holds. */
 export type ClaimReport = {
-	/** Who tells it: another life may answer at an earlier one's address. */
+	/** The reporting instance: another incarnation may answer at the address of an earlier one. */
 	readonly instance: InstanceIdentity;
-	/** The newest log entry that it has applied. */
+	/** The index of the newest log entry that the instance has applied. */
 	readonly applied: LogIndex;
-	/** The roster whose holders have answered copies of all its records; 0 while some are missing. */
+	/** The index of the roster whose holders have acknowledged copies of all its records; 0 while acknowledgements are missing. */
 	readonly copiedThrough: LogIndex;
 };
 
-/** The longest header field, and so the longest key, that Node.js takes from a caller. */
-const longestCallerText = 16_384;
-const longestName = 128;
+/** The longest header field, and so the longest key, that Node.js accepts from a caller. */
+const maximumCallerTextLength = 16_384;
+const maximumNameLength = 128;
 
-const name = v.pipe(v.string(), v.minLength(1), v.maxLength(longestName));
-const callerText = v.pipe(v.string(), v.maxLength(longestCallerText));
-const whole = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
+const name = v.pipe(v.string(), v.minLength(1), v.maxLength(maximumNameLength));
+const callerText = v.pipe(v.string(), v.maxLength(maximumCallerTextLength));
+const nonNegativeInteger = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const duration = v.pipe(v.number(), v.finite());
-const identity = v.object({name, incarnation: whole});
+const identity = v.object({name, incarnation: nonNegativeInteger});
 const operation = v.object({service: name, key: callerText, operationKey: callerText});
-const token = v.object({claimant: identity, sequence: whole});
+const token = v.object({claimant: identity, sequence: nonNegativeInteger});
 const outcome = v.picklist(Object.values(Outcome));
 const answer = v.exactOptional(v.object({
-	status: v.pipe(whole, v.minValue(100), v.maxValue(599)), headers: v.array(v.string()), body: v.string(),
+	status: v.pipe(nonNegativeInteger, v.minValue(100), v.maxValue(599)), headers: v.array(v.string()), body: v.string(),
 }));
 
 const status = v.variant('kind', [
@@ -53,7 +54,7 @@
 		fingerprint: name,
 		token,
 		holder: identity,
-		rosterIndex: whole,
+		rosterIndex: nonNegativeInteger,
 		status,
 		lifetimeMilliseconds: duration,
 	}),
@@ -62,24 +63,24 @@
 	}),
 ]);
 
-const answerParts = {
-	kind: v.literal('claim-answer'), token, holder: identity, rosterIndex: whole,
+const answerFields = {
+	kind: v.literal('claim-answer'), token, holder: identity, rosterIndex: nonNegativeInteger,
 };
 
-const {taken: _taken, ...withoutStatus} = ClaimVerdict;
+const {taken: _taken, ...verdictsWithoutStatus} = ClaimVerdict;
 
 const answerSchema = v.variant('verdict', [
-	v.object({...answerParts, verdict: v.literal(ClaimVerdict.taken), status}),
-	v.object({...answerParts, verdict: v.picklist(Object.values(withoutStatus))}),
+	v.object({...answerFields, verdict: v.literal(ClaimVerdict.taken), status}),
+	v.object({...answerFields, verdict: v.picklist(Object.values(verdictsWithoutStatus))}),
 ]);
 
-const seats = v.array(v.object({name, incarnation: whole, zone: name}));
-const reportSchema = v.object({instance: identity, applied: whole, copiedThrough: whole});
+const seats = v.array(v.object({name, incarnation: nonNegativeInteger, zone: name}));
+const reportSchema = v.object({instance: identity, applied: nonNegativeInteger, copiedThrough: nonNegativeInteger});
 const viewSchema = v.object({
-	newest: whole, earlier: v.array(v.object({roster: v.object({index: whole, seats}), unsettled: seats})),
+	newest: nonNegativeInteger, earlier: v.array(v.object({roster: v.object({index: nonNegativeInteger, seats}), unsettled: seats})),
 });
 
-function parsed(body: string): unknown {
+function parseJson(body: string): unknown {
 	try {
 		return JSON.parse(body);
 	} catch {
@@ -87,29 +88,29 @@
 	}
 }
 
-function read<Schema extends v.GenericSchema>(schema: Schema, body: string, what: string): Result<v.InferOutput<Schema>, Failure> {
-	const result = v.safeParse(schema, parsed(body));
+function parseMessage<Schema extends v.GenericSchema>(schema: Schema, body: string, subject: string): Result<v.InferOutput<Schema>, Failure> {
+	const result = v.safeParse(schema, parseJson(body));
 	return result.success
 		? ok(result.output)
-		: err(failure(FailureKind.malformed, `${what} can't be read: ${v.getDotPath(result.issues[0]) ?? 'no object'}`));
+		: err(failure(FailureKind.malformed, `${subject} can't be read: ${v.getDotPath(result.issues[0]) ?? 'no object'}`));
 }
 
-/** Reads a message, as JSON. Fails with `malformed`. */
+/** Parses a message, as JSON. Fails with `malformed`. */
 export function readClaimMessage(body: string): Result<ClaimMessage, Failure> {
-	return read(messageSchema, body, 'the claim message');
+	return parseMessage(messageSchema, body, 'the claim message');
 }
 
-/** Reads a holder's answer, as JSON. Fails with `malformed`. */
+/** Parses a holder's answer, as JSON. Fails with `malformed`. */
 export function readClaimAnswer(body: string): Result<ClaimAnswer, Failure> {
-	return read(answerSchema, body, 'the answer to a claim');
+	return parseMessage(answerSchema, body, 'the answer to a claim');
 }
 
-/** Reads what an instance told of the claims that it holds, as JSON. Fails with `malformed`. */
+/** Parses an instance's report of the claims that it holds, as JSON. Fails with `malformed`. */
 export function readClaimReport(body: string): Result<ClaimReport, Failure> {
-	return read(reportSchema, body, 'the report of claims');
+	return parseMessage(reportSchema, body, 'the report of claims');
 }
 
-/** Reads the rosters that an instance asks by, as JSON. Fails with `malformed`, also where the instance has no whole view. */
+/** Parses the rosters by which an instance sends its requests, as JSON. Fails with `malformed`, also if the instance has no complete view. */
 export function readClaimsView(body: string): Result<ClaimsView, Failure> {
-	return read(viewSchema, body, 'the view of claims');
+	return parseMessage(viewSchema, body, 'the view of claims');
 }
--- a/packages/daemon/src/claim-runner.ts
+++ b/packages/daemon/src/claim-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the claims of non-idempotent operations: carries messages between this
- * instance and the holders, and follows the seated instances.
+ * Runs the claims (exactly-once records) of non-idempotent operations: exchanges
+ * messages between this instance and the holders, and tracks the seated instances.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {pause} from '@dogwooddeck/clock/pause';
@@ -26,56 +26,56 @@
 /** The claims of this instance. */
 export type ClaimRunner = {
 	readonly claim: ClaimCoordinator['claim'];
-	/** Takes a message of another instance, as JSON. */
-	readonly take: (body: string) => Result<string, Failure>;
-	/** What this instance tells of the claims that it holds. */
+	/** Handles a message of another instance, as JSON, and returns the answer as JSON. */
+	readonly receive: (body: string) => Result<string, Failure>;
+	/** Returns this instance's report of the claims that it holds. */
 	readonly report: () => ClaimReport;
-	/** What this instance tells one that starts; undefined while rosters may be missing. */
+	/** Returns the view that is sent to an instance that starts; undefined while rosters may be missing. */
 	readonly view: () => ClaimsView | undefined;
-	/** A planned stop: waits until the others know that all records here are copied, or for so long. */
-	readonly handOver: (longest: Milliseconds) => Promise<void>;
+	/** For a graceful shutdown: waits until all others have learned that every record of this instance is copied, at most for the given time. */
+	readonly handOver: (maximumWait: Milliseconds) => Promise<void>;
 	readonly stop: () => void;
 };
 
-/** How long a claim is remembered. */
+/** How long a claim is kept. */
 export const claimLifetimeMilliseconds: Milliseconds = 3_600_000;
-/** After this long an instance that has lost its seat holds no lease any more. */
-const spreadMilliseconds: Milliseconds = 5000;
-const tellPauses: readonly Milliseconds[] = [0, 500, 2000];
+/** The time after which an instance that has lost its seat holds no lease any more. */
+const leaseExpiryMilliseconds: Milliseconds = 5000;
+const resendDelays: readonly Milliseconds[] = [0, 500, 2000];
 const sweepMilliseconds: Milliseconds = 1000;
-const handOverMilliseconds: Milliseconds = 100;
-/** After this long an instance that has lost its seat has copied its records, or is most likely gone. */
-const leavingMilliseconds: Milliseconds = 60_000;
-/** An instance that is most likely gone is asked in one of so many sweeps. */
-const seldomSweeps = 30;
+const handOverPollMilliseconds: Milliseconds = 100;
+/** The time after which an instance that has lost its seat has copied its records or is most likely down. */
+const copyTimeoutMilliseconds: Milliseconds = 60_000;
+/** A report is requested from an instance that is most likely down in one of this many sweeps. */
+const sweepsPerFullSweep = 30;
 const holderBounds = {records: 200_000, answerBytes: 16_777_216};
 
-/** How many reports the instance that told a view still waits for. */
+/** The number of reports that the sender of a view is still waiting for. */
 function missingReports({earlier}: ClaimsView): number {
 	return earlier.reduce((sum, {unsettled}) => sum + unsettled.length, 0);
 }
 
-/** Starts the claims. */
-export function startClaims(self: InstanceIdentity, control: ControlHolder, clients: PeerClients, hash: TextHash): ClaimRunner {
-	const seenAt = new Map<LogIndex, MonotonicTime>();
+/** Starts to track the seated instances and to process claims. */
+export function startClaimRunner(self: InstanceIdentity, control: ControlHolder, clients: PeerClients, hash: TextHash): ClaimRunner {
+	const recordedAt = new Map<LogIndex, MonotonicTime>();
 
 	const peers = new ClaimPeers(clients);
 
-	let spread: AppliedIndexes = new Map();
+	let appliedIndexes: AppliedIndexes = new Map();
 	let sweeps = 0;
 
-	/** Ends are sent again until they arrive: resends rest on them. */
-	async function insist(ended: ClaimEnded): Promise<void> {
-		for (const duration of tellPauses) {
+	/** Sends the end of an operation again until it arrives or `resendDelays` is exhausted: answers to a resent operation rely on the recorded end. */
+	async function sendUntilDelivered(ended: ClaimEnded): Promise<void> {
+		for (const duration of resendDelays) {
 			await pause(duration);
-			const told = await peers.send(ended);
-			if (told.isOk) {
+			const result = await peers.send(ended);
+			if (result.isOk) {
 				return;
 			}
 		}
 	}
 
-	const desk = createClaimCoordinator({
+	const coordinator = createClaimCoordinator({
 		self, hash, bounds: holderBounds, lifetimeMilliseconds: claimLifetimeMilliseconds, rosters: [], rostersComplete: true, now: monotonicNow(),
 	}, {
 		async ask(request) {
@@ -83,7 +83,7 @@
 			return answer.andThen(text => readClaimAnswer(text));
 		},
 		tell(ended) {
-			void insist(ended);
+			void sendUntilDelivered(ended);
 		},
 	}, monotonicNow);
 
@@ -92,35 +92,35 @@
 	}
 
 	/**
-	 * Takes over what another instance knows, where both know the same newest roster
-	 * and it misses fewer reports: those of an instance that is gone come no more.
+	 * Adopts the view of another instance if both have the same newest roster and the
+	 * other one is missing fewer reports. Reports of an instance that is down never arrive.
 	 */
-	async function askView(seat: InstanceIdentity): Promise<void> {
-		const told = await peers.view(seat);
-		const view = told.unwrapOr(undefined);
-		const {newest, view: own} = desk.standing();
+	async function requestView(seat: InstanceIdentity): Promise<void> {
+		const answer = await peers.view(seat);
+		const view = answer.unwrapOr(undefined);
+		const {newest, view: own} = coordinator.standing();
 		if (view?.newest === newest && (own === undefined || missingReports(view) < missingReports(own))) {
-			desk.learn({kind: 'view-told', view});
+			coordinator.learn({kind: 'view-told', view});
 		}
 	}
 
-	/** Whether rosters may be missing, or reports of instances that have no seat any more. */
-	function isViewWanted(newest: Seating, now: MonotonicTime): boolean {
-		const {view, awaited} = desk.standing();
-		return view === undefined || (!isBrief(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
+	/** Whether rosters, or reports of instances without a seat, may be missing. */
+	function needsView(newest: Seating, now: MonotonicTime): boolean {
+		const {view, awaited} = coordinator.standing();
+		return view === undefined || (!skipsUnseated(newest, now) && awaited.some(seat => !includesInstance(newest.seats, seat)));
 	}
 
-	function lookForView(newest: Seating, now: MonotonicTime): void {
-		for (const seat of isViewWanted(newest, now) ? otherSeats() : []) {
-			void askView(seat);
+	function requestViews(newest: Seating, now: MonotonicTime): void {
+		for (const seat of needsView(newest, now) ? otherSeats() : []) {
+			void requestView(seat);
 		}
 	}
 
-	/** Seatings that the log no longer keeps may have come between the last known one and those. */
-	function noteMissed(seatings: readonly Seating[]): void {
+	/** Records that rosters may be missing: the log may have dropped seatings between the last recorded one and these. */
+	function recordMissedRosters(seatings: readonly Seating[]): void {
 		const oldest = seatings.at(-1)?.index ?? 0;
-		if (seatings.length >= keptSeatings && oldest > desk.standing().newest) {
-			desk.learn({kind: 'rosters-missed'});
+		if (seatings.length >= keptSeatings && oldest > coordinator.standing().newest) {
+			coordinator.learn({kind: 'rosters-missed'});
 		}
 	}
 
@@ -128,102 +128,102 @@
 		const now = monotonicNow();
 		const {seatings} = control.state();
 		const [newest] = seatings;
-		if (newest === undefined || seenAt.has(newest.index)) {
+		if (newest === undefined || recordedAt.has(newest.index)) {
 			return;
 		}
 
-		noteMissed(seatings);
+		recordMissedRosters(seatings);
 		for (const roster of [...seatings].reverse()) {
-			if (!seenAt.has(roster.index)) {
-				seenAt.set(roster.index, now);
-				desk.learn({kind: 'roster', roster});
+			if (!recordedAt.has(roster.index)) {
+				recordedAt.set(roster.index, now);
+				coordinator.learn({kind: 'roster', roster});
 			}
 		}
 
-		peers.follow(seatedInstances(control.state().ownership), desk.standing().awaited);
-		lookForView(newest, now);
+		peers.updateAddresses(seatedInstances(control.state().ownership), coordinator.standing().awaited);
+		requestViews(newest, now);
 	}
 
-	async function askReport(seat: InstanceIdentity): Promise<void> {
-		const asked = desk.standing().newest;
+	async function requestReport(seat: InstanceIdentity): Promise<void> {
+		const requesterRosterIndex = coordinator.standing().newest;
 		const report = await peers.report(seat);
 		if (report !== undefined) {
-			spread = recordApplied(spread, seat, report.applied);
-			desk.learn({kind: 'copies-told', report: {seat, requesterRosterIndex: asked, copiedThrough: report.copiedThrough}});
+			appliedIndexes = recordApplied(appliedIndexes, seat, report.applied);
+			coordinator.learn({kind: 'copies-told', report: {seat, requesterRosterIndex, copiedThrough: report.copiedThrough}});
 		}
 	}
 
-	/** Whether this sweep leaves out the instances without a seat: after a while they are most likely gone. */
-	function isBrief(newest: Seating, now: MonotonicTime): boolean {
-		return now - (seenAt.get(newest.index) ?? now) > leavingMilliseconds && sweeps % seldomSweeps !== 0;
+	/** Whether this sweep skips the instances without a seat, which after a while are most likely down. */
+	function skipsUnseated(newest: Seating, now: MonotonicTime): boolean {
+		return now - (recordedAt.get(newest.index) ?? now) > copyTimeoutMilliseconds && sweeps % sweepsPerFullSweep !== 0;
 	}
 
-	/** Those whose reports are missing. */
-	function seatsToAsk(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
-		const isSeldom = isBrief(newest, now);
-		const awaited = desk.standing().awaited.filter(seat => !isSeldom || includesInstance(newest.seats, seat));
-		const all = new Map([...seatsBehind(spread, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
+	/** The instances whose reports are missing. */
+	function seatsWithMissingReports(newest: Seating, now: MonotonicTime): readonly InstanceIdentity[] {
+		const skips = skipsUnseated(newest, now);
+		const awaited = coordinator.standing().awaited.filter(seat => !skips || includesInstance(newest.seats, seat));
+		const all = new Map([...seatsBehind(appliedIndexes, newest), ...awaited].map(seat => [incarnationKey(seat), seat]));
 		all.delete(incarnationKey(self));
 		return [...all.values()];
 	}
 
-	/** What all seats have applied; those whose reports are missing are asked, for the next sweep. */
-	function acknowledged(newest: Seating, now: MonotonicTime): LogIndex {
-		spread = recordApplied(appliedIndexesOf(spread, newest), self, control.state().applied);
-		for (const seat of seatsToAsk(newest, now)) {
-			void askReport(seat);
+	/** Returns the index that all seats have applied, and requests missing reports for the next sweep. */
+	function updateAcknowledged(newest: Seating, now: MonotonicTime): LogIndex {
+		appliedIndexes = recordApplied(appliedIndexesOf(appliedIndexes, newest), self, control.state().applied);
+		for (const seat of seatsWithMissingReports(newest, now)) {
+			void requestReport(seat);
 		}
 
-		const standing = desk.standing();
-		desk.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: standing.newest, copiedThrough: standing.copiedThrough}});
-		return acknowledgedBy(spread, newest);
+		const state = coordinator.standing();
+		coordinator.learn({kind: 'copies-told', report: {seat: self, requesterRosterIndex: state.newest, copiedThrough: state.copiedThrough}});
+		return acknowledgedBy(appliedIndexes, newest);
 	}
 
 	function sweep(): void {
 		const now = monotonicNow();
-		const old = [...seenAt].filter(([, at]) => now - at >= spreadMilliseconds).map(([index]) => index);
+		const settled = [...recordedAt].filter(([, at]) => now - at >= leaseExpiryMilliseconds).map(([index]) => index);
 		const [newest] = control.state().seatings;
 		sweeps += 1;
-		desk.sweep(newest === undefined ? 0 : Math.min(acknowledged(newest, now), Math.max(0, ...old)));
+		coordinator.sweep(newest === undefined ? 0 : Math.min(updateAcknowledged(newest, now), Math.max(0, ...settled)));
 		if (newest !== undefined) {
-			lookForView(newest, now);
+			requestViews(newest, now);
 		}
 	}
 
-	/** Whether another instance still waits for this one's report; one that does not answer is not waited for. */
+	/** Whether another instance is still waiting for this one's report; false if it doesn't answer. */
 	async function isAwaitedBy(seat: InstanceIdentity): Promise<boolean> {
-		const told = await peers.view(seat);
-		return told.isOk && (told.value === undefined
-			|| told.value.newest < desk.standing().newest
-			|| told.value.earlier.some(known => includesInstance(known.unsettled, self)));
+		const answer = await peers.view(seat);
+		return answer.isOk && (answer.value === undefined
+			|| answer.value.newest < coordinator.standing().newest
+			|| answer.value.earlier.some(entry => includesInstance(entry.unsettled, self)));
 	}
 
 	control.listen(followSeatings);
-	const sweeping = setInterval(sweep, sweepMilliseconds);
+	const sweepTimer = setInterval(sweep, sweepMilliseconds);
 
 	return {
-		claim(wish, decided) {
-			return desk.claim(wish, decided);
+		claim(intent, decided) {
+			return coordinator.claim(intent, decided);
 		},
-		take(body) {
+		receive(body) {
 			return readClaimMessage(body).map(message => {
-				const answer = desk.receive(message);
+				const answer = coordinator.receive(message);
 				return answer === undefined ? '' : JSON.stringify(answer);
 			});
 		},
-		report: () => ({instance: self, applied: control.state().applied, copiedThrough: desk.standing().copiedThrough}),
-		view: () => desk.standing().view,
-		async handOver(longest) {
-			const end = monotonicNow() + longest;
-			let awaited = true;
-			while (awaited && monotonicNow() < end) {
+		report: () => ({instance: self, applied: control.state().applied, copiedThrough: coordinator.standing().copiedThrough}),
+		view: () => coordinator.standing().view,
+		async handOver(maximumWait) {
+			const deadline = monotonicNow() + maximumWait;
+			let isAwaited = true;
+			while (isAwaited && monotonicNow() < deadline) {
 				const answers = await Promise.all(otherSeats().map(async seat => isAwaitedBy(seat)));
-				awaited = answers.includes(true);
-				await pause(awaited ? handOverMilliseconds : 0);
+				isAwaited = answers.includes(true);
+				await pause(isAwaited ? handOverPollMilliseconds : 0);
 			}
 		},
 		stop() {
-			clearInterval(sweeping);
+			clearInterval(sweepTimer);
 		},
 	};
 }
--- a/packages/daemon/src/instance.ts
+++ b/packages/daemon/src/instance.ts
@@ -24,15 +24,15 @@
 import {ok} from 'true-myth/result';
 import {type ControlVoter} from './control-voter.js';
 import {createCallerHandler} from './caller-handler.js';
-import {createAnnouncements} from './announcements.js';
-import {startBurn} from './burn-runner.js';
+import {createAnnouncementHandler} from './announcements.js';
+import {startBurnRunner} from './burn-runner.js';
 import {ClaimSubject} from './claim-peers.js';
-import {startClaims} from './claim-runner.js';
+import {startClaimRunner} from './claim-runner.js';
 import {createControlHolder} from './control-holder.js';
 import {startControl} from './control-runner.js';
 import {createInstanceStatus} from './instance-status.js';
 import {createLimiter} from './limiter.js';
-import {createOperatorSurface, readMemberReport} from './operator-surface.js';
+import {createOperatorApi, parseMemberReport} from './operator-api.js';
 import {startLocalVoter} from './local-voter.js';
 import {createPeerHandlers} from './peer-service.js';
 import {shutDownGracefully} from './graceful-shutdown.js';
@@ -40,7 +40,7 @@
 import {createRequestMeasures} from './request-measures.js';
 import {createRequestPath} from './request-path.js';
 import {type InstanceSettings, isVoter} from './settings.js';
-import {taken} from './taken.js';
+import {unwrapOrThrow} from './unwrap-or-throw.js';
 import {startZone, type ZoneRunner} from './zone-runner.js';
 
 /** A running instance. */
@@ -85,7 +85,7 @@
 	});
 	const ownReports = createReportCollector(identity, () => evidence.take(), () => limiter.takeDemands());
 	const zoneReports = createReportCollector(identity, () => [], () => []);
-	const claims = startClaims(identity, holder, clients, textHash);
+	const claims = startClaimRunner(identity, holder, clients, textHash);
 	let voter: ControlVoter | undefined;
 	let requestsEndAt: MonotonicTime = Infinity;
 	let stopping = false;
@@ -103,7 +103,7 @@
 		ownReports,
 		zoneReports,
 		acceptShares(shares) {
-			limiter.takeShares(shares);
+			limiter.applyShares(shares);
 		},
 		isWaitingForShares: () => limiter.lacksShares(),
 		log,
@@ -112,21 +112,21 @@
 	const instanceStatus = createInstanceStatus({
 		self, holder, control, zone, voter: () => voter, isStopping: () => stopping, measures,
 	});
-	const operatorApi = createOperatorSurface({
+	const operatorApi = createOperatorApi({
 		holder,
 		control,
 		status: instanceStatus.status,
-		async askMember(record) {
+		async requestMemberReport(record) {
 			const answer = await clients.call(record.peerAddress, 'collect', 'member', collectTimeoutMilliseconds);
-			return answer.isOk ? readMemberReport(answer.value) : undefined;
+			return answer.isOk ? parseMemberReport(answer.value) : undefined;
 		},
-		announce: createAnnouncements({
+		announce: createAnnouncementHandler({
 			holder,
 			key: settings.keys.announce,
 			isStopping: () => stopping,
-			taken(announcement) {
+			accept(announcement) {
 				measures.counter(MeasureName.announcements, {service: announcement.service}).value += 1;
-				ownReports.announced(announcement);
+				ownReports.recordAnnouncement(announcement);
 			},
 		}),
 		burn: async () => ok(await burn.input()),
@@ -134,11 +134,11 @@
 
 	const {dataFolder} = settings.control;
 	const burnLock = dataFolder === undefined || isVoter(settings) ? undefined : await holdFolder(dataFolder);
-	const burn = await startBurn({
+	const burn = await startBurnRunner({
 		name: settings.name,
 		holder,
 		...(dataFolder === undefined ? {} : {folder: dataFolder}),
-		async ask(record) {
+		async requestCounts(record) {
 			const answer = await clients.call(record.peerAddress, 'collect', 'burn', collectTimeoutMilliseconds);
 			return answer.isOk ? answer.value : undefined;
 		},
@@ -150,7 +150,7 @@
 		holder,
 		lease: zone.lease,
 		endsAt: () => requestsEndAt,
-		flights: inFlightTracker,
+		inFlightRequests: inFlightTracker,
 		evidence: {
 			...evidence,
 			started(upstream) {
@@ -167,14 +167,14 @@
 				burn.record(opened.target.contract, opened.idempotent, report);
 			}
 
-			requestMeasures.note(service, report);
+			requestMeasures.record(service, report);
 			if (report.failure !== undefined) {
 				log.event(EventName.requestFailed, {service, failure: report.failure.kind, outcome: report.outcome});
 			}
 		},
 	});
 
-	const peers: PeerServer = taken(await startPeerServer(settings.addresses.peers, settings.keys.peer, createPeerHandlers({
+	const peers: PeerServer = unwrapOrThrow(await startPeerServer(settings.addresses.peers, settings.keys.peer, createPeerHandlers({
 		ownZone: self.zone,
 		holder,
 		control,
@@ -183,13 +183,13 @@
 		voter: () => voter,
 		collectors: {
 			member: () => JSON.stringify(instanceStatus.member()),
-			burn: () => JSON.stringify(burn.own()),
+			burn: () => JSON.stringify(burn.ownCounts()),
 			[ClaimSubject.report]: () => JSON.stringify(claims.report()),
 			[ClaimSubject.view]: () => JSON.stringify(claims.view() ?? null),
 		},
 	})));
-	const operators: FrontServer = taken(await startOperatorServer(settings.addresses.operators, operatorApi, instanceStatus));
-	const callers: FrontServer = taken(await startCallerServer(settings.addresses.callers, createCallerHandler(client, requestPath, () => stopping)));
+	const operators: FrontServer = unwrapOrThrow(await startOperatorServer(settings.addresses.operators, operatorApi, instanceStatus));
+	const callers: FrontServer = unwrapOrThrow(await startCallerServer(settings.addresses.callers, createCallerHandler(client, requestPath, () => stopping)));
 	if (isVoter(settings)) {
 		voter = await startLocalVoter({
 			settings, self: identity, holder, control, clients, log, storageFailed,
--- a/packages/daemon/src/lease-requester.ts
+++ b/packages/daemon/src/lease-requester.ts
@@ -84,7 +84,7 @@
 		if (answer.isOk) {
 			applyAnswer(now, answer.value);
 		} else {
-			dependencies.ownReports.giveBack(report);
+			dependencies.ownReports.restore(report);
 		}
 
 		changed();
--- a/packages/daemon/src/limit-demand.ts
+++ b/packages/daemon/src/limit-demand.ts
@@ -1,4 +1,4 @@
-/** What an instance asks control and its zone's steward for, and what it takes of their answers. */
+/** The demands for shares of limits that an instance sends to control and to its zone's steward, and the processing of the answers. */
 import {usedShare} from '@dogwooddeck/limits/bucket';
 import {mayReceiveLargerShare} from '@dogwooddeck/limits/growth';
 import {LimitScope} from '@dogwooddeck/model/contract';
@@ -7,44 +7,44 @@
 } from '@dogwooddeck/model/identifiers';
 import {Divider, type LimitDemand, type LimitShare} from '@dogwooddeck/model/share';
 import {
-	type Grant, grantNow, type LimitEntry, noteShare, shareNow, wantedOf,
+	type Grant, currentGrantAmount, type LimitEntry, recordShare, currentShare, wantedAmount,
 } from './limit-entry.js';
 
-/** A demand that isn't answered within this is made again. */
-const answerMilliseconds: Milliseconds = 3000;
-/** By how much the wall clocks of instances may differ. */
-const skewMilliseconds: Milliseconds = 1000;
+/** A demand that isn't answered within this time is repeated. */
+const answerTimeoutMilliseconds: Milliseconds = 3000;
+/** The maximum difference between the wall clocks of instances. */
+const maximumClockSkewMilliseconds: Milliseconds = 1000;
 
-/** What a demand is made of, beside the entry. */
-export type DemandSource = {
+/** The values that a demand is created from, besides the entry. */
+export type DemandOptions = {
 	readonly holder: string;
 	readonly sequence: number;
 	readonly now: MonotonicTime;
 	readonly wall: WallTime;
 };
 
-function isAsked({asked}: Grant, now: MonotonicTime): boolean {
-	return asked !== undefined && now < asked.at + answerMilliseconds;
+function isDemandPending({pendingDemand}: Grant, now: MonotonicTime): boolean {
+	return pendingDemand !== undefined && now < pendingDemand.at + answerTimeoutMilliseconds;
 }
 
-/** Whether a spent share may be larger for the asking. */
-export function grantMayGrow(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
+/** Whether a new demand may yield a larger share than the exhausted one. */
+export function mayReceiveMore(entry: LimitEntry, divider: Divider, now: MonotonicTime): boolean {
 	const grant = entry.grants[divider];
 	return entry.effective.scope === LimitScope.deployment && mayReceiveLargerShare({
-		share: grantNow(grant, now), amount: grant.partAmount, wantedAtGrant: grant.answeredFor, wanted: wantedOf(entry, divider, now),
+		share: currentGrantAmount(grant, now), amount: grant.partAmount, wantedAtGrant: grant.wantedAtGrant, wanted: wantedAmount(entry, divider, now),
 	});
 }
 
-type Urgency = (entry: LimitEntry, now: MonotonicTime) => boolean;
+type UrgencyRule = (entry: LimitEntry, now: MonotonicTime) => boolean;
 
-/** Whether a divider is asked between the regular demands. */
-const isUrgent: Readonly<Record<Divider, Urgency>> = {
-	[Divider.control]: ({waitsSince}) => waitsSince !== undefined,
-	[Divider.zone]: (entry, now) => entry.waitsSince !== undefined && grantMayGrow(entry, Divider.zone, now),
+/** Whether a demand is sent to a divider between the regular demands. */
+const isUrgent: Readonly<Record<Divider, UrgencyRule>> = {
+	[Divider.control]: ({waitingSince}) => waitingSince !== undefined,
+	[Divider.zone]: (entry, now) => entry.waitingSince !== undefined && mayReceiveMore(entry, Divider.zone, now),
 };
 
-/** The dividers to ask now. A reserve that is nothing is not asked for. */
-export function dividersToAsk(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly Divider[] {
+/** The dividers to which a demand is due now. No demand is sent for a reserve of zero. */
+export function dividersDue(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly Divider[] {
 	if (entry.effective.scope !== LimitScope.deployment) {
 		return [];
 	}
@@ -52,16 +52,16 @@
 	return Object.values(Divider).filter(divider => {
 		const grant = entry.grants[divider];
 		const holdsAny = grant.partAmount > 0 || divider === Divider.control;
-		return holdsAny && !isAsked(grant, now) && (isDue || isUrgent[divider](entry, now));
+		return holdsAny && !isDemandPending(grant, now) && (isDue || isUrgent[divider](entry, now));
 	});
 }
 
-/** Makes the newest demand to a divider. What was used counts fully to each: it may have been used under either share. */
-export function makeDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandSource): LimitDemand {
+/** Creates a new demand to a divider. The usage counts fully towards each divider, since it may have been charged to either share. */
+export function createDemand(entry: LimitEntry, divider: Divider, {holder, sequence, now, wall}: DemandOptions): LimitDemand {
 	const grant = entry.grants[divider];
-	const wanted = wantedOf(entry, divider, now);
-	const held = grantNow(grant, now);
-	grant.asked = {sequence, at: now, wanted};
+	const wanted = wantedAmount(entry, divider, now);
+	const held = currentGrantAmount(grant, now);
+	grant.pendingDemand = {sequence, at: now, wanted};
 	return {
 		service: entry.service,
 		limit: entry.limit,
@@ -71,29 +71,29 @@
 		sequence,
 		wanted,
 		held,
-		usable: Math.max(held, usedShare(entry.bucket, wall, now, skewMilliseconds)),
+		usable: Math.max(held, usedShare(entry.bucket, wall, now, maximumClockSkewMilliseconds)),
 	};
 }
 
-/** Takes an answer to the newest demand. Tells by whom it was given; nobody, where it answers an older one. */
-export function takeShare(entry: LimitEntry, share: LimitShare, wall: WallTime, now: MonotonicTime): Divider | undefined {
-	const divider = Object.values(Divider).find(one => entry.grants[one].asked?.sequence === share.sequence);
+/** Applies the answer to the newest demand. Returns the divider that sent it; undefined if it answers an older demand. */
+export function applyShare(entry: LimitEntry, share: LimitShare, wall: WallTime, now: MonotonicTime): Divider | undefined {
+	const divider = Object.values(Divider).find(candidate => entry.grants[candidate].pendingDemand?.sequence === share.sequence);
 	if (divider === undefined) {
 		return undefined;
 	}
 
 	const grant = entry.grants[divider];
-	const {at, wanted} = grant.asked!;
-	noteShare(entry, wall, now);
-	grant.asked = undefined;
+	const {at, wanted} = grant.pendingDemand!;
+	recordShare(entry, wall, now);
+	grant.pendingDemand = undefined;
 	grant.amount = share.amount;
-	grant.until = at + share.validMilliseconds;
-	grant.answeredFor = wanted;
-	noteShare(entry, wall, now);
+	grant.expiresAt = at + share.validMilliseconds;
+	grant.wantedAtGrant = wanted;
+	recordShare(entry, wall, now);
 	return divider;
 }
 
-/** Whether a request has to wait for the first share: none is held, and control has not answered yet. */
+/** Whether a request must wait for the first share: no share is held, and control has not answered yet. */
 export function awaitsFirstShare(entry: LimitEntry, now: MonotonicTime): boolean {
-	return entry.grants.control.until === -Infinity && shareNow(entry, now) === 0;
+	return entry.grants.control.expiresAt === -Infinity && currentShare(entry, now) === 0;
 }
--- a/packages/daemon/src/limiter.ts
+++ b/packages/daemon/src/limiter.ts
@@ -1,8 +1,8 @@
 /**
- * Admits requests within the contracted limits. A limit that all instances share
- * is used by the shares that this instance holds; where it holds none yet, the
- * request waits until the first share has come. Updated in place: it is on the
- * path of every request.
+ * Admits requests within the contracted limits. A limit that all instances share is
+ * enforced by the shares that this instance holds; if it holds none yet, the request
+ * waits until the first share has arrived. Updated in place, since every request
+ * uses it.
  */
 import {monotonicNow, wallNow} from '@dogwooddeck/clock/monotonic';
 import {effectiveLimit, type EffectiveLimit} from '@dogwooddeck/limits/unit';
@@ -18,60 +18,60 @@
 	callerOf, type Charge, chargeAll, costs, limitReached,
 } from './limit-admission.js';
 import {
-	awaitsFirstShare, dividersToAsk, grantMayGrow, makeDemand, takeShare,
+	awaitsFirstShare, dividersDue, mayReceiveMore, createDemand, applyShare,
 } from './limit-demand.js';
 import {
-	adjustEntry, createEntry, isIdle, type LimitEntry, noteWanted,
+	updateEntry, createEntry, isIdle, type LimitEntry, recordWanted,
 } from './limit-entry.js';
 
 /** Admits requests within the contracted limits. */
 export type Limiter = {
 	/**
-	 * Charges a request. Fails with `limitReached` where a limit is spent, and
-	 * with `noLease`, to be tried again, while a first or a larger share is asked for.
+	 * Charges a request. Fails with `limitReached` if a limit is exhausted, and with
+	 * `noLease`, to be retried, while a first or a larger share is requested.
 	 */
 	readonly admit: (contract: ServiceContract, head: RequestHead, idempotent: boolean) => Result<undefined, Failure>;
-	/** What to ask for now. */
+	/** Returns the demands to send now. */
 	readonly takeDemands: () => readonly LimitDemand[];
-	readonly takeShares: (shares: readonly LimitShare[]) => void;
-	/** Whether a request waits for a share. */
+	readonly applyShares: (shares: readonly LimitShare[]) => void;
+	/** Whether a request is waiting for a share. */
 	readonly lacksShares: () => boolean;
 };
 
-const demandMilliseconds: Milliseconds = 1000;
-const entriesAtMost = 10_000;
-const waitMilliseconds: Milliseconds = 25;
-/** A spent share is refused when no answer about a larger one came within this, as in a cut. */
-const longestWaitMilliseconds: Milliseconds = 1000;
+const demandIntervalMilliseconds: Milliseconds = 1000;
+const maximumEntries = 10_000;
+const retryMilliseconds: Milliseconds = 25;
+/** Requests beyond an exhausted share are rejected if no answer about a larger one arrives within this time, as in a network partition. */
+const maximumWaitMilliseconds: Milliseconds = 1000;
 
-const shareAwaited = failure(FailureKind.noLease, 'this instance asks for its share of a contracted limit', {retryAfterMilliseconds: waitMilliseconds});
+const awaitingShare = failure(FailureKind.noLease, 'this instance is waiting for its share of a contracted limit', {retryAfterMilliseconds: retryMilliseconds});
 const tooManyCallers = failure(FailureKind.overloaded, 'too many callers have limits of their own', {retryAfterMilliseconds: 1000});
 
 function entryKey(service: string, limit: string, caller: string): string {
 	return `${service}\n${limit}\n${caller}`;
 }
 
-/** Makes the limiter of an instance. It calls `noteAwaited` when a request begins to wait for a share. */
-export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, noteAwaited: () => void): Limiter {
+/** Creates the limiter of an instance. It calls `onWaitStarted` when a request begins to wait for a share. */
+export function createLimiter(self: InstanceIdentity & {readonly zone: ZoneName}, onWaitStarted: () => void): Limiter {
 	const holder = incarnationKey(self);
 	const entries = new Map<string, LimitEntry>();
-	const effectives = new WeakMap<ContractedLimit, EffectiveLimit>();
+	const effectiveLimits = new WeakMap<ContractedLimit, EffectiveLimit>();
 	const waiting = new Set<LimitEntry>();
 	let sequence = 0;
-	let demandedAt = -Infinity;
+	let lastDemandsAt = -Infinity;
 
 	function effectiveOf(contract: ServiceContract, limit: ContractedLimit): EffectiveLimit | undefined {
-		const known = effectives.get(limit);
-		if (known !== undefined) {
-			return known;
+		const cached = effectiveLimits.get(limit);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		const made = effectiveLimit(limit, contract.units);
-		if (made.isOk) {
-			effectives.set(limit, made.value);
+		const computed = effectiveLimit(limit, contract.units);
+		if (computed.isOk) {
+			effectiveLimits.set(limit, computed.value);
 		}
 
-		return made.unwrapOr(undefined);
+		return computed.unwrapOr(undefined);
 	}
 
 	function entryOf(contract: ServiceContract, limit: ContractedLimit, head: RequestHead, now: MonotonicTime): LimitEntry | undefined {
@@ -82,22 +82,22 @@
 
 		const caller = callerOf(limit, head);
 		const key = entryKey(contract.name, limit.name, caller);
-		const known = entries.get(key);
-		if (known?.contract === contract) {
-			return known;
+		const existing = entries.get(key);
+		if (existing?.contract === contract) {
+			return existing;
 		}
 
-		const source = {
+		const options = {
 			contract, limit, caller, effective, zone: self.zone,
 		};
-		if (known !== undefined && adjustEntry(known, source)) {
-			return known;
+		if (existing !== undefined && updateEntry(existing, options)) {
+			return existing;
 		}
 
-		const made = createEntry(source, now);
+		const created = createEntry(options, now);
 		drop(key);
-		entries.set(key, made);
-		return made;
+		entries.set(key, created);
+		return created;
 	}
 
 	function drop(key: string): void {
@@ -113,31 +113,31 @@
 		}
 	}
 
-	function beginToWait(entry: LimitEntry, now: MonotonicTime): void {
-		if (entry.waitsSince === undefined) {
-			entry.waitsSince = now;
+	function startWaiting(entry: LimitEntry, now: MonotonicTime): void {
+		if (entry.waitingSince === undefined) {
+			entry.waitingSince = now;
 			waiting.add(entry);
-			noteAwaited();
+			onWaitStarted();
 		}
 	}
 
-	function endToWait(entry: LimitEntry): void {
-		entry.waitsSince = undefined;
+	function stopWaiting(entry: LimitEntry): void {
+		entry.waitingSince = undefined;
 		waiting.delete(entry);
 	}
 
-	/** Whether a larger share is asked for; until the answer has come, requests wait for it. */
-	function asksForMore(entry: LimitEntry, now: MonotonicTime): boolean {
-		if (entry.waitsSince !== undefined) {
-			return now < entry.waitsSince + longestWaitMilliseconds;
+	/** Whether a larger share is requested. Requests wait until the answer has arrived. */
+	function awaitsLargerShare(entry: LimitEntry, now: MonotonicTime): boolean {
+		if (entry.waitingSince !== undefined) {
+			return now < entry.waitingSince + maximumWaitMilliseconds;
 		}
 
-		const grows = grantMayGrow(entry, Divider.control, now);
-		if (grows) {
-			beginToWait(entry, now);
+		const mayGrow = mayReceiveMore(entry, Divider.control, now);
+		if (mayGrow) {
+			startWaiting(entry, now);
 		}
 
-		return grows;
+		return mayGrow;
 	}
 
 	function chargesOf(contract: ServiceContract, head: RequestHead, idempotent: boolean, now: MonotonicTime): readonly Charge[] {
@@ -154,32 +154,32 @@
 	}
 
 	function admitCharges(charges: readonly Charge[], now: MonotonicTime): Result<undefined, Failure> {
-		const awaited = charges.find(({entry}) => awaitsFirstShare(entry, now));
-		if (awaited !== undefined) {
-			beginToWait(awaited.entry, now);
-			return err(shareAwaited);
+		const awaitingCharge = charges.find(({entry}) => awaitsFirstShare(entry, now));
+		if (awaitingCharge !== undefined) {
+			startWaiting(awaitingCharge.entry, now);
+			return err(awaitingShare);
 		}
 
 		for (const {entry, cost} of charges) {
-			noteWanted(entry, cost, now);
+			recordWanted(entry, cost, now);
 		}
 
-		return chargeAll(charges, wallNow(), now).mapErr(refusal => asksForMore(refusal.entry, now) ? shareAwaited : limitReached(refusal));
+		return chargeAll(charges, wallNow(), now).mapErr(refusal => awaitsLargerShare(refusal.entry, now) ? awaitingShare : limitReached(refusal));
 	}
 
 	function admitRequest(contract: ServiceContract, head: RequestHead, idempotent: boolean): Result<undefined, Failure> {
 		const now = monotonicNow();
-		if (entries.size > entriesAtMost) {
+		if (entries.size > maximumEntries) {
 			dropIdle(now);
 		}
 
-		return entries.size > entriesAtMost ? err(tooManyCallers) : admitCharges(chargesOf(contract, head, idempotent, now), now);
+		return entries.size > maximumEntries ? err(tooManyCallers) : admitCharges(chargesOf(contract, head, idempotent, now), now);
 	}
 
 	function demandsOf(entry: LimitEntry, isDue: boolean, now: MonotonicTime): readonly LimitDemand[] {
-		return dividersToAsk(entry, isDue, now).map(divider => {
+		return dividersDue(entry, isDue, now).map(divider => {
 			sequence += 1;
-			return makeDemand(entry, divider, {
+			return createDemand(entry, divider, {
 				holder, sequence, now, wall: wallNow(),
 			});
 		});
@@ -189,22 +189,22 @@
 		admit: (contract, head, idempotent) => contract.limits.length === 0 ? ok(undefined) : admitRequest(contract, head, idempotent),
 		takeDemands() {
 			const now = monotonicNow();
-			const isDue = now >= demandedAt + demandMilliseconds;
+			const isDue = now >= lastDemandsAt + demandIntervalMilliseconds;
 			if (isDue) {
-				demandedAt = now;
+				lastDemandsAt = now;
 				dropIdle(now);
 			}
 
-			const asking = isDue ? entries.values() : waiting;
-			return [...asking].flatMap(entry => demandsOf(entry, isDue, now));
+			const demandingEntries = isDue ? entries.values() : waiting;
+			return [...demandingEntries].flatMap(entry => demandsOf(entry, isDue, now));
 		},
-		takeShares(shares) {
+		applyShares(shares) {
 			const now = monotonicNow();
 			for (const share of shares) {
 				const entry = entries.get(entryKey(share.service, share.limit, share.caller));
-				const divider = entry === undefined ? undefined : takeShare(entry, share, wallNow(), now);
+				const divider = entry === undefined ? undefined : applyShare(entry, share, wallNow(), now);
 				if (divider === Divider.control) {
-					endToWait(entry!);
+					stopWaiting(entry!);
 				}
 			}
 		},
--- a/packages/daemon/src/operator-surface.ts
+++ b/packages/daemon/src/operator-api.ts
@@ -1,5 +1,5 @@
 /**
- * What operators may ask of an instance, and by which right.
+ * The operator API of an instance: its routes, and the authority that each requires.
  */
 import {wallNow} from '@dogwooddeck/clock/monotonic';
 import {
@@ -31,13 +31,13 @@
 import {type ControlHolder} from './control-holder.js';
 import {type ControlRunner} from './control-runner.js';
 
-/** What one instance tells another of itself. */
+/** The status that an instance reports to another. */
 export type MemberReport = {readonly applied: number; readonly voter: boolean};
 
 const memberReport = v.object({applied: revisionField, voter: v.boolean()});
 
-/** Reads what an instance told of itself, as JSON; undefined if it makes no sense, as if it had not answered. */
-export function readMemberReport(text: string): MemberReport | undefined {
+/** Parses the report of an instance, as JSON. Returns undefined if it is invalid, which is treated as no answer. */
+export function parseMemberReport(text: string): MemberReport | undefined {
 	try {
 		const read = v.safeParse(memberReport, JSON.parse(text));
 		return read.success ? read.output : undefined;
@@ -46,27 +46,27 @@
 	}
 }
 
-/** What the surface needs. */
-export type OperatorSurroundings = {
+/** The collaborators of the operator API. */
+export type OperatorApiDependencies = {
 	readonly holder: ControlHolder;
 	readonly control: ControlRunner;
 	readonly status: () => Omit<StatusAnswer, 'applied' | 'revisions'>;
-	/** Asks another instance what it has applied; undefined if it can't be reached. */
-	readonly askMember: (member: InstanceRecord) => Promise<MemberReport | undefined>;
+	/** Requests the report of another instance; undefined if it can't be reached. */
+	readonly requestMemberReport: (member: InstanceRecord) => Promise<MemberReport | undefined>;
 	readonly announce: ApiHandler;
 	readonly burn: ApiHandler;
 };
 
 type Permission = (state: ControlState, authority: Authority) => Result<Authority, Failure>;
 
-const anyAuthority: Permission = (_state, authority) => ok(authority);
-const ofTeam = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
+const anyPermission: Permission = (_state, authority) => ok(authority);
+const teamPermission = (team: TeamName): Permission => (_state, authority) => requireTeam(authority, team);
 
-function permitted({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
+function authorize({token}: ApiRequest, state: ControlState, permission: Permission): Result<Authority, Failure> {
 	return authorityOf(state.configuration, hashToken(token)).andThen(authority => permission(state, authority));
 }
 
-function queried({query}: ApiRequest, name: string): Result<string, Failure> {
+function requireQueryValue({query}: ApiRequest, name: string): Result<string, Failure> {
 	const value = query[name];
 	return value === undefined || value === '' ? err(failure(FailureKind.malformed, `the query lacks "${name}"`)) : ok(value);
 }
@@ -79,9 +79,9 @@
 
 function ownerAnswer(state: ControlState, assignment: Assignment, pinned: readonly PinnedKey[]): OwnerAnswer {
 	const key = pinned.find(({slot}) => slot === assignment.slot)?.key;
-	const named = key === undefined ? {} : {key};
+	const keyField = key === undefined ? {} : {key};
 	if (assignment.phase === AssignmentPhase.vacant) {
-		return {slot: assignment.slot, phase: assignment.phase, ...named};
+		return {slot: assignment.slot, phase: assignment.phase, ...keyField};
 	}
 
 	const zone = upstreamOf(state.membership, assignment.owner)?.zone;
@@ -91,7 +91,7 @@
 		upstream: assignment.owner.name,
 		incarnation: assignment.owner.incarnation,
 		fence: assignment.fence,
-		...named,
+		...keyField,
 		...(zone === undefined ? {} : {zone}),
 	};
 }
@@ -107,9 +107,9 @@
 		});
 }
 
-/** Makes the operators' surface. */
-export function createOperatorSurface(surroundings: OperatorSurroundings): OperatorApi {
-	const {holder, control} = surroundings;
+/** Creates the operator API. */
+export function createOperatorApi(dependencies: OperatorApiDependencies): OperatorApi {
+	const {holder, control} = dependencies;
 
 	async function configure(command: ConfigurationCommand): Promise<Result<ConfigurationAccepted, Failure>> {
 		const accepted = await control.submit(command);
@@ -118,36 +118,36 @@
 			: ok(configuration));
 	}
 
-	async function ask(operation: OperationIdentifier, command: OperatorRequest['command']): Promise<Result<WriteAnswer, Failure>> {
+	async function submitCommand(operation: OperationIdentifier, command: OperatorRequest['command']): Promise<Result<WriteAnswer, Failure>> {
 		const accepted: Result<ControlAccepted, Failure> = await control.submit({kind: 'operatorAsked', operation, command});
 		return accepted.map(({index}) => ({operation, index}));
 	}
 
-	/** Reads a body, checks the right to what it asks for, and does it. */
-	function writing<Read>(
+	/** Creates a handler that parses the body, checks the authority that the request requires, and executes it. */
+	function createWriteHandler<Read>(
 		parse: (body: unknown) => Result<Read, Failure>,
 		permission: (read: Read) => Permission,
-		act: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
+		execute: (read: Read, request: ApiRequest) => Promise<Result<unknown, Failure>>,
 	): ApiHandler {
 		return async request => {
-			const known = permitted(request, holder.state(), anyAuthority);
-			const read = known.andThen(() => parse(request.body));
-			const allowed = read.andThen(body => permitted(request, holder.state(), permission(body)).map(() => body));
-			return allowed.isOk ? act(allowed.value, request) : err(allowed.error);
+			const authenticated = authorize(request, holder.state(), anyPermission);
+			const read = authenticated.andThen(() => parse(request.body));
+			const allowed = read.andThen(body => authorize(request, holder.state(), permission(body)).map(() => body));
+			return allowed.isOk ? execute(allowed.value, request) : err(allowed.error);
 		};
 	}
 
-	function reading(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
+	function createReadHandler(name: string, team: (value: string) => TeamName, answer: (state: ControlState, value: string) => Result<unknown, Failure>): ApiHandler {
 		return async request => {
 			const state = holder.state();
-			return permitted(request, state, anyAuthority)
-				.andThen(() => queried(request, name))
-				.andThen(value => permitted(request, state, ofTeam(team(value))).andThen(() => answer(state, value)));
+			return authorize(request, state, anyPermission)
+				.andThen(() => requireQueryValue(request, name))
+				.andThen(value => authorize(request, state, teamPermission(team(value))).andThen(() => answer(state, value)));
 		};
 	}
 
 	async function memberAnswer(member: InstanceRecord): Promise<MemberAnswer> {
-		const report = await surroundings.askMember(member);
+		const report = await dependencies.requestMemberReport(member);
 		return {
 			...member, applied: report?.applied ?? 0, alive: report !== undefined, voter: report?.voter ?? false,
 		};
@@ -155,7 +155,7 @@
 
 	async function members(request: ApiRequest): Promise<Result<unknown, Failure>> {
 		const state = holder.state();
-		const allowed = permitted(request, state, anyAuthority);
+		const allowed = authorize(request, state, anyPermission);
 		if (allowed.isErr) {
 			return err(allowed.error);
 		}
@@ -170,15 +170,15 @@
 
 	function statusAnswer(state: ControlState): StatusAnswer {
 		return {
-			...surroundings.status(),
+			...dependencies.status(),
 			applied: state.applied,
 			revisions: state.configuration.teams.map(({team, revision}) => ({team, revision})),
 		};
 	}
 
 	return {
-		announce: surroundings.announce,
-		apply: writing(parseApplyRequest, ({team}) => ofTeam(team), async (read, {author}) => {
+		announce: dependencies.announce,
+		apply: createWriteHandler(parseApplyRequest, ({team}) => teamPermission(team), async (read, {author}) => {
 			const checked = requireAuthor(author).andThen(() => requireServedAgain(read.services));
 			return checked.isErr
 				? err(checked.error)
@@ -186,31 +186,31 @@
 					kind: 'subtreeApplied', ...read, author, at: wallNow(),
 				});
 		}),
-		token: writing(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
+		token: createWriteHandler(parseTokenRequest, () => (_state, authority) => requireOperator(authority), async ({team, operation, token}) => configure({
 			kind: 'tokenSet', team, operation, tokenHash: hashToken(token), at: wallNow(),
 		})),
-		move: writing(parseMoveRequest, ({service}) => ofTeam(teamOf(service)), async ({operation, ...wish}) => ask(operation, {kind: 'moveWished', ...wish})),
-		drain: writing(parseDrainRequest, ({service}) => ofTeam(teamOf(service)), async ({operation, ...asked}) => ask(operation, {kind: 'drainAsked', ...asked})),
-		zoneDeclareLost: writing(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
+		move: createWriteHandler(parseMoveRequest, ({service}) => teamPermission(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'moveWished', ...request})),
+		drain: createWriteHandler(parseDrainRequest, ({service}) => teamPermission(teamOf(service)), async ({operation, ...request}) => submitCommand(operation, {kind: 'drainAsked', ...request})),
+		zoneDeclareLost: createWriteHandler(parseZoneDeclareLostRequest, () => (_state, authority) => requireOperator(authority), async ({zone, operation, confirm}) =>
 			confirm === declareLostConfirmation(zone)
-				? ask(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
+				? submitCommand(operation, {kind: 'zoneReleased', zone, reason: ReleaseReason.declaredLost})
 				: err(failure(FailureKind.malformed, `"confirm" must read: ${declareLostConfirmation(zone)}`))),
-		configuration: reading('team', team => team, (state, team) => {
+		configuration: createReadHandler('team', team => team, (state, team) => {
 			const {revision, services} = subtreeOf(state.configuration, team);
 			return ok<ConfigurationAnswer, Failure>({team, revision, services});
 		}),
-		history: reading('team', team => team, (state, team) => ok<HistoryAnswer, Failure>({team, entries: subtreeOf(state.configuration, team).history})),
-		owners: reading('service', teamOf, (state, service) => contractOf(state.configuration, service) === undefined
+		history: createReadHandler('team', team => team, (state, team) => ok<HistoryAnswer, Failure>({team, entries: subtreeOf(state.configuration, team).history})),
+		owners: createReadHandler('service', teamOf, (state, service) => contractOf(state.configuration, service) === undefined
 			? err(failure(FailureKind.notFound, `there is no service ${service}`))
 			: ownersAnswer(state, service)),
 		async status(request) {
 			const state = holder.state();
-			return permitted(request, state, anyAuthority).map(() => statusAnswer(state));
+			return authorize(request, state, anyPermission).map(() => statusAnswer(state));
 		},
 		members,
 		async burn(request) {
-			const allowed = permitted(request, holder.state(), anyAuthority);
-			return allowed.isOk ? surroundings.burn(request) : err(allowed.error);
+			const allowed = authorize(request, holder.state(), anyPermission);
+			return allowed.isOk ? dependencies.burn(request) : err(allowed.error);
 		},
 	};
 }
--- a/packages/daemon/src/ownership-figures.ts
+++ b/packages/daemon/src/ownership-figures.ts
@@ -1,5 +1,6 @@
 /**
- * Follows the ownership tables of all services for the burn report.
+ * Computes the ownership figures of all services for the burn report from the changes
+ * of their ownership tables.
  */
 import {
 	createFollowed, figuresOf, follow, type Followed, type SilenceOf,
@@ -11,28 +12,28 @@
 import {type ServiceName} from '@dogwooddeck/model/identifiers';
 import {type ControlHolder} from './control-holder.js';
 
-/** The figures of all services since this process started. */
-export type FiguresFollower = {
-	readonly take: () => readonly OwnershipFigures[];
+/** Tracks the figures of all services since this process started. */
+export type OwnershipFiguresTracker = {
+	readonly list: () => readonly OwnershipFigures[];
 };
 
-/** Begins to follow the tables. */
-export function createOwnershipFigures(holder: ControlHolder): FiguresFollower {
-	const followed = new Map<ServiceName, {readonly table: ServiceAssignments; readonly seen: Followed}>();
+/** Starts to track the tables. */
+export function createOwnershipFiguresTracker(holder: ControlHolder): OwnershipFiguresTracker {
+	const tracked = new Map<ServiceName, {readonly table: ServiceAssignments; readonly state: Followed}>();
 
 	holder.listen(({ownership, membership}) => {
-		const silenceOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
+		const timeWithoutContactOf: SilenceOf = owner => upstreamOf(membership, owner)?.silentMilliseconds ?? 0;
 		for (const table of Object.values(ownership.services)) {
-			const before = followed.get(table.service);
-			if (before?.table !== table) {
+			const previous = tracked.get(table.service);
+			if (previous?.table !== table) {
 				const slots = ownership.policies[table.service]?.slots ?? table.assignments.length;
-				const seen = follow(before?.seen ?? createFollowed(table.service), {table, slots, silenceOf}, monotonicNow());
-				followed.set(table.service, {table, seen});
+				const state = follow(previous?.state ?? createFollowed(table.service), {table, slots, silenceOf: timeWithoutContactOf}, monotonicNow());
+				tracked.set(table.service, {table, state});
 			}
 		}
 	});
 
 	return {
-		take: () => [...followed.values()].map(({seen}) => figuresOf(seen, monotonicNow())),
+		list: () => [...tracked.values()].map(({state}) => figuresOf(state, monotonicNow())),
 	};
 }
--- a/packages/daemon/src/recent-holders.ts
+++ b/packages/daemon/src/recent-holders.ts
@@ -1,29 +1,29 @@
 /**
- * Remembers which instances asked a steward for a lease of late.
+ * Records which instances recently requested a lease from a steward.
  */
 import {
 	type InstanceIdentity, type InstanceName, type Milliseconds, type MonotonicTime,
 } from '@dogwooddeck/model/identifiers';
 
-/** The instances that asked of late. */
+/** The instances that recently requested a lease. */
 export type RecentHolders = {
-	/** An instance asked for a lease. */
-	readonly note: (instance: InstanceIdentity, now: MonotonicTime) => void;
+	/** Records that an instance requested a lease. */
+	readonly record: (instance: InstanceIdentity, now: MonotonicTime) => void;
 	readonly list: (now: MonotonicTime) => readonly InstanceIdentity[];
 };
 
-/** How long after its request an instance is listed. */
+/** How long an instance is listed after its request. */
 const holderMilliseconds: Milliseconds = 2000;
 
-/** Starts with none. */
+/** Creates an empty record. */
 export function createRecentHolders(): RecentHolders {
-	const askers = new Map<InstanceName, {readonly instance: InstanceIdentity; readonly at: MonotonicTime}>();
+	const requests = new Map<InstanceName, {readonly instance: InstanceIdentity; readonly at: MonotonicTime}>();
 	return {
-		note(instance, now) {
-			askers.set(instance.name, {instance, at: now});
+		record(instance, now) {
+			requests.set(instance.name, {instance, at: now});
 		},
 		list(now) {
-			const recent = [...askers.values()].filter(({at}) => now - at < holderMilliseconds);
+			const recent = [...requests.values()].filter(({at}) => now - at < holderMilliseconds);
 			return recent.map(({instance}) => ({name: instance.name, incarnation: instance.incarnation}));
 		},
 	};
--- a/packages/daemon/src/report-collector.ts
+++ b/packages/daemon/src/report-collector.ts
@@ -1,5 +1,6 @@
 /**
- * Collects what an instance saw, and what others told it, between two reports.
+ * Collects the observations of an instance, and the reports that it received from
+ * others, between two reports.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type KeyLoad, type SlotLoad, type UpstreamEvidence} from '@dogwooddeck/model/evidence';
@@ -10,32 +11,32 @@
 import {type Announcement} from '@dogwooddeck/model/registry';
 import {type LimitDemand} from '@dogwooddeck/model/share';
 
-/** Gathers reports. It is updated in place: requests are counted in it. */
+/** Collects the contents of the next report. Updated in place, since it counts every request. */
 export type ReportCollector = {
 	/** Counts a request for a slot. */
-	readonly requested: (service: ServiceName, slot: Slot, key: string) => void;
-	/** Notes an announcement; the latest of an upstream stands. */
-	readonly announced: (announcement: Announcement) => void;
-	/** Takes in a report of another instance. */
+	readonly recordRequest: (service: ServiceName, slot: Slot, key: string) => void;
+	/** Records an announcement; the latest of each upstream is kept. */
+	readonly recordAnnouncement: (announcement: Announcement) => void;
+	/** Merges a report of another instance. */
 	readonly merge: (report: Report) => void;
-	/** Everything since the last call. */
+	/** Returns everything that was collected since the last call. */
 	readonly take: () => Report;
-	/** A report that was taken may not have arrived: its announcements that are still fresh are passed on with the next. */
-	readonly giveBack: (report: Report) => void;
+	/** Restores a report that may not have arrived: its announcements that are still fresh are sent with the next report. */
+	readonly restore: (report: Report) => void;
 };
 
-/** Keys that are counted between two reports. When there are more, the coolest half is dropped. */
-const countedKeys = 4096;
-/** Keys that are reported of each service. */
-const reportedKeys = 16;
-/** An announcement that is older than this isn't passed on again: the upstream may be gone since. */
+/** Keys that are counted between two reports. When there are more, the half with the fewest requests is dropped. */
+const maximumCountedKeys = 4096;
+/** Keys that are reported for each service. */
+const maximumReportedKeys = 16;
+/** An announcement that is older than this isn't sent again: the upstream may have left since. */
 const freshMilliseconds: Milliseconds = 500;
-/** A key is reported if it had at least this share of its service's requests. */
-const reportedShare = 0.005;
+/** A key is reported if it received at least this share of its service's requests. */
+const minimumReportedShare = 0.005;
 
 type Counts = {slots: Map<Slot, number>; keys: Map<string, number>; total: number};
 
-type Heard = {readonly announcement: Announcement; readonly at: MonotonicTime};
+type ReceivedAnnouncement = {readonly announcement: Announcement; readonly at: MonotonicTime};
 
 function announcementKey({service, name}: Announcement): string {
 	return `${service}\n${name}`;
@@ -45,16 +46,16 @@
 	counts.set(key, (counts.get(key) ?? 0) + amount);
 }
 
-function dropCoolest(counts: Map<string, number>): Map<string, number> {
-	const hottest = [...counts].sort(([, one], [, other]) => other - one).slice(0, countedKeys / 2);
-	return new Map(hottest);
+function dropLeastRequested(counts: Map<string, number>): Map<string, number> {
+	const mostRequested = [...counts].sort(([, one], [, other]) => other - one).slice(0, maximumCountedKeys / 2);
+	return new Map(mostRequested);
 }
 
-function hotKeys(service: ServiceName, {keys, total}: Counts): readonly KeyLoad[] {
+function mostRequestedKeys(service: ServiceName, {keys, total}: Counts): readonly KeyLoad[] {
 	return [...keys]
-		.filter(([, requests]) => requests >= total * reportedShare)
+		.filter(([, requests]) => requests >= total * minimumReportedShare)
 		.sort(([, one], [, other]) => other - one)
-		.slice(0, reportedKeys)
+		.slice(0, maximumReportedKeys)
 		.map(([key, requests]) => ({service, key, requests}));
 }
 
@@ -62,15 +63,15 @@
 	return JSON.stringify([service, limit, caller, divider, holder]);
 }
 
-/** Makes an empty collector. `takeEvidence` gives the evidence of this instance's own requests. */
+/** Creates an empty collector. `takeEvidence` returns the evidence of this instance's own requests, and `takeDemands` its demands for shares of limits. */
 export function createReportCollector(
 	self: InstanceIdentity,
 	takeEvidence: () => readonly UpstreamEvidence[],
 	takeDemands: () => readonly LimitDemand[],
 ): ReportCollector {
 	const services = new Map<ServiceName, Counts>();
-	const announcements = new Map<string, Heard>();
-	let passedOn = new Map<string, Heard>();
+	const announcements = new Map<string, ReceivedAnnouncement>();
+	let sentAnnouncements = new Map<string, ReceivedAnnouncement>();
 	let evidence: Array<Report['evidence'][number]> = [];
 	const demands = new Map<string, LimitDemand>();
 
@@ -86,20 +87,20 @@
 
 	function countKey(counts: Counts, key: string, requests: number): void {
 		increase(counts.keys, key, requests);
-		if (counts.keys.size > countedKeys) {
-			counts.keys = dropCoolest(counts.keys);
+		if (counts.keys.size > maximumCountedKeys) {
+			counts.keys = dropLeastRequested(counts.keys);
 		}
 	}
 
-	function announced(announcement: Announcement): void {
+	function recordAnnouncement(announcement: Announcement): void {
 		const key = announcementKey(announcement);
-		const known = announcements.get(key)?.announcement;
-		if (known === undefined || known.incarnation <= announcement.incarnation) {
+		const existing = announcements.get(key)?.announcement;
+		if (existing === undefined || existing.incarnation <= announcement.incarnation) {
 			announcements.set(key, {announcement, at: monotonicNow()});
 		}
 	}
 
-	function demanded(demand: LimitDemand): void {
+	function recordDemand(demand: LimitDemand): void {
 		demands.set(demandKey(demand), demand);
 	}
 
@@ -120,20 +121,20 @@
 	}
 
 	return {
-		requested(service, slot, key) {
+		recordRequest(service, slot, key) {
 			const counts = countsOf(service);
 			increase(counts.slots, slot, 1);
 			counts.total += 1;
 			countKey(counts, key, 1);
 		},
-		announced,
+		recordAnnouncement,
 		merge(report) {
 			for (const announcement of report.announcements) {
-				announced(announcement);
+				recordAnnouncement(announcement);
 			}
 
 			for (const demand of report.demands) {
-				demanded(demand);
+				recordDemand(demand);
 			}
 
 			evidence.push(...report.evidence);
@@ -141,32 +142,32 @@
 		},
 		take() {
 			for (const demand of takeDemands()) {
-				demanded(demand);
+				recordDemand(demand);
 			}
 
-			const own = takeEvidence().map(item => ({...item, seenBy: self}));
+			const ownEvidence = takeEvidence().map(item => ({...item, seenBy: self}));
 			const report: Report = {
 				announcements: [...announcements.values()].map(({announcement}) => announcement),
-				evidence: [...evidence, ...own],
+				evidence: [...evidence, ...ownEvidence],
 				slotLoads: slotLoads(),
-				keyLoads: [...services].flatMap(([service, counts]) => hotKeys(service, counts)),
+				keyLoads: [...services].flatMap(([service, counts]) => mostRequestedKeys(service, counts)),
 				demands: [...demands.values()],
 			};
 			const now = monotonicNow();
-			const fresh = [...passedOn].filter(([, {at}]) => now - at < freshMilliseconds);
-			passedOn = new Map([...fresh, ...announcements]);
+			const fresh = [...sentAnnouncements].filter(([, {at}]) => now - at < freshMilliseconds);
+			sentAnnouncements = new Map([...fresh, ...announcements]);
 			services.clear();
 			announcements.clear();
 			demands.clear();
 			evidence = [];
 			return report;
 		},
-		giveBack(report) {
+		restore(report) {
 			const now = monotonicNow();
 			for (const key of report.announcements.map(announcement => announcementKey(announcement))) {
-				const heard = passedOn.get(key);
-				if (heard !== undefined && now - heard.at < freshMilliseconds && !announcements.has(key)) {
-					announcements.set(key, heard);
+				const received = sentAnnouncements.get(key);
+				if (received !== undefined && now - received.at < freshMilliseconds && !announcements.has(key)) {
+					announcements.set(key, received);
 				}
 			}
 		},
--- a/packages/daemon/src/request-path.ts
+++ b/packages/daemon/src/request-path.ts
@@ -1,7 +1,7 @@
 /**
- * The decisions around each caller's request, from the tables that this
- * instance holds. Structures here are updated in place: they are on the path of
- * every request.
+ * The decisions about each caller's request (service, owner, admission, retry), made
+ * from the tables that this instance holds. Structures here are updated in place,
+ * since every request uses them.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {contractsOf} from '@dogwooddeck/configuration/tree';
@@ -39,8 +39,8 @@
 import {type Limiter} from './limiter.js';
 import {type ReportCollector} from './report-collector.js';
 
-/** A request whose head was read. */
-export type Opened = OpenedRequest & {
+/** A request whose head was parsed. */
+export type ParsedRequest = OpenedRequest & {
 	readonly target: ServiceTarget;
 	readonly key: string;
 	readonly hashSlot: Slot;
@@ -55,35 +55,35 @@
 	readonly service: ServiceName;
 	readonly upstream: UpstreamIdentity;
 	readonly zone: ZoneName;
-	/** Set when the first byte may go. */
-	flight: InFlightRequests | undefined;
+	/** Set when the first byte may be sent. */
+	inFlightRequest: InFlightRequests | undefined;
 };
 
-/** What the path needs. */
-export type PathSurroundings = {
+/** The collaborators of the request path. */
+export type RequestPathDependencies = {
 	readonly name: InstanceName;
 	readonly zone: ZoneName;
 	readonly holder: ControlHolder;
 	readonly lease: () => LeaseState;
-	/** When requests that are under way are ended; infinite unless the instance stops. */
+	/** When requests in flight are terminated; infinite unless the instance is stopping. */
 	readonly endsAt: () => MonotonicTime;
-	readonly flights: InFlightTracker;
+	readonly inFlightRequests: InFlightTracker;
 	readonly evidence: EvidenceRecorder;
 	readonly reports: ReportCollector;
 	readonly claims: ClaimRunner;
 	readonly limiter: Limiter;
 	readonly hash: SlotHash;
-	readonly requestEnded: (service: ServiceName, opened: Opened | undefined, report: RequestReport) => void;
+	readonly requestEnded: (service: ServiceName, request: ParsedRequest | undefined, report: RequestReport) => void;
 };
 
-/** A request without an owner or a lease comes again after this long. */
+/** The retry delay of a request without an owner or a lease. */
 const ownerRetryMilliseconds: Milliseconds = 25;
-const queueLength = 1000;
-/** Added to a claimed operation's time: what a frozen socket may still hold is past its deadline. */
+const maximumQueueLength = 1000;
+/** Added to the lifetime of a claimed operation, so that whatever a frozen socket still holds is past its deadline. */
 const claimMarginMilliseconds: Milliseconds = 500;
-const longestOperationKey = 256;
+const maximumOperationKeyLength = 256;
 
-const endOfSeen: Readonly<Record<AttemptObservation, AttemptEnd>> = {
+const attemptEnds: Readonly<Record<AttemptObservation, AttemptEnd>> = {
 	[AttemptObservation.refusedConnection]: AttemptEnd.failed,
 	[AttemptObservation.closedBeforeFirstByte]: AttemptEnd.failed,
 	[AttemptObservation.closedAfterFirstByte]: AttemptEnd.failed,
@@ -102,8 +102,8 @@
 
 const noOwner = failure(FailureKind.noOwner, 'the key has no owner at this moment', {retryAfterMilliseconds: ownerRetryMilliseconds});
 const noLease = failure(FailureKind.noLease, 'this instance holds no lease over the key at this moment', {retryAfterMilliseconds: ownerRetryMilliseconds});
-const noConnections = failure(FailureKind.overloaded, 'the upstream\'s connections are all divided over other instances');
-const notReady = failure(FailureKind.notReady, 'the instance takes no requests now');
+const noConnections = failure(FailureKind.overloaded, 'all connections of the upstream are allotted to other instances');
+const notReady = failure(FailureKind.notReady, 'the instance accepts no requests now');
 
 function operationKeyOf(head: RequestHead): Result<string, Failure> {
 	const value = head.headers[HeaderName.idempotencyKey];
@@ -111,65 +111,65 @@
 		return ok('');
 	}
 
-	return typeof value === 'string' && value.length > 0 && value.length <= longestOperationKey
+	return typeof value === 'string' && value.length > 0 && value.length <= maximumOperationKeyLength
 		? ok(value)
-		: err(failure(FailureKind.malformed, `${HeaderName.idempotencyKey} must be one value of 1 to ${longestOperationKey} characters`));
+		: err(failure(FailureKind.malformed, `${HeaderName.idempotencyKey} must be one value of 1 to ${maximumOperationKeyLength} characters`));
 }
 
-/** The instances that share the connections and slots of upstreams, and this one's place among them. */
+/** The number of instances that share the connections and slots of upstreams, and the position of this one among them. */
 type Sharing = {readonly instances: number; readonly position: number};
 
 function sharingOf(state: ControlState, name: InstanceName): Sharing {
-	const names = seatedInstances(state.ownership).map(member => member.name).sort();
-	return {instances: Math.max(1, names.length), position: Math.max(0, names.indexOf(name))};
+	const sortedNames = seatedInstances(state.ownership).map(member => member.name).sort();
+	return {instances: Math.max(1, sortedNames.length), position: Math.max(0, sortedNames.indexOf(name))};
 }
 
-/** Makes the decisions around requests. */
-export function createRequestPath(surroundings: PathSurroundings): RequestPath<Opened, Owner> {
+/** Creates the request path of an instance. */
+export function createRequestPath(dependencies: RequestPathDependencies): RequestPath<ParsedRequest, Owner> {
 	const {
-		holder, flights, evidence, reports, claims, limiter, hash,
-	} = surroundings;
-	let index: TargetIndex = createTargetIndex([]);
+		holder, inFlightRequests, evidence, reports, claims, limiter, hash,
+	} = dependencies;
+	let targetIndex: TargetIndex = createTargetIndex([]);
 	let configuration: ControlState['configuration'] | undefined;
 	let sharing: Sharing = {instances: 1, position: 0};
 	const admissions = new Map<string, Admission>();
 	const budgets = new Map<ServiceName, RetryBudget>();
 
 	function boundsOf(slots: number) {
-		return {slots, instances: sharing.instances, queueLength};
+		return {slots, instances: sharing.instances, queueLength: maximumQueueLength};
 	}
 
-	function follow(state: ControlState): void {
-		sharing = sharingOf(state, surroundings.name);
+	function applyState(state: ControlState): void {
+		sharing = sharingOf(state, dependencies.name);
 		if (state.configuration !== configuration) {
 			configuration = state.configuration;
-			index = createTargetIndex(contractsOf(configuration));
+			targetIndex = createTargetIndex(contractsOf(configuration));
 		}
 	}
 
 	function admissionOf(address: string, slots: number): Admission {
-		const known = admissions.get(address);
-		if (known !== undefined) {
-			known.updateBounds(boundsOf(slots));
-			return known;
+		const existing = admissions.get(address);
+		if (existing !== undefined) {
+			existing.updateBounds(boundsOf(slots));
+			return existing;
 		}
 
-		const made = createAdmission(boundsOf(slots));
-		admissions.set(address, made);
-		return made;
+		const created = createAdmission(boundsOf(slots));
+		admissions.set(address, created);
+		return created;
 	}
 
-	function budgetOf(opened: Opened): RetryBudget {
-		const {name, retry} = opened.target.contract;
+	function budgetOf(request: ParsedRequest): RetryBudget {
+		const {name, retry} = request.target.contract;
 		return budgets.get(name) ?? createRetryBudget(retry.budgetRatio);
 	}
 
-	function opened(target: ServiceTarget, head: RequestHead, key: string, operationKey: string): Opened {
+	function createRequest(target: ServiceTarget, head: RequestHead, key: string, operationKey: string): ParsedRequest {
 		const {contract} = target;
 		const now = monotonicNow();
 		const policy = holder.state().ownership.policies[contract.name];
-		const treatment = routeOf(target, head.method, head.path);
-		const longest = policy === undefined ? contract.longestDeadlineMilliseconds : longestRequestDeadline(policy);
+		const route = routeOf(target, head.method, head.path);
+		const maximumDuration = policy === undefined ? contract.longestDeadlineMilliseconds : longestRequestDeadline(policy);
 		return {
 			target,
 			key,
@@ -177,18 +177,18 @@
 			operationKey,
 			head,
 			isWithinLimits: false,
-			deadline: Math.min(deadlineOf(contract, head, now), now + longest),
-			idempotent: treatment.idempotent,
-			importance: treatment.importance,
+			deadline: Math.min(deadlineOf(contract, head, now), now + maximumDuration),
+			idempotent: route.idempotent,
+			importance: route.importance,
 			retry: contract.retry,
 			largestBodyBytes: contract.largestBodyBytes,
 			notRunStatuses: contract.upstream.notRunStatuses,
-			claims: operationKey !== '' && !treatment.idempotent,
+			claims: operationKey !== '' && !route.idempotent,
 		};
 	}
 
-	function open(head: RequestHead): Result<Opened, Failure> {
-		const target = matchService(index, head.path);
+	function open(head: RequestHead): Result<ParsedRequest, Failure> {
+		const target = matchService(targetIndex, head.path);
 		if (target === undefined) {
 			return err(failure(FailureKind.notFound, 'no service has this path'));
 		}
@@ -199,24 +199,24 @@
 		}
 
 		return operationKeyOf(head)
-			.map(operationKey => opened(target, head, key.value, operationKey))
-			.andThen(request => request.deadline > surroundings.endsAt() ? err(notReady) : ok(request));
+			.map(operationKey => createRequest(target, head, key.value, operationKey))
+			.andThen(request => request.deadline > dependencies.endsAt() ? err(notReady) : ok(request));
 	}
 
-	/** Only a request that has an owner counts: in a cut, those for other zones' keys would spend what the zone may still use. */
-	function locate(request: Opened): Result<Owner, Failure> {
+	/** Charges only requests that have an owner: in a network partition, those for other zones' keys would use up what the zone may still use. */
+	function locate(request: ParsedRequest): Result<Owner, Failure> {
 		const owner = findOwner(request);
 		return owner.isErr || request.isWithinLimits ? owner : charge(request, owner.value);
 	}
 
-	function charge(request: Opened, owner: Owner): Result<Owner, Failure> {
+	function charge(request: ParsedRequest, owner: Owner): Result<Owner, Failure> {
 		return limiter.admit(request.target.contract, request.head, request.idempotent).map(() => {
 			request.isWithinLimits = true;
 			return owner;
 		});
 	}
 
-	function findOwner(request: Opened): Result<Owner, Failure> {
+	function findOwner(request: ParsedRequest): Result<Owner, Failure> {
 		const state = holder.state();
 		const {contract} = request.target;
 		const assignments = state.ownership.services[contract.name];
@@ -232,8 +232,8 @@
 			return err(noOwner);
 		}
 
-		const held = isHeld(policy, upstream.zone, surroundings.zone);
-		if (!mayStart(surroundings.lease(), monotonicNow(), assignment, held)) {
+		const held = isHeld(policy, upstream.zone, dependencies.zone);
+		if (!mayStart(dependencies.lease(), monotonicNow(), assignment, held)) {
 			return err(noLease);
 		}
 
@@ -251,11 +251,11 @@
 			service: contract.name,
 			upstream: assignment.owner,
 			zone: upstream.zone,
-			flight: undefined,
+			inFlightRequest: undefined,
 		});
 	}
 
-	function mayStartNow(request: Opened, owner: Owner): boolean {
+	function mayStartNow(request: ParsedRequest, owner: Owner): boolean {
 		const assignment = assignmentOf(holder.state().ownership, owner.service, owner.slot);
 		const now = monotonicNow();
 		if (assignment?.phase !== AssignmentPhase.granted || assignment.fence !== owner.fence || now >= request.deadline) {
@@ -263,15 +263,15 @@
 		}
 
 		const policy = holder.state().ownership.policies[owner.service];
-		if (policy === undefined || !mayStart(surroundings.lease(), now, assignment, isHeld(policy, owner.zone, surroundings.zone))) {
+		if (policy === undefined || !mayStart(dependencies.lease(), now, assignment, isHeld(policy, owner.zone, dependencies.zone))) {
 			return false;
 		}
 
-		owner.flight = flights.start(owner.service, owner.slot, owner.fence, now, request.deadline);
+		owner.inFlightRequest = inFlightRequests.start(owner.service, owner.slot, owner.fence, now, request.deadline);
 		return true;
 	}
 
-	holder.listen(follow);
+	holder.listen(applyState);
 
 	return {
 		now: monotonicNow,
@@ -282,14 +282,14 @@
 		attemptStarted(request, owner, retry) {
 			budgets.set(owner.service, recordAttempt(budgetOf(request), {kind: retry ? 'retry' : 'first-attempt'}).state);
 			evidence.started(owner.upstream);
-			reports.requested(owner.service, owner.slot, request.key);
+			reports.recordRequest(owner.service, owner.slot, request.key);
 		},
 		attemptEnded(_request, owner, {seen, latencyMilliseconds}) {
-			evidence.ended(owner.upstream, endOfSeen[seen], latencyMilliseconds);
-			if (owner.flight !== undefined) {
-				const isOver = observationRules[seen].outcome !== Outcome.unknown;
-				(isOver ? flights.end : flights.abandon)(owner.flight);
-				owner.flight = undefined;
+			evidence.ended(owner.upstream, attemptEnds[seen], latencyMilliseconds);
+			if (owner.inFlightRequest !== undefined) {
+				const isDefinite = observationRules[seen].outcome !== Outcome.unknown;
+				(isDefinite ? inFlightRequests.end : inFlightRequests.abandon)(owner.inFlightRequest);
+				owner.inFlightRequest = undefined;
 			}
 		},
 		claim(request, body, decided) {
@@ -300,7 +300,7 @@
 			}, decided);
 		},
 		requestEnded(request, report) {
-			surroundings.requestEnded(request?.target.contract.name ?? '', request, report);
+			dependencies.requestEnded(request?.target.contract.name ?? '', request, report);
 		},
 	};
 }
--- a/packages/daemon/src/steward-runner.ts
+++ b/packages/daemon/src/steward-runner.ts
@@ -21,7 +21,7 @@
 import {type WithCatchUp} from '@dogwooddeck/wire/methods';
 import {err, ok, type Result} from 'true-myth/result';
 import {createRecentHolders} from './recent-holders.js';
-import {createSharePost} from './share-post.js';
+import {createShareOutbox} from './share-outbox.js';
 import {createZoneLimits} from './zone-limits.js';
 import {peerTimeoutMilliseconds, type ZoneDependencies} from './zone-dependencies.js';
 import {type ZoneView} from './zone-view.js';
@@ -58,7 +58,7 @@
 export function createStewardRunner(dependencies: ZoneDependencies, zone: ZoneView, changed: () => void): StewardRunner {
 	const {self, terms, holder, control, clients, zoneReports} = dependencies;
 	const holders = createRecentHolders();
-	const shareOutbox = createSharePost();
+	const shareOutbox = createShareOutbox();
 	const zoneLimits = createZoneLimits(self.zone);
 	let state: StewardState = createSteward(self, monotonicNow(), terms);
 
@@ -75,12 +75,12 @@
 		const report = zoneReports.take();
 		const answer = await control.callLeader('delegate', {...request, report, holders: holders.list(sentAt)});
 		if (answer.isErr) {
-			zoneReports.giveBack(report);
+			zoneReports.restore(report);
 			return;
 		}
 
 		holder.catchUp(answer.value.catchUp);
-		shareOutbox.put(answer.value.answer.shares);
+		shareOutbox.enqueue(answer.value.answer.shares);
 		step({
 			kind: 'delegationAnswered', now: monotonicNow(), sentAt, applied: request.applied, answer: answer.value.answer,
 		});
@@ -122,8 +122,8 @@
 
 		const limited = zoneLimits.answer(request.report, holder.state(), state.electedAt!, now);
 		zoneReports.merge(limited.report);
-		shareOutbox.put(limited.shares);
-		holders.note(request.instance, now);
+		shareOutbox.enqueue(limited.shares);
+		holders.record(request.instance, now);
 		const answer = effectOf(step({kind: 'leaseRequested', now, request}), 'answerLease')?.answer;
 		return answer === undefined
 			? err(failure(FailureKind.notReady, `${self.name} can't grant a lease now`))
--- a/packages/daemon/test/sliding-window.ts
+++ b/packages/daemon/test/sliding-window.ts
@@ -1,17 +1,17 @@
-/** The strict check of sliding windows in schedules. */
+/** Exact check of sliding windows in simulated schedules. */
 import {type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** The most times that lie within any stretch of a length; the times are in their order. */
-export function mostInSliding(times: readonly MonotonicTime[], stretch: Milliseconds): number {
+/** The maximum number of times within any interval of the given length. The times are in ascending order. */
+export function maximumInSlidingWindow(times: readonly MonotonicTime[], windowLength: Milliseconds): number {
 	let first = 0;
-	let most = 0;
+	let maximum = 0;
 	for (const [position, at] of times.entries()) {
-		while (times[first]! <= at - stretch) {
+		while (times[first]! <= at - windowLength) {
 			first++;
 		}
 
-		most = Math.max(most, position - first + 1);
+		maximum = Math.max(maximum, position - first + 1);
 	}
 
-	return most;
+	return maximum;
 }
--- a/packages/daemon/test/test-bad-claims.ts
+++ b/packages/daemon/test/test-bad-claims.ts
@@ -1,6 +1,6 @@
 /**
- * What a claimant makes of a holder that answers nonsense: it refuses the
- * operation, and no rejected promise ends the process.
+ * Malformed answers from a holder of claims: the claimant rejects the operation, and
+ * no unhandled rejection ends the process.
  */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -11,7 +11,7 @@
 import {loadTextHash} from '@dogwooddeck/routing/text-hash';
 import {type PeerClients} from '@dogwooddeck/wire/client';
 import {ok} from 'true-myth/result';
-import {startClaims} from '@dogwooddeck/daemon/claim-runner';
+import {startClaimRunner} from '@dogwooddeck/daemon/claim-runner';
 import {type ControlHolder} from '@dogwooddeck/daemon/control-holder';
 
 const members = ['noord-a', 'zuid-a'].map((zone, number) => ({
@@ -40,25 +40,25 @@
 }
 
 const rejected: unknown[] = [];
-const noteRejection = (error: unknown) => {
+const recordRejection = (error: unknown) => {
 	rejected.push(error);
 };
 
 before(() => {
-	process.on('unhandledRejection', noteRejection);
+	process.on('unhandledRejection', recordRejection);
 });
 
 after(() => {
-	process.off('unhandledRejection', noteRejection);
+	process.off('unhandledRejection', recordRejection);
 });
 
 const answers: ReadonlyArray<readonly [name: string, answer: string]> = [
-	['no JSON', '{'],
-	['nothing', ''],
+	['not JSON', '{'],
+	['an empty answer', ''],
 	['null', 'null'],
 	['a number', '7'],
 	['no verdict', '{"kind":"claim-answer"}'],
-	['a verdict that every object has', JSON.stringify({
+	['a verdict named as a property of every object', JSON.stringify({
 		kind: 'claim-answer', token: {claimant: {name: 'entry-0', incarnation: 1}, sequence: 1}, holder: {name: 'entry-1', incarnation: 1}, verdict: 'constructor', rosterIndex: 1,
 	})],
 	['a taken claim without its status', JSON.stringify({
@@ -68,7 +68,7 @@
 
 async function decisionWith(answer: string): Promise<ClaimDecision> {
 	const clients = {call: async () => ok(answer)} as unknown as PeerClients;
-	const claims = startClaims({name: 'entry-0', incarnation: 1}, holder(), clients, await loadTextHash());
+	const claims = startClaimRunner({name: 'entry-0', incarnation: 1}, holder(), clients, await loadTextHash());
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
--- a/packages/daemon/test/test-cut-reserve.ts
+++ b/packages/daemon/test/test-cut-reserve.ts
@@ -1,7 +1,7 @@
 /**
- * Limiters, control's division and the divisions of the zones' stewards
- * together: zones that are cut off, changes of the steward, the leader and the
- * contract, with loss, delay and reorder, on the paused clock.
+ * Simulates limiters with the distribution of shares by control and by the zones'
+ * stewards on the paused clock: network partitions of zones, changes of the steward,
+ * the leader and the contract, and messages that are lost, delayed and reordered.
  */
 import assert from 'node:assert/strict';
 import {performance} from 'node:perf_hooks';
@@ -20,8 +20,8 @@
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {createZoneLimits} from '../src/zone-limits.js';
 import {limitedContract} from './limited-contract.js';
-import {mostInSliding} from './sliding-window.js';
-import {type MailFaults, SlowMail} from './slow-mail.js';
+import {maximumInSlidingWindow} from './sliding-window.js';
+import {type NetworkFaults, SimulatedNetwork} from './simulated-network.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
@@ -29,11 +29,11 @@
 const instancesInZone = 2;
 const stepMilliseconds = 40;
 const renewMilliseconds = 240;
-const lackingMilliseconds = 60;
+const renewLackingMilliseconds = 60;
 const durationMilliseconds = 300_000;
 const busyMilliseconds = 7000;
-/** The longest time until a zone learns of a change of the contract. */
-const learningMilliseconds = 3000;
+/** Upper bound, exclusive, of the time until a zone learns of a changed contract. */
+const maximumLearningMilliseconds = 3000;
 const head = {method: 'GET', path: '/schedule/verge-1', headers: {}};
 
 let now = 0;
@@ -46,7 +46,7 @@
 
 const members = zones.flatMap(zone => Array.from({length: instancesInZone}, (_, number) => member(zone, number)));
 
-function controlWith(contract: ServiceContract): ControlState {
+function createControlState(contract: ServiceContract): ControlState {
 	const rosters = Object.fromEntries(zones.map(zone => [zone, {
 		zone, region: 'region', members: members.filter(one => one.zone === zone), previousMembers: [], changedAt: 0,
 	}]));
@@ -57,18 +57,18 @@
 }
 
 type Change = {readonly at: number; readonly cutReserve: number; readonly zones?: readonly string[]};
-type Cut = {readonly zone: string; readonly from: number; readonly to: number};
+type Partition = {readonly zone: string; readonly from: number; readonly to: number};
 
-type Schedule = MailFaults & {
+type Schedule = NetworkFaults & {
 	readonly unit?: Pick<LegacyUnit, 'window' | 'burst'>;
 	readonly changes: readonly Change[];
-	readonly cuts?: readonly Cut[];
+	readonly partitions?: readonly Partition[];
 	readonly newLeaders?: readonly number[];
 	readonly newStewards?: ReadonlyArray<{readonly zone: string; readonly at: number}>;
 	readonly restarts?: ReadonlyArray<{readonly instance: string; readonly at: number}>;
 };
 
-type Place = {readonly record: InstanceRecord; limiter: Limiter; askedAt: number; learnsAfter: number};
+type Participant = {readonly record: InstanceRecord; limiter: Limiter; lastRequestAt: number; learnsAfter: number};
 type Admitted = {readonly at: number; readonly zone: string};
 
 class Deployment {
@@ -76,9 +76,9 @@
 	readonly #start = now;
 	readonly #schedule: Schedule;
 	readonly #pick: (below: number) => number;
-	readonly #mail: SlowMail;
+	readonly #network: SimulatedNetwork;
 	readonly #controls: ReadonlyArray<{readonly at: number; readonly control: ControlState}>;
-	readonly #places: readonly Place[];
+	readonly #participants: readonly Participant[];
 	readonly #stewards = new Map(zones.map(zone => [zone, {limits: createZoneLimits(zone), electedAt: now, learnsAfter: 0}]));
 	#sharing: SharingState = createSharing(now, []);
 
@@ -86,40 +86,40 @@
 		const random = xoroshiro128plus(seed);
 		this.#pick = below => uniformInt(random, 0, below - 1);
 		this.#schedule = schedule;
-		this.#mail = new SlowMail(schedule, this.#pick);
+		this.#network = new SimulatedNetwork(schedule, this.#pick);
 		const unit = {intervalMilliseconds: windowMilliseconds, ...schedule.unit};
 		this.#controls = schedule.changes.map(({at, cutReserve, zones: listed = zones}) =>
-			({at, control: controlWith(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
-		this.#places = members.map(record => ({
-			record, limiter: createLimiter(record, () => undefined), askedAt: -Infinity, learnsAfter: this.#pick(learningMilliseconds),
+			({at, control: createControlState(limitedContract({limit: {amount, cutReserve}, unit, zones: listed}))}));
+		this.#participants = members.map(record => ({
+			record, limiter: createLimiter(record, () => undefined), lastRequestAt: -Infinity, learnsAfter: this.#pick(maximumLearningMilliseconds),
 		}));
 		for (const steward of this.#stewards.values()) {
-			steward.learnsAfter = this.#pick(learningMilliseconds);
+			steward.learnsAfter = this.#pick(maximumLearningMilliseconds);
 		}
 	}
 
 	play(): void {
 		for (; now < this.#start + durationMilliseconds; now += stepMilliseconds) {
-			this.#fail();
-			this.#mail.deliver(now);
-			for (const [number, place] of this.#places.entries()) {
-				this.#request(place, number);
-				this.#renew(place);
+			this.#applyFaults();
+			this.#network.deliver(now);
+			for (const [number, participant] of this.#participants.entries()) {
+				this.#request(participant, number);
+				this.#renew(participant);
 			}
 		}
 	}
 
-	/** The contracts that were accepted until so long ago. */
+	/** The control state that a participant has which learns of changes after this time. */
 	#control(learnsAfter: number): ControlState {
 		return this.#controls.findLast(({at}) => at === 0 || now - this.#start >= at + learnsAfter)!.control;
 	}
 
-	#isCut(zone: string): boolean {
+	#isPartitioned(zone: string): boolean {
 		const elapsed = now - this.#start;
-		return (this.#schedule.cuts ?? []).some(cut => cut.zone === zone && elapsed >= cut.from && elapsed < cut.to);
+		return (this.#schedule.partitions ?? []).some(partition => partition.zone === zone && elapsed >= partition.from && elapsed < partition.to);
 	}
 
-	#fail(): void {
+	#applyFaults(): void {
 		const elapsed = now - this.#start;
 		const {newLeaders = [], newStewards = [], restarts = []} = this.#schedule;
 		if (newLeaders.includes(elapsed)) {
@@ -131,12 +131,12 @@
 		}
 
 		for (const {instance} of restarts.filter(({at}) => at === elapsed)) {
-			const place = this.#places.find(({record}) => record.name === instance)!;
-			place.limiter = createLimiter({...place.record, incarnation: now}, () => undefined);
+			const participant = this.#participants.find(({record}) => record.name === instance)!;
+			participant.limiter = createLimiter({...participant.record, incarnation: now}, () => undefined);
 		}
 	}
 
-	#request({record, limiter, learnsAfter}: Place, number: number): void {
+	#request({record, limiter, learnsAfter}: Participant, number: number): void {
 		const busy = Math.floor((now - this.#start) / busyMilliseconds) % members.length;
 		const [contract] = this.#control(learnsAfter).configuration.teams[0]!.services;
 		const requests = this.#pick(number === busy ? 6 : 3);
@@ -145,24 +145,24 @@
 		}
 	}
 
-	#renew(place: Place): void {
-		const {limiter} = place;
-		if (now >= place.askedAt + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
-			place.askedAt = now;
+	#renew(participant: Participant): void {
+		const {limiter} = participant;
+		if (now >= participant.lastRequestAt + (limiter.lacksShares() ? renewLackingMilliseconds : renewMilliseconds)) {
+			participant.lastRequestAt = now;
 			const demands = limiter.takeDemands();
-			this.#mail.send(now, () => {
-				this.#askSteward(place, demands.filter(({divider}) => divider === Divider.zone));
+			this.#network.send(now, () => {
+				this.#requestFromSteward(participant, demands.filter(({divider}) => divider === Divider.zone));
 			});
 			for (const demand of demands.filter(({divider}) => divider === Divider.control)) {
-				this.#mail.send(now, () => {
-					this.#askControl(place, demand);
+				this.#network.send(now, () => {
+					this.#requestFromControl(participant, demand);
 				});
 			}
 		}
 	}
 
-	#askControl({record: {zone}, limiter}: Place, demand: LimitDemand): void {
-		if (this.#isCut(zone)) {
+	#requestFromControl({record: {zone}, limiter}: Participant, demand: LimitDemand): void {
+		if (this.#isPartitioned(zone)) {
 			return;
 		}
 
@@ -172,8 +172,8 @@
 		this.#answer(limiter, shares);
 	}
 
-	/** A lease request, which the steward is sent whether there are demands or not. */
-	#askSteward({record: {zone}, limiter}: Place, demands: readonly LimitDemand[]): void {
+	/** Sends a lease request to the steward, whether there are demands or not. */
+	#requestFromSteward({record: {zone}, limiter}: Participant, demands: readonly LimitDemand[]): void {
 		const {limits, electedAt, learnsAfter} = this.#stewards.get(zone)!;
 		const {shares} = limits.answer({...emptyReport, demands}, this.#control(learnsAfter), electedAt, now);
 		this.#answer(limiter, shares);
@@ -181,16 +181,16 @@
 
 	#answer(limiter: Limiter, shares: readonly LimitShare[]): void {
 		if (shares.length > 0) {
-			this.#mail.send(now, () => {
-				limiter.takeShares(shares);
+			this.#network.send(now, () => {
+				limiter.applyShares(shares);
 			});
 		}
 	}
 }
 
-type MostInWindow = (times: readonly number[], burst: number) => number;
+type MaximumInWindow = (times: readonly number[], burst: number) => number;
 
-function mostInFixed(times: readonly number[]): number {
+function maximumInFixedWindow(times: readonly number[]): number {
 	const counts = new Map<number, number>();
 	for (const at of times) {
 		const number = Math.floor(at / windowMilliseconds);
@@ -200,78 +200,78 @@
 	return Math.max(0, ...counts.values());
 }
 
-const mostInWindow: Readonly<Record<WindowForm, MostInWindow>> = {
-	[WindowForm.sliding]: (times, burst) => mostInSliding(times, windowMilliseconds * burst),
-	[WindowForm.fixed]: mostInFixed,
+const maximumInWindow: Readonly<Record<WindowForm, MaximumInWindow>> = {
+	[WindowForm.sliding]: (times, burst) => maximumInSlidingWindow(times, windowMilliseconds * burst),
+	[WindowForm.fixed]: maximumInFixedWindow,
 };
 
 const seed = Number(process.env.SEED ?? 1);
 const runs = Number(process.env.RUNS ?? 3);
 const steady = [{at: 0, cutReserve: 0.3}];
-/** What a zone has of the limit of 200 with a reserve of 0.3 over three zones. */
+/** The part of one zone: the limit of 200 with a reserve of 0.3 over three zones. */
 const zoneReserve = 20;
-const longCut: Cut = {zone: 'zuid-a', from: 60_000, to: 260_000};
-/** Control's shares are over, and forgotten by a window. */
-const afterShares = 26_000;
+const longPartition: Partition = {zone: 'zuid-a', from: 60_000, to: 260_000};
+/** The time after which control's shares have expired and dropped out of the window. */
+const shareExpiryMilliseconds = 26_000;
 
 const schedules: ReadonlyArray<{readonly name: string; readonly schedule: Schedule}> = [
 	{name: 'no reserve', schedule: {delayMilliseconds: 400, loss: 5, changes: [{at: 0, cutReserve: 0}]}},
-	{name: 'no cut', schedule: {delayMilliseconds: 800, loss: 10, changes: steady}},
+	{name: 'no partition', schedule: {delayMilliseconds: 800, loss: 10, changes: steady}},
 	{
-		name: 'a cut of minutes', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut],
+		name: 'a partition of minutes', schedule: {
+			delayMilliseconds: 200, loss: 5, changes: steady, partitions: [longPartition],
 		},
 	},
 	{
-		name: 'a cut with another steward', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut], newStewards: [{zone: 'zuid-a', at: 120_000}],
+		name: 'a partition with a new steward', schedule: {
+			delayMilliseconds: 200, loss: 5, changes: steady, partitions: [longPartition], newStewards: [{zone: 'zuid-a', at: 120_000}],
 		},
 	},
 	{
-		name: 'a cut with another leader', schedule: {
-			delayMilliseconds: 200, loss: 5, changes: steady, cuts: [longCut], newLeaders: [61_000, 150_000],
+		name: 'a partition with new leaders', schedule: {
+			delayMilliseconds: 200, loss: 5, changes: steady, partitions: [longPartition], newLeaders: [61_000, 150_000],
 		},
 	},
 	{
-		name: 'short cuts, slow answers, stewards and leaders that change', schedule: {
+		name: 'short partitions, slow answers, changes of stewards and leaders', schedule: {
 			delayMilliseconds: 2500,
 			loss: 20,
 			changes: steady,
-			cuts: [{zone: 'noord-a', from: 50_000, to: 62_000}, {zone: 'zuid-a', from: 58_000, to: 90_000}, {zone: 'noord-b', from: 130_000, to: 170_000}],
+			partitions: [{zone: 'noord-a', from: 50_000, to: 62_000}, {zone: 'zuid-a', from: 58_000, to: 90_000}, {zone: 'noord-b', from: 130_000, to: 170_000}],
 			newStewards: [{zone: 'noord-a', at: 55_000}, {zone: 'zuid-a', at: 59_000}, {zone: 'noord-b', at: 200_000}, {zone: 'noord-b', at: 202_000}],
 			newLeaders: [40_000, 140_000, 145_000],
 		},
 	},
 	{
-		name: 'instances that restart, in the cut and out of it', schedule: {
+		name: 'instances that restart, inside the partition and outside', schedule: {
 			delayMilliseconds: 200,
 			loss: 5,
 			changes: steady,
-			cuts: [longCut],
+			partitions: [longPartition],
 			restarts: [{instance: 'zuid-a-0', at: 100_000}, {instance: 'noord-a-1', at: 101_000}, {instance: 'zuid-a-1', at: 270_000}],
 		},
 	},
 	{
-		name: 'a reserve that comes, grows, shrinks and goes', schedule: {
+		name: 'a reserve that is added, increased, reduced and removed', schedule: {
 			delayMilliseconds: 300,
 			loss: 5,
 			changes: [{at: 0, cutReserve: 0}, {at: 60_000, cutReserve: 0.9}, {at: 130_000, cutReserve: 0.3}, {at: 135_000, cutReserve: 0.6}, {at: 220_000, cutReserve: 0}],
 		},
 	},
 	{
-		name: 'zones that are listed no more, and again', schedule: {
+		name: 'zones that are removed from the list and added again', schedule: {
 			delayMilliseconds: 300,
 			loss: 5,
 			changes: [{at: 0, cutReserve: 0.9}, {at: 80_000, cutReserve: 0.9, zones: ['zuid-a']}, {at: 160_000, cutReserve: 0.9, zones: ['noord-a', 'noord-b']}, {at: 220_000, cutReserve: 0.9}],
 		},
 	},
 	...[{window: WindowForm.fixed, burst: 1}, {window: WindowForm.fixed, burst: 2}, {window: WindowForm.sliding, burst: 2}].map(unit => ({
-		name: `${unit.window} windows, burst ${unit.burst}, with all of it`, schedule: {
+		name: `${unit.window} windows, burst ${unit.burst}, with all faults combined`, schedule: {
 			delayMilliseconds: 800,
 			loss: 10,
 			unit,
 			changes: [...steady, {at: 100_000, cutReserve: 0.9}, {at: 190_000, cutReserve: 0.1}],
-			cuts: [{zone: 'zuid-a', from: 60_000, to: 95_000}, {zone: 'noord-a', from: 240_000, to: 290_000}],
+			partitions: [{zone: 'zuid-a', from: 60_000, to: 95_000}, {zone: 'noord-a', from: 240_000, to: 290_000}],
 			newStewards: [{zone: 'zuid-a', at: 70_000}, {zone: 'noord-b', at: 130_000}],
 			newLeaders: [75_000, 160_000],
 			restarts: [{instance: 'zuid-a-0', at: 85_000}, {instance: 'noord-b-0', at: 250_000}],
@@ -279,18 +279,18 @@
 	})),
 ];
 
-/** What the cut zone was admitted from when control's shares were forgotten: in one window at most, and in all as a part of its reserve. */
-function usedInCut(admitted: readonly Admitted[], start: number): {readonly most: number; readonly ratio: number} {
-	const [from, to] = [start + longCut.from + afterShares, start + longCut.to];
-	const inCut = admitted.filter(({at, zone}) => zone === longCut.zone && at >= from && at < to);
-	return {most: mostInSliding(inCut.map(({at}) => at), windowMilliseconds), ratio: inCut.length / (zoneReserve * (to - from) / windowMilliseconds)};
+/** The requests that the partitioned zone admitted after control's shares had dropped out of the window: the maximum in one window, and the total as a ratio of its reserve. */
+function usedInPartition(admitted: readonly Admitted[], start: number): {readonly maximum: number; readonly ratio: number} {
+	const [from, to] = [start + longPartition.from + shareExpiryMilliseconds, start + longPartition.to];
+	const inPartition = admitted.filter(({at, zone}) => zone === longPartition.zone && at >= from && at < to);
+	return {maximum: maximumInSlidingWindow(inPartition.map(({at}) => at), windowMilliseconds), ratio: inPartition.length / (zoneReserve * (to - from) / windowMilliseconds)};
 }
 
-function checkCut(context: TestContext, admitted: readonly Admitted[], start: number): void {
-	const {most, ratio} = usedInCut(admitted, start);
-	context.diagnostic(`the cut zone: at most ${most} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
-	assert.ok(ratio > 0.8, 'the cut zone goes on');
-	assert.ok(most <= zoneReserve, `${most} of the zone's ${zoneReserve} in one window`);
+function checkPartition(context: TestContext, admitted: readonly Admitted[], start: number): void {
+	const {maximum, ratio} = usedInPartition(admitted, start);
+	context.diagnostic(`the partitioned zone: at most ${maximum} of its ${zoneReserve} in one window, ${(100 * ratio).toFixed(1)}% of its reserve in all`);
+	assert.ok(ratio > 0.8, 'the partitioned zone continues to admit requests');
+	assert.ok(maximum <= zoneReserve, `${maximum} of the zone's ${zoneReserve} in one window`);
 }
 
 function play(runSeed: number, schedule: Schedule): {readonly admitted: readonly Admitted[]; readonly start: number} {
@@ -307,16 +307,16 @@
 }
 
 for (const {name, schedule} of schedules) {
-	test(`reserves: no window has more than the contract: ${name} (seeds from ${seed})`, context => {
+	test(`reserves: no window exceeds the contract: ${name} (seeds from ${seed})`, context => {
 		for (let run = seed; run < seed + runs; run++) {
 			const {admitted, start} = play(run, schedule);
 			const {window, burst} = schedule.unit ?? {window: WindowForm.sliding, burst: 1};
-			const most = mostInWindow[window](admitted.map(({at}) => at), burst);
+			const most = maximumInWindow[window](admitted.map(({at}) => at), burst);
 			const allowed = amount * burst;
 			context.diagnostic(`seed ${run}: at most ${most} of ${allowed} in one window`);
 			assert.ok(admitted.length > allowed && most <= allowed, `${most} of ${allowed} in one window, seed ${run}`);
-			if (schedule.cuts?.includes(longCut)) {
-				checkCut(context, admitted, start);
+			if (schedule.partitions?.includes(longPartition)) {
+				checkPartition(context, admitted, start);
 			}
 		}
 	});
--- a/packages/daemon/test/test-limiter.ts
+++ b/packages/daemon/test/test-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * The limiter of an instance against the division of control: demands and
- * answers that are late, lost or overtaken, on the paused clock.
+ * The limiter of an instance with the distribution of shares by control, on the paused
+ * clock: demands and answers that are delayed, lost or reordered.
  */
 import assert from 'node:assert/strict';
 import {performance} from 'node:perf_hooks';
@@ -13,8 +13,8 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {createLimiter, type Limiter} from '../src/limiter.js';
 import {limitedContract} from './limited-contract.js';
-import {mostInSliding} from './sliding-window.js';
-import {type MailFaults, SlowMail} from './slow-mail.js';
+import {maximumInSlidingWindow} from './sliding-window.js';
+import {type NetworkFaults, SimulatedNetwork} from './simulated-network.js';
 
 const amount = 200;
 const windowMilliseconds = 10_000;
@@ -55,13 +55,13 @@
 		run(limiter) {
 			assert.equal(admits(limiter), false);
 			const [demand] = limiter.takeDemands();
-			limiter.takeShares([answer(demand!, 1)]);
+			limiter.applyShares([answer(demand!, 1)]);
 			assert.equal(admits(limiter), true);
 			assert.equal(admits(limiter), false);
 		},
 	},
 	{
-		name: 'one demand is under way at a time',
+		name: 'one demand is in flight at a time',
 		run(limiter) {
 			admits(limiter);
 			assert.equal(limiter.takeDemands().length, 1);
@@ -70,7 +70,7 @@
 		},
 	},
 	{
-		name: 'a demand without an answer is made again',
+		name: 'a demand without an answer is repeated',
 		run(limiter) {
 			admits(limiter);
 			const [first] = limiter.takeDemands();
@@ -80,24 +80,24 @@
 		},
 	},
 	{
-		name: 'an answer is taken for the newest demand alone: control no longer counts what it gave for the one before',
+		name: 'only an answer to the newest demand is applied: control no longer counts the share that it granted for an earlier one',
 		run(limiter) {
 			admits(limiter);
 			const [first] = limiter.takeDemands();
 			now += 5000;
 			const [second] = limiter.takeDemands();
-			limiter.takeShares([answer(first!, 100)]);
+			limiter.applyShares([answer(first!, 100)]);
 			assert.equal(admits(limiter), false);
-			limiter.takeShares([answer(second!, 1)]);
+			limiter.applyShares([answer(second!, 1)]);
 			assert.equal(admits(limiter), true);
 			assert.equal(admits(limiter), false);
 		},
 	},
 	{
-		name: 'a spent share that was given for little is asked for anew at once',
+		name: 'an exhausted share that was granted for a small demand is requested again at once',
 		run(limiter) {
 			admits(limiter);
-			limiter.takeShares([answer(limiter.takeDemands()[0]!, 2)]);
+			limiter.applyShares([answer(limiter.takeDemands()[0]!, 2)]);
 			assert.deepEqual([admits(limiter), admits(limiter), admits(limiter)], [true, true, false]);
 			assert.equal(limiter.lacksShares(), true);
 			assert.equal(limiter.takeDemands()[0]!.wanted, 3);
@@ -115,33 +115,33 @@
 
 const stepMilliseconds = 20;
 const renewMilliseconds = 240;
-const lackingMilliseconds = 60;
+const renewLackingMilliseconds = 60;
 const durationMilliseconds = 60_000;
 const instances = 4;
 const busyMilliseconds = 7000;
 
-type Faults = MailFaults & {
-	/** Another leader begins at this time. */
+type Faults = NetworkFaults & {
+	/** When a new leader starts, in milliseconds from the start. */
 	readonly newLeaderAt?: number;
 };
 
-/** Instances whose demands travel to one leader. */
+/** Instances that send their demands to one leader. */
 class Instances {
 	/** The times at which requests were admitted. */
 	readonly admitted: number[] = [];
 	readonly #limiters = Array.from({length: instances}, (_, number) => limiterOf(`entry-${number}`));
-	readonly #askedAt = this.#limiters.map(() => -Infinity);
+	readonly #lastRequestAt = this.#limiters.map(() => -Infinity);
 	readonly #start = now;
 	readonly #faults: Faults;
 	readonly #pick: (below: number) => number;
-	readonly #mail: SlowMail;
+	readonly #network: SimulatedNetwork;
 	#sharing: SharingState = createSharing(now, []);
 
 	constructor(seed: number, faults: Faults) {
 		const random = xoroshiro128plus(seed);
 		this.#pick = below => uniformInt(random, 0, below - 1);
 		this.#faults = faults;
-		this.#mail = new SlowMail(faults, this.#pick);
+		this.#network = new SimulatedNetwork(faults, this.#pick);
 	}
 
 	play(): void {
@@ -150,7 +150,7 @@
 				this.#sharing = createSharing(now, [contract.name]);
 			}
 
-			this.#mail.deliver(now);
+			this.#network.deliver(now);
 			for (const number of this.#limiters.keys()) {
 				this.#request(number);
 				this.#renew(number);
@@ -167,10 +167,10 @@
 
 	#renew(number: number): void {
 		const limiter = this.#limiters[number]!;
-		if (now >= this.#askedAt[number]! + (limiter.lacksShares() ? lackingMilliseconds : renewMilliseconds)) {
-			this.#askedAt[number] = now;
+		if (now >= this.#lastRequestAt[number]! + (limiter.lacksShares() ? renewLackingMilliseconds : renewMilliseconds)) {
+			this.#lastRequestAt[number] = now;
 			for (const demand of limiter.takeDemands()) {
-				this.#mail.send(now, () => {
+				this.#network.send(now, () => {
 					this.#answer(limiter, demand);
 				});
 			}
@@ -181,8 +181,8 @@
 		const {state, share} = grantLimitShare(this.#sharing, demand, {limit, amount}, instances, now);
 		this.#sharing = state;
 		if (share !== undefined) {
-			this.#mail.send(now, () => {
-				limiter.takeShares([share]);
+			this.#network.send(now, () => {
+				limiter.applyShares([share]);
 			});
 		}
 	}
@@ -193,20 +193,20 @@
 
 const schedules: ReadonlyArray<{readonly name: string; readonly faults: Faults}> = [
 	{name: 'quick answers', faults: {delayMilliseconds: 20, loss: 0}},
-	{name: 'answers that overtake each other', faults: {delayMilliseconds: 800, loss: 0}},
+	{name: 'reordered answers', faults: {delayMilliseconds: 800, loss: 0}},
 	{name: 'slow answers', faults: {delayMilliseconds: 4000, loss: 0}},
 	{name: 'loss', faults: {delayMilliseconds: 400, loss: 20}},
-	{name: 'another leader', faults: {delayMilliseconds: 800, loss: 5, newLeaderAt: 20_000}},
+	{name: 'a new leader', faults: {delayMilliseconds: 800, loss: 5, newLeaderAt: 20_000}},
 ];
 
 for (const {name, faults} of schedules) {
-	test(`limiters: no window has more than the contract: ${name} (seeds from ${seed})`, () => {
+	test(`limiters: no window exceeds the contract: ${name} (seeds from ${seed})`, () => {
 		for (let run = 0; run < runs; run++) {
 			onPausedClock(() => {
 				const deployment = new Instances(seed + run, faults);
 				deployment.play();
 				const {admitted} = deployment;
-				const most = mostInSliding(admitted, windowMilliseconds);
+				const most = maximumInSlidingWindow(admitted, windowMilliseconds);
 				assert.ok(admitted.length > amount && most <= amount, `${most} of ${amount} in one window, seed ${seed + run}`);
 			});
 		}
--- a/packages/daemon/test/test-report-collector.ts
+++ b/packages/daemon/test/test-report-collector.ts
@@ -12,50 +12,50 @@
 
 let now = 0;
 
-/** The announcements of the next report. */
-function told(collector: ReportCollector): readonly string[] {
+/** Takes the next report and returns its announcements. */
+function takeAnnouncements(collector: ReportCollector): readonly string[] {
 	return collector.take().announcements.map(({name, incarnation}) => `${name}#${incarnation}`);
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly run: (collector: ReportCollector) => void}> = [
 	{
-		name: 'an announcement is told once',
+		name: 'an announcement is reported once',
 		run(collector) {
-			collector.announced(announcement('one'));
-			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
+			collector.recordAnnouncement(announcement('one'));
+			assert.deepEqual([takeAnnouncements(collector), takeAnnouncements(collector)], [['one#1'], []]);
 		},
 	},
 	{
-		name: 'one of a report that did not arrive is told again',
+		name: 'an announcement of a report that did not arrive is reported again',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			now += 300;
-			collector.giveBack(report);
-			assert.deepEqual([told(collector), told(collector)], [['one#1'], []]);
+			collector.restore(report);
+			assert.deepEqual([takeAnnouncements(collector), takeAnnouncements(collector)], [['one#1'], []]);
 		},
 	},
 	{
-		name: 'one that is no longer fresh is not told again, however often its report came back',
+		name: 'an announcement that is no longer fresh is not reported again, however often its report was restored',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
 			now += 300;
-			collector.giveBack(report);
+			collector.restore(report);
 			const again = collector.take();
 			now += 300;
-			collector.giveBack(again);
-			assert.deepEqual(told(collector), []);
+			collector.restore(again);
+			assert.deepEqual(takeAnnouncements(collector), []);
 		},
 	},
 	{
-		name: 'a newer one stands',
+		name: 'a newer announcement replaces an older one',
 		run(collector) {
-			collector.announced(announcement('one'));
+			collector.recordAnnouncement(announcement('one'));
 			const report = collector.take();
-			collector.announced(announcement('one', 2));
-			collector.giveBack(report);
-			assert.deepEqual(told(collector), ['one#2']);
+			collector.recordAnnouncement(announcement('one', 2));
+			collector.restore(report);
+			assert.deepEqual(takeAnnouncements(collector), ['one#2']);
 		},
 	},
 ];
