--- a/packages/front/src/api.ts
+++ b/packages/front/src/api.ts
@@ -1,25 +1,26 @@
 /**
- * What the HTTP front asks of the instance behind it. The front reads and
- * writes HTTP; whoever implements these decides.
+ * The interfaces between the HTTP servers and the instance that they serve. The
+ * servers parse requests and write responses; the implementations of these
+ * interfaces make every decision.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type Result} from 'true-myth/result';
 
-/** What an operator or an upstream sent. */
+/** A parsed request of an operator or an upstream. */
 export type ApiRequest = {
-	/** The bearer token; empty where there is none. */
+	/** The bearer token; empty when the request has none. */
 	readonly token: string;
-	/** A label for the history that gives no right. */
+	/** A label recorded in the history; it grants no permission. */
 	readonly author: string;
 	readonly query: Readonly<Record<string, string>>;
 	readonly body: unknown;
 };
 
-/** Answers one kind of request with a JSON value or a failure. */
+/** Handles one kind of request and returns a JSON value or a failure. */
 export type ApiHandler = (request: ApiRequest) => Promise<Result<unknown, Failure>>;
 
-/** The operators' surface, keyed by the last segment of the path. */
+/** The handlers of the operator API, keyed by the last segment of the path. */
 export type OperatorApi = {
 	readonly apply: ApiHandler;
 	readonly configuration: ApiHandler;
@@ -32,26 +33,26 @@
 	readonly zoneDeclareLost: ApiHandler;
 	readonly token: ApiHandler;
 	readonly burn: ApiHandler;
-	/** Upstreams announce themselves here. */
+	/** Handles the announcements of upstreams. */
 	readonly announce: ApiHandler;
 };
 
-/** Whether the balancer may send callers here, and why. */
+/** Whether the load balancer may route callers to this instance, and why. */
 export type Readiness = {readonly ready: boolean; readonly reason: string};
 
-/** What the health endpoints tell. */
+/** The data source of the health and metrics endpoints. */
 export type HealthApi = {
 	readonly readiness: () => Readiness;
 	readonly metrics: () => string;
 };
 
-/** Takes a caller's request as it arrives and answers it on the raw response. */
+/** Handles a caller's request before its body is read, and writes the raw response. */
 export type CallerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** A server that runs. */
+/** A running server. */
 export type FrontServer = {
 	/** The address that it listens on, as `IP:port`. */
 	readonly address: string;
-	/** Takes no new connections, lets requests in flight end, then closes. */
+	/** Stops accepting connections, waits for in-flight requests to complete, then closes. */
 	readonly close: () => Promise<void>;
 };
--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -1,5 +1,5 @@
 /**
- * Starts Nest on Fastify at an address.
+ * Starts and gracefully closes a Nest application on Fastify; both servers are built on it.
  */
 import {type Server} from 'node:http';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -11,15 +11,15 @@
 import {type FrontServer} from './api.js';
 import {answerUnread} from './unread-request.js';
 
-/** What an application is made of. */
+/** The options of `startApplication`. */
 export type ApplicationOptions = {
-	/** Where to listen, as `IP:port`. */
+	/** The address to listen on, as `IP:port`. */
 	readonly address: string;
 	readonly module: DynamicModule;
 	readonly largestBodyBytes: number;
-	/** Answers what reaches no handler: an unknown method, a path that can't be decoded. */
+	/** Rejects requests that reach no handler, such as an unknown method or a path that can't be decoded. */
 	readonly refuse: Refuse;
-	/** Says which bodies are read before a handler runs, and adds routes beside Nest's own. */
+	/** Configures which bodies are parsed before a handler runs, and adds routes outside of Nest's controllers. */
 	readonly prepare: (adapter: FastifyAdapter) => void;
 };
 
@@ -35,7 +35,7 @@
 
 const idlePollMilliseconds = 25;
 
-/** Lets what has arrived on the sockets be read, also after a turn that took long. */
+/** Waits until data that has arrived on the sockets is read, even after a long turn of the event loop. */
 async function arrivedRead(): Promise<void> {
 	for (let turn = 0; turn < 2; turn++) {
 		await new Promise(resolve => {
@@ -45,8 +45,9 @@
 }
 
 /**
- * Connections that become idle while the server closes are closed as well. A
- * connection whose request has arrived and wasn't read yet would look idle.
+ * Closes the server, including connections that become idle meanwhile. Pending
+ * socket data is read first, since a connection whose request has arrived but
+ * isn't read yet looks idle.
  */
 async function closeApplication(application: NestFastifyApplication): Promise<void> {
 	const server: Server = application.getHttpServer();
@@ -60,12 +61,12 @@
 	clearInterval(closingIdle);
 }
 
-/** Starts to listen. Fails with `unreachable` when the address can't be bound. */
+/** Starts listening. Fails with `unreachable` when the address can't be bound. */
 export async function startApplication(options: ApplicationOptions): Promise<Result<FrontServer, Failure>> {
 	const adapter = new FastifyAdapter({
 		bodyLimit: options.largestBodyBytes,
 		forceCloseConnections: 'idle',
-		// What arrives on an open connection while the server closes still gets its own answer.
+		// A request on an open connection is still handled, not answered with 503, while the server closes.
 		return503OnClosing: false,
 		clientErrorHandler: answerUnread,
 		frameworkErrors(error: Error, _request: unknown, reply: RefusableReply) {
--- a/packages/front/src/caller-server.ts
+++ b/packages/front/src/caller-server.ts
@@ -1,6 +1,6 @@
 /**
- * The server for callers: one raw route on the adapter's Fastify instance, so
- * that a request meets no controller and no body parser on its way.
+ * The HTTP server for callers: a single raw route on the adapter's Fastify
+ * instance, so that requests bypass controllers and body parsers.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
 import {httpStatusOf} from '@dogwooddeck/routing/outcome';
@@ -11,14 +11,14 @@
 import {type Refuse} from './problem-filter.js';
 import {type CallerHandler, type FrontServer} from './api.js';
 
-/** The Nest module of the callers' server. */
+/** The Nest module of the caller server. */
 @Module({})
 class CallerModule {}
 
-/** Bodies are bounded by each service's contract, after its route is known. */
+/** Each service's contract limits the body size, once the request is routed. */
 const noBodyLimitBytes = Number.MAX_SAFE_INTEGER;
 
-/** Callers are told an outcome with every failure, in the form of the forwarder. */
+/** Includes the outcome header in every failure response, in the same format as the forwarder. */
 const refuse: Refuse = (reply, why) => {
 	reply.hijack();
 	writeProblem(reply.raw, why, httpStatusOf(why.kind), outcomeOfRefusedHead(reply.request.headers));
--- a/packages/front/src/health-controller.ts
+++ b/packages/front/src/health-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Health for the balancer and measures for scrapers.
+ * The health endpoints for the load balancer and the metrics endpoint for scrapers.
  */
 import {
 	Controller, Get, Header, Inject, Res,
@@ -16,20 +16,20 @@
 export class HealthController {
 	constructor(@Inject(healthSurfaceToken) private readonly surface: HealthApi) {}
 
-	/** The process runs. */
+	/** Liveness: succeeds whenever the process runs. */
 	@Get('live')
 	live(): {readonly live: true} {
 		return {live: true};
 	}
 
-	/** Whether the balancer may send callers here: 200 or 503. */
+	/** Readiness: 200 when the load balancer may route callers to this instance, 503 otherwise. */
 	@Get('ready')
 	ready(@Res() reply: FastifyReply): void {
 		const readiness = this.surface.readiness();
 		void reply.status(readiness.ready ? readyStatus : notReadyStatus).send(readiness);
 	}
 
-	/** The instance's measures as text. */
+	/** The instance's metrics in text format. */
 	@Get('metrics')
 	@Header('content-type', 'text/plain; version=0.0.4')
 	metrics(): string {
--- a/packages/front/src/injection.ts
+++ b/packages/front/src/injection.ts
@@ -1,7 +1,7 @@
 /**
- * The tokens under which Nest finds what the controllers need.
+ * Nest injection tokens for the APIs that the controllers depend on.
  */
-export const healthSurfaceToken = Symbol('health surface');
+export const healthSurfaceToken = Symbol('health API');
 
-/** The token of the operators' surface. */
-export const operatorSurfaceToken = Symbol('operator surface');
+/** The injection token of the operator API. */
+export const operatorSurfaceToken = Symbol('operator API');
--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' and the upstreams' surface: JSON over HTTP, failures as problem bodies.
+ * The HTTP API for operators and upstreams: JSON bodies, with failures as problem details.
  */
 import {authorHeader} from '@dogwooddeck/configuration/messages';
 import {FailureError} from '@dogwooddeck/model/failure';
@@ -34,7 +34,7 @@
 	return answer.value;
 }
 
-/** Answers `/announce` and everything below `/operator`. */
+/** Handles `/announce` and all paths under `/operator`. */
 @Controller()
 export class OperatorController {
 	constructor(@Inject(operatorSurfaceToken) private readonly surface: OperatorApi) {}
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -1,5 +1,5 @@
 /**
- * The server for operators, upstreams, the balancer's checks and scrapers.
+ * The HTTP server for operators, upstreams, the load balancer's health checks and metrics scrapers.
  */
 import {largestOperatorBody} from '@dogwooddeck/configuration/messages';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -12,7 +12,7 @@
 import {refuseWithProblem} from './problem-filter.js';
 import {type FrontServer, type HealthApi, type OperatorApi} from './api.js';
 
-/** The Nest module of the operators' server. */
+/** The Nest module of the operator server. */
 @Module({})
 class OperatorModule {}
 
--- a/packages/front/src/problem-filter.ts
+++ b/packages/front/src/problem-filter.ts
@@ -1,5 +1,5 @@
 /**
- * Turns whatever a controller or Fastify throws into a problem body.
+ * Converts errors thrown by a controller or by Fastify to problem details responses.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingHttpHeaders, type ServerResponse} from 'node:http';
@@ -33,17 +33,17 @@
 	return failure(kind, detail);
 }
 
-/** What Fastify's replies have in common, also those of the version that Nest brings. */
+/** The part of a Fastify reply that is common to our version of Fastify and the one that Nest depends on. */
 export type RefusableReply = {
 	readonly raw: ServerResponse;
 	readonly request: {readonly headers: IncomingHttpHeaders};
 	readonly hijack: () => unknown;
 };
 
-/** Answers a request with a failure. */
+/** Rejects a request with a failure. */
 export type Refuse = (reply: RefusableReply, why: Failure) => void;
 
-/** Answers as `application/problem+json`. A connection whose request was not read to its end is closed after it. */
+/** Responds with `application/problem+json`. Closes the connection afterwards if the request was not read completely. */
 export const refuseWithProblem: Refuse = (reply, why) => {
 	const problem = problemOfFailure(why);
 	const body = Buffer.from(JSON.stringify(problem));
@@ -52,7 +52,7 @@
 	reply.raw.writeHead(problem.status, {'content-type': problemMediaType, 'content-length': body.length, ...close}).end(body);
 };
 
-/** Answers every failure that no handler answered. */
+/** Responds to every error that no handler has responded to. */
 @Catch()
 export class ProblemFilter implements ExceptionFilter {
 	readonly #refuse: Refuse;
--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -1,6 +1,6 @@
 /**
- * Answers for requests that never become one: what arrived is no HTTP, or too
- * long. Node.js meets them before any controller or filter.
+ * Responses to requests that Node.js fails to parse: invalid HTTP, headers that
+ * are too long, or a timeout. These errors occur before any controller or filter runs.
  */
 import {type Socket} from 'node:net';
 import {problemMediaType, problemOfFailure} from '@dogwooddeck/configuration/problem';
@@ -9,10 +9,10 @@
 type UnreadKind = {readonly status: number; readonly phrase: string; readonly kind: FailureKind; readonly detail: string};
 
 const unread: UnreadKind = {
-	status: 400, phrase: 'Bad Request', kind: FailureKind.malformed, detail: 'what arrived is no whole HTTP request',
+	status: 400, phrase: 'Bad Request', kind: FailureKind.malformed, detail: 'the received data is not a complete HTTP request',
 };
 
-/** By the code of Node.js's error. */
+/** Keyed by the error code of Node.js. */
 const unreadKinds: Readonly<Record<string, UnreadKind>> = {
 	HPE_HEADER_OVERFLOW: {
 		status: 431, phrase: 'Request Header Fields Too Large', kind: FailureKind.tooLarge, detail: 'the path and the header fields are too long',
@@ -27,7 +27,7 @@
 	return `HTTP/1.1 ${status} ${phrase}\r\ncontent-type: ${problemMediaType}\r\ncontent-length: ${body.length}\r\nconnection: close\r\n\r\n${body}`;
 }
 
-/** Answers what can't be read as HTTP with a problem body, and closes the connection. */
+/** Responds to a request that can't be parsed with a problem body, and closes the connection. */
 export function answerUnread(error: {readonly code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || socket.destroyed || !socket.writable) {
 		socket.destroy();
--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -1,6 +1,6 @@
 /**
- * What the operators' server does with bad HTTP, byte by byte: each request is
- * refused with a problem body, reaches no handler, and the next one is answered.
+ * Sends invalid HTTP to the operator server as raw bytes: each request is rejected
+ * with a problem body and reaches no handler, and the next request succeeds.
  */
 import assert from 'node:assert/strict';
 import {connect} from 'node:net';
@@ -48,12 +48,12 @@
 
 type Answer = {readonly status: number; readonly type: string; readonly body: string};
 
-/** Sends bytes on a connection of their own and reads until the server closes it. */
+/** Sends bytes on a new connection and reads until the server closes it. */
 async function exchange(bytes: string): Promise<Answer> {
 	const [host, port] = server.address.split(':');
 	const socket = connect(Number(port), host);
 	socket.on('error', () => {
-		// A server that refuses a body may close before it has read all of it.
+		// A server that rejects a body may close the connection before it has read all of it.
 	});
 	socket.end(bytes);
 	const received = await text(socket);
@@ -76,42 +76,42 @@
 }
 
 const refused: ReadonlyArray<readonly [name: string, bytes: string, status: number, kind: FailureKind]> = [
-	['a body over the bound', posted(`"${large}"`), 413, FailureKind.tooLarge],
-	['an announcement over the bound', request('POST', '/announce', json, `"${large}"`), 413, FailureKind.tooLarge],
-	['a body over the bound in chunks', request('POST', '/operator/apply', [...json, 'transfer-encoding: chunked'])
+	['a body over the limit', posted(`"${large}"`), 413, FailureKind.tooLarge],
+	['an announcement over the limit', request('POST', '/announce', json, `"${large}"`), 413, FailureKind.tooLarge],
+	['a chunked body over the limit', request('POST', '/operator/apply', [...json, 'transfer-encoding: chunked'])
 	+ `${(large.length + 2).toString(16)}\r\n"${large}"\r\n0\r\n\r\n`, 413, FailureKind.tooLarge],
-	['a body that is no JSON', posted('{'), 400, FailureKind.malformed],
-	['a body that is empty', request('POST', '/operator/apply', [...json, 'content-length: 0']), 400, FailureKind.malformed],
-	['a body with a prototype', posted('{"__proto__": {"team": "bermrand"}}'), 400, FailureKind.malformed],
-	['a body with a constructor\'s prototype', posted('{"constructor": {"prototype": {}}}'), 400, FailureKind.malformed],
-	['a body of another type', posted('team = "bermrand"', ['content-type: application/toml']), 400, FailureKind.malformed],
-	['a form', posted('team=bermrand', ['content-type: application/x-www-form-urlencoded']), 400, FailureKind.malformed],
-	['a text', posted('{}', ['content-type: text/plain']), 400, FailureKind.malformed],
-	['a body of no type', posted('{}', []), 400, FailureKind.malformed],
-	['a type that is none', posted('{}', ['content-type: json']), 400, FailureKind.malformed],
-	['a body shorter than its length', request('POST', '/operator/apply', [...json, 'content-length: 9']) + '{}', 400, FailureKind.malformed],
-	['a length beside chunks', request('POST', '/operator/apply', [...json, 'content-length: 2', 'transfer-encoding: chunked']) + '{}', 400, FailureKind.malformed],
-	['two lengths', request('POST', '/operator/apply', [...json, 'content-length: 2', 'content-length: 3']) + '{}', 400, FailureKind.malformed],
-	['a header over the bound', request('GET', '/operator/status', [`x-large: ${'h'.repeat(20_000)}`]), 431, FailureKind.tooLarge],
-	['a path over the bound', request('GET', `/operator/status?a=${'p'.repeat(20_000)}`), 431, FailureKind.tooLarge],
-	['no HTTP', 'hello there\r\n\r\n', 400, FailureKind.malformed],
-	['a header that is none', request('GET', '/operator/status', ['no colon']), 400, FailureKind.malformed],
-	['a path that leaves its folder', request('GET', '/operator/../operator/status'), 404, FailureKind.notFound],
-	['an encoded path that leaves its folder', request('GET', '/operator/%2e%2e/operator/status'), 404, FailureKind.notFound],
+	['a body that is not JSON', posted('{'), 400, FailureKind.malformed],
+	['an empty body', request('POST', '/operator/apply', [...json, 'content-length: 0']), 400, FailureKind.malformed],
+	['a body with a __proto__ field', posted('{"__proto__": {"team": "bermrand"}}'), 400, FailureKind.malformed],
+	['a body with a constructor.prototype field', posted('{"constructor": {"prototype": {}}}'), 400, FailureKind.malformed],
+	['an unsupported content type', posted('team = "bermrand"', ['content-type: application/toml']), 400, FailureKind.malformed],
+	['a form body', posted('team=bermrand', ['content-type: application/x-www-form-urlencoded']), 400, FailureKind.malformed],
+	['a plain text body', posted('{}', ['content-type: text/plain']), 400, FailureKind.malformed],
+	['a body without a content type', posted('{}', []), 400, FailureKind.malformed],
+	['an invalid content type', posted('{}', ['content-type: json']), 400, FailureKind.malformed],
+	['a body shorter than its content length', request('POST', '/operator/apply', [...json, 'content-length: 9']) + '{}', 400, FailureKind.malformed],
+	['a content length with chunked encoding', request('POST', '/operator/apply', [...json, 'content-length: 2', 'transfer-encoding: chunked']) + '{}', 400, FailureKind.malformed],
+	['two content lengths', request('POST', '/operator/apply', [...json, 'content-length: 2', 'content-length: 3']) + '{}', 400, FailureKind.malformed],
+	['a header over the limit', request('GET', '/operator/status', [`x-large: ${'h'.repeat(20_000)}`]), 431, FailureKind.tooLarge],
+	['a path over the limit', request('GET', `/operator/status?a=${'p'.repeat(20_000)}`), 431, FailureKind.tooLarge],
+	['bytes that are not HTTP', 'hello there\r\n\r\n', 400, FailureKind.malformed],
+	['a header line without a colon', request('GET', '/operator/status', ['no colon']), 400, FailureKind.malformed],
+	['a path with a parent segment', request('GET', '/operator/../operator/status'), 404, FailureKind.notFound],
+	['a path with an encoded parent segment', request('GET', '/operator/%2e%2e/operator/status'), 404, FailureKind.notFound],
 	['an encoded slash', request('GET', '/operator%2fstatus'), 404, FailureKind.notFound],
-	['two slashes', request('GET', '//operator/status'), 404, FailureKind.notFound],
-	['a slash at the end', request('GET', '/operator/status/'), 404, FailureKind.notFound],
-	['another case', request('GET', '/Operator/Status'), 404, FailureKind.notFound],
+	['a double slash', request('GET', '//operator/status'), 404, FailureKind.notFound],
+	['a trailing slash', request('GET', '/operator/status/'), 404, FailureKind.notFound],
+	['a path in another letter case', request('GET', '/Operator/Status'), 404, FailureKind.notFound],
 	['a null byte', request('GET', '/operator/status%00'), 404, FailureKind.notFound],
-	['an encoding that is none', request('GET', '/operator/%zz'), 400, FailureKind.malformed],
-	['a path that every object has', request('GET', '/operator/constructor'), 404, FailureKind.notFound],
-	['another method', request('DELETE', '/operator/apply'), 404, FailureKind.notFound],
-	['a read as a write', request('POST', '/operator/status', json, '{}'), 404, FailureKind.notFound],
-	['a write as a read', request('GET', '/operator/apply'), 404, FailureKind.notFound],
+	['invalid percent-encoding', request('GET', '/operator/%zz'), 400, FailureKind.malformed],
+	['a path that names an inherited property', request('GET', '/operator/constructor'), 404, FailureKind.notFound],
+	['an unsupported method', request('DELETE', '/operator/apply'), 404, FailureKind.notFound],
+	['POST to a GET route', request('POST', '/operator/status', json, '{}'), 404, FailureKind.notFound],
+	['GET on a POST route', request('GET', '/operator/apply'), 404, FailureKind.notFound],
 ];
 
 for (const [name, bytes, status, kind] of refused) {
-	test(`bad HTTP is refused: ${name}`, async () => {
+	test(`invalid HTTP is rejected: ${name}`, async () => {
 		reached.length = 0;
 		const answer = await exchange(bytes);
 		assert.equal(answer.status, status, answer.body);
@@ -124,15 +124,15 @@
 }
 
 const taken: ReadonlyArray<readonly [name: string, bytes: string, expected: Partial<ApiRequest>]> = [
-	['of a field that stands twice the last counts', posted('{"base": 1, "base": 2}'), {body: {base: 2}}],
-	['of two tokens the first counts', request('GET', '/operator/status', ['authorization: Bearer one', 'authorization: Bearer two']), {token: 'one'}],
-	['a token of another scheme is none', request('GET', '/operator/status', ['authorization: Basic b25l']), {token: ''}],
-	['a parameter that stands twice is none', request('GET', '/operator/history?team=a&team=b'), {query: {}}],
-	['a parameter that every object has is a parameter', request('GET', '/operator/history?constructor=a'), {query: {constructor: 'a'}}],
+	['the last of two fields with the same name is used', posted('{"base": 1, "base": 2}'), {body: {base: 2}}],
+	['the first of two tokens is used', request('GET', '/operator/status', ['authorization: Bearer one', 'authorization: Bearer two']), {token: 'one'}],
+	['a token of another scheme is ignored', request('GET', '/operator/status', ['authorization: Basic b25l']), {token: ''}],
+	['a repeated parameter is ignored', request('GET', '/operator/history?team=a&team=b'), {query: {}}],
+	['a parameter named as an inherited property is accepted', request('GET', '/operator/history?constructor=a'), {query: {constructor: 'a'}}],
 ];
 
 for (const [name, bytes, expected] of taken) {
-	test(`unclear HTTP is taken in one way: ${name}`, async () => {
+	test(`ambiguous HTTP is interpreted consistently: ${name}`, async () => {
 		reached.length = 0;
 		const answer = await exchange(bytes);
 		assert.equal(answer.status, 200, answer.body);
--- a/packages/front/test/test-caller-server.ts
+++ b/packages/front/test/test-caller-server.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests which requests the caller server passes to its handler, the status and outcome
+ * of those that it rejects, and the handling of requests while it closes.
+ */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
 import {METHODS} from 'node:http';
@@ -11,18 +15,18 @@
 	readonly line: string;
 	readonly fields?: readonly string[];
 	readonly status: number;
-	/** Absent: the request reaches the handler. `none`: it can't be read, so that no outcome is told. */
+	/** Absent: the request reaches the handler. `none`: it can't be parsed, so the response has no outcome header. */
 	readonly outcome?: 'not-run' | 'unknown' | 'none';
 };
 
-/** Node.js reads this method from some release of 20 on; before, it is no HTTP to it. */
+/** Node.js parses this method since some release of version 20; earlier ones reject it as invalid HTTP. */
 const outcomeOfQuery = METHODS.includes('QUERY') ? 'not-run' : 'none';
 
 const cases: readonly Case[] = [
 	{name: 'any path', line: 'GET /a/b?c=%zz', status: 200},
-	{name: 'a whole address', line: 'GET http://host/a', status: 200},
+	{name: 'an absolute URL', line: 'GET http://host/a', status: 200},
 	{
-		name: 'a body that is no JSON', line: 'POST /a', fields: ['content-type: application/json'], status: 200,
+		name: 'a body that is not JSON', line: 'POST /a', fields: ['content-type: application/json'], status: 200,
 	},
 	{
 		name: 'bad percent-encoding', line: 'GET /a%zz', status: 400, outcome: 'not-run',
@@ -37,7 +41,7 @@
 		name: 'a method that needs a content type', line: 'QUERY /a', status: 400, outcome: outcomeOfQuery,
 	},
 	{
-		name: 'a method that is none', line: 'NOSUCHMETHOD /a', status: 400, outcome: 'none',
+		name: 'an invalid method', line: 'NOSUCHMETHOD /a', status: 400, outcome: 'none',
 	},
 ];
 
@@ -87,7 +91,7 @@
 	assert.ok(holds());
 }
 
-test('caller server: a request behind one in flight is handled while the server closes', async () => {
+test('caller server: a request that follows one in flight is handled while the server closes', async () => {
 	const held: Array<() => void> = [];
 	const started = await startCallerServer('127.0.0.1:0', (_request, response) => {
 		held.push(() => {
--- a/packages/front/test/test-closing.ts
+++ b/packages/front/test/test-closing.ts
@@ -1,6 +1,7 @@
 /**
- * Callers that go on using their connections while a server closes whose loop is
- * held up again and again: each request that was sent is answered.
+ * Callers keep using their connections while a server closes and its event loop
+ * is repeatedly blocked: each request that was sent must be answered. A connection
+ * whose request has arrived but isn't read yet looks idle and may be closed.
  */
 import assert from 'node:assert/strict';
 import {type Buffer} from 'node:buffer';
@@ -12,20 +13,20 @@
 import {startCallerServer} from '@dogwooddeck/front/caller-server';
 
 /**
- * Callers in a process of their own. Each sends a request, waits for its answer and a
- * while, and sends the next one, on one connection until it is told to close it; it
- * counts the requests that ended without an answer.
+ * The callers, which run in a separate process. On a single connection, each sends a
+ * request, waits for the response, pauses and sends the next one, until a response has
+ * `connection: close`. Counts the requests whose connection closed without a response.
  */
 const callersProgram = `
 const [port, callers, pauseMilliseconds] = process.argv.slice(1).map(Number);
-const counts = {answered: 0, cut: 0};
+const counts = {answered: 0, unanswered: 0};
 let open = callers;
 for (let caller = 0; caller < callers; caller += 1) {
 	const socket = require('node:net').connect(port, '127.0.0.1');
 	let waiting = false;
-	let told = false;
+	let serverCloses = false;
 	const send = () => {
-		if (!told && !socket.destroyed) {
+		if (!serverCloses && !socket.destroyed) {
 			waiting = true;
 			socket.write('GET /x HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n');
 		}
@@ -34,14 +35,14 @@
 	socket.on('data', bytes => {
 		waiting = false;
 		counts.answered += 1;
-		told = /connection: close/i.test(bytes.toString());
-		if (!told) {
+		serverCloses = /connection: close/i.test(bytes.toString());
+		if (!serverCloses) {
 			setTimeout(send, pauseMilliseconds);
 		}
 	});
 	socket.on('error', () => undefined);
 	socket.on('close', () => {
-		counts.cut += waiting ? 1 : 0;
+		counts.unanswered += waiting ? 1 : 0;
 		open -= 1;
 		if (open === 0) {
 			console.log(JSON.stringify(counts));
@@ -55,26 +56,26 @@
 function holdUp(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
-		// The loop stands still, as in a process that gets no processor time.
+		// Blocks the event loop, as in a process that gets no CPU time.
 	}
 }
 
 const cases: ReadonlyArray<{readonly name: string; readonly callers: number; readonly pauseMilliseconds: number; readonly heldUpMilliseconds: number}> = [
 	{
-		name: 'a loop on time', callers: 40, pauseMilliseconds: 20, heldUpMilliseconds: 0,
+		name: 'no event-loop delay', callers: 40, pauseMilliseconds: 20, heldUpMilliseconds: 0,
 	},
 	{
-		name: 'a loop that is late', callers: 40, pauseMilliseconds: 20, heldUpMilliseconds: 120,
+		name: 'event-loop delay', callers: 40, pauseMilliseconds: 20, heldUpMilliseconds: 120,
 	},
 	{
-		name: 'a loop that is very late', callers: 40, pauseMilliseconds: 100, heldUpMilliseconds: 300,
+		name: 'long event-loop delay', callers: 40, pauseMilliseconds: 100, heldUpMilliseconds: 300,
 	},
 ];
 
 for (const {
 	name, callers, pauseMilliseconds, heldUpMilliseconds,
 } of cases) {
-	test(`closing: no request is cut off, ${name}`, async () => {
+	test(`closing: every request is answered, ${name}`, async () => {
 		let isStopping = false;
 		const server = await startCallerServer('127.0.0.1:0', (_request, response) => {
 			response.shouldKeepAlive &&= !isStopping;
@@ -94,8 +95,8 @@
 		await server.value.close();
 		clearInterval(holding);
 		const [told] = await output;
-		const {answered, cut} = JSON.parse(told.toString()) as {readonly answered: number; readonly cut: number};
+		const {answered, unanswered} = JSON.parse(told.toString()) as {readonly answered: number; readonly unanswered: number};
 		assert.ok(answered > callers);
-		assert.equal(cut, 0);
+		assert.equal(unanswered, 0);
 	});
 }
