--- a/packages/front/src/health-controller.ts
+++ b/packages/front/src/health-controller.ts
@@ -5,7 +5,7 @@
 	Controller, Get, Header, Inject, Res,
 } from '@nestjs/common';
 import {type FastifyReply} from 'fastify';
-import {healthSurfaceToken} from './injection.js';
+import {healthApiToken} from './injection.js';
 import {type HealthApi} from './api.js';
 
 const readyStatus = 200;
@@ -14,7 +14,7 @@
 /** Answers `/live`, `/ready` and `/metrics`. */
 @Controller()
 export class HealthController {
-	constructor(@Inject(healthSurfaceToken) private readonly surface: HealthApi) {}
+	constructor(@Inject(healthApiToken) private readonly surface: HealthApi) {}
 
 	/** Liveness: succeeds whenever the process runs. */
 	@Get('live')
--- a/packages/front/src/injection.ts
+++ b/packages/front/src/injection.ts
@@ -1,7 +1,7 @@
 /**
  * Nest injection tokens for the APIs that the controllers depend on.
  */
-export const healthSurfaceToken = Symbol('health API');
+export const healthApiToken = Symbol('health API');
 
 /** The injection token of the operator API. */
 export const operatorSurfaceToken = Symbol('operator API');
