--- a/packages/front/src/injection.ts
+++ b/packages/front/src/injection.ts
@@ -4,4 +4,4 @@
 export const healthApiToken = Symbol('health API');
 
 /** The injection token of the operator API. */
-export const operatorSurfaceToken = Symbol('operator API');
+export const operatorApiToken = Symbol('operator API');
--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -6,7 +6,7 @@
 import {
 	Body, Controller, Get, Headers, HttpCode, Inject, Post, Query,
 } from '@nestjs/common';
-import {operatorSurfaceToken} from './injection.js';
+import {operatorApiToken} from './injection.js';
 import {type OperatorApi, type ApiHandler, type ApiRequest} from './api.js';
 
 type HeaderFields = Readonly<Record<string, string | undefined>>;
@@ -37,7 +37,7 @@
 /** Handles `/announce` and all paths under `/operator`. */
 @Controller()
 export class OperatorController {
-	constructor(@Inject(operatorSurfaceToken) private readonly surface: OperatorApi) {}
+	constructor(@Inject(operatorApiToken) private readonly surface: OperatorApi) {}
 
 	@Post('announce')
 	@HttpCode(okStatus)
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -7,7 +7,7 @@
 import {type Result} from 'true-myth/result';
 import {startApplication} from './application.js';
 import {HealthController} from './health-controller.js';
-import {healthApiToken, operatorSurfaceToken} from './injection.js';
+import {healthApiToken, operatorApiToken} from './injection.js';
 import {OperatorController} from './operator-controller.js';
 import {refuseWithProblem} from './problem-filter.js';
 import {type FrontServer, type HealthApi, type OperatorApi} from './api.js';
@@ -28,7 +28,7 @@
 			module: OperatorModule,
 			controllers: [HealthController, OperatorController],
 			providers: [
-				{provide: operatorSurfaceToken, useValue: operators},
+				{provide: operatorApiToken, useValue: operators},
 				{provide: healthApiToken, useValue: health},
 			],
 		},
