--- a/packages/front/src/health-controller.ts
+++ b/packages/front/src/health-controller.ts
@@ -14,7 +14,7 @@
 /** Answers `/live`, `/ready` and `/metrics`. */
 @Controller()
 export class HealthController {
-	constructor(@Inject(healthApiToken) private readonly surface: HealthApi) {}
+	constructor(@Inject(healthApiToken) private readonly api: HealthApi) {}
 
 	/** Liveness: succeeds whenever the process runs. */
 	@Get('live')
@@ -25,7 +25,7 @@
 	/** Readiness: 200 when the load balancer may route callers to this instance, 503 otherwise. */
 	@Get('ready')
 	ready(@Res() reply: FastifyReply): void {
-		const readiness = this.surface.readiness();
+		const readiness = this.api.readiness();
 		void reply.status(readiness.ready ? readyStatus : notReadyStatus).send(readiness);
 	}
 
@@ -33,6 +33,6 @@
 	@Get('metrics')
 	@Header('content-type', 'text/plain; version=0.0.4')
 	metrics(): string {
-		return this.surface.metrics();
+		return this.api.metrics();
 	}
 }
