--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -37,71 +37,71 @@
 /** Handles `/announce` and all paths under `/operator`. */
 @Controller()
 export class OperatorController {
-	constructor(@Inject(operatorApiToken) private readonly surface: OperatorApi) {}
+	constructor(@Inject(operatorApiToken) private readonly api: OperatorApi) {}
 
 	@Post('announce')
 	@HttpCode(okStatus)
 	async announce(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.surface.announce, surfaceRequest(headers, {}, body));
+		return answered(this.api.announce, surfaceRequest(headers, {}, body));
 	}
 
 	@Post('operator/apply')
 	@HttpCode(okStatus)
 	async apply(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.surface.apply, surfaceRequest(headers, {}, body));
+		return answered(this.api.apply, surfaceRequest(headers, {}, body));
 	}
 
 	@Post('operator/move')
 	@HttpCode(okStatus)
 	async move(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.surface.move, surfaceRequest(headers, {}, body));
+		return answered(this.api.move, surfaceRequest(headers, {}, body));
 	}
 
 	@Post('operator/drain')
 	@HttpCode(okStatus)
 	async drain(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.surface.drain, surfaceRequest(headers, {}, body));
+		return answered(this.api.drain, surfaceRequest(headers, {}, body));
 	}
 
 	@Post('operator/zone-declare-lost')
 	@HttpCode(okStatus)
 	async zoneDeclareLost(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.surface.zoneDeclareLost, surfaceRequest(headers, {}, body));
+		return answered(this.api.zoneDeclareLost, surfaceRequest(headers, {}, body));
 	}
 
 	@Post('operator/token')
 	@HttpCode(okStatus)
 	async token(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.surface.token, surfaceRequest(headers, {}, body));
+		return answered(this.api.token, surfaceRequest(headers, {}, body));
 	}
 
 	@Get('operator/configuration')
 	async configuration(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.surface.configuration, surfaceRequest(headers, query, undefined));
+		return answered(this.api.configuration, surfaceRequest(headers, query, undefined));
 	}
 
 	@Get('operator/history')
 	async history(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.surface.history, surfaceRequest(headers, query, undefined));
+		return answered(this.api.history, surfaceRequest(headers, query, undefined));
 	}
 
 	@Get('operator/owners')
 	async owners(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.surface.owners, surfaceRequest(headers, query, undefined));
+		return answered(this.api.owners, surfaceRequest(headers, query, undefined));
 	}
 
 	@Get('operator/status')
 	async status(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.surface.status, surfaceRequest(headers, query, undefined));
+		return answered(this.api.status, surfaceRequest(headers, query, undefined));
 	}
 
 	@Get('operator/members')
 	async members(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.surface.members, surfaceRequest(headers, query, undefined));
+		return answered(this.api.members, surfaceRequest(headers, query, undefined));
 	}
 
 	@Get('operator/burn')
 	async burn(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.surface.burn, surfaceRequest(headers, query, undefined));
+		return answered(this.api.burn, surfaceRequest(headers, query, undefined));
 	}
 }
