--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -15,7 +15,7 @@
 const bearer = /^bearer\s+(\S+)$/iv;
 const okStatus = 200;
 
-function surfaceRequest(headers: HeaderFields, query: QueryFields, body: unknown): ApiRequest {
+function createApiRequest(headers: HeaderFields, query: QueryFields, body: unknown): ApiRequest {
 	const single = Object.entries(query).filter((pair): pair is [string, string] => typeof pair[1] === 'string');
 	return {
 		token: bearer.exec(headers.authorization ?? '')?.[1] ?? '',
@@ -42,66 +42,66 @@
 	@Post('announce')
 	@HttpCode(okStatus)
 	async announce(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.announce, surfaceRequest(headers, {}, body));
+		return answered(this.api.announce, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/apply')
 	@HttpCode(okStatus)
 	async apply(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.apply, surfaceRequest(headers, {}, body));
+		return answered(this.api.apply, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/move')
 	@HttpCode(okStatus)
 	async move(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.move, surfaceRequest(headers, {}, body));
+		return answered(this.api.move, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/drain')
 	@HttpCode(okStatus)
 	async drain(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.drain, surfaceRequest(headers, {}, body));
+		return answered(this.api.drain, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/zone-declare-lost')
 	@HttpCode(okStatus)
 	async zoneDeclareLost(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.zoneDeclareLost, surfaceRequest(headers, {}, body));
+		return answered(this.api.zoneDeclareLost, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/token')
 	@HttpCode(okStatus)
 	async token(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.token, surfaceRequest(headers, {}, body));
+		return answered(this.api.token, createApiRequest(headers, {}, body));
 	}
 
 	@Get('operator/configuration')
 	async configuration(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.configuration, surfaceRequest(headers, query, undefined));
+		return answered(this.api.configuration, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/history')
 	async history(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.history, surfaceRequest(headers, query, undefined));
+		return answered(this.api.history, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/owners')
 	async owners(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.owners, surfaceRequest(headers, query, undefined));
+		return answered(this.api.owners, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/status')
 	async status(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.status, surfaceRequest(headers, query, undefined));
+		return answered(this.api.status, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/members')
 	async members(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.members, surfaceRequest(headers, query, undefined));
+		return answered(this.api.members, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/burn')
 	async burn(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.burn, surfaceRequest(headers, query, undefined));
+		return answered(this.api.burn, createApiRequest(headers, query, undefined));
 	}
 }
