--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -25,7 +25,7 @@
 	};
 }
 
-async function answered(handler: ApiHandler, request: ApiRequest): Promise<unknown> {
+async function invokeHandler(handler: ApiHandler, request: ApiRequest): Promise<unknown> {
 	const answer = await handler(request);
 	if (answer.isErr) {
 		throw new FailureError(answer.error);
@@ -42,66 +42,66 @@
 	@Post('announce')
 	@HttpCode(okStatus)
 	async announce(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.announce, createApiRequest(headers, {}, body));
+		return invokeHandler(this.api.announce, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/apply')
 	@HttpCode(okStatus)
 	async apply(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.apply, createApiRequest(headers, {}, body));
+		return invokeHandler(this.api.apply, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/move')
 	@HttpCode(okStatus)
 	async move(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.move, createApiRequest(headers, {}, body));
+		return invokeHandler(this.api.move, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/drain')
 	@HttpCode(okStatus)
 	async drain(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.drain, createApiRequest(headers, {}, body));
+		return invokeHandler(this.api.drain, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/zone-declare-lost')
 	@HttpCode(okStatus)
 	async zoneDeclareLost(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.zoneDeclareLost, createApiRequest(headers, {}, body));
+		return invokeHandler(this.api.zoneDeclareLost, createApiRequest(headers, {}, body));
 	}
 
 	@Post('operator/token')
 	@HttpCode(okStatus)
 	async token(@Headers() headers: HeaderFields, @Body() body: unknown): Promise<unknown> {
-		return answered(this.api.token, createApiRequest(headers, {}, body));
+		return invokeHandler(this.api.token, createApiRequest(headers, {}, body));
 	}
 
 	@Get('operator/configuration')
 	async configuration(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.configuration, createApiRequest(headers, query, undefined));
+		return invokeHandler(this.api.configuration, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/history')
 	async history(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.history, createApiRequest(headers, query, undefined));
+		return invokeHandler(this.api.history, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/owners')
 	async owners(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.owners, createApiRequest(headers, query, undefined));
+		return invokeHandler(this.api.owners, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/status')
 	async status(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.status, createApiRequest(headers, query, undefined));
+		return invokeHandler(this.api.status, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/members')
 	async members(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.members, createApiRequest(headers, query, undefined));
+		return invokeHandler(this.api.members, createApiRequest(headers, query, undefined));
 	}
 
 	@Get('operator/burn')
 	async burn(@Headers() headers: HeaderFields, @Query() query: QueryFields): Promise<unknown> {
-		return answered(this.api.burn, createApiRequest(headers, query, undefined));
+		return invokeHandler(this.api.burn, createApiRequest(headers, query, undefined));
 	}
 }
