--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -26,12 +26,12 @@
 }
 
 async function invokeHandler(handler: ApiHandler, request: ApiRequest): Promise<unknown> {
-	const answer = await handler(request);
-	if (answer.isErr) {
-		throw new FailureError(answer.error);
+	const result = await handler(request);
+	if (result.isErr) {
+		throw new FailureError(result.error);
 	}
 
-	return answer.value;
+	return result.value;
 }
 
 /** Handles `/announce` and all paths under `/operator`. */
