--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -16,11 +16,11 @@
 const okStatus = 200;
 
 function createApiRequest(headers: HeaderFields, query: QueryFields, body: unknown): ApiRequest {
-	const single = Object.entries(query).filter((pair): pair is [string, string] => typeof pair[1] === 'string');
+	const singleValued = Object.entries(query).filter((pair): pair is [string, string] => typeof pair[1] === 'string');
 	return {
 		token: bearer.exec(headers.authorization ?? '')?.[1] ?? '',
 		author: headers[authorHeader] ?? '',
-		query: Object.fromEntries(single),
+		query: Object.fromEntries(singleValued),
 		body,
 	};
 }
