--- a/packages/front/src/operator-controller.ts
+++ b/packages/front/src/operator-controller.ts
@@ -12,13 +12,13 @@
 type HeaderFields = Readonly<Record<string, string | undefined>>;
 type QueryFields = Readonly<Record<string, unknown>>;
 
-const bearer = /^bearer\s+(\S+)$/iv;
+const bearerPattern = /^bearer\s+(\S+)$/iv;
 const okStatus = 200;
 
 function createApiRequest(headers: HeaderFields, query: QueryFields, body: unknown): ApiRequest {
 	const singleValued = Object.entries(query).filter((pair): pair is [string, string] => typeof pair[1] === 'string');
 	return {
-		token: bearer.exec(headers.authorization ?? '')?.[1] ?? '',
+		token: bearerPattern.exec(headers.authorization ?? '')?.[1] ?? '',
 		author: headers[authorHeader] ?? '',
 		query: Object.fromEntries(singleValued),
 		body,
