--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -16,7 +16,7 @@
 	/** The address to listen on, as `IP:port`. */
 	readonly address: string;
 	readonly module: DynamicModule;
-	readonly largestBodyBytes: number;
+	readonly maximumBodyBytes: number;
 	/** Rejects requests that reach no handler, such as an unknown method or a path that can't be decoded. */
 	readonly refuse: Refuse;
 	/** Configures which bodies are parsed before a handler runs, and adds routes outside of Nest's controllers. */
@@ -64,7 +64,7 @@
 /** Starts listening. Fails with `unreachable` when the address can't be bound. */
 export async function startApplication(options: ApplicationOptions): Promise<Result<FrontServer, Failure>> {
 	const adapter = new FastifyAdapter({
-		bodyLimit: options.largestBodyBytes,
+		bodyLimit: options.maximumBodyBytes,
 		forceCloseConnections: 'idle',
 		// A request on an open connection is still handled, not answered with 503, while the server closes.
 		return503OnClosing: false,
--- a/packages/front/src/caller-server.ts
+++ b/packages/front/src/caller-server.ts
@@ -29,7 +29,7 @@
 	return startApplication({
 		address,
 		module: {module: CallerModule},
-		largestBodyBytes: noBodyLimitBytes,
+		maximumBodyBytes: noBodyLimitBytes,
 		refuse,
 		prepare(adapter) {
 			const fastify = adapter.getInstance();
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -32,7 +32,7 @@
 				{provide: healthApiToken, useValue: health},
 			],
 		},
-		largestBodyBytes: largestOperatorBody,
+		maximumBodyBytes: largestOperatorBody,
 		refuse: refuseWithProblem,
 		prepare(adapter) {
 			const fastify = adapter.getInstance();
