--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -20,7 +20,7 @@
 	/** Rejects requests that reach no handler, such as an unknown method or a path that can't be decoded. */
 	readonly refuse: Refuse;
 	/** Configures which bodies are parsed before a handler runs, and adds routes outside of Nest's controllers. */
-	readonly prepare: (adapter: FastifyAdapter) => void;
+	readonly configureAdapter: (adapter: FastifyAdapter) => void;
 };
 
 function splitAddress(address: string): {readonly host: string; readonly port: number} {
@@ -77,7 +77,7 @@
 		logger: false, bodyParser: false, abortOnError: false,
 	});
 	application.useGlobalFilters(new ProblemFilter(options.refuse));
-	options.prepare(adapter);
+	options.configureAdapter(adapter);
 	const {host, port} = splitAddress(options.address);
 	try {
 		await application.listen(port, host);
--- a/packages/front/src/caller-server.ts
+++ b/packages/front/src/caller-server.ts
@@ -31,7 +31,7 @@
 		module: {module: CallerModule},
 		maximumBodyBytes: noBodyLimitBytes,
 		refuse,
-		prepare(adapter) {
+		configureAdapter(adapter) {
 			const fastify = adapter.getInstance();
 			fastify.removeAllContentTypeParsers();
 			fastify.addContentTypeParser('*', (_request, _payload, done) => {
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -34,7 +34,7 @@
 		},
 		maximumBodyBytes: largestOperatorBody,
 		refuse: refuseWithProblem,
-		prepare(adapter) {
+		configureAdapter(adapter) {
 			const fastify = adapter.getInstance();
 			fastify.removeAllContentTypeParsers();
 			fastify.addContentTypeParser('application/json', {parseAs: 'string'}, fastify.getDefaultJsonParser('error', 'error'));
