--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -36,7 +36,7 @@
 const idlePollMilliseconds = 25;
 
 /** Waits until data that has arrived on the sockets is read, even after a long turn of the event loop. */
-async function arrivedRead(): Promise<void> {
+async function waitForPendingReads(): Promise<void> {
 	for (let turn = 0; turn < 2; turn++) {
 		await new Promise(resolve => {
 			setTimeout(() => setImmediate(resolve), idlePollMilliseconds);
@@ -51,7 +51,7 @@
  */
 async function closeApplication(application: NestFastifyApplication): Promise<void> {
 	const server: Server = application.getHttpServer();
-	await arrivedRead();
+	await waitForPendingReads();
 	const closingIdle = setInterval(() => {
 		setImmediate(() => {
 			server.closeIdleConnections();
