--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -52,13 +52,13 @@
 async function closeApplication(application: NestFastifyApplication): Promise<void> {
 	const server: Server = application.getHttpServer();
 	await waitForPendingReads();
-	const closingIdle = setInterval(() => {
+	const idleCloseTimer = setInterval(() => {
 		setImmediate(() => {
 			server.closeIdleConnections();
 		});
 	}, idlePollMilliseconds);
 	await application.close();
-	clearInterval(closingIdle);
+	clearInterval(idleCloseTimer);
 }
 
 /** Starts listening. Fails with `unreachable` when the address can't be bound. */
