--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -29,8 +29,8 @@
 }
 
 function boundAddress(application: NestFastifyApplication, host: string): string {
-	const bound = application.getHttpServer().address();
-	return `${host}:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
+	const socketAddress = application.getHttpServer().address();
+	return `${host}:${typeof socketAddress === 'object' && socketAddress !== null ? socketAddress.port : 0}`;
 }
 
 const idlePollMilliseconds = 25;
