--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -9,7 +9,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {ProblemFilter, type RefusableReply, type Refuse} from './problem-filter.js';
 import {type FrontServer} from './api.js';
-import {answerUnread} from './unread-request.js';
+import {respondToClientError} from './unread-request.js';
 
 /** The options of `startApplication`. */
 export type ApplicationOptions = {
@@ -68,7 +68,7 @@
 		forceCloseConnections: 'idle',
 		// A request on an open connection is still handled, not answered with 503, while the server closes.
 		return503OnClosing: false,
-		clientErrorHandler: answerUnread,
+		clientErrorHandler: respondToClientError,
 		frameworkErrors(error: Error, _request: unknown, reply: RefusableReply) {
 			options.refuse(reply, failure(FailureKind.malformed, error.message));
 		},
--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -28,7 +28,7 @@
 }
 
 /** Responds to a request that can't be parsed with a problem body, and closes the connection. */
-export function answerUnread(error: {readonly code?: string}, socket: Socket): void {
+export function respondToClientError(error: {readonly code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || socket.destroyed || !socket.writable) {
 		socket.destroy();
 		return;
