--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -6,14 +6,14 @@
 import {problemMediaType, problemOfFailure} from '@dogwooddeck/configuration/problem';
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 
-type UnreadKind = {readonly status: number; readonly phrase: string; readonly kind: FailureKind; readonly detail: string};
+type ClientErrorResponse = {readonly status: number; readonly phrase: string; readonly kind: FailureKind; readonly detail: string};
 
-const unread: UnreadKind = {
+const unread: ClientErrorResponse = {
 	status: 400, phrase: 'Bad Request', kind: FailureKind.malformed, detail: 'the received data is not a complete HTTP request',
 };
 
 /** Keyed by the error code of Node.js. */
-const unreadKinds: Readonly<Record<string, UnreadKind>> = {
+const unreadKinds: Readonly<Record<string, ClientErrorResponse>> = {
 	HPE_HEADER_OVERFLOW: {
 		status: 431, phrase: 'Request Header Fields Too Large', kind: FailureKind.tooLarge, detail: 'the path and the header fields are too long',
 	},
@@ -22,7 +22,7 @@
 	},
 };
 
-function answerText({status, phrase, kind, detail}: UnreadKind): string {
+function answerText({status, phrase, kind, detail}: ClientErrorResponse): string {
 	const body = JSON.stringify({...problemOfFailure(failure(kind, detail)), status});
 	return `HTTP/1.1 ${status} ${phrase}\r\ncontent-type: ${problemMediaType}\r\ncontent-length: ${body.length}\r\nconnection: close\r\n\r\n${body}`;
 }
