--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -8,7 +8,7 @@
 
 type ClientErrorResponse = {readonly status: number; readonly phrase: string; readonly kind: FailureKind; readonly detail: string};
 
-const unread: ClientErrorResponse = {
+const defaultResponse: ClientErrorResponse = {
 	status: 400, phrase: 'Bad Request', kind: FailureKind.malformed, detail: 'the received data is not a complete HTTP request',
 };
 
@@ -34,5 +34,5 @@
 		return;
 	}
 
-	socket.end(answerText(unreadKinds[error.code ?? ''] ?? unread));
+	socket.end(answerText(unreadKinds[error.code ?? ''] ?? defaultResponse));
 }
