--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -13,7 +13,7 @@
 };
 
 /** Keyed by the error code of Node.js. */
-const unreadKinds: Readonly<Record<string, ClientErrorResponse>> = {
+const responsesByErrorCode: Readonly<Record<string, ClientErrorResponse>> = {
 	HPE_HEADER_OVERFLOW: {
 		status: 431, phrase: 'Request Header Fields Too Large', kind: FailureKind.tooLarge, detail: 'the path and the header fields are too long',
 	},
@@ -34,5 +34,5 @@
 		return;
 	}
 
-	socket.end(answerText(unreadKinds[error.code ?? ''] ?? defaultResponse));
+	socket.end(answerText(responsesByErrorCode[error.code ?? ''] ?? defaultResponse));
 }
