--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -22,7 +22,7 @@
 	},
 };
 
-function answerText({status, phrase, kind, detail}: ClientErrorResponse): string {
+function formatResponse({status, phrase, kind, detail}: ClientErrorResponse): string {
 	const body = JSON.stringify({...problemOfFailure(failure(kind, detail)), status});
 	return `HTTP/1.1 ${status} ${phrase}\r\ncontent-type: ${problemMediaType}\r\ncontent-length: ${body.length}\r\nconnection: close\r\n\r\n${body}`;
 }
@@ -34,5 +34,5 @@
 		return;
 	}
 
-	socket.end(answerText(responsesByErrorCode[error.code ?? ''] ?? defaultResponse));
+	socket.end(formatResponse(responsesByErrorCode[error.code ?? ''] ?? defaultResponse));
 }
