--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -15,11 +15,11 @@
 } from '@dogwooddeck/front/api';
 import {startOperatorServer} from '@dogwooddeck/front/operator-server';
 
-const reached: ApiRequest[] = [];
+const handledRequests: ApiRequest[] = [];
 let server: FrontServer;
 
 const handle: ApiHandler = async request => {
-	reached.push(request);
+	handledRequests.push(request);
 	return ok({taken: true});
 };
 
@@ -112,12 +112,12 @@
 
 for (const [name, bytes, status, kind] of refused) {
 	test(`invalid HTTP is rejected: ${name}`, async () => {
-		reached.length = 0;
+		handledRequests.length = 0;
 		const answer = await exchange(bytes);
 		assert.equal(answer.status, status, answer.body);
 		assert.equal(answer.type, problemMediaType);
 		assert.equal((JSON.parse(answer.body) as {readonly kind: string}).kind, kind, answer.body);
-		assert.deepEqual(reached, []);
+		assert.deepEqual(handledRequests, []);
 		const next = await exchange(request('GET', '/live'));
 		assert.equal(next.status, 200);
 	});
@@ -133,9 +133,9 @@
 
 for (const [name, bytes, expected] of taken) {
 	test(`ambiguous HTTP is interpreted consistently: ${name}`, async () => {
-		reached.length = 0;
+		handledRequests.length = 0;
 		const answer = await exchange(bytes);
 		assert.equal(answer.status, 200, answer.body);
-		assert.deepEqual({...reached[0], ...expected}, reached[0]);
+		assert.deepEqual({...handledRequests[0], ...expected}, handledRequests[0]);
 	});
 }
