--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -23,7 +23,7 @@
 	return ok({taken: true});
 };
 
-const surface: OperatorApi = {
+const operatorApi: OperatorApi = {
 	apply: handle,
 	configuration: handle,
 	history: handle,
@@ -39,7 +39,7 @@
 };
 
 before(async () => {
-	const started = await startOperatorServer('127.0.0.1:0', surface, {readiness: () => ({ready: true, reason: ''}), metrics: () => ''});
+	const started = await startOperatorServer('127.0.0.1:0', operatorApi, {readiness: () => ({ready: true, reason: ''}), metrics: () => ''});
 	assert.ok(started.isOk);
 	server = started.value;
 });
