--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -69,17 +69,17 @@
 }
 
 const json = ['content-type: application/json'];
-const large = 'x'.repeat(largestOperatorBody);
+const oversizedText = 'x'.repeat(largestOperatorBody);
 
 function posted(body: string, headers: readonly string[] = json): string {
 	return request('POST', '/operator/apply', headers, body);
 }
 
 const refused: ReadonlyArray<readonly [name: string, bytes: string, status: number, kind: FailureKind]> = [
-	['a body over the limit', posted(`"${large}"`), 413, FailureKind.tooLarge],
-	['an announcement over the limit', request('POST', '/announce', json, `"${large}"`), 413, FailureKind.tooLarge],
+	['a body over the limit', posted(`"${oversizedText}"`), 413, FailureKind.tooLarge],
+	['an announcement over the limit', request('POST', '/announce', json, `"${oversizedText}"`), 413, FailureKind.tooLarge],
 	['a chunked body over the limit', request('POST', '/operator/apply', [...json, 'transfer-encoding: chunked'])
-	+ `${(large.length + 2).toString(16)}\r\n"${large}"\r\n0\r\n\r\n`, 413, FailureKind.tooLarge],
+	+ `${(oversizedText.length + 2).toString(16)}\r\n"${oversizedText}"\r\n0\r\n\r\n`, 413, FailureKind.tooLarge],
 	['a body that is not JSON', posted('{'), 400, FailureKind.malformed],
 	['an empty body', request('POST', '/operator/apply', [...json, 'content-length: 0']), 400, FailureKind.malformed],
 	['a body with a __proto__ field', posted('{"__proto__": {"team": "bermrand"}}'), 400, FailureKind.malformed],
