--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -71,24 +71,24 @@
 const json = ['content-type: application/json'];
 const oversizedText = 'x'.repeat(largestOperatorBody);
 
-function posted(body: string, headers: readonly string[] = json): string {
+function applyRequest(body: string, headers: readonly string[] = json): string {
 	return request('POST', '/operator/apply', headers, body);
 }
 
 const refused: ReadonlyArray<readonly [name: string, bytes: string, status: number, kind: FailureKind]> = [
-	['a body over the limit', posted(`"${oversizedText}"`), 413, FailureKind.tooLarge],
+	['a body over the limit', applyRequest(`"${oversizedText}"`), 413, FailureKind.tooLarge],
 	['an announcement over the limit', request('POST', '/announce', json, `"${oversizedText}"`), 413, FailureKind.tooLarge],
 	['a chunked body over the limit', request('POST', '/operator/apply', [...json, 'transfer-encoding: chunked'])
 	+ `${(oversizedText.length + 2).toString(16)}\r\n"${oversizedText}"\r\n0\r\n\r\n`, 413, FailureKind.tooLarge],
-	['a body that is not JSON', posted('{'), 400, FailureKind.malformed],
+	['a body that is not JSON', applyRequest('{'), 400, FailureKind.malformed],
 	['an empty body', request('POST', '/operator/apply', [...json, 'content-length: 0']), 400, FailureKind.malformed],
-	['a body with a __proto__ field', posted('{"__proto__": {"team": "bermrand"}}'), 400, FailureKind.malformed],
-	['a body with a constructor.prototype field', posted('{"constructor": {"prototype": {}}}'), 400, FailureKind.malformed],
-	['an unsupported content type', posted('team = "bermrand"', ['content-type: application/toml']), 400, FailureKind.malformed],
-	['a form body', posted('team=bermrand', ['content-type: application/x-www-form-urlencoded']), 400, FailureKind.malformed],
-	['a plain text body', posted('{}', ['content-type: text/plain']), 400, FailureKind.malformed],
-	['a body without a content type', posted('{}', []), 400, FailureKind.malformed],
-	['an invalid content type', posted('{}', ['content-type: json']), 400, FailureKind.malformed],
+	['a body with a __proto__ field', applyRequest('{"__proto__": {"team": "bermrand"}}'), 400, FailureKind.malformed],
+	['a body with a constructor.prototype field', applyRequest('{"constructor": {"prototype": {}}}'), 400, FailureKind.malformed],
+	['an unsupported content type', applyRequest('team = "bermrand"', ['content-type: application/toml']), 400, FailureKind.malformed],
+	['a form body', applyRequest('team=bermrand', ['content-type: application/x-www-form-urlencoded']), 400, FailureKind.malformed],
+	['a plain text body', applyRequest('{}', ['content-type: text/plain']), 400, FailureKind.malformed],
+	['a body without a content type', applyRequest('{}', []), 400, FailureKind.malformed],
+	['an invalid content type', applyRequest('{}', ['content-type: json']), 400, FailureKind.malformed],
 	['a body shorter than its content length', request('POST', '/operator/apply', [...json, 'content-length: 9']) + '{}', 400, FailureKind.malformed],
 	['a content length with chunked encoding', request('POST', '/operator/apply', [...json, 'content-length: 2', 'transfer-encoding: chunked']) + '{}', 400, FailureKind.malformed],
 	['two content lengths', request('POST', '/operator/apply', [...json, 'content-length: 2', 'content-length: 3']) + '{}', 400, FailureKind.malformed],
@@ -124,7 +124,7 @@
 }
 
 const taken: ReadonlyArray<readonly [name: string, bytes: string, expected: Partial<ApiRequest>]> = [
-	['the last of two fields with the same name is used', posted('{"base": 1, "base": 2}'), {body: {base: 2}}],
+	['the last of two fields with the same name is used', applyRequest('{"base": 1, "base": 2}'), {body: {base: 2}}],
 	['the first of two tokens is used', request('GET', '/operator/status', ['authorization: Bearer one', 'authorization: Bearer two']), {token: 'one'}],
 	['a token of another scheme is ignored', request('GET', '/operator/status', ['authorization: Basic b25l']), {token: ''}],
 	['a repeated parameter is ignored', request('GET', '/operator/history?team=a&team=b'), {query: {}}],
