--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -75,7 +75,7 @@
 	return request('POST', '/operator/apply', headers, body);
 }
 
-const refused: ReadonlyArray<readonly [name: string, bytes: string, status: number, kind: FailureKind]> = [
+const invalidRequests: ReadonlyArray<readonly [name: string, bytes: string, status: number, kind: FailureKind]> = [
 	['a body over the limit', applyRequest(`"${oversizedText}"`), 413, FailureKind.tooLarge],
 	['an announcement over the limit', request('POST', '/announce', json, `"${oversizedText}"`), 413, FailureKind.tooLarge],
 	['a chunked body over the limit', request('POST', '/operator/apply', [...json, 'transfer-encoding: chunked'])
@@ -110,7 +110,7 @@
 	['GET on a POST route', request('GET', '/operator/apply'), 404, FailureKind.notFound],
 ];
 
-for (const [name, bytes, status, kind] of refused) {
+for (const [name, bytes, status, kind] of invalidRequests) {
 	test(`invalid HTTP is rejected: ${name}`, async () => {
 		handledRequests.length = 0;
 		const answer = await exchange(bytes);
