--- a/packages/front/test/test-bad-input.ts
+++ b/packages/front/test/test-bad-input.ts
@@ -123,7 +123,7 @@
 	});
 }
 
-const taken: ReadonlyArray<readonly [name: string, bytes: string, expected: Partial<ApiRequest>]> = [
+const ambiguousRequests: ReadonlyArray<readonly [name: string, bytes: string, expected: Partial<ApiRequest>]> = [
 	['the last of two fields with the same name is used', applyRequest('{"base": 1, "base": 2}'), {body: {base: 2}}],
 	['the first of two tokens is used', request('GET', '/operator/status', ['authorization: Bearer one', 'authorization: Bearer two']), {token: 'one'}],
 	['a token of another scheme is ignored', request('GET', '/operator/status', ['authorization: Basic b25l']), {token: ''}],
@@ -131,7 +131,7 @@
 	['a parameter named as an inherited property is accepted', request('GET', '/operator/history?constructor=a'), {query: {constructor: 'a'}}],
 ];
 
-for (const [name, bytes, expected] of taken) {
+for (const [name, bytes, expected] of ambiguousRequests) {
 	test(`ambiguous HTTP is interpreted consistently: ${name}`, async () => {
 		handledRequests.length = 0;
 		const answer = await exchange(bytes);
