--- a/packages/front/test/test-caller-server.ts
+++ b/packages/front/test/test-caller-server.ts
@@ -45,7 +45,7 @@
 	},
 ];
 
-async function answerTo(address: string, {line, fields = []}: Case): Promise<string> {
+async function responseTo(address: string, {line, fields = []}: Case): Promise<string> {
 	const [host, port] = address.split(':');
 	const socket = connect(Number(port), host);
 	let text = '';
@@ -63,7 +63,7 @@
 			response.end('handled');
 		});
 		const server = started.unwrapOrElse(why => assert.fail(why.detail));
-		const answer = await answerTo(server.address, entry);
+		const answer = await responseTo(server.address, entry);
 		await server.close();
 		assert.ok(answer.startsWith(`HTTP/1.1 ${entry.status} `), answer);
 		assert.equal(/^dogwooddeck-outcome: (\S+)/imv.exec(answer)?.[1], entry.outcome === 'none' ? undefined : entry.outcome, answer);
