--- a/packages/front/test/test-caller-server.ts
+++ b/packages/front/test/test-caller-server.ts
@@ -92,9 +92,9 @@
 }
 
 test('caller server: a request that follows one in flight is handled while the server closes', async () => {
-	const held: Array<() => void> = [];
+	const pendingResponses: Array<() => void> = [];
 	const started = await startCallerServer('127.0.0.1:0', (_request, response) => {
-		held.push(() => {
+		pendingResponses.push(() => {
 			response.end('handled');
 		});
 	});
@@ -107,15 +107,15 @@
 	});
 	const head = 'GET /a HTTP/1.1\r\nhost: host\r\n\r\n';
 	socket.write(head);
-	await until(() => held.length === 1);
+	await until(() => pendingResponses.length === 1);
 	const closing = server.close();
 	await pause(closingMilliseconds);
 	socket.write(head);
 	await pause(closingMilliseconds);
-	held[0]!();
-	await until(() => held.length === 2 || text.includes(' 503 '));
-	assert.equal(held.length, 2, text);
-	held[1]!();
+	pendingResponses[0]!();
+	await until(() => pendingResponses.length === 2 || text.includes(' 503 '));
+	assert.equal(pendingResponses.length, 2, text);
+	pendingResponses[1]!();
 	await until(() => text.split('handled').length === 3);
 	socket.destroy();
 	await closing;
