--- a/packages/front/test/test-caller-server.ts
+++ b/packages/front/test/test-caller-server.ts
@@ -83,7 +83,7 @@
 const pollMilliseconds = 10;
 const pollsAtMost = 500;
 
-async function until(holds: () => boolean): Promise<void> {
+async function waitUntil(holds: () => boolean): Promise<void> {
 	for (let poll = 0; poll < pollsAtMost && !holds(); poll++) {
 		await pause(pollMilliseconds);
 	}
@@ -107,16 +107,16 @@
 	});
 	const head = 'GET /a HTTP/1.1\r\nhost: host\r\n\r\n';
 	socket.write(head);
-	await until(() => pendingResponses.length === 1);
+	await waitUntil(() => pendingResponses.length === 1);
 	const closing = server.close();
 	await pause(closingMilliseconds);
 	socket.write(head);
 	await pause(closingMilliseconds);
 	pendingResponses[0]!();
-	await until(() => pendingResponses.length === 2 || text.includes(' 503 '));
+	await waitUntil(() => pendingResponses.length === 2 || text.includes(' 503 '));
 	assert.equal(pendingResponses.length, 2, text);
 	pendingResponses[1]!();
-	await until(() => text.split('handled').length === 3);
+	await waitUntil(() => text.split('handled').length === 3);
 	socket.destroy();
 	await closing;
 });
