--- a/packages/front/test/test-caller-server.ts
+++ b/packages/front/test/test-caller-server.ts
@@ -81,10 +81,10 @@
 
 const closingMilliseconds = 100;
 const pollMilliseconds = 10;
-const pollsAtMost = 500;
+const maximumPolls = 500;
 
 async function waitUntil(holds: () => boolean): Promise<void> {
-	for (let poll = 0; poll < pollsAtMost && !holds(); poll++) {
+	for (let poll = 0; poll < maximumPolls && !holds(); poll++) {
 		await pause(pollMilliseconds);
 	}
 
