--- a/packages/front/test/test-closing.ts
+++ b/packages/front/test/test-closing.ts
@@ -53,7 +53,7 @@
 console.error('started');
 `;
 
-function holdUp(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
 		// Blocks the event loop, as in a process that gets no CPU time.
@@ -88,7 +88,7 @@
 		await once(program.stderr, 'data');
 		await pause(300);
 		const holding = setInterval(() => {
-			holdUp(heldUpMilliseconds);
+			blockEventLoop(heldUpMilliseconds);
 		}, 10);
 		await pause(heldUpMilliseconds);
 		isStopping = true;
