--- a/packages/front/test/test-closing.ts
+++ b/packages/front/test/test-closing.ts
@@ -87,13 +87,13 @@
 		const output = once(program.stdout, 'data') as Promise<[Buffer]>;
 		await once(program.stderr, 'data');
 		await pause(300);
-		const holding = setInterval(() => {
+		const blockingTimer = setInterval(() => {
 			blockEventLoop(heldUpMilliseconds);
 		}, 10);
 		await pause(heldUpMilliseconds);
 		isStopping = true;
 		await server.value.close();
-		clearInterval(holding);
+		clearInterval(blockingTimer);
 		const [told] = await output;
 		const {answered, unanswered} = JSON.parse(told.toString()) as {readonly answered: number; readonly unanswered: number};
 		assert.ok(answered > callers);
