--- a/packages/front/test/test-closing.ts
+++ b/packages/front/test/test-closing.ts
@@ -94,8 +94,8 @@
 		isStopping = true;
 		await server.value.close();
 		clearInterval(blockingTimer);
-		const [told] = await output;
-		const {answered, unanswered} = JSON.parse(told.toString()) as {readonly answered: number; readonly unanswered: number};
+		const [counts] = await output;
+		const {answered, unanswered} = JSON.parse(counts.toString()) as {readonly answered: number; readonly unanswered: number};
 		assert.ok(answered > callers);
 		assert.equal(unanswered, 0);
 	});
