--- a/packages/front/test/test-closing.ts
+++ b/packages/front/test/test-closing.ts
@@ -60,20 +60,20 @@
 	}
 }
 
-const cases: ReadonlyArray<{readonly name: string; readonly callers: number; readonly pauseMilliseconds: number; readonly heldUpMilliseconds: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly callers: number; readonly pauseMilliseconds: number; readonly blockedMilliseconds: number}> = [
 	{
-		name: 'no event-loop delay', callers: 40, pauseMilliseconds: 20, heldUpMilliseconds: 0,
+		name: 'no event-loop delay', callers: 40, pauseMilliseconds: 20, blockedMilliseconds: 0,
 	},
 	{
-		name: 'event-loop delay', callers: 40, pauseMilliseconds: 20, heldUpMilliseconds: 120,
+		name: 'event-loop delay', callers: 40, pauseMilliseconds: 20, blockedMilliseconds: 120,
 	},
 	{
-		name: 'long event-loop delay', callers: 40, pauseMilliseconds: 100, heldUpMilliseconds: 300,
+		name: 'long event-loop delay', callers: 40, pauseMilliseconds: 100, blockedMilliseconds: 300,
 	},
 ];
 
 for (const {
-	name, callers, pauseMilliseconds, heldUpMilliseconds,
+	name, callers, pauseMilliseconds, blockedMilliseconds,
 } of cases) {
 	test(`closing: every request is answered, ${name}`, async () => {
 		let isStopping = false;
@@ -88,9 +88,9 @@
 		await once(program.stderr, 'data');
 		await pause(300);
 		const blockingTimer = setInterval(() => {
-			blockEventLoop(heldUpMilliseconds);
+			blockEventLoop(blockedMilliseconds);
 		}, 10);
-		await pause(heldUpMilliseconds);
+		await pause(blockedMilliseconds);
 		isStopping = true;
 		await server.value.close();
 		clearInterval(blockingTimer);
