--- a/packages/front/src/application.ts
+++ b/packages/front/src/application.ts
@@ -1,5 +1,5 @@
 /**
- * Starts Nest on Fastify at an address.
+ * Starts and gracefully closes a Nest application on Fastify; both servers are built on it.
  */
 import {type Server} from 'node:http';
 import {failure, type Failure, FailureKind} from '@dogwooddeck/model/failure';
@@ -9,18 +9,18 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {ProblemFilter, type RefusableReply, type Refuse} from './problem-filter.js';
 import {type FrontServer} from './api.js';
-import {answerUnread} from './unread-request.js';
+import {respondToClientError} from './unread-request.js';
 
-/** What an application is made of. */
+/** The options of `startApplication`. */
 export type ApplicationOptions = {
-	/** Where to listen, as `IP:port`. */
+	/** The address to listen on, as `IP:port`. */
 	readonly address: string;
 	readonly module: DynamicModule;
-	readonly largestBodyBytes: number;
-	/** Answers what reaches no handler: an unknown method, a path that can't be decoded. */
+	readonly maximumBodyBytes: number;
+	/** Rejects requests that reach no handler, such as an unknown method or a path that can't be decoded. */
 	readonly refuse: Refuse;
-	/** Says which bodies are read before a handler runs, and adds routes beside Nest's own. */
-	readonly prepare: (adapter: FastifyAdapter) => void;
+	/** Configures which bodies are parsed before a handler runs, and adds routes outside of Nest's controllers. */
+	readonly configureAdapter: (adapter: FastifyAdapter) => void;
 };
 
 function splitAddress(address: string): {readonly host: string; readonly port: number} {
@@ -29,14 +29,14 @@
 }
 
 function boundAddress(application: NestFastifyApplication, host: string): string {
-	const bound = application.getHttpServer().address();
-	return `${host}:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
+	const socketAddress = application.getHttpServer().address();
+	return `${host}:${typeof socketAddress === 'object' && socketAddress !== null ? socketAddress.port : 0}`;
 }
 
 const idlePollMilliseconds = 25;
 
-/** Lets what has arrived on the sockets be read, also after a turn that took long. */
-async function arrivedRead(): Promise<void> {
+/** Waits until data that has arrived on the sockets is read, even after a long turn of the event loop. */
+async function waitForPendingReads(): Promise<void> {
 	for (let turn = 0; turn < 2; turn++) {
 		await new Promise(resolve => {
 			setTimeout(() => setImmediate(resolve), idlePollMilliseconds);
@@ -45,29 +45,30 @@
 }
 
 /**
- * Connections that become idle while the server closes are closed as well. A
- * connection whose request has arrived and wasn't read yet would look idle.
+ * Closes the server, including connections that become idle meanwhile. Pending
+ * socket data is read first, since a connection whose request has arrived but
+ * isn't read yet looks idle.
  */
 async function closeApplication(application: NestFastifyApplication): Promise<void> {
 	const server: Server = application.getHttpServer();
-	await arrivedRead();
-	const closingIdle = setInterval(() => {
+	await waitForPendingReads();
+	const idleCloseTimer = setInterval(() => {
 		setImmediate(() => {
 			server.closeIdleConnections();
 		});
 	}, idlePollMilliseconds);
 	await application.close();
-	clearInterval(closingIdle);
+	clearInterval(idleCloseTimer);
 }
 
-/** Starts to listen. Fails with `unreachable` when the address can't be bound. */
+/** Starts listening. Fails with `unreachable` when the address can't be bound. */
 export async function startApplication(options: ApplicationOptions): Promise<Result<FrontServer, Failure>> {
 	const adapter = new FastifyAdapter({
-		bodyLimit: options.largestBodyBytes,
+		bodyLimit: options.maximumBodyBytes,
 		forceCloseConnections: 'idle',
-		// What arrives on an open connection while the server closes still gets its own answer.
+		// A request on an open connection is still handled, not answered with 503, while the server closes.
 		return503OnClosing: false,
-		clientErrorHandler: answerUnread,
+		clientErrorHandler: respondToClientError,
 		frameworkErrors(error: Error, _request: unknown, reply: RefusableReply) {
 			options.refuse(reply, failure(FailureKind.malformed, error.message));
 		},
@@ -76,7 +77,7 @@
 		logger: false, bodyParser: false, abortOnError: false,
 	});
 	application.useGlobalFilters(new ProblemFilter(options.refuse));
-	options.prepare(adapter);
+	options.configureAdapter(adapter);
 	const {host, port} = splitAddress(options.address);
 	try {
 		await application.listen(port, host);
--- a/packages/front/src/operator-server.ts
+++ b/packages/front/src/operator-server.ts
@@ -1,5 +1,5 @@
 /**
- * The server for operators, upstreams, the balancer's checks and scrapers.
+ * The HTTP server for operators, upstreams, the load balancer's health checks and metrics scrapers.
  */
 import {largestOperatorBody} from '@dogwooddeck/configuration/messages';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -7,12 +7,12 @@
 import {type Result} from 'true-myth/result';
 import {startApplication} from './application.js';
 import {HealthController} from './health-controller.js';
-import {healthSurfaceToken, operatorSurfaceToken} from './injection.js';
+import {healthApiToken, operatorApiToken} from './injection.js';
 import {OperatorController} from './operator-controller.js';
 import {refuseWithProblem} from './problem-filter.js';
 import {type FrontServer, type HealthApi, type OperatorApi} from './api.js';
 
-/** The Nest module of the operators' server. */
+/** The Nest module of the operator server. */
 @Module({})
 class OperatorModule {}
 
@@ -28,13 +28,13 @@
 			module: OperatorModule,
 			controllers: [HealthController, OperatorController],
 			providers: [
-				{provide: operatorSurfaceToken, useValue: operators},
-				{provide: healthSurfaceToken, useValue: health},
+				{provide: operatorApiToken, useValue: operators},
+				{provide: healthApiToken, useValue: health},
 			],
 		},
-		largestBodyBytes: largestOperatorBody,
+		maximumBodyBytes: largestOperatorBody,
 		refuse: refuseWithProblem,
-		prepare(adapter) {
+		configureAdapter(adapter) {
 			const fastify = adapter.getInstance();
 			fastify.removeAllContentTypeParsers();
 			fastify.addContentTypeParser('application/json', {parseAs: 'string'}, fastify.getDefaultJsonParser('error', 'error'));
--- a/packages/front/src/unread-request.ts
+++ b/packages/front/src/unread-request.ts
@@ -1,19 +1,19 @@
 /**
- * Answers for requests that never become one: what arrived is no HTTP, or too
- * long. Node.js meets them before any controller or filter.
+ * Responses to requests that Node.js fails to parse: invalid HTTP, headers that
+ * are too long, or a timeout. These errors occur before any controller or filter runs.
  */
 import {type Socket} from 'node:net';
 import {problemMediaType, problemOfFailure} from '@dogwooddeck/configuration/problem';
 import {failure, FailureKind} from '@dogwooddeck/model/failure';
 
-type UnreadKind = {readonly status: number; readonly phrase: string; readonly kind: FailureKind; readonly detail: string};
+type ClientErrorResponse = {readonly status: number; readonly phrase: string; readonly kind: FailureKind; readonly detail: string};
 
-const unread: UnreadKind = {
-	status: 400, phrase: 'Bad Request', kind: FailureKind.malformed, detail: 'what arrived is no whole HTTP request',
+const defaultResponse: ClientErrorResponse = {
+	status: 400, phrase: 'Bad Request', kind: FailureKind.malformed, detail: 'the received data is not a complete HTTP request',
 };
 
-/** By the code of Node.js's error. */
-const unreadKinds: Readonly<Record<string, UnreadKind>> = {
+/** Keyed by the error code of Node.js. */
+const responsesByErrorCode: Readonly<Record<string, ClientErrorResponse>> = {
 	HPE_HEADER_OVERFLOW: {
 		status: 431, phrase: 'Request Header Fields Too Large', kind: FailureKind.tooLarge, detail: 'the path and the header fields are too long',
 	},
@@ -22,17 +22,17 @@
 	},
 };
 
-function answerText({status, phrase, kind, detail}: UnreadKind): string {
+function formatResponse({status, phrase, kind, detail}: ClientErrorResponse): string {
 	const body = JSON.stringify({...problemOfFailure(failure(kind, detail)), status});
 	return `HTTP/1.1 ${status} ${phrase}\r\ncontent-type: ${problemMediaType}\r\ncontent-length: ${body.length}\r\nconnection: close\r\n\r\n${body}`;
 }
 
-/** Answers what can't be read as HTTP with a problem body, and closes the connection. */
-export function answerUnread(error: {readonly code?: string}, socket: Socket): void {
+/** Responds to a request that can't be parsed with a problem body, and closes the connection. */
+export function respondToClientError(error: {readonly code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || socket.destroyed || !socket.writable) {
 		socket.destroy();
 		return;
 	}
 
-	socket.end(answerText(unreadKinds[error.code ?? ''] ?? unread));
+	socket.end(formatResponse(responsesByErrorCode[error.code ?? ''] ?? defaultResponse));
 }
--- a/packages/front/test/test-caller-server.ts
+++ b/packages/front/test/test-caller-server.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests which requests the caller server passes to its handler, the status and outcome
+ * of those that it rejects, and the handling of requests while it closes.
+ */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
 import {METHODS} from 'node:http';
@@ -11,18 +15,18 @@
 	readonly line: string;
 	readonly fields?: readonly string[];
 	readonly status: number;
-	/** Absent: the request reaches the handler. `none`: it can't be read, so that no outcome is told. */
+	/** Absent: the request reaches the handler. `none`: it can't be parsed, so the response has no outcome header. */
 	readonly outcome?: 'not-run' | 'unknown' | 'none';
 };
 
-/** Node.js reads this method from some release of 20 on; before, it is no HTTP to it. */
+/** Node.js parses this method since some release of version 20; earlier ones reject it as invalid HTTP. */
 const outcomeOfQuery = METHODS.includes('QUERY') ? 'not-run' : 'none';
 
 const cases: readonly Case[] = [
 	{name: 'any path', line: 'GET /a/b?c=%zz', status: 200},
-	{name: 'a whole address', line: 'GET http://host/a', status: 200},
+	{name: 'an absolute URL', line: 'GET http://host/a', status: 200},
 	{
-		name: 'a body that is no JSON', line: 'POST /a', fields: ['content-type: application/json'], status: 200,
+		name: 'a body that is not JSON', line: 'POST /a', fields: ['content-type: application/json'], status: 200,
 	},
 	{
 		name: 'bad percent-encoding', line: 'GET /a%zz', status: 400, outcome: 'not-run',
@@ -37,11 +41,11 @@
 		name: 'a method that needs a content type', line: 'QUERY /a', status: 400, outcome: outcomeOfQuery,
 	},
 	{
-		name: 'a method that is none', line: 'NOSUCHMETHOD /a', status: 400, outcome: 'none',
+		name: 'an invalid method', line: 'NOSUCHMETHOD /a', status: 400, outcome: 'none',
 	},
 ];
 
-async function answerTo(address: string, {line, fields = []}: Case): Promise<string> {
+async function responseTo(address: string, {line, fields = []}: Case): Promise<string> {
 	const [host, port] = address.split(':');
 	const socket = connect(Number(port), host);
 	let text = '';
@@ -59,7 +63,7 @@
 			response.end('handled');
 		});
 		const server = started.unwrapOrElse(why => assert.fail(why.detail));
-		const answer = await answerTo(server.address, entry);
+		const answer = await responseTo(server.address, entry);
 		await server.close();
 		assert.ok(answer.startsWith(`HTTP/1.1 ${entry.status} `), answer);
 		assert.equal(/^dogwooddeck-outcome: (\S+)/imv.exec(answer)?.[1], entry.outcome === 'none' ? undefined : entry.outcome, answer);
@@ -77,20 +81,20 @@
 
 const closingMilliseconds = 100;
 const pollMilliseconds = 10;
-const pollsAtMost = 500;
+const maximumPolls = 500;
 
-async function until(holds: () => boolean): Promise<void> {
-	for (let poll = 0; poll < pollsAtMost && !holds(); poll++) {
+async function waitUntil(holds: () => boolean): Promise<void> {
+	for (let poll = 0; poll < maximumPolls && !holds(); poll++) {
 		await pause(pollMilliseconds);
 	}
 
 	assert.ok(holds());
 }
 
-test('caller server: a request behind one in flight is handled while the server closes', async () => {
-	const held: Array<() => void> = [];
+test('caller server: a request that follows one in flight is handled while the server closes', async () => {
+	const pendingResponses: Array<() => void> = [];
 	const started = await startCallerServer('127.0.0.1:0', (_request, response) => {
-		held.push(() => {
+		pendingResponses.push(() => {
 			response.end('handled');
 		});
 	});
@@ -103,16 +107,16 @@
 	});
 	const head = 'GET /a HTTP/1.1\r\nhost: host\r\n\r\n';
 	socket.write(head);
-	await until(() => held.length === 1);
+	await waitUntil(() => pendingResponses.length === 1);
 	const closing = server.close();
 	await pause(closingMilliseconds);
 	socket.write(head);
 	await pause(closingMilliseconds);
-	held[0]!();
-	await until(() => held.length === 2 || text.includes(' 503 '));
-	assert.equal(held.length, 2, text);
-	held[1]!();
-	await until(() => text.split('handled').length === 3);
+	pendingResponses[0]!();
+	await waitUntil(() => pendingResponses.length === 2 || text.includes(' 503 '));
+	assert.equal(pendingResponses.length, 2, text);
+	pendingResponses[1]!();
+	await waitUntil(() => text.split('handled').length === 3);
 	socket.destroy();
 	await closing;
 });
