--- a/packages/storage/src/files.ts
+++ b/packages/storage/src/files.ts
@@ -1,6 +1,6 @@
 /**
- * Writing files so that they last: what is written is synced, and so is the
- * folder that names it.
+ * Durable file writes: syncs the written content and the directory that
+ * contains the file.
  */
 import {
 	open, readFile, rename, type FileHandle,
@@ -8,12 +8,12 @@
 import path from 'node:path';
 import {failure, FailureError, FailureKind} from '@dogwooddeck/model/failure';
 
-/** The failure of a file whose content can't be trusted. */
+/** Creates the `storageDamaged` failure for a file whose content is corrupt. */
 export function damaged(file: string, offsetBytes: number, detail: string): FailureError {
 	return new FailureError(failure(FailureKind.storageDamaged, detail, {location: {file, offsetBytes}}));
 }
 
-/** Syncs a folder, so that the names in it last. */
+/** Syncs a folder, which makes its directory entries durable. */
 export async function syncFolder(folder: string): Promise<void> {
 	const handle = await open(folder, 'r');
 	try {
@@ -23,7 +23,7 @@
 	}
 }
 
-/** Writes all of the bytes at a position, also where the system takes them in parts. */
+/** Writes all bytes at a position, and continues after partial writes. */
 export async function writeFully(handle: FileHandle, bytes: Uint8Array, position: number): Promise<void> {
 	let written = 0;
 	while (written < bytes.length) {
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Puts a whole file in place of another: a reader finds the old one or the new one, never a part. */
+/** Replaces a file atomically: a reader sees the old content or the new, never a part. */
 export async function replaceFile(file: string, bytes: Uint8Array): Promise<void> {
 	const temporary = `${file}.new`;
 	const handle = await open(temporary, 'w');
@@ -47,7 +47,7 @@
 	await syncFolder(path.dirname(file));
 }
 
-/** Reads a file; undefined where there is none. */
+/** Reads a file; returns undefined if it does not exist. */
 export async function readIfThere(file: string): Promise<Uint8Array | undefined> {
 	try {
 		return await readFile(file);
--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -1,5 +1,6 @@
 /**
- * The data folder of one voter: its identity, its log and its snapshot.
+ * Opens and validates the data folder of one voter: its identity, log and
+ * snapshot files.
  */
 import {randomUUID} from 'node:crypto';
 import {mkdir} from 'node:fs/promises';
@@ -24,11 +25,11 @@
 
 export {Storage, type PersistRequest} from './storage.js';
 
-/** A data folder that is open. */
+/** An open data folder. */
 export type OpenFolder = {
 	readonly storage: Storage;
 	readonly saved: SavedState;
-	/** Tells this folder from one that was lost and made anew. */
+	/** Distinguishes this folder from one that was lost and created again. */
 	readonly folderIdentity: string;
 	/** Whether the folder holds no state yet. */
 	readonly fresh: boolean;
@@ -60,7 +61,7 @@
 	return text?.trim().split(' ').at(-1);
 }
 
-/** The identity comes last: a folder with an identity always has a log. */
+/** Writes the identity file last, so that a folder with an identity always has a log. */
 async function makeIdentity(file: string, found: boolean): Promise<string> {
 	const identity = found ? bootstrapFolder : randomUUID();
 	await replaceFile(file, new TextEncoder().encode(`dogwooddeck folder 1 ${identity}\n`));
@@ -99,7 +100,7 @@
 	const {identity, log, saved} = await readFolder(hash, paths);
 	const fresh = isEmpty(saved);
 	if (found && fresh && identity !== undefined && identity !== bootstrapFolder) {
-		throw new FailureError(failure(FailureKind.conflict, 'The folder was opened before without founding a cluster; found with an empty folder.'));
+		throw new FailureError(failure(FailureKind.conflict, 'The folder was opened before without bootstrapping a cluster; bootstrap with an empty folder.'));
 	}
 
 	const file = log === undefined ? await replaceLogFile(hash, paths.log, []) : await openLogFile(paths.log, log);
@@ -112,25 +113,24 @@
 	};
 }
 
-/** Who sees to it that one process alone uses a folder. */
+/** What ensures that only one process uses a folder. */
 export const FolderLocking = {
-	/** This process, by a lock that the kernel keeps. */
+	/** This process, with a lock that the kernel releases when the process ends. */
 	own: 'own',
-	/** Whoever starts the processes. For systems without local sockets. */
+	/** The supervisor that starts the processes. For systems without Unix-domain sockets. */
 	byOthers: 'by-others',
 } as const;
 
-/** One of the ways. */
 export type FolderLocking = (typeof FolderLocking)[keyof typeof FolderLocking];
 
-/** How a folder is opened. */
+/** Options of `openFolder`: whether to bootstrap a cluster, and how the folder is locked. */
 export type FolderOptions = {readonly found?: boolean; readonly locking?: FolderLocking};
 
 const holders: Readonly<Record<FolderLocking, (folder: string) => Promise<FolderLock>>> = {
 	[FolderLocking.own]: holdFolder,
 	[FolderLocking.byOthers]: async () => ({
 		async release() {
-			// Nothing is held.
+			// No lock was acquired.
 		},
 	}),
 };
@@ -147,12 +147,12 @@
 }
 
 /**
- * Opens a data folder, and makes it where it is missing. With `found` a new
- * folder gets the identity that founders share; otherwise a random one, which no
- * voter set holds before an operator adds it.
- * The folder belongs to this process until its storage is closed.
+ * Opens a data folder, and creates it if it is missing. With `found` a new
+ * folder gets the identity shared by all bootstrap voters; otherwise a random
+ * one, which is in no voter set until an operator adds it.
+ * This process holds the folder until its storage is closed.
  * Fails with `storageDamaged` (file and offset), `storageFailed` or `conflict`,
- * the last also where another process holds the folder.
+ * the last also if another process holds the folder.
  */
 export async function openFolder(folder: string, options: FolderOptions = {}): Promise<Result<OpenFolder, Failure>> {
 	try {
--- a/packages/storage/src/frame.ts
+++ b/packages/storage/src/frame.ts
@@ -1,21 +1,21 @@
 /**
- * Frames: how records stand in a file. A frame is a mark, the length of its
+ * The framing of records in a file. A frame is a magic marker, the length of its
  * payload, a checksum over both, and the payload. All numbers are little-endian.
  */
 import {type XXHashAPI} from 'xxhash-wasm';
 
-/** Bytes that never stand in UTF-8 text, so that a later frame is found after a damaged one. */
+/** Bytes that never occur in UTF-8 text, so that a later frame can be found after a damaged one. */
 const mark = Uint8Array.of(0xFF, 0xDD, 0xFE, 0xC1);
 
 const lengthOffset = mark.length;
 const checksumOffset = lengthOffset + 4;
 const headerBytes = checksumOffset + 8;
 
-/** What a file holds, up to the first byte that no frame accounts for. */
+/** The frames of a file, up to the first byte that is not part of a valid frame. */
 export type FrameScan = {
 	readonly payloads: readonly string[];
 	readonly endOffset: number;
-	/** Whether a whole frame stands after `endOffset`: then the file is damaged, not torn. */
+	/** Whether a valid frame follows `endOffset`: then the file is damaged, rather than torn at its end. */
 	readonly wholeFrameFollows: boolean;
 };
 
@@ -24,7 +24,7 @@
 	return hash.h64Raw(payload, BigInt(length));
 }
 
-/** Puts a payload into a frame. */
+/** Encodes a payload as a frame. */
 export function encodeFrame(hash: XXHashAPI, payload: string): Uint8Array {
 	const text = new TextEncoder().encode(payload);
 	const frame = new Uint8Array(headerBytes + text.length);
@@ -36,7 +36,7 @@
 	return frame;
 }
 
-/** The payload of the whole frame at an offset; undefined where there is none. */
+/** Returns the payload of the valid frame at an offset; undefined if there is none. */
 function frameAt(hash: XXHashAPI, bytes: Uint8Array, offset: number): {readonly payload: Uint8Array; readonly end: number} | undefined {
 	if (offset + headerBytes > bytes.length || mark.some((byte, position) => bytes[offset + position] !== byte)) {
 		return undefined;
@@ -62,7 +62,7 @@
 	return false;
 }
 
-/** Reads all frames from an offset on. */
+/** Reads consecutive frames from an offset on. */
 export function scanFrames(hash: XXHashAPI, bytes: Uint8Array, offset: number): FrameScan {
 	const decoder = new TextDecoder();
 	const payloads: string[] = [];
--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps a data folder to one process. The lock is a listening Unix-domain
+ * An exclusive lock on a data folder. The lock is a listening Unix-domain
  * socket in Linux's abstract namespace, named by the folder's device and inode:
- * the kernel gives it up when its process ends in any way, so that no lock is
- * ever left behind. A file in the folder tells who holds it, and is no lock.
+ * the kernel releases it when its process ends in any way, so no stale lock
+ * remains. A file in the folder names the holder for diagnostics only.
  *
- * It keeps apart processes of one machine and one network namespace. It does
- * not where the folder is shared over a network, and not outside Linux.
+ * It excludes processes of the same machine and network namespace. It has no
+ * effect between machines that share a folder over a network, nor outside Linux.
  */
 import {once} from 'node:events';
 import {
@@ -20,22 +20,21 @@
 import {err, ok, type Result} from 'true-myth/result';
 import {readIfThere} from './files.js';
 
-/** A folder that this process holds. */
+/** A lock on a folder that this process holds. */
 export type FolderLock = {
-	/** Gives the folder up. */
 	readonly release: () => Promise<void>;
 };
 
 const holderFile = 'holder';
 const holderForm = /^dogwooddeck holder 1 (?<processNumber>\d+) (?<startedAt>\d+)\n$/v;
 
-/** The whole length of such a name: shorter ones are filled up by some versions of the runtime, and are then others. */
+/** The full length of an abstract socket name. Some versions of the runtime pad shorter names, which makes them different names. */
 const socketNameBytes = 108;
 
 /** The position of the start time among the fields of `/proc/PID/stat` that follow the command's name. */
 const startedAtPosition = 19;
 
-/** When a process started, in clock ticks since the machine did: with its number it names one life of it. */
+/** Returns when a process started, in clock ticks since boot. With the process number it identifies one incarnation; undefined if it cannot be read. */
 async function startOf(processNumber: number): Promise<string | undefined> {
 	try {
 		const text = await readFile(`/proc/${processNumber}/stat`, 'utf8');
@@ -50,12 +49,12 @@
 	await writeFile(path.join(folder, holderFile), `dogwooddeck holder 1 ${process.pid} ${startedAt ?? 0}\n`);
 }
 
-/** The file may be that of an earlier holder, for the moment until the new one has written it. */
+/** Describes the holder. Until a new holder has written the file, it may name an earlier one. */
 async function describeHolder(folder: string): Promise<string> {
 	const bytes = await readIfThere(path.join(folder, holderFile));
 	const {processNumber, startedAt} = holderForm.exec(new TextDecoder().decode(bytes))?.groups ?? {};
 	const lives = processNumber !== undefined && await startOf(Number(processNumber)) === startedAt;
-	return lives ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not said yet which it is';
+	return lives ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not yet written its process number';
 }
 
 async function socketName(folder: string): Promise<string> {
@@ -77,7 +76,7 @@
 	if (process.platform !== 'linux') {
 		return {
 			async release() {
-				// There was nothing to hold.
+				// No lock was acquired.
 			},
 		};
 	}
@@ -95,8 +94,8 @@
 }
 
 /**
- * Takes a folder for this process alone, and makes it where it is missing. Fails with `conflict`,
- * which names the folder and its holder, and with `storageFailed`.
+ * Locks a folder for this process, and creates it if it is missing. Fails with `conflict`,
+ * which names the folder and its holder, or with `storageFailed`.
  */
 export async function lockFolder(folder: string): Promise<Result<FolderLock, Failure>> {
 	try {
@@ -108,7 +107,7 @@
 	}
 }
 
-/** As `lockFolder`, but throws a `FailureError`. */
+/** Like `lockFolder`, but throws a `FailureError`. */
 export async function holdFolder(folder: string): Promise<FolderLock> {
 	const held = await lockFolder(folder);
 	if (held.isErr) {
--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -1,5 +1,5 @@
 /**
- * The log file: a line that names its format, then one frame for each write.
+ * The log file: a format line, then one frame for each write.
  * Each frame is synced before the next is written, so only the last can be torn.
  */
 import {Buffer} from 'node:buffer';
@@ -13,25 +13,25 @@
 
 const format = new TextEncoder().encode('dogwooddeck log 1\n');
 
-/** A log file that is open for writing. */
+/** A log file open for writing. */
 export type LogFile = {
 	readonly handle: FileHandle;
 	readonly endOffset: number;
 };
 
-/** Whether a file begins with the line that names a format. */
+/** Returns whether a file begins with the expected format line. */
 export function hasFormat(bytes: Uint8Array, expected: Uint8Array): boolean {
 	return bytes.length >= expected.length && expected.every((byte, position) => bytes[position] === byte);
 }
 
-/** What a log file holds. */
+/** The content of a log file. */
 export type LogContent = {
 	readonly records: readonly LogRecord[];
-	/** Where the whole records end. What stands after it is a torn tail. */
+	/** The end of the last valid record. Any bytes after it are a torn tail. */
 	readonly endOffset: number;
 };
 
-/** Reads the records of the log file; undefined where there is no file. */
+/** Reads the records of the log file; returns undefined if it does not exist. */
 export async function readLogFile(hash: XXHashAPI, file: string): Promise<LogContent | undefined> {
 	const bytes = await readIfThere(file);
 	if (bytes === undefined) {
@@ -39,7 +39,7 @@
 	}
 
 	if (!hasFormat(bytes, format)) {
-		throw damaged(file, 0, 'The file does not begin as a log of format 1.');
+		throw damaged(file, 0, 'The file does not begin with the header of log format 1.');
 	}
 
 	const scan = scanFrames(hash, bytes, format.length);
@@ -50,7 +50,7 @@
 	return {records: scan.payloads.map(payload => JSON.parse(payload) as LogRecord), endOffset: scan.endOffset};
 }
 
-/** Opens a log file that was read, and cuts a torn tail off. */
+/** Opens a log file that was read, and truncates a torn tail. */
 export async function openLogFile(file: string, {endOffset}: LogContent): Promise<LogFile> {
 	const handle = await open(file, 'r+');
 	const {size} = await handle.stat();
@@ -62,7 +62,7 @@
 	return {handle, endOffset};
 }
 
-/** Puts a new log file in place of any other. */
+/** Replaces the log file atomically and opens the new one. */
 export async function replaceLogFile(hash: XXHashAPI, file: string, records: readonly LogRecord[]): Promise<LogFile> {
 	const bytes = Buffer.concat([format, ...records.map(record => encodeFrame(hash, JSON.stringify(record)))]);
 	await replaceFile(file, bytes);
--- a/packages/storage/src/record.ts
+++ b/packages/storage/src/record.ts
@@ -1,31 +1,31 @@
 /**
- * The records of the log file, and what they come to when they are read in order.
+ * The records of the log file, and the state that results from replaying them.
  */
 import {type HardState, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
 
-/** One write: the term and vote, and entries that take the place of those from the first one's index on. */
+/** One write: the term and vote, and entries that replace all stored entries from the index of the first one on. */
 export type LogRecord = {
 	readonly hardState: HardState;
 	readonly entries: readonly LogEntry[];
 };
 
-/** What an empty folder holds. */
+/** The state of an empty folder. */
 export const emptySavedState: SavedState = {hardState: {term: 0}, entries: []};
 
-/** Whether a folder's state is that of a folder that never took part. */
+/** Returns whether the state is that of a voter that never took part in consensus. */
 export function isEmpty(saved: SavedState): boolean {
 	return saved.hardState.term === 0 && saved.snapshot === undefined && saved.entries.length === 0;
 }
 
-/** The entries that stay beside a snapshot: those after it, where the log agrees with it. */
+/** Returns the entries to keep with a snapshot: those after it if the log agrees with the snapshot or begins after it. */
 export function entriesAfter(entries: readonly LogEntry[], snapshot: Snapshot): readonly LogEntry[] {
 	const first = entries[0]?.index ?? 0;
 	const same = entries[snapshot.index - first];
 	return first > snapshot.index || same?.term === snapshot.term ? entries.slice(Math.max(0, snapshot.index + 1 - first)) : [];
 }
 
-/** Adds new entries in place of those from the first one's index on. Changes the list, which only the storage holds. */
+/** Replaces the entries from the index of the first new one on. Mutates the list, which is private to the storage. */
 export function mergeEntries(list: LogEntry[], entries: readonly LogEntry[]): void {
 	const first = entries[0];
 	if (first !== undefined) {
@@ -36,7 +36,7 @@
 	}
 }
 
-/** The state that the records of a log come to, beside a snapshot. Undefined where entries are missing. */
+/** Replays the records of a log on top of a snapshot. Returns undefined if entries are missing. */
 export function stateOf(records: readonly LogRecord[], snapshot: Snapshot | undefined): SavedState | undefined {
 	const list: LogEntry[] = [];
 	for (const record of records) {
--- a/packages/storage/src/snapshot-file.ts
+++ b/packages/storage/src/snapshot-file.ts
@@ -1,5 +1,5 @@
 /**
- * The snapshot file: a line that names its format, then one frame.
+ * The snapshot file: a format line, then one frame.
  */
 import {Buffer} from 'node:buffer';
 import {type Snapshot} from '@dogwooddeck/consensus/message';
@@ -10,7 +10,7 @@
 
 const format = new TextEncoder().encode('dogwooddeck snapshot 1\n');
 
-/** Reads the snapshot; undefined where there is none. */
+/** Reads the snapshot; returns undefined if there is none. */
 export async function readSnapshot(hash: XXHashAPI, file: string): Promise<Snapshot | undefined> {
 	const bytes = await readIfThere(file);
 	if (bytes === undefined) {
@@ -18,7 +18,7 @@
 	}
 
 	if (!hasFormat(bytes, format)) {
-		throw damaged(file, 0, 'The file does not begin as a snapshot of format 1.');
+		throw damaged(file, 0, 'The file does not begin with the header of snapshot format 1.');
 	}
 
 	const {payloads, endOffset} = scanFrames(hash, bytes, format.length);
@@ -29,7 +29,7 @@
 	return JSON.parse(payloads[0]!) as Snapshot;
 }
 
-/** Puts a snapshot in place of the one before. */
+/** Replaces the snapshot file atomically. */
 export async function writeSnapshot(hash: XXHashAPI, file: string, snapshot: Snapshot): Promise<void> {
 	await replaceFile(file, Buffer.concat([format, encodeFrame(hash, JSON.stringify(snapshot))]));
 }
--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -1,6 +1,6 @@
 /**
- * Writes what a voter asks to persist. Writes that come while one is under way
- * go to the disk together, in their order, with one sync.
+ * Persists the log, term, vote and snapshots of a voter. Requests that arrive
+ * during a write are written as one batch, in their order, with one sync.
  */
 import {type ConsensusEffect, type HardState, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
@@ -13,7 +13,7 @@
 import {entriesAfter, mergeEntries} from './record.js';
 import {writeSnapshot} from './snapshot-file.js';
 
-/** What a voter asks to persist. */
+/** The state that a voter asks to persist. */
 export type PersistRequest = Omit<Extract<ConsensusEffect, {readonly kind: 'persist'}>, 'kind' | 'ticket'>;
 
 type Waiting = {
@@ -21,16 +21,16 @@
 	readonly answer: (result: Result<undefined, Failure>) => void;
 };
 
-/** The places and the helper of a storage. */
+/** The file paths and collaborators of a storage. */
 export type StorageParts = {
 	readonly hash: XXHashAPI;
 	readonly logPath: string;
 	readonly snapshotPath: string;
-	/** Gives the folder up. */
+	/** Releases the lock on the folder. */
 	readonly release: () => Promise<void>;
 };
 
-/** The disk of one voter. After a failed write it takes no other, since what the file holds is then unknown. */
+/** The durable storage of one voter. After a failed write it rejects all requests, since the content of the file is then unknown. */
 export class Storage {
 	readonly #parts: StorageParts;
 	#log: LogFile;
@@ -39,14 +39,14 @@
 	#writing: Promise<void> | undefined;
 	#failed: Failure | undefined;
 
-	/** Goes on from what was read at the start. */
+	/** Continues from the state that was read when the folder was opened. */
 	constructor(parts: StorageParts, log: LogFile, saved: SavedState) {
 		this.#parts = parts;
 		this.#log = log;
 		this.#entries = [...saved.entries];
 	}
 
-	/** Writes and syncs; resolves once it and all that was asked before is on disk. */
+	/** Writes and syncs a request; resolves once it and all earlier requests are on disk. */
 	async persist(request: PersistRequest): Promise<Result<undefined, Failure>> {
 		if (this.#failed !== undefined) {
 			return err(this.#failed);
@@ -58,7 +58,7 @@
 		});
 	}
 
-	/** Finishes what was asked, closes the files and gives the folder up. Nothing is taken any more. */
+	/** Completes pending requests, closes the log file and releases the folder. Later requests are rejected. */
 	async close(): Promise<void> {
 		await this.#writing;
 		this.#failed ??= failure(FailureKind.storageFailed, 'The storage is closed.');
--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -55,7 +55,7 @@
 	await storage.close();
 }
 
-/** One synced frame for each request. */
+/** Persists each request with an open and a close of its own, so that each has its own synced frame. */
 async function persistEach(folder: string, requests: readonly PersistRequest[]): Promise<void> {
 	for (const one of requests) {
 		await persistAll(folder, [one]);
@@ -82,7 +82,7 @@
 		name: 'a conflict from the first entry on', requests: [request(1, [entry(1), entry(2)]), request(2, [entry(1, 2)])], entries: [entry(1, 2)], term: 2,
 	},
 	{
-		name: 'a snapshot of its own',
+		name: 'a snapshot of the voter itself',
 		requests: [request(1, [entry(1), entry(2), entry(3)]), request(1, [], snapshotAt(2)), request(1, [entry(4)])],
 		entries: [entry(3), entry(4)], snapshot: snapshotAt(2), term: 1,
 	},
@@ -92,13 +92,13 @@
 		entries: [entry(10, 3)], snapshot: snapshotAt(9, 2), term: 3,
 	},
 	{
-		name: 'a snapshot that the log disagrees with', requests: [request(1, [entry(1), entry(2), entry(3)]), request(2, [], snapshotAt(2, 2))], entries: [], snapshot: snapshotAt(2, 2), term: 2,
+		name: 'a snapshot that conflicts with the log', requests: [request(1, [entry(1), entry(2), entry(3)]), request(2, [], snapshotAt(2, 2))], entries: [], snapshot: snapshotAt(2, 2), term: 2,
 	},
 ];
 
 for (const {name, requests, entries, snapshot, term} of histories) {
 	for (const [manner, persist] of [['together', persistAll], ['one by one', persistEach]] as const) {
-		test(`what was persisted ${manner} comes back: ${name}`, async () => withFolder(async folder => {
+		test(`state persisted ${manner} is restored: ${name}`, async () => withFolder(async folder => {
 			await persist(folder, requests);
 			const {saved, storage, fresh} = await opened(folder);
 			assert.deepEqual(saved, {hardState: {term}, entries, ...(snapshot === undefined ? {} : {snapshot})});
@@ -125,7 +125,7 @@
 	return ends;
 }
 
-test('a torn tail is cut off, wherever it is torn', async () => withFolder(async folder => {
+test('a torn tail is truncated, at whichever byte it is torn', async () => withFolder(async folder => {
 	const [, second = 0, third = 0] = await frameEnds(folder);
 	const whole = await readFile(path.join(folder, 'log'));
 	for (let length = second; length < third; length++) {
@@ -142,7 +142,7 @@
 	await storage.close();
 }));
 
-test('damage before the tail is refused with file and offset, whichever byte it hits', async () => withFolder(async folder => {
+test('damage before the tail is reported with file and offset, for every byte', async () => withFolder(async folder => {
 	const [first = 0, second = 0] = await frameEnds(folder);
 	const file = path.join(folder, 'log');
 	const whole = await readFile(file);
@@ -160,14 +160,14 @@
 const damages: ReadonlyArray<{readonly name: string; readonly damage: (folder: string) => Promise<void>; readonly file: string}> = [
 	{name: 'no log', damage: async folder => rm(path.join(folder, 'log')), file: 'log'},
 	{name: 'no identity', damage: async folder => rm(path.join(folder, 'identity')), file: 'identity'},
-	{name: 'an identity that is cut short', damage: async folder => truncate(path.join(folder, 'identity'), 9), file: 'identity'},
-	{name: 'a snapshot that is cut short', damage: async folder => truncate(path.join(folder, 'snapshot'), 40), file: 'snapshot'},
+	{name: 'a truncated identity', damage: async folder => truncate(path.join(folder, 'identity'), 9), file: 'identity'},
+	{name: 'a truncated snapshot', damage: async folder => truncate(path.join(folder, 'snapshot'), 40), file: 'snapshot'},
 	{name: 'no snapshot', damage: async folder => rm(path.join(folder, 'snapshot')), file: 'log'},
 	{name: 'a log of a later format', damage: async folder => writeFile(path.join(folder, 'log'), 'dogwooddeck log 2\n'), file: 'log'},
 ];
 
 for (const {name, damage, file} of damages) {
-	test(`a damaged folder is refused: ${name}`, async () => withFolder(async folder => {
+	test(`a damaged folder is rejected: ${name}`, async () => withFolder(async folder => {
 		await persistAll(folder, [request(1, [entry(1), entry(2), entry(3)]), request(1, [], snapshotAt(2))]);
 		await damage(folder);
 		const {kind, location} = await refusal(folder);
@@ -176,7 +176,7 @@
 	}));
 }
 
-test('a crash between the snapshot and the shorter log loses nothing', async () => withFolder(async folder => {
+test('a crash between writing the snapshot and compacting the log loses nothing', async () => withFolder(async folder => {
 	await persistAll(folder, [request(1, [entry(1), entry(2), entry(3)])]);
 	const longLog = await readFile(path.join(folder, 'log'));
 	await persistAll(folder, [request(1, [], snapshotAt(2))]);
@@ -186,7 +186,7 @@
 	await storage.close();
 }));
 
-test('a folder keeps its identity, and one that was lost gets another', async () => withFolder(async folder => {
+test('a folder keeps its identity, and one created after a loss gets another', async () => withFolder(async folder => {
 	const identities: string[] = [];
 	for (const lost of [false, false, true]) {
 		if (lost) {
@@ -205,7 +205,7 @@
 	assert.equal(kind, 'conflict');
 }));
 
-test('founders share an identity, and found only once', async () => withFolder(async folder => {
+test('bootstrap voters share an identity, and bootstrap only once', async () => withFolder(async folder => {
 	await persistAll(folder, [request(1, [entry(1)])], true);
 	const {folderIdentity, fresh, storage} = await opened(folder, true);
 	assert.equal(folderIdentity, bootstrapFolder);
--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -1,5 +1,5 @@
 /**
- * A data folder has one process at a time, and one that is gone leaves nothing behind.
+ * Only one process at a time can open a data folder, and a process that has ended leaves no stale lock.
  */
 import assert from 'node:assert/strict';
 import {type ChildProcess, spawn} from 'node:child_process';
@@ -40,7 +40,7 @@
 
 async function isRefused(folder: string, holder: number): Promise<void> {
 	const result = await openFolder(folder);
-	assert.ok(result.isErr, 'a second one holds the folder');
+	assert.ok(result.isErr, 'the folder was opened a second time');
 	assert.equal(result.error.kind, FailureKind.conflict);
 	assert.ok(result.error.detail.startsWith(`the data folder ${folder} is held by process ${holder}, started at tick `), result.error.detail);
 }
@@ -61,7 +61,7 @@
 		},
 	},
 	{
-		name: 'another way to the folder',
+		name: 'another path to the folder',
 		async run(folder) {
 			const {storage} = await opened(folder);
 			await symlink(folder, `${folder}-link`);
@@ -71,7 +71,7 @@
 		},
 	},
 	{
-		name: 'an opening that failed gives the folder up',
+		name: 'a failed open releases the folder',
 		async run(folder) {
 			await writeFile(path.join(folder, 'identity'), 'no identity');
 			const first = await openFolder(folder);
@@ -81,7 +81,7 @@
 		},
 	},
 	{
-		name: 'of many at one time one gets it',
+		name: 'only one of several concurrent opens succeeds',
 		async run(folder) {
 			const results = await Promise.all(Array.from({length: 8}, async () => openFolder(folder)));
 			const held = results.filter(result => result.isOk);
@@ -91,7 +91,7 @@
 		},
 	},
 	{
-		name: 'another process, frozen, and killed',
+		name: 'another process, stopped, then killed',
 		async run(folder) {
 			const child = await startHolder(folder);
 			await isRefused(folder, child.pid!);
