--- a/packages/telemetry/src/enable-log.ts
+++ b/packages/telemetry/src/enable-log.ts
@@ -1,6 +1,6 @@
 /**
- * Lets `roarr` write: it reads this variable once, when it is loaded, and is
- * silent without it. Import this module before `roarr`.
+ * Enables the output of `roarr`: it reads this variable once, when it is loaded,
+ * and writes nothing without it. Import this module before `roarr`.
  */
 import process from 'node:process';
 
--- a/packages/telemetry/src/event.ts
+++ b/packages/telemetry/src/event.ts
@@ -1,30 +1,30 @@
 /**
- * The names of all events that are logged.
+ * The names of all logged events.
  */
 export const EventName = {
-	/** The process has read its settings and begins. */
+	/** The process has read its settings and starts. */
 	instanceStarted: 'instance-started',
-	/** The instance takes requests. */
+	/** The instance accepts requests. */
 	instanceReady: 'instance-ready',
-	/** The instance takes no more requests. */
+	/** The instance no longer accepts requests. */
 	instanceNotReady: 'instance-not-ready',
-	/** A planned stop has begun. */
+	/** A graceful shutdown has begun. */
 	stopRequested: 'stop-requested',
-	/** A planned stop has ended. */
+	/** A graceful shutdown has completed. */
 	instanceStopped: 'instance-stopped',
-	/** The process ends because of a fault. */
+	/** The process ends because of an error. */
 	instanceFailed: 'instance-failed',
-	/** The voter has another role, or sees another leader. */
+	/** The role of the voter, or its current leader, changed. */
 	roleChanged: 'role-changed',
 	/** The durable state can't be written; the process ends. */
 	storageFailed: 'storage-failed',
-	/** This instance is its zone's steward. */
+	/** This instance became the steward of its zone, which distributes the zone's leases. */
 	stewardStarted: 'steward-started',
-	/** This instance is no longer its zone's steward. */
+	/** This instance is no longer the steward of its zone. */
 	stewardEnded: 'steward-ended',
-	/** A routing lease is held again. */
+	/** A routing lease was acquired again. */
 	leaseGained: 'lease-gained',
-	/** A routing lease has run out. */
+	/** A routing lease expired. */
 	leaseLost: 'lease-lost',
 	/** A command of the replicated control state was applied. */
 	commandApplied: 'command-applied',
@@ -36,44 +36,43 @@
 	announcementRefused: 'announcement-refused',
 	/** A request ended with a failure. */
 	requestFailed: 'request-failed',
-	/** A message from outside could not be taken. */
+	/** A message from outside was malformed or could not be accepted. */
 	inputRefused: 'input-refused',
-	/** A voter's data folder is new to the others. */
+	/** The data folder of a voter is unknown to the other voters. */
 	voterJoining: 'voter-joining',
-	/** An announcement changed what is known of its upstream or of its keys. */
+	/** An announcement changed the recorded state of its upstream or of its keys. */
 	upstreamAnnounced: 'upstream-announced',
-	/** An upstream says that it is gone. */
+	/** An upstream announced its departure. */
 	upstreamLeft: 'upstream-left',
-	/** An operator's change of items was taken or refused. */
+	/** An operator's change of items was accepted or refused. */
 	itemsDeclared: 'items-declared',
-	/** The leader gives keys out or asks for them. */
+	/** The leader assigns keys or recalls them. */
 	keysPlanned: 'keys-planned',
-	/** The leader changes who votes. */
+	/** The leader changes the voter set. */
 	votersChanged: 'voters-changed',
 	/** A control instance is followed, or no longer. */
 	controlGained: 'control-gained',
 	controlLost: 'control-lost',
 	/** A copy of the replicated state has lacked committed entries for a while. */
 	replicaBehind: 'replica-behind',
-	/** It has what it lacked. */
+	/** The copy has received the entries that it lacked. */
 	replicaCaughtUp: 'replica-caught-up',
-	/** The settings were read again. */
+	/** The settings were reloaded. */
 	settingsReloaded: 'settings-reloaded',
-	/** An attempt at an upstream ended without an answer to pass on. */
+	/** An attempt at an upstream ended without an answer to forward. */
 	attemptFailed: 'attempt-failed',
 	/** A request was answered by an upstream. */
 	requestAnswered: 'request-answered',
 	/** A request was refused or ended without an upstream's answer. */
 	requestRefused: 'request-refused',
-	/** A timer of this process fired late: its loop was busy, or it did not run. */
+	/** A timer of this process fired late: the event loop was busy, or the process did not run. */
 	loopLate: 'loop-late',
-	/** What the process has used and done since the last such line. */
+	/** Resource use and activity of the process since the previous such line. */
 	instanceLoad: 'instance-load',
-	/** An upstream announced itself without keys that it had been told to hold: its hold ran out. */
+	/** An upstream announced itself without keys that were assigned to it: its hold, the key lease at an upstream, expired. */
 	holdLapsed: 'hold-lapsed',
-	/** Lines were left out to bound the volume. */
+	/** Lines were dropped to bound the volume. */
 	linesDropped: 'lines-dropped',
 } as const;
 
-/** One of the names of events. */
 export type EventName = (typeof EventName)[keyof typeof EventName];
--- a/packages/telemetry/src/line-budget.ts
+++ b/packages/telemetry/src/line-budget.ts
@@ -1,22 +1,22 @@
 /**
- * Bounds how many lines of one kind are written: a burst, and then a rate.
+ * Limits the rate of log lines of one kind with a token bucket.
  */
 import {type MonotonicTime} from '@dogwooddeck/model/identifiers';
 
-/** A budget of lines. It is updated in place: it is on the request path. */
+/** A token bucket for log lines. It is mutable because it is on the request path. */
 export class LineBudget {
 	readonly #perSecond: number;
 	#left: number;
 	#at: MonotonicTime = 0;
 	#dropped = 0;
 
-	/** `perSecond` lines a second, and as many at once. */
+	/** Allows `perSecond` lines a second, and a burst of the same size. */
 	constructor(perSecond: number) {
 		this.#perSecond = perSecond;
 		this.#left = perSecond;
 	}
 
-	/** Whether a line may be written now. One that may not is counted. */
+	/** Consumes a token and returns true if a line may be written now; otherwise counts a dropped line. */
 	take(now: MonotonicTime): boolean {
 		this.#left = Math.min(this.#perSecond, this.#left + ((now - this.#at) * this.#perSecond / 1000));
 		this.#at = now;
@@ -29,7 +29,7 @@
 		return true;
 	}
 
-	/** The lines that were left out since the last call. */
+	/** Returns the number of lines dropped since the last call, and resets it. */
 	takeDropped(): number {
 		const dropped = this.#dropped;
 		this.#dropped = 0;
--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -1,22 +1,22 @@
 /**
- * Writes lines to a file descriptor without ever waiting for its reader: lines
- * are gathered and written in turn, and left out while too much waits.
+ * Writes lines to a file descriptor without blocking on its reader: lines are
+ * buffered and written in order, and dropped while the buffer is full.
  */
 import {write} from 'node:fs';
 
-/** Bytes that may wait to be written. */
+/** Limit of the buffer, in characters (UTF-16 code units). */
 const mostWaitingCharacters = 262_144;
 
-/** A writer of lines. */
+/** A non-blocking writer of lines. */
 export type LineWriter = {
 	readonly write: (line: string) => void;
-	/** How many lines were left out so far. */
+	/** Returns the number of lines dropped so far. */
 	readonly dropped: () => number;
-	/** Ends when all that was taken is written. */
+	/** Resolves when all accepted lines are written, or a write has failed. */
 	readonly flush: () => Promise<void>;
 };
 
-/** Makes a writer for a descriptor, such as 1 for the standard output. */
+/** Creates a writer for a file descriptor, such as 1 for the standard output. */
 export function createLineWriter(descriptor: number): LineWriter {
 	let waiting: string[] = [];
 	let characters = 0;
--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -1,7 +1,7 @@
 /**
- * Watches how late the loop of the process is and what the process uses. A loop
- * that is late by hundreds of milliseconds explains calls that time out, on
- * either side of them.
+ * Monitors the event-loop delay and the resource use of the process. A delay of
+ * hundreds of milliseconds explains calls that time out, at the caller or at the
+ * callee.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -11,20 +11,20 @@
 import {MeasureName, type Measures, recordDuration} from './measure.js';
 import {measureProcess, processorTime} from './process-measures.js';
 
-/** How often the loop is looked at. */
+/** The interval between samples of the event-loop delay. */
 const lookMilliseconds: Milliseconds = 50;
 
-/** A loop that is late by less has no line: calls between instances may take several times as long. */
+/** Smaller delays are not logged: calls between instances may take several times as long. */
 const lateMilliseconds: Milliseconds = 200;
 const lateLinesPerSecond = 1;
 
-/** How often the load is told. */
+/** The interval between log lines about the load. */
 const tellMilliseconds: Milliseconds = 5000;
 
-/** A watch that runs. */
+/** A running monitor. */
 export type LoadWatch = {readonly stop: () => void};
 
-/** Starts to watch. `counted` gives what else belongs into the line about the load. */
+/** Starts the monitor. `counted` returns additional fields for the log line about the load. */
 export function startLoadWatch(log: Log, measures: Measures, counted: () => Fields = () => ({})): LoadWatch {
 	const delays = measures.histogram(MeasureName.loopDelay, {});
 	const lines = new LineBudget(lateLinesPerSecond);
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -1,5 +1,5 @@
 /**
- * The log: one line of key=value pairs for each event.
+ * The structured log: one line of key=value pairs for each event.
  */
 // eslint-disable-next-line import-x/no-unassigned-import, import-x/order -- it must come before roarr
 import './enable-log.js';
@@ -10,13 +10,13 @@
 } from 'roarr';
 import {type EventName} from './event.js';
 
-/** What a value of a pair may be. */
+/** The value of a log field. */
 export type FieldValue = string | number | boolean | undefined;
 
-/** The pairs of an event. */
+/** The fields of an event. */
 export type Fields = Readonly<Record<string, FieldValue>>;
 
-/** Writes events. */
+/** Writes events at three levels. */
 export type Log = {
 	readonly event: (name: EventName, fields?: Fields) => void;
 	readonly warning: (name: EventName, fields?: Fields) => void;
@@ -32,7 +32,7 @@
 
 const levelNames: Readonly<Record<number, string>> = {30: 'info', 40: 'warning', 50: 'error'};
 
-/** A message as a line of key=value pairs, its time, level and event first. */
+/** Formats a message as a line of key=value pairs, with time, level and event first. */
 export function lineOf(message: Message): string {
 	const {logLevel, ...context} = message.context as Record<string, FieldValue>;
 	const pairs = {
@@ -53,7 +53,7 @@
 	return Object.fromEntries(Object.entries(fields).filter(([, value]) => value !== undefined));
 }
 
-/** Makes the log of an instance. `write` takes each line, without its end. */
+/** Creates the log of an instance. `write` receives each line without a line terminator. */
 export function createLog(instance: InstanceName, write: (line: string) => void): Log {
 	ROARR.serializeMessage = lineOf;
 	ROARR.write = write;
--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -1,27 +1,27 @@
 /**
- * What an instance measures of itself: counters, gauges and latency histograms,
- * and their text in the exposition format that scrapers read.
+ * The metrics of an instance: counters, gauges and latency histograms, and their
+ * text in the exposition format that scrapers read.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {build, type Histogram} from 'hdr-histogram-js';
 
-/** The names of all measures. */
+/** The names of all metrics. */
 export const MeasureName = {
-	/** Requests that ended, by service, outcome and status class. */
+	/** Completed requests, by service, outcome and status class. */
 	requests: 'dogwooddeck_requests_total',
-	/** Time to a whole answer, in milliseconds, by service. */
+	/** Time to a complete answer, in milliseconds, by service. */
 	latency: 'dogwooddeck_request_milliseconds',
-	/** Attempts at upstreams that brought no answer, by service and what was seen. */
+	/** Attempts at upstreams without an answer, by service and observation. */
 	attempts: 'dogwooddeck_failed_attempts_total',
-	/** The newest log entry that is applied. */
+	/** The index of the newest applied log entry. */
 	applied: 'dogwooddeck_applied_index',
-	/** The newest log entry that is known to be committed. */
+	/** The index of the newest log entry known to be committed. */
 	committed: 'dogwooddeck_committed_index',
 	/** Messages of the replicated log, by kind and outcome. */
 	replicationMessages: 'dogwooddeck_replication_messages_total',
 	/** Characters of log entries and snapshots that were sent to other voters. */
 	replicationCharacters: 'dogwooddeck_replication_characters_total',
-	/** Announcements that were taken. */
+	/** Accepted announcements. */
 	announcements: 'dogwooddeck_announcements_total',
 	/** Time to answer an announcement, in milliseconds. */
 	announcementLatency: 'dogwooddeck_announcement_milliseconds',
@@ -29,40 +29,39 @@
 	ready: 'dogwooddeck_ready',
 	/** Whether this instance is the leader: 1 or 0. */
 	leader: 'dogwooddeck_leader',
-	/** Whether this instance is its zone's steward: 1 or 0. */
+	/** Whether this instance is the steward of its zone, which distributes the zone's leases: 1 or 0. */
 	steward: 'dogwooddeck_steward',
 	/** Resident memory in bytes. */
 	memory: 'dogwooddeck_resident_bytes',
-	/** How late timers of the process fire, in milliseconds. */
+	/** The event-loop delay: how late timers of the process fire, in milliseconds. */
 	loopDelay: 'dogwooddeck_loop_delay_milliseconds',
 	/** Calls to other instances, by call and outcome. */
 	callsMade: 'dogwooddeck_calls_made_total',
-	/** Calls of other instances, by call. */
+	/** Calls received from other instances, by call. */
 	callsTaken: 'dogwooddeck_calls_taken_total',
-	/** Holds of keys that had run out at their upstreams when those announced themselves. */
+	/** Holds (key leases at upstreams) that had expired when their upstream announced itself. */
 	holdsLapsed: 'dogwooddeck_holds_lapsed_total',
 	/** Processor time that the process has used, in milliseconds. */
 	processor: 'dogwooddeck_processor_milliseconds_total',
 } as const;
 
-/** One of the names of measures. */
 export type MeasureName = (typeof MeasureName)[keyof typeof MeasureName];
 
-/** Tells one series of a measure from another. */
+/** The labels that identify a series of a metric. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** One series that counts. Keep it: finding it costs more than counting. */
+/** The counter of one series. Keep a reference to it: the lookup costs more than an increment. */
 export type Counter = {value: number};
 
-/** The measures of one instance. The structures are mutable: they are on the request path. */
+/** The metrics of one instance. They are mutable because they are on the request path. */
 export type Measures = {
-	/** The counter of a series. */
+	/** Returns the counter of a series. */
 	readonly counter: (name: MeasureName, labels: Labels) => Counter;
 	/** Sets a gauge. */
 	readonly set: (name: MeasureName, value: number) => void;
-	/** The histogram of a series of durations. Record with `recordDuration`. */
+	/** Returns the histogram of a series of durations. Record with `recordDuration`. */
 	readonly histogram: (name: MeasureName, labels: Labels) => Histogram;
-	/** All measures as text, one series a line after the kind of its measure. */
+	/** Returns all metrics as text: a line with the type of each metric, then one line for each of its series. */
 	readonly expose: () => string;
 };
 
@@ -72,7 +71,7 @@
 const exposedQuantiles = ['0.5', '0.9', '0.99', '0.999'];
 const percentilesInWhole = 100;
 
-/** What a scraper is told of a measure's kind. */
+/** The metric types of the exposition format. */
 const SeriesKind = {counter: 'counter', gauge: 'gauge', summary: 'summary'} as const;
 type SeriesKind = (typeof SeriesKind)[keyof typeof SeriesKind];
 
@@ -114,13 +113,13 @@
 	return [`# TYPE ${name} ${kind}`, ...[...lines].sort()];
 }
 
-/** Records a duration in a histogram that `histogram` gave. */
+/** Records a duration, capped at 60 s, in a histogram that `Measures.histogram` returned. */
 export function recordDuration(histogram: Histogram, duration: Milliseconds): void {
 	const capped = Math.min(longestRecordedMilliseconds, Math.max(0, duration));
 	histogram.recordValue(Math.round(capped * unitsPerMillisecond));
 }
 
-/** Makes an empty set of measures. */
+/** Creates an empty set of metrics. */
 export function createMeasures(): Measures {
 	const counters = new Map<string, {readonly name: MeasureName; readonly counter: Counter}>();
 	const gauges = new Map<MeasureName, number>();
--- a/packages/telemetry/src/measures-server.ts
+++ b/packages/telemetry/src/measures-server.ts
@@ -1,16 +1,16 @@
 /**
- * Serves the measures of a process as text, for scrapers.
+ * An HTTP server that exposes the metrics of a process to scrapers.
  */
 import {createServer} from 'node:http';
 import {type Measures} from './measure.js';
 
-/** The path of the measures. */
+/** The request path of the metrics. */
 export const measuresPath = '/metrics';
 
-/** Where the measures are served. */
+/** A running metrics server. */
 export type MeasuresServer = {readonly close: () => void};
 
-/** Starts to serve. An address that can't be bound is told to `failed` and costs only the measures. */
+/** Starts the server. An address that can't be bound is reported to `failed`; then only the metrics are unavailable. */
 export function serveMeasures(host: string, port: number, measures: Measures, failed: (error: Error) => void): MeasuresServer {
 	const server = createServer((request, response) => {
 		const isKnown = request.url === measuresPath;
--- a/packages/telemetry/src/process-measures.ts
+++ b/packages/telemetry/src/process-measures.ts
@@ -1,5 +1,5 @@
 /**
- * What the process itself uses.
+ * The processor time and memory use of the process.
  */
 import process from 'node:process';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -7,13 +7,13 @@
 
 const microsecondsInMillisecond = 1000;
 
-/** Processor time that the process has used. */
+/** Returns the user and system processor time that the process has used. */
 export function processorTime(): Milliseconds {
 	const {user, system} = process.cpuUsage();
 	return (user + system) / microsecondsInMillisecond;
 }
 
-/** Brings the gauges of memory and processor time up to date. */
+/** Updates the gauges of memory and processor time. */
 export function measureProcess(measures: Measures): void {
 	measures.set(MeasureName.memory, process.memoryUsage.rss());
 	measures.set(MeasureName.processor, processorTime());
--- a/packages/telemetry/test/test-load-watch.ts
+++ b/packages/telemetry/test/test-load-watch.ts
@@ -9,7 +9,7 @@
 
 const cases: ReadonlyArray<{readonly name: string; readonly lateBy: readonly number[]; readonly told: readonly number[]}> = [
 	{name: 'on time', lateBy: [0, 0, 0], told: []},
-	{name: 'late by less than what counts', lateBy: [0, 150, 0], told: []},
+	{name: 'late by less than the logged minimum', lateBy: [0, 150, 0], told: []},
 	{name: 'late once', lateBy: [0, 400, 0], told: [400]},
 	{name: 'late again within a second', lateBy: [400, 400], told: [400]},
 	{name: 'late again after a second', lateBy: [400, 1100, 400], told: [400, 1100]},
@@ -37,7 +37,7 @@
 	});
 }
 
-test('load watch: tells what the process used, and what else is counted', context => {
+test('load watch: logs the resource use of the process, and additional fields', context => {
 	let now = 1000;
 	const lines: Line[] = [];
 	const log: Log = {
--- a/packages/telemetry/test/test-log.ts
+++ b/packages/telemetry/test/test-log.ts
@@ -20,7 +20,7 @@
 		expected: String.raw`level=warning event=input-refused instance=alfa reason="a \"b\"\nc" count=3`,
 	},
 	{
-		name: 'a failure gives its kind and detail',
+		name: 'a failure is logged with its kind and detail',
 		write(log) {
 			log.error(EventName.requestFailed, failure(FailureKind.noOwner, 'slot 3'), {service: 'a/b'});
 		},
--- a/packages/telemetry/test/test-measure.ts
+++ b/packages/telemetry/test/test-measure.ts
@@ -7,7 +7,7 @@
 const cases: ReadonlyArray<{readonly name: string; readonly note: (measures: Measures) => void; readonly expected: readonly string[]}> = [
 	{name: 'nothing', note: () => undefined, expected: ['']},
 	{
-		name: 'counters of one name stand together, and gauges by themselves',
+		name: 'counters of one name are grouped, and gauges are separate',
 		note(measures) {
 			measures.counter(MeasureName.requests, {service: 'a/b', outcome: 'ran'}).value += 2;
 			measures.set(MeasureName.ready, 1);
@@ -22,7 +22,7 @@
 		],
 	},
 	{
-		name: 'durations by quantile, and their count',
+		name: 'quantiles and count of durations',
 		note(measures) {
 			recordDuration(measures.histogram(MeasureName.latency, {service: 'a/b'}), 5);
 		},
