--- a/packages/storage/src/files.ts
+++ b/packages/storage/src/files.ts
@@ -9,7 +9,7 @@
 import {failure, FailureError, FailureKind} from '@dogwooddeck/model/failure';
 
 /** Creates the `storageDamaged` failure for a file whose content is corrupt. */
-export function damaged(file: string, offsetBytes: number, detail: string): FailureError {
+export function damagedFailure(file: string, offsetBytes: number, detail: string): FailureError {
 	return new FailureError(failure(FailureKind.storageDamaged, detail, {location: {file, offsetBytes}}));
 }
 
--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -13,7 +13,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 import loadHash, {type XXHashAPI} from 'xxhash-wasm';
 import {
-	damaged, readIfThere, replaceFile, syncFolder,
+	damagedFailure, readIfThere, replaceFile, syncFolder,
 } from './files.js';
 import {type FolderLock, holdFolder} from './lock.js';
 import {
@@ -55,7 +55,7 @@
 	const bytes = await readIfThere(file);
 	const text = bytes === undefined ? undefined : new TextDecoder().decode(bytes);
 	if (text !== undefined && !/^dogwooddeck folder 1 [\w\-]+\n$/v.test(text)) {
-		throw damaged(file, 0, 'The file does not hold a folder identity of format 1.');
+		throw damagedFailure(file, 0, 'The file does not hold a folder identity of format 1.');
 	}
 
 	return text?.trim().split(' ').at(-1);
@@ -79,16 +79,16 @@
 	const snapshot = await readSnapshot(hash, paths.snapshot);
 	const log = await readLogFile(hash, paths.log);
 	if (log === undefined && (identity !== undefined || snapshot !== undefined)) {
-		throw damaged(paths.log, 0, 'The log is missing.');
+		throw damagedFailure(paths.log, 0, 'The log is missing.');
 	}
 
 	const saved = stateOf(log?.records ?? [], snapshot);
 	if (saved === undefined) {
-		throw damaged(paths.log, 0, 'Entries are missing between the snapshot and the log.');
+		throw damagedFailure(paths.log, 0, 'Entries are missing between the snapshot and the log.');
 	}
 
 	if (identity === undefined && !isEmpty(saved)) {
-		throw damaged(paths.identity, 0, 'The folder holds a log but its identity is missing.');
+		throw damagedFailure(paths.identity, 0, 'The folder holds a log but its identity is missing.');
 	}
 
 	return {identity, log, saved};
--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -7,7 +7,7 @@
 import {type XXHashAPI} from 'xxhash-wasm';
 import {encodeFrame, scanFrames} from './frame.js';
 import {
-	damaged, readIfThere, replaceFile, writeFully,
+	damagedFailure, readIfThere, replaceFile, writeFully,
 } from './files.js';
 import {type LogRecord} from './record.js';
 
@@ -39,12 +39,12 @@
 	}
 
 	if (!hasFormat(bytes, format)) {
-		throw damaged(file, 0, 'The file does not begin with the header of log format 1.');
+		throw damagedFailure(file, 0, 'The file does not begin with the header of log format 1.');
 	}
 
 	const scan = scanFrames(hash, bytes, format.length);
 	if (scan.wholeFrameFollows) {
-		throw damaged(file, scan.endOffset, 'A record in the middle of the log is damaged.');
+		throw damagedFailure(file, scan.endOffset, 'A record in the middle of the log is damaged.');
 	}
 
 	return {records: scan.payloads.map(payload => JSON.parse(payload) as LogRecord), endOffset: scan.endOffset};
--- a/packages/storage/src/snapshot-file.ts
+++ b/packages/storage/src/snapshot-file.ts
@@ -4,7 +4,7 @@
 import {Buffer} from 'node:buffer';
 import {type Snapshot} from '@dogwooddeck/consensus/message';
 import {type XXHashAPI} from 'xxhash-wasm';
-import {damaged, readIfThere, replaceFile} from './files.js';
+import {damagedFailure, readIfThere, replaceFile} from './files.js';
 import {encodeFrame, scanFrames} from './frame.js';
 import {hasFormat} from './log-file.js';
 
@@ -18,12 +18,12 @@
 	}
 
 	if (!hasFormat(bytes, format)) {
-		throw damaged(file, 0, 'The file does not begin with the header of snapshot format 1.');
+		throw damagedFailure(file, 0, 'The file does not begin with the header of snapshot format 1.');
 	}
 
 	const {payloads, endOffset} = scanFrames(hash, bytes, format.length);
 	if (payloads.length !== 1 || endOffset !== bytes.length) {
-		throw damaged(file, payloads.length === 1 ? endOffset : format.length, 'The snapshot is damaged.');
+		throw damagedFailure(file, payloads.length === 1 ? endOffset : format.length, 'The snapshot is damaged.');
 	}
 
 	return JSON.parse(payloads[0]!) as Snapshot;
