--- a/packages/storage/src/files.ts
+++ b/packages/storage/src/files.ts
@@ -48,7 +48,7 @@
 }
 
 /** Reads a file; returns undefined if it does not exist. */
-export async function readIfThere(file: string): Promise<Uint8Array | undefined> {
+export async function readIfExists(file: string): Promise<Uint8Array | undefined> {
 	try {
 		return await readFile(file);
 	} catch (error) {
--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -13,7 +13,7 @@
 import {err, ok, type Result} from 'true-myth/result';
 import loadHash, {type XXHashAPI} from 'xxhash-wasm';
 import {
-	damagedFailure, readIfThere, replaceFile, syncFolder,
+	damagedFailure, readIfExists, replaceFile, syncFolder,
 } from './files.js';
 import {type FolderLock, holdFolder} from './lock.js';
 import {
@@ -52,7 +52,7 @@
 }
 
 async function readIdentity(file: string): Promise<string | undefined> {
-	const bytes = await readIfThere(file);
+	const bytes = await readIfExists(file);
 	const text = bytes === undefined ? undefined : new TextDecoder().decode(bytes);
 	if (text !== undefined && !/^dogwooddeck folder 1 [\w\-]+\n$/v.test(text)) {
 		throw damagedFailure(file, 0, 'The file does not hold a folder identity of format 1.');
--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -18,7 +18,7 @@
 	failure, FailureError, FailureKind, toFailure, type Failure,
 } from '@dogwooddeck/model/failure';
 import {err, ok, type Result} from 'true-myth/result';
-import {readIfThere} from './files.js';
+import {readIfExists} from './files.js';
 
 /** A lock on a folder that this process holds. */
 export type FolderLock = {
@@ -51,7 +51,7 @@
 
 /** Describes the holder. Until a new holder has written the file, it may name an earlier one. */
 async function describeHolder(folder: string): Promise<string> {
-	const bytes = await readIfThere(path.join(folder, holderFile));
+	const bytes = await readIfExists(path.join(folder, holderFile));
 	const {processNumber, startedAt} = holderForm.exec(new TextDecoder().decode(bytes))?.groups ?? {};
 	const lives = processNumber !== undefined && await startOf(Number(processNumber)) === startedAt;
 	return lives ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not yet written its process number';
--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -7,7 +7,7 @@
 import {type XXHashAPI} from 'xxhash-wasm';
 import {encodeFrame, scanFrames} from './frame.js';
 import {
-	damagedFailure, readIfThere, replaceFile, writeFully,
+	damagedFailure, readIfExists, replaceFile, writeFully,
 } from './files.js';
 import {type LogRecord} from './record.js';
 
@@ -33,7 +33,7 @@
 
 /** Reads the records of the log file; returns undefined if it does not exist. */
 export async function readLogFile(hash: XXHashAPI, file: string): Promise<LogContent | undefined> {
-	const bytes = await readIfThere(file);
+	const bytes = await readIfExists(file);
 	if (bytes === undefined) {
 		return undefined;
 	}
--- a/packages/storage/src/snapshot-file.ts
+++ b/packages/storage/src/snapshot-file.ts
@@ -4,7 +4,7 @@
 import {Buffer} from 'node:buffer';
 import {type Snapshot} from '@dogwooddeck/consensus/message';
 import {type XXHashAPI} from 'xxhash-wasm';
-import {damagedFailure, readIfThere, replaceFile} from './files.js';
+import {damagedFailure, readIfExists, replaceFile} from './files.js';
 import {encodeFrame, scanFrames} from './frame.js';
 import {hasFormat} from './log-file.js';
 
@@ -12,7 +12,7 @@
 
 /** Reads the snapshot; returns undefined if there is none. */
 export async function readSnapshot(hash: XXHashAPI, file: string): Promise<Snapshot | undefined> {
-	const bytes = await readIfThere(file);
+	const bytes = await readIfExists(file);
 	if (bytes === undefined) {
 		return undefined;
 	}
