--- a/packages/storage/src/frame.ts
+++ b/packages/storage/src/frame.ts
@@ -5,9 +5,9 @@
 import {type XXHashAPI} from 'xxhash-wasm';
 
 /** Bytes that never occur in UTF-8 text, so that a later frame can be found after a damaged one. */
-const mark = Uint8Array.of(0xFF, 0xDD, 0xFE, 0xC1);
+const magic = Uint8Array.of(0xFF, 0xDD, 0xFE, 0xC1);
 
-const lengthOffset = mark.length;
+const lengthOffset = magic.length;
 const checksumOffset = lengthOffset + 4;
 const headerBytes = checksumOffset + 8;
 
@@ -29,7 +29,7 @@
 	const text = new TextEncoder().encode(payload);
 	const frame = new Uint8Array(headerBytes + text.length);
 	const view = new DataView(frame.buffer);
-	frame.set(mark, 0);
+	frame.set(magic, 0);
 	frame.set(text, headerBytes);
 	view.setUint32(lengthOffset, text.length, true);
 	view.setBigUint64(checksumOffset, checksumOf(hash, frame, 0, text.length), true);
@@ -38,7 +38,7 @@
 
 /** Returns the payload of the valid frame at an offset; undefined if there is none. */
 function frameAt(hash: XXHashAPI, bytes: Uint8Array, offset: number): {readonly payload: Uint8Array; readonly end: number} | undefined {
-	if (offset + headerBytes > bytes.length || mark.some((byte, position) => bytes[offset + position] !== byte)) {
+	if (offset + headerBytes > bytes.length || magic.some((byte, position) => bytes[offset + position] !== byte)) {
 		return undefined;
 	}
 
@@ -50,13 +50,13 @@
 }
 
 function wholeFrameAfter(hash: XXHashAPI, bytes: Uint8Array, offset: number): boolean {
-	let candidate = bytes.indexOf(mark[0]!, offset + 1);
+	let candidate = bytes.indexOf(magic[0]!, offset + 1);
 	while (candidate !== -1) {
 		if (frameAt(hash, bytes, candidate) !== undefined) {
 			return true;
 		}
 
-		candidate = bytes.indexOf(mark[0]!, candidate + 1);
+		candidate = bytes.indexOf(magic[0]!, candidate + 1);
 	}
 
 	return false;
