--- a/packages/storage/src/frame.ts
+++ b/packages/storage/src/frame.ts
@@ -45,8 +45,8 @@
 	const view = new DataView(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 	const length = view.getUint32(offset + lengthOffset, true);
 	const end = offset + headerBytes + length;
-	const whole = end <= bytes.length && checksumOf(hash, bytes, offset, length) === view.getBigUint64(offset + checksumOffset, true);
-	return whole ? {payload: bytes.subarray(offset + headerBytes, end), end} : undefined;
+	const isValid = end <= bytes.length && checksumOf(hash, bytes, offset, length) === view.getBigUint64(offset + checksumOffset, true);
+	return isValid ? {payload: bytes.subarray(offset + headerBytes, end), end} : undefined;
 }
 
 function wholeFrameAfter(hash: XXHashAPI, bytes: Uint8Array, offset: number): boolean {
