--- a/packages/storage/src/frame.ts
+++ b/packages/storage/src/frame.ts
@@ -16,7 +16,7 @@
 	readonly payloads: readonly string[];
 	readonly endOffset: number;
 	/** Whether a valid frame follows `endOffset`: then the file is damaged, rather than torn at its end. */
-	readonly wholeFrameFollows: boolean;
+	readonly validFrameFollows: boolean;
 };
 
 function checksumOf(hash: XXHashAPI, bytes: Uint8Array, offset: number, length: number): bigint {
@@ -74,5 +74,5 @@
 		frame = frameAt(hash, bytes, endOffset);
 	}
 
-	return {payloads, endOffset, wholeFrameFollows: endOffset < bytes.length && wholeFrameAfter(hash, bytes, endOffset)};
+	return {payloads, endOffset, validFrameFollows: endOffset < bytes.length && wholeFrameAfter(hash, bytes, endOffset)};
 }
--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -43,7 +43,7 @@
 	}
 
 	const scan = scanFrames(hash, bytes, format.length);
-	if (scan.wholeFrameFollows) {
+	if (scan.validFrameFollows) {
 		throw damagedFailure(file, scan.endOffset, 'A record in the middle of the log is damaged.');
 	}
 
