--- a/packages/storage/src/frame.ts
+++ b/packages/storage/src/frame.ts
@@ -49,7 +49,7 @@
 	return isValid ? {payload: bytes.subarray(offset + headerBytes, end), end} : undefined;
 }
 
-function wholeFrameAfter(hash: XXHashAPI, bytes: Uint8Array, offset: number): boolean {
+function hasValidFrameAfter(hash: XXHashAPI, bytes: Uint8Array, offset: number): boolean {
 	let candidate = bytes.indexOf(magic[0]!, offset + 1);
 	while (candidate !== -1) {
 		if (frameAt(hash, bytes, candidate) !== undefined) {
@@ -74,5 +74,5 @@
 		frame = frameAt(hash, bytes, endOffset);
 	}
 
-	return {payloads, endOffset, validFrameFollows: endOffset < bytes.length && wholeFrameAfter(hash, bytes, endOffset)};
+	return {payloads, endOffset, validFrameFollows: endOffset < bytes.length && hasValidFrameAfter(hash, bytes, endOffset)};
 }
