--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -26,7 +26,7 @@
 };
 
 const holderFile = 'holder';
-const holderForm = /^dogwooddeck holder 1 (?<processNumber>\d+) (?<startedAt>\d+)\n$/v;
+const holderPattern = /^dogwooddeck holder 1 (?<processNumber>\d+) (?<startedAt>\d+)\n$/v;
 
 /** The full length of an abstract socket name. Some versions of the runtime pad shorter names, which makes them different names. */
 const socketNameBytes = 108;
@@ -52,7 +52,7 @@
 /** Describes the holder. Until a new holder has written the file, it may name an earlier one. */
 async function describeHolder(folder: string): Promise<string> {
 	const bytes = await readIfExists(path.join(folder, holderFile));
-	const {processNumber, startedAt} = holderForm.exec(new TextDecoder().decode(bytes))?.groups ?? {};
+	const {processNumber, startedAt} = holderPattern.exec(new TextDecoder().decode(bytes))?.groups ?? {};
 	const lives = processNumber !== undefined && await startOf(Number(processNumber)) === startedAt;
 	return lives ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not yet written its process number';
 }
