--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -35,7 +35,7 @@
 const startedAtPosition = 19;
 
 /** Returns when a process started, in clock ticks since boot. With the process number it identifies one incarnation; undefined if it cannot be read. */
-async function startOf(processNumber: number): Promise<string | undefined> {
+async function readStartTime(processNumber: number): Promise<string | undefined> {
 	try {
 		const text = await readFile(`/proc/${processNumber}/stat`, 'utf8');
 		return text.slice(text.lastIndexOf(')') + 2).split(' ')[startedAtPosition];
@@ -45,7 +45,7 @@
 }
 
 async function writeHolder(folder: string): Promise<void> {
-	const startedAt = await startOf(process.pid);
+	const startedAt = await readStartTime(process.pid);
 	await writeFile(path.join(folder, holderFile), `dogwooddeck holder 1 ${process.pid} ${startedAt ?? 0}\n`);
 }
 
@@ -53,7 +53,7 @@
 async function describeHolder(folder: string): Promise<string> {
 	const bytes = await readIfExists(path.join(folder, holderFile));
 	const {processNumber, startedAt} = holderPattern.exec(new TextDecoder().decode(bytes))?.groups ?? {};
-	const lives = processNumber !== undefined && await startOf(Number(processNumber)) === startedAt;
+	const lives = processNumber !== undefined && await readStartTime(Number(processNumber)) === startedAt;
 	return lives ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not yet written its process number';
 }
 
