--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -32,13 +32,13 @@
 const socketNameBytes = 108;
 
 /** The position of the start time among the fields of `/proc/PID/stat` that follow the command's name. */
-const startedAtPosition = 19;
+const startTimeFieldIndex = 19;
 
 /** Returns when a process started, in clock ticks since boot. With the process number it identifies one incarnation; undefined if it cannot be read. */
 async function readStartTime(processNumber: number): Promise<string | undefined> {
 	try {
 		const text = await readFile(`/proc/${processNumber}/stat`, 'utf8');
-		return text.slice(text.lastIndexOf(')') + 2).split(' ')[startedAtPosition];
+		return text.slice(text.lastIndexOf(')') + 2).split(' ')[startTimeFieldIndex];
 	} catch {
 		return undefined;
 	}
