--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -53,8 +53,8 @@
 async function describeHolder(folder: string): Promise<string> {
 	const bytes = await readIfExists(path.join(folder, holderFile));
 	const {processNumber, startedAt} = holderPattern.exec(new TextDecoder().decode(bytes))?.groups ?? {};
-	const lives = processNumber !== undefined && await readStartTime(Number(processNumber)) === startedAt;
-	return lives ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not yet written its process number';
+	const isRunning = processNumber !== undefined && await readStartTime(Number(processNumber)) === startedAt;
+	return isRunning ? `process ${processNumber}, started at tick ${startedAt}` : 'a process that has not yet written its process number';
 }
 
 async function socketName(folder: string): Promise<string> {
