--- a/packages/storage/src/lock.ts
+++ b/packages/storage/src/lock.ts
@@ -72,7 +72,7 @@
 	return server;
 }
 
-async function lock(folder: string): Promise<FolderLock> {
+async function acquireLock(folder: string): Promise<FolderLock> {
 	if (process.platform !== 'linux') {
 		return {
 			async release() {
@@ -99,7 +99,7 @@
  */
 export async function lockFolder(folder: string): Promise<Result<FolderLock, Failure>> {
 	try {
-		return ok(await lock(folder));
+		return ok(await acquireLock(folder));
 	} catch (error) {
 		return err((error as NodeJS.ErrnoException).code === 'EADDRINUSE'
 			? failure(FailureKind.conflict, `the data folder ${folder} is held by ${await describeHolder(folder)}`)
