--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -20,7 +20,7 @@
 };
 
 /** Returns whether a file begins with the expected format line. */
-export function hasFormat(bytes: Uint8Array, expected: Uint8Array): boolean {
+export function hasFormatLine(bytes: Uint8Array, expected: Uint8Array): boolean {
 	return bytes.length >= expected.length && expected.every((byte, position) => bytes[position] === byte);
 }
 
@@ -38,7 +38,7 @@
 		return undefined;
 	}
 
-	if (!hasFormat(bytes, format)) {
+	if (!hasFormatLine(bytes, format)) {
 		throw damagedFailure(file, 0, 'The file does not begin with the header of log format 1.');
 	}
 
--- a/packages/storage/src/snapshot-file.ts
+++ b/packages/storage/src/snapshot-file.ts
@@ -6,7 +6,7 @@
 import {type XXHashAPI} from 'xxhash-wasm';
 import {damagedFailure, readIfExists, replaceFile} from './files.js';
 import {encodeFrame, scanFrames} from './frame.js';
-import {hasFormat} from './log-file.js';
+import {hasFormatLine} from './log-file.js';
 
 const format = new TextEncoder().encode('dogwooddeck snapshot 1\n');
 
@@ -17,7 +17,7 @@
 		return undefined;
 	}
 
-	if (!hasFormat(bytes, format)) {
+	if (!hasFormatLine(bytes, format)) {
 		throw damagedFailure(file, 0, 'The file does not begin with the header of snapshot format 1.');
 	}
 
