--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -11,7 +11,7 @@
 } from './files.js';
 import {type LogRecord} from './record.js';
 
-const format = new TextEncoder().encode('dogwooddeck log 1\n');
+const formatLine = new TextEncoder().encode('dogwooddeck log 1\n');
 
 /** A log file open for writing. */
 export type LogFile = {
@@ -38,11 +38,11 @@
 		return undefined;
 	}
 
-	if (!hasFormatLine(bytes, format)) {
+	if (!hasFormatLine(bytes, formatLine)) {
 		throw damagedFailure(file, 0, 'The file does not begin with the header of log format 1.');
 	}
 
-	const scan = scanFrames(hash, bytes, format.length);
+	const scan = scanFrames(hash, bytes, formatLine.length);
 	if (scan.validFrameFollows) {
 		throw damagedFailure(file, scan.endOffset, 'A record in the middle of the log is damaged.');
 	}
@@ -64,7 +64,7 @@
 
 /** Replaces the log file atomically and opens the new one. */
 export async function replaceLogFile(hash: XXHashAPI, file: string, records: readonly LogRecord[]): Promise<LogFile> {
-	const bytes = Buffer.concat([format, ...records.map(record => encodeFrame(hash, JSON.stringify(record)))]);
+	const bytes = Buffer.concat([formatLine, ...records.map(record => encodeFrame(hash, JSON.stringify(record)))]);
 	await replaceFile(file, bytes);
 	return {handle: await open(file, 'r+'), endOffset: bytes.length};
 }
