--- a/packages/storage/src/snapshot-file.ts
+++ b/packages/storage/src/snapshot-file.ts
@@ -8,7 +8,7 @@
 import {encodeFrame, scanFrames} from './frame.js';
 import {hasFormatLine} from './log-file.js';
 
-const format = new TextEncoder().encode('dogwooddeck snapshot 1\n');
+const formatLine = new TextEncoder().encode('dogwooddeck snapshot 1\n');
 
 /** Reads the snapshot; returns undefined if there is none. */
 export async function readSnapshot(hash: XXHashAPI, file: string): Promise<Snapshot | undefined> {
@@ -17,13 +17,13 @@
 		return undefined;
 	}
 
-	if (!hasFormatLine(bytes, format)) {
+	if (!hasFormatLine(bytes, formatLine)) {
 		throw damagedFailure(file, 0, 'The file does not begin with the header of snapshot format 1.');
 	}
 
-	const {payloads, endOffset} = scanFrames(hash, bytes, format.length);
+	const {payloads, endOffset} = scanFrames(hash, bytes, formatLine.length);
 	if (payloads.length !== 1 || endOffset !== bytes.length) {
-		throw damagedFailure(file, payloads.length === 1 ? endOffset : format.length, 'The snapshot is damaged.');
+		throw damagedFailure(file, payloads.length === 1 ? endOffset : formatLine.length, 'The snapshot is damaged.');
 	}
 
 	return JSON.parse(payloads[0]!) as Snapshot;
@@ -31,5 +31,5 @@
 
 /** Replaces the snapshot file atomically. */
 export async function writeSnapshot(hash: XXHashAPI, file: string, snapshot: Snapshot): Promise<void> {
-	await replaceFile(file, Buffer.concat([format, encodeFrame(hash, JSON.stringify(snapshot))]));
+	await replaceFile(file, Buffer.concat([formatLine, encodeFrame(hash, JSON.stringify(snapshot))]));
 }
