--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -19,7 +19,7 @@
 import {
 	openLogFile, readLogFile, replaceLogFile, type LogContent,
 } from './log-file.js';
-import {isEmpty, stateOf} from './record.js';
+import {isEmpty, replayRecords} from './record.js';
 import {readSnapshot} from './snapshot-file.js';
 import {Storage} from './storage.js';
 
@@ -82,7 +82,7 @@
 		throw damagedFailure(paths.log, 0, 'The log is missing.');
 	}
 
-	const saved = stateOf(log?.records ?? [], snapshot);
+	const saved = replayRecords(log?.records ?? [], snapshot);
 	if (saved === undefined) {
 		throw damagedFailure(paths.log, 0, 'Entries are missing between the snapshot and the log.');
 	}
--- a/packages/storage/src/record.ts
+++ b/packages/storage/src/record.ts
@@ -37,7 +37,7 @@
 }
 
 /** Replays the records of a log on top of a snapshot. Returns undefined if entries are missing. */
-export function stateOf(records: readonly LogRecord[], snapshot: Snapshot | undefined): SavedState | undefined {
+export function replayRecords(records: readonly LogRecord[], snapshot: Snapshot | undefined): SavedState | undefined {
 	const list: LogEntry[] = [];
 	for (const record of records) {
 		mergeEntries(list, record.entries);
