--- a/packages/storage/src/record.ts
+++ b/packages/storage/src/record.ts
@@ -21,8 +21,8 @@
 /** Returns the entries to keep with a snapshot: those after it if the log agrees with the snapshot or begins after it. */
 export function entriesAfter(entries: readonly LogEntry[], snapshot: Snapshot): readonly LogEntry[] {
 	const first = entries[0]?.index ?? 0;
-	const same = entries[snapshot.index - first];
-	return first > snapshot.index || same?.term === snapshot.term ? entries.slice(Math.max(0, snapshot.index + 1 - first)) : [];
+	const entryAtSnapshot = entries[snapshot.index - first];
+	return first > snapshot.index || entryAtSnapshot?.term === snapshot.term ? entries.slice(Math.max(0, snapshot.index + 1 - first)) : [];
 }
 
 /** Replaces the entries from the index of the first new one on. Mutates the list, which is private to the storage. */
