--- a/packages/storage/src/record.ts
+++ b/packages/storage/src/record.ts
@@ -46,6 +46,6 @@
 	const hardState = records.at(-1)?.hardState ?? emptySavedState.hardState;
 	const entries = snapshot === undefined ? list : entriesAfter(list, snapshot);
 	const expected = (snapshot?.index ?? 0) + 1;
-	const whole = entries.every((entry, offset) => entry.index === expected + offset);
-	return whole ? {hardState, entries, ...(snapshot === undefined ? {} : {snapshot})} : undefined;
+	const isContiguous = entries.every((entry, offset) => entry.index === expected + offset);
+	return isContiguous ? {hardState, entries, ...(snapshot === undefined ? {} : {snapshot})} : undefined;
 }
