--- a/packages/storage/src/record.ts
+++ b/packages/storage/src/record.ts
@@ -38,13 +38,13 @@
 
 /** Replays the records of a log on top of a snapshot. Returns undefined if entries are missing. */
 export function replayRecords(records: readonly LogRecord[], snapshot: Snapshot | undefined): SavedState | undefined {
-	const list: LogEntry[] = [];
+	const replayed: LogEntry[] = [];
 	for (const record of records) {
-		mergeEntries(list, record.entries);
+		mergeEntries(replayed, record.entries);
 	}
 
 	const hardState = records.at(-1)?.hardState ?? emptySavedState.hardState;
-	const entries = snapshot === undefined ? list : entriesAfter(list, snapshot);
+	const entries = snapshot === undefined ? replayed : entriesAfter(replayed, snapshot);
 	const expected = (snapshot?.index ?? 0) + 1;
 	const isContiguous = entries.every((entry, offset) => entry.index === expected + offset);
 	return isContiguous ? {hardState, entries, ...(snapshot === undefined ? {} : {snapshot})} : undefined;
