--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -46,7 +46,7 @@
 	};
 }
 
-async function makeFolder(folder: string): Promise<void> {
+async function createFolder(folder: string): Promise<void> {
 	await mkdir(folder, {recursive: true});
 	await syncFolder(path.dirname(path.resolve(folder)));
 }
@@ -136,7 +136,7 @@
 };
 
 async function open(folder: string, {found = false, locking = FolderLocking.own}: FolderOptions): Promise<OpenFolder> {
-	await makeFolder(folder);
+	await createFolder(folder);
 	const lock = await holders[locking](folder);
 	try {
 		return await openHeld(folder, found, lock);
