--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -62,7 +62,7 @@
 }
 
 /** Writes the identity file last, so that a folder with an identity always has a log. */
-async function makeIdentity(file: string, found: boolean): Promise<string> {
+async function createIdentity(file: string, found: boolean): Promise<string> {
 	const identity = found ? bootstrapFolder : randomUUID();
 	await replaceFile(file, new TextEncoder().encode(`dogwooddeck folder 1 ${identity}\n`));
 	return identity;
@@ -104,7 +104,7 @@
 	}
 
 	const file = log === undefined ? await replaceLogFile(hash, paths.log, []) : await openLogFile(paths.log, log);
-	const folderIdentity = identity ?? await makeIdentity(paths.identity, found);
+	const folderIdentity = identity ?? await createIdentity(paths.identity, found);
 	const parts = {
 		hash, logPath: paths.log, snapshotPath: paths.snapshot, release,
 	};
