--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -94,7 +94,7 @@
 	return {identity, log, saved};
 }
 
-async function openHeld(folder: string, found: boolean, {release}: FolderLock): Promise<OpenFolder> {
+async function openLocked(folder: string, found: boolean, {release}: FolderLock): Promise<OpenFolder> {
 	const paths = pathsOf(folder);
 	const hash = await loadHash();
 	const {identity, log, saved} = await readFolder(hash, paths);
@@ -139,7 +139,7 @@
 	await createFolder(folder);
 	const lock = await holders[locking](folder);
 	try {
-		return await openHeld(folder, found, lock);
+		return await openLocked(folder, found, lock);
 	} catch (error) {
 		await lock.release();
 		throw error;
