--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -126,7 +126,7 @@
 /** Options of `openFolder`: whether to bootstrap a cluster, and how the folder is locked. */
 export type FolderOptions = {readonly found?: boolean; readonly locking?: FolderLocking};
 
-const holders: Readonly<Record<FolderLocking, (folder: string) => Promise<FolderLock>>> = {
+const lockFunctions: Readonly<Record<FolderLocking, (folder: string) => Promise<FolderLock>>> = {
 	[FolderLocking.own]: holdFolder,
 	[FolderLocking.byOthers]: async () => ({
 		async release() {
@@ -137,7 +137,7 @@
 
 async function open(folder: string, {found = false, locking = FolderLocking.own}: FolderOptions): Promise<OpenFolder> {
 	await createFolder(folder);
-	const lock = await holders[locking](folder);
+	const lock = await lockFunctions[locking](folder);
 	try {
 		return await openLocked(folder, found, lock);
 	} catch (error) {
