--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -105,11 +105,11 @@
 
 	const file = log === undefined ? await replaceLogFile(hash, paths.log, []) : await openLogFile(paths.log, log);
 	const folderIdentity = identity ?? await createIdentity(paths.identity, found);
-	const parts = {
+	const dependencies = {
 		hash, logPath: paths.log, snapshotPath: paths.snapshot, release,
 	};
 	return {
-		storage: new Storage(parts, file, saved), saved, folderIdentity, fresh,
+		storage: new Storage(dependencies, file, saved), saved, folderIdentity, fresh,
 	};
 }
 
