--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -22,7 +22,7 @@
 };
 
 /** The file paths and collaborators of a storage. */
-export type StorageParts = {
+export type StorageDependencies = {
 	readonly hash: XXHashAPI;
 	readonly logPath: string;
 	readonly snapshotPath: string;
@@ -32,7 +32,7 @@
 
 /** The durable storage of one voter. After a failed write it rejects all requests, since the content of the file is then unknown. */
 export class Storage {
-	readonly #parts: StorageParts;
+	readonly #parts: StorageDependencies;
 	#log: LogFile;
 	#entries: LogEntry[];
 	#waiting: Waiting[] = [];
@@ -40,7 +40,7 @@
 	#failed: Failure | undefined;
 
 	/** Continues from the state that was read when the folder was opened. */
-	constructor(parts: StorageParts, log: LogFile, saved: SavedState) {
+	constructor(parts: StorageDependencies, log: LogFile, saved: SavedState) {
 		this.#parts = parts;
 		this.#log = log;
 		this.#entries = [...saved.entries];
