--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -40,8 +40,8 @@
 	#failed: Failure | undefined;
 
 	/** Continues from the state that was read when the folder was opened. */
-	constructor(parts: StorageDependencies, log: LogFile, saved: SavedState) {
-		this.#parts = parts;
+	constructor(dependencies: StorageDependencies, log: LogFile, saved: SavedState) {
+		this.#parts = dependencies;
 		this.#log = log;
 		this.#entries = [...saved.entries];
 	}
