--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -32,7 +32,7 @@
 
 /** The durable storage of one voter. After a failed write it rejects all requests, since the content of the file is then unknown. */
 export class Storage {
-	readonly #parts: StorageDependencies;
+	readonly #dependencies: StorageDependencies;
 	#log: LogFile;
 	#entries: LogEntry[];
 	#waiting: Waiting[] = [];
@@ -41,7 +41,7 @@
 
 	/** Continues from the state that was read when the folder was opened. */
 	constructor(dependencies: StorageDependencies, log: LogFile, saved: SavedState) {
-		this.#parts = dependencies;
+		this.#dependencies = dependencies;
 		this.#log = log;
 		this.#entries = [...saved.entries];
 	}
@@ -63,7 +63,7 @@
 		await this.#writing;
 		this.#failed ??= failure(FailureKind.storageFailed, 'The storage is closed.');
 		await this.#log.handle.close();
-		await this.#parts.release();
+		await this.#dependencies.release();
 	}
 
 	async #writeAll(): Promise<void> {
@@ -115,11 +115,11 @@
 	}
 
 	async #append(record: {readonly hardState: HardState; readonly entries: readonly LogEntry[]}): Promise<void> {
-		this.#log = await appendRecord(this.#parts.hash, this.#log, record);
+		this.#log = await appendRecord(this.#dependencies.hash, this.#log, record);
 	}
 
 	async #compact(hardState: HardState, snapshot: Snapshot): Promise<void> {
-		const {hash, snapshotPath, logPath} = this.#parts;
+		const {hash, snapshotPath, logPath} = this.#dependencies;
 		const old = this.#log.handle;
 		await writeSnapshot(hash, snapshotPath, snapshot);
 		this.#log = await replaceLogFile(hash, logPath, [{hardState, entries: this.#entries}]);
