--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -16,7 +16,7 @@
 /** The state that a voter asks to persist. */
 export type PersistRequest = Omit<Extract<ConsensusEffect, {readonly kind: 'persist'}>, 'kind' | 'ticket'>;
 
-type Waiting = {
+type PendingRequest = {
 	readonly request: PersistRequest;
 	readonly answer: (result: Result<undefined, Failure>) => void;
 };
@@ -35,7 +35,7 @@
 	readonly #dependencies: StorageDependencies;
 	#log: LogFile;
 	#entries: LogEntry[];
-	#waiting: Waiting[] = [];
+	#waiting: PendingRequest[] = [];
 	#writing: Promise<void> | undefined;
 	#failed: Failure | undefined;
 
