--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -35,7 +35,7 @@
 	readonly #dependencies: StorageDependencies;
 	#log: LogFile;
 	#entries: LogEntry[];
-	#waiting: PendingRequest[] = [];
+	#pending: PendingRequest[] = [];
 	#writing: Promise<void> | undefined;
 	#failed: Failure | undefined;
 
@@ -53,7 +53,7 @@
 		}
 
 		return new Promise(resolve => {
-			this.#waiting.push({request, answer: resolve});
+			this.#pending.push({request, answer: resolve});
 			this.#writing ??= this.#writeAll();
 		});
 	}
@@ -67,9 +67,9 @@
 	}
 
 	async #writeAll(): Promise<void> {
-		while (this.#waiting.length > 0) {
-			const batch = this.#waiting;
-			this.#waiting = [];
+		while (this.#pending.length > 0) {
+			const batch = this.#pending;
+			this.#pending = [];
 			const result = await this.#tryWrite(batch.map(({request}) => request));
 			for (const {answer} of batch) {
 				answer(result);
