--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -36,7 +36,7 @@
 	#log: LogFile;
 	#entries: LogEntry[];
 	#pending: PendingRequest[] = [];
-	#writing: Promise<void> | undefined;
+	#writeInProgress: Promise<void> | undefined;
 	#failed: Failure | undefined;
 
 	/** Continues from the state that was read when the folder was opened. */
@@ -54,13 +54,13 @@
 
 		return new Promise(resolve => {
 			this.#pending.push({request, answer: resolve});
-			this.#writing ??= this.#writeAll();
+			this.#writeInProgress ??= this.#writeAll();
 		});
 	}
 
 	/** Completes pending requests, closes the log file and releases the folder. Later requests are rejected. */
 	async close(): Promise<void> {
-		await this.#writing;
+		await this.#writeInProgress;
 		this.#failed ??= failure(FailureKind.storageFailed, 'The storage is closed.');
 		await this.#log.handle.close();
 		await this.#dependencies.release();
@@ -76,7 +76,7 @@
 			}
 		}
 
-		this.#writing = undefined;
+		this.#writeInProgress = undefined;
 	}
 
 	async #tryWrite(batch: readonly PersistRequest[]): Promise<Result<undefined, Failure>> {
