--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -37,7 +37,7 @@
 	#entries: LogEntry[];
 	#pending: PendingRequest[] = [];
 	#writeInProgress: Promise<void> | undefined;
-	#failed: Failure | undefined;
+	#failure: Failure | undefined;
 
 	/** Continues from the state that was read when the folder was opened. */
 	constructor(dependencies: StorageDependencies, log: LogFile, saved: SavedState) {
@@ -48,8 +48,8 @@
 
 	/** Writes and syncs a request; resolves once it and all earlier requests are on disk. */
 	async persist(request: PersistRequest): Promise<Result<undefined, Failure>> {
-		if (this.#failed !== undefined) {
-			return err(this.#failed);
+		if (this.#failure !== undefined) {
+			return err(this.#failure);
 		}
 
 		return new Promise(resolve => {
@@ -61,7 +61,7 @@
 	/** Completes pending requests, closes the log file and releases the folder. Later requests are rejected. */
 	async close(): Promise<void> {
 		await this.#writeInProgress;
-		this.#failed ??= failure(FailureKind.storageFailed, 'The storage is closed.');
+		this.#failure ??= failure(FailureKind.storageFailed, 'The storage is closed.');
 		await this.#log.handle.close();
 		await this.#dependencies.release();
 	}
@@ -80,16 +80,16 @@
 	}
 
 	async #tryWrite(batch: readonly PersistRequest[]): Promise<Result<undefined, Failure>> {
-		if (this.#failed !== undefined) {
-			return err(this.#failed);
+		if (this.#failure !== undefined) {
+			return err(this.#failure);
 		}
 
 		try {
 			await this.#write(batch);
 			return ok(undefined);
 		} catch (error) {
-			this.#failed = toFailure(error, FailureKind.storageFailed);
-			return err(this.#failed);
+			this.#failure = toFailure(error, FailureKind.storageFailed);
+			return err(this.#failure);
 		}
 	}
 
