--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -20,7 +20,7 @@
 	}
 }
 
-async function opened(folder: string, found = false): Promise<OpenFolder> {
+async function openOrFail(folder: string, found = false): Promise<OpenFolder> {
 	const result = await openFolder(folder, {found});
 	assert.ok(result.isOk, JSON.stringify(result));
 	return result.value;
@@ -47,7 +47,7 @@
 }
 
 async function persistAll(folder: string, requests: readonly PersistRequest[], found = false): Promise<void> {
-	const {storage} = await opened(folder, found);
+	const {storage} = await openOrFail(folder, found);
 	for (const result of await Promise.all(requests.map(async one => storage.persist(one)))) {
 		assert.ok(result.isOk, JSON.stringify(result));
 	}
@@ -100,7 +100,7 @@
 	for (const [manner, persist] of [['together', persistAll], ['one by one', persistEach]] as const) {
 		test(`state persisted ${manner} is restored: ${name}`, async () => withFolder(async folder => {
 			await persist(folder, requests);
-			const {saved, storage, fresh} = await opened(folder);
+			const {saved, storage, fresh} = await openOrFail(folder);
 			assert.deepEqual(saved, {hardState: {term}, entries, ...(snapshot === undefined ? {} : {snapshot})});
 			assert.equal(fresh, false);
 			await storage.close();
@@ -130,14 +130,14 @@
 	const whole = await readFile(path.join(folder, 'log'));
 	for (let length = second; length < third; length++) {
 		await writeFile(path.join(folder, 'log'), whole.subarray(0, length));
-		const {saved, storage} = await opened(folder);
+		const {saved, storage} = await openOrFail(folder);
 		assert.deepEqual(saved, {hardState: {term: 1}, entries: [entry(1), entry(2)]});
 		await storage.close();
 		assert.equal(await lengthOf(path.join(folder, 'log')), second);
 	}
 
 	await persistAll(folder, [request(3, [entry(3, 3)])]);
-	const {saved, storage} = await opened(folder);
+	const {saved, storage} = await openOrFail(folder);
 	assert.deepEqual(saved.entries, [entry(1), entry(2), entry(3, 3)]);
 	await storage.close();
 }));
@@ -181,7 +181,7 @@
 	const longLog = await readFile(path.join(folder, 'log'));
 	await persistAll(folder, [request(1, [], snapshotAt(2))]);
 	await writeFile(path.join(folder, 'log'), longLog);
-	const {saved, storage} = await opened(folder);
+	const {saved, storage} = await openOrFail(folder);
 	assert.deepEqual(saved, {hardState: {term: 1}, entries: [entry(3)], snapshot: snapshotAt(2)});
 	await storage.close();
 }));
@@ -193,7 +193,7 @@
 			await rm(folder, {recursive: true});
 		}
 
-		const {folderIdentity, fresh, storage} = await opened(folder);
+		const {folderIdentity, fresh, storage} = await openOrFail(folder);
 		assert.equal(fresh, true);
 		identities.push(folderIdentity);
 		await storage.close();
@@ -207,7 +207,7 @@
 
 test('bootstrap voters share an identity, and bootstrap only once', async () => withFolder(async folder => {
 	await persistAll(folder, [request(1, [entry(1)])], true);
-	const {folderIdentity, fresh, storage} = await opened(folder, true);
+	const {folderIdentity, fresh, storage} = await openOrFail(folder, true);
 	assert.equal(folderIdentity, bootstrapFolder);
 	assert.equal(fresh, false);
 	await storage.close();
