--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -26,7 +26,7 @@
 	return result.value;
 }
 
-async function refusal(folder: string, found = false): Promise<Failure> {
+async function openFailure(folder: string, found = false): Promise<Failure> {
 	const result = await openFolder(folder, {found});
 	assert.ok(result.isErr);
 	return result.error;
@@ -150,7 +150,7 @@
 		const changed = Buffer.from(whole);
 		changed[offset] = 255 - changed[offset]!;
 		await writeFile(file, changed);
-		const {kind, location} = await refusal(folder);
+		const {kind, location} = await openFailure(folder);
 		assert.equal(kind, 'storage-damaged');
 		const format = 'dogwooddeck log 1\n'.length;
 		assert.deepEqual(location, {file, offsetBytes: offset < format ? 0 : (offset < first ? format : first)});
@@ -170,7 +170,7 @@
 	test(`a damaged folder is rejected: ${name}`, async () => withFolder(async folder => {
 		await persistAll(folder, [request(1, [entry(1), entry(2), entry(3)]), request(1, [], snapshotAt(2))]);
 		await damage(folder);
-		const {kind, location} = await refusal(folder);
+		const {kind, location} = await openFailure(folder);
 		assert.equal(kind, 'storage-damaged');
 		assert.equal(location?.file, path.join(folder, file));
 	}));
@@ -201,7 +201,7 @@
 
 	assert.equal(identities[0], identities[1]);
 	assert.notEqual(identities[1], identities[2]);
-	const {kind} = await refusal(folder, true);
+	const {kind} = await openFailure(folder, true);
 	assert.equal(kind, 'conflict');
 }));
 
