--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -110,7 +110,7 @@
 
 const writes = [request(1, [entry(1)]), request(1, [entry(2)]), request(2, [entry(3, 2)])];
 
-async function lengthOf(file: string): Promise<number> {
+async function fileLength(file: string): Promise<number> {
 	const {size} = await stat(file);
 	return size;
 }
@@ -119,7 +119,7 @@
 	const ends: number[] = [];
 	for (const one of writes) {
 		await persistAll(folder, [one]);
-		ends.push(await lengthOf(path.join(folder, 'log')));
+		ends.push(await fileLength(path.join(folder, 'log')));
 	}
 
 	return ends;
@@ -133,7 +133,7 @@
 		const {saved, storage} = await openOrFail(folder);
 		assert.deepEqual(saved, {hardState: {term: 1}, entries: [entry(1), entry(2)]});
 		await storage.close();
-		assert.equal(await lengthOf(path.join(folder, 'log')), second);
+		assert.equal(await fileLength(path.join(folder, 'log')), second);
 	}
 
 	await persistAll(folder, [request(3, [entry(3, 3)])]);
