--- a/packages/storage/test/test-folder.ts
+++ b/packages/storage/test/test-folder.ts
@@ -157,7 +157,7 @@
 	}
 }));
 
-const damages: ReadonlyArray<{readonly name: string; readonly damage: (folder: string) => Promise<void>; readonly file: string}> = [
+const damageCases: ReadonlyArray<{readonly name: string; readonly damage: (folder: string) => Promise<void>; readonly file: string}> = [
 	{name: 'no log', damage: async folder => rm(path.join(folder, 'log')), file: 'log'},
 	{name: 'no identity', damage: async folder => rm(path.join(folder, 'identity')), file: 'identity'},
 	{name: 'a truncated identity', damage: async folder => truncate(path.join(folder, 'identity'), 9), file: 'identity'},
@@ -166,7 +166,7 @@
 	{name: 'a log of a later format', damage: async folder => writeFile(path.join(folder, 'log'), 'dogwooddeck log 2\n'), file: 'log'},
 ];
 
-for (const {name, damage, file} of damages) {
+for (const {name, damage, file} of damageCases) {
 	test(`a damaged folder is rejected: ${name}`, async () => withFolder(async folder => {
 		await persistAll(folder, [request(1, [entry(1), entry(2), entry(3)]), request(1, [], snapshotAt(2))]);
 		await damage(folder);
