--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -32,7 +32,7 @@
 	return child;
 }
 
-async function opened(folder: string): Promise<OpenFolder> {
+async function openOrFail(folder: string): Promise<OpenFolder> {
 	const result = await openFolder(folder);
 	assert.ok(result.isOk, JSON.stringify(result));
 	return result.value;
@@ -46,7 +46,7 @@
 }
 
 async function opensAgain(folder: string): Promise<void> {
-	const {storage} = await opened(folder);
+	const {storage} = await openOrFail(folder);
 	await storage.close();
 }
 
@@ -54,7 +54,7 @@
 	{
 		name: 'the same process',
 		async run(folder) {
-			const {storage} = await opened(folder);
+			const {storage} = await openOrFail(folder);
 			await isRefused(folder, process.pid);
 			await storage.close();
 			await opensAgain(folder);
@@ -63,7 +63,7 @@
 	{
 		name: 'another path to the folder',
 		async run(folder) {
-			const {storage} = await opened(folder);
+			const {storage} = await openOrFail(folder);
 			await symlink(folder, `${folder}-link`);
 			await isRefused(`${folder}-link`, process.pid);
 			await rm(`${folder}-link`);
