--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -14,7 +14,7 @@
 import {FailureKind} from '@dogwooddeck/model/failure';
 import {openFolder, type OpenFolder} from '@dogwooddeck/storage/folder';
 
-const holding = 'const {openFolder} = await import("@dogwooddeck/storage/folder");'
+const holderScript = 'const {openFolder} = await import("@dogwooddeck/storage/folder");'
 	+ 'const opened = await openFolder(process.argv[1]); console.log(opened.isOk ? "held" : opened.error.detail); setInterval(() => {}, 1000);';
 
 const children: ChildProcess[] = [];
@@ -25,7 +25,7 @@
 });
 
 async function startHolder(folder: string): Promise<ChildProcess> {
-	const child = spawn(process.execPath, ['--input-type=module', '--eval', holding, folder], {stdio: ['ignore', 'pipe', 'inherit'], cwd: import.meta.dirname});
+	const child = spawn(process.execPath, ['--input-type=module', '--eval', holderScript, folder], {stdio: ['ignore', 'pipe', 'inherit'], cwd: import.meta.dirname});
 	children.push(child);
 	const said: readonly unknown[] = await once(child.stdout, 'data');
 	assert.equal(String(said[0]), 'held\n');
