--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -27,8 +27,8 @@
 async function startHolder(folder: string): Promise<ChildProcess> {
 	const child = spawn(process.execPath, ['--input-type=module', '--eval', holderScript, folder], {stdio: ['ignore', 'pipe', 'inherit'], cwd: import.meta.dirname});
 	children.push(child);
-	const said: readonly unknown[] = await once(child.stdout, 'data');
-	assert.equal(String(said[0]), 'held\n');
+	const output: readonly unknown[] = await once(child.stdout, 'data');
+	assert.equal(String(output[0]), 'held\n');
 	return child;
 }
 
