--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -38,7 +38,7 @@
 	return result.value;
 }
 
-async function isRefused(folder: string, holder: number): Promise<void> {
+async function assertRefused(folder: string, holder: number): Promise<void> {
 	const result = await openFolder(folder);
 	assert.ok(result.isErr, 'the folder was opened a second time');
 	assert.equal(result.error.kind, FailureKind.conflict);
@@ -55,7 +55,7 @@
 		name: 'the same process',
 		async run(folder) {
 			const {storage} = await openOrFail(folder);
-			await isRefused(folder, process.pid);
+			await assertRefused(folder, process.pid);
 			await storage.close();
 			await opensAgain(folder);
 		},
@@ -65,7 +65,7 @@
 		async run(folder) {
 			const {storage} = await openOrFail(folder);
 			await symlink(folder, `${folder}-link`);
-			await isRefused(`${folder}-link`, process.pid);
+			await assertRefused(`${folder}-link`, process.pid);
 			await rm(`${folder}-link`);
 			await storage.close();
 		},
@@ -94,9 +94,9 @@
 		name: 'another process, stopped, then killed',
 		async run(folder) {
 			const child = await startHolder(folder);
-			await isRefused(folder, child.pid!);
+			await assertRefused(folder, child.pid!);
 			child.kill('SIGSTOP');
-			await isRefused(folder, child.pid!);
+			await assertRefused(folder, child.pid!);
 			child.kill('SIGKILL');
 			await once(child, 'exit');
 			await opensAgain(folder);
