--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -45,7 +45,7 @@
 	assert.ok(result.error.detail.startsWith(`the data folder ${folder} is held by process ${holder}, started at tick `), result.error.detail);
 }
 
-async function opensAgain(folder: string): Promise<void> {
+async function assertReopens(folder: string): Promise<void> {
 	const {storage} = await openOrFail(folder);
 	await storage.close();
 }
@@ -57,7 +57,7 @@
 			const {storage} = await openOrFail(folder);
 			await assertRefused(folder, process.pid);
 			await storage.close();
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 	{
@@ -77,7 +77,7 @@
 			const first = await openFolder(folder);
 			assert.equal(first.isErr && first.error.kind, FailureKind.storageDamaged);
 			await rm(path.join(folder, 'identity'));
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 	{
@@ -87,7 +87,7 @@
 			const held = results.filter(result => result.isOk);
 			assert.equal(held.length, 1);
 			await held[0]!.unwrapOr(undefined as unknown as OpenFolder).storage.close();
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 	{
@@ -99,7 +99,7 @@
 			await assertRefused(folder, child.pid!);
 			child.kill('SIGKILL');
 			await once(child, 'exit');
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 ];
