--- a/packages/telemetry/src/line-budget.ts
+++ b/packages/telemetry/src/line-budget.ts
@@ -6,26 +6,26 @@
 /** A token bucket for log lines. It is mutable because it is on the request path. */
 export class LineBudget {
 	readonly #perSecond: number;
-	#left: number;
+	#tokens: number;
 	#at: MonotonicTime = 0;
 	#dropped = 0;
 
 	/** Allows `perSecond` lines a second, and a burst of the same size. */
 	constructor(perSecond: number) {
 		this.#perSecond = perSecond;
-		this.#left = perSecond;
+		this.#tokens = perSecond;
 	}
 
 	/** Consumes a token and returns true if a line may be written now; otherwise counts a dropped line. */
 	take(now: MonotonicTime): boolean {
-		this.#left = Math.min(this.#perSecond, this.#left + ((now - this.#at) * this.#perSecond / 1000));
+		this.#tokens = Math.min(this.#perSecond, this.#tokens + ((now - this.#at) * this.#perSecond / 1000));
 		this.#at = now;
-		if (this.#left < 1) {
+		if (this.#tokens < 1) {
 			this.#dropped += 1;
 			return false;
 		}
 
-		this.#left -= 1;
+		this.#tokens -= 1;
 		return true;
 	}
 
