--- a/packages/telemetry/src/line-budget.ts
+++ b/packages/telemetry/src/line-budget.ts
@@ -7,7 +7,7 @@
 export class LineBudget {
 	readonly #perSecond: number;
 	#tokens: number;
-	#at: MonotonicTime = 0;
+	#refilledAt: MonotonicTime = 0;
 	#dropped = 0;
 
 	/** Allows `perSecond` lines a second, and a burst of the same size. */
@@ -18,8 +18,8 @@
 
 	/** Consumes a token and returns true if a line may be written now; otherwise counts a dropped line. */
 	take(now: MonotonicTime): boolean {
-		this.#tokens = Math.min(this.#perSecond, this.#tokens + ((now - this.#at) * this.#perSecond / 1000));
-		this.#at = now;
+		this.#tokens = Math.min(this.#perSecond, this.#tokens + ((now - this.#refilledAt) * this.#perSecond / 1000));
+		this.#refilledAt = now;
 		if (this.#tokens < 1) {
 			this.#dropped += 1;
 			return false;
