--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -5,7 +5,7 @@
 import {write} from 'node:fs';
 
 /** Limit of the buffer, in characters (UTF-16 code units). */
-const mostWaitingCharacters = 262_144;
+const maximumBufferedCharacters = 262_144;
 
 /** A non-blocking writer of lines. */
 export type LineWriter = {
@@ -64,7 +64,7 @@
 
 	return {
 		write(line) {
-			if (characters + line.length > mostWaitingCharacters) {
+			if (characters + line.length > maximumBufferedCharacters) {
 				dropped += 1;
 				return;
 			}
