--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -18,7 +18,7 @@
 
 /** Creates a writer for a file descriptor, such as 1 for the standard output. */
 export function createLineWriter(descriptor: number): LineWriter {
-	let waiting: string[] = [];
+	let bufferedLines: string[] = [];
 	let characters = 0;
 	let isWriting = false;
 	let dropped = 0;
@@ -50,13 +50,13 @@
 	}
 
 	function writeNext(): void {
-		if (waiting.length === 0) {
+		if (bufferedLines.length === 0) {
 			finish();
 			return;
 		}
 
-		const text = new TextEncoder().encode(`${waiting.join('\n')}\n`);
-		waiting = [];
+		const text = new TextEncoder().encode(`${bufferedLines.join('\n')}\n`);
+		bufferedLines = [];
 		characters = 0;
 		isWriting = true;
 		writeRest(text);
@@ -69,7 +69,7 @@
 				return;
 			}
 
-			waiting.push(line);
+			bufferedLines.push(line);
 			characters += line.length;
 			if (!isWriting) {
 				isWriting = true;
