--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -19,7 +19,7 @@
 /** Creates a writer for a file descriptor, such as 1 for the standard output. */
 export function createLineWriter(descriptor: number): LineWriter {
 	let bufferedLines: string[] = [];
-	let characters = 0;
+	let bufferedCharacters = 0;
 	let isWriting = false;
 	let dropped = 0;
 	let flushed: Array<() => void> = [];
@@ -57,20 +57,20 @@
 
 		const text = new TextEncoder().encode(`${bufferedLines.join('\n')}\n`);
 		bufferedLines = [];
-		characters = 0;
+		bufferedCharacters = 0;
 		isWriting = true;
 		writeRest(text);
 	}
 
 	return {
 		write(line) {
-			if (characters + line.length > maximumBufferedCharacters) {
+			if (bufferedCharacters + line.length > maximumBufferedCharacters) {
 				dropped += 1;
 				return;
 			}
 
 			bufferedLines.push(line);
-			characters += line.length;
+			bufferedCharacters += line.length;
 			if (!isWriting) {
 				isWriting = true;
 				setImmediate(writeNext);
