--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -22,12 +22,12 @@
 	let bufferedCharacters = 0;
 	let isWriting = false;
 	let dropped = 0;
-	let flushed: Array<() => void> = [];
+	let flushWaiters: Array<() => void> = [];
 
 	function finish(): void {
 		isWriting = false;
-		const ended = flushed;
-		flushed = [];
+		const ended = flushWaiters;
+		flushWaiters = [];
 		for (const end of ended) {
 			end();
 		}
@@ -80,7 +80,7 @@
 		async flush() {
 			return new Promise(resolve => {
 				if (isWriting) {
-					flushed.push(resolve);
+					flushWaiters.push(resolve);
 				} else {
 					resolve();
 				}
