--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -26,9 +26,9 @@
 
 	function finish(): void {
 		isWriting = false;
-		const ended = flushWaiters;
+		const waiters = flushWaiters;
 		flushWaiters = [];
-		for (const end of ended) {
+		for (const end of waiters) {
 			end();
 		}
 	}
