--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -28,8 +28,8 @@
 		isWriting = false;
 		const waiters = flushWaiters;
 		flushWaiters = [];
-		for (const end of waiters) {
-			end();
+		for (const resolveFlush of waiters) {
+			resolveFlush();
 		}
 	}
 
