--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -33,7 +33,7 @@
 		}
 	}
 
-	function writeRest(text: Uint8Array): void {
+	function writeRemaining(text: Uint8Array): void {
 		write(descriptor, text, (error, written) => {
 			if (error !== null && (error).code !== 'EAGAIN') {
 				finish();
@@ -42,7 +42,7 @@
 
 			const rest = text.subarray(error === null ? written : 0);
 			if (rest.length > 0) {
-				setTimeout(writeRest, error === null ? 0 : 5, rest);
+				setTimeout(writeRemaining, error === null ? 0 : 5, rest);
 			} else {
 				writeNext();
 			}
@@ -59,7 +59,7 @@
 		bufferedLines = [];
 		bufferedCharacters = 0;
 		isWriting = true;
-		writeRest(text);
+		writeRemaining(text);
 	}
 
 	return {
