--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -12,7 +12,7 @@
 import {measureProcess, processorTime} from './process-measures.js';
 
 /** The interval between samples of the event-loop delay. */
-const lookMilliseconds: Milliseconds = 50;
+const sampleIntervalMilliseconds: Milliseconds = 50;
 
 /** Smaller delays are not logged: calls between instances may take several times as long. */
 const lateMilliseconds: Milliseconds = 200;
@@ -28,7 +28,7 @@
 export function startLoadWatch(log: Log, measures: Measures, counted: () => Fields = () => ({})): LoadWatch {
 	const delays = measures.histogram(MeasureName.loopDelay, {});
 	const lines = new LineBudget(lateLinesPerSecond);
-	let dueAt = monotonicNow() + lookMilliseconds;
+	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
 	let latest: Milliseconds = 0;
 	let toldAt = monotonicNow();
 	let processor = processorTime();
@@ -36,7 +36,7 @@
 	function look(): void {
 		const now = monotonicNow();
 		const late = Math.max(0, now - dueAt);
-		dueAt = now + lookMilliseconds;
+		dueAt = now + sampleIntervalMilliseconds;
 		latest = Math.max(latest, late);
 		recordDuration(delays, late);
 		if (late >= lateMilliseconds && lines.take(now)) {
@@ -54,7 +54,7 @@
 		processor = used;
 	}
 
-	const looking = setInterval(look, lookMilliseconds);
+	const looking = setInterval(look, sampleIntervalMilliseconds);
 	const telling = setInterval(tell, tellMilliseconds);
 	return {
 		stop() {
