--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -15,7 +15,7 @@
 const sampleIntervalMilliseconds: Milliseconds = 50;
 
 /** Smaller delays are not logged: calls between instances may take several times as long. */
-const lateMilliseconds: Milliseconds = 200;
+const minimumLoggedDelayMilliseconds: Milliseconds = 200;
 const lateLinesPerSecond = 1;
 
 /** The interval between log lines about the load. */
@@ -39,7 +39,7 @@
 		dueAt = now + sampleIntervalMilliseconds;
 		latest = Math.max(latest, late);
 		recordDuration(delays, late);
-		if (late >= lateMilliseconds && lines.take(now)) {
+		if (late >= minimumLoggedDelayMilliseconds && lines.take(now)) {
 			log.warning(EventName.loopLate, {lateBy: Math.round(late)});
 		}
 	}
