--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -16,7 +16,7 @@
 
 /** Smaller delays are not logged: calls between instances may take several times as long. */
 const minimumLoggedDelayMilliseconds: Milliseconds = 200;
-const lateLinesPerSecond = 1;
+const delayLinesPerSecond = 1;
 
 /** The interval between log lines about the load. */
 const tellMilliseconds: Milliseconds = 5000;
@@ -27,7 +27,7 @@
 /** Starts the monitor. `counted` returns additional fields for the log line about the load. */
 export function startLoadWatch(log: Log, measures: Measures, counted: () => Fields = () => ({})): LoadWatch {
 	const delays = measures.histogram(MeasureName.loopDelay, {});
-	const lines = new LineBudget(lateLinesPerSecond);
+	const lines = new LineBudget(delayLinesPerSecond);
 	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
 	let latest: Milliseconds = 0;
 	let toldAt = monotonicNow();
