--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -19,7 +19,7 @@
 const delayLinesPerSecond = 1;
 
 /** The interval between log lines about the load. */
-const tellMilliseconds: Milliseconds = 5000;
+const reportIntervalMilliseconds: Milliseconds = 5000;
 
 /** A running monitor. */
 export type LoadWatch = {readonly stop: () => void};
@@ -55,7 +55,7 @@
 	}
 
 	const looking = setInterval(look, sampleIntervalMilliseconds);
-	const telling = setInterval(tell, tellMilliseconds);
+	const telling = setInterval(tell, reportIntervalMilliseconds);
 	return {
 		stop() {
 			clearInterval(looking);
