--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -27,7 +27,7 @@
 /** Starts the monitor. `counted` returns additional fields for the log line about the load. */
 export function startLoadWatch(log: Log, measures: Measures, counted: () => Fields = () => ({})): LoadWatch {
 	const delays = measures.histogram(MeasureName.loopDelay, {});
-	const lines = new LineBudget(delayLinesPerSecond);
+	const lineBudget = new LineBudget(delayLinesPerSecond);
 	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
 	let latest: Milliseconds = 0;
 	let toldAt = monotonicNow();
@@ -39,7 +39,7 @@
 		dueAt = now + sampleIntervalMilliseconds;
 		latest = Math.max(latest, late);
 		recordDuration(delays, late);
-		if (late >= minimumLoggedDelayMilliseconds && lines.take(now)) {
+		if (late >= minimumLoggedDelayMilliseconds && lineBudget.take(now)) {
 			log.warning(EventName.loopLate, {lateBy: Math.round(late)});
 		}
 	}
