--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -33,7 +33,7 @@
 	let toldAt = monotonicNow();
 	let processor = processorTime();
 
-	function look(): void {
+	function sampleDelay(): void {
 		const now = monotonicNow();
 		const late = Math.max(0, now - dueAt);
 		dueAt = now + sampleIntervalMilliseconds;
@@ -54,7 +54,7 @@
 		processor = used;
 	}
 
-	const looking = setInterval(look, sampleIntervalMilliseconds);
+	const looking = setInterval(sampleDelay, sampleIntervalMilliseconds);
 	const telling = setInterval(tell, reportIntervalMilliseconds);
 	return {
 		stop() {
