--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -54,11 +54,11 @@
 		processor = used;
 	}
 
-	const looking = setInterval(sampleDelay, sampleIntervalMilliseconds);
+	const sampleTimer = setInterval(sampleDelay, sampleIntervalMilliseconds);
 	const telling = setInterval(tell, reportIntervalMilliseconds);
 	return {
 		stop() {
-			clearInterval(looking);
+			clearInterval(sampleTimer);
 			clearInterval(telling);
 		},
 	};
