--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -44,7 +44,7 @@
 		}
 	}
 
-	function tell(): void {
+	function reportLoad(): void {
 		const now = monotonicNow();
 		const used = processorTime();
 		measureProcess(measures);
@@ -55,7 +55,7 @@
 	}
 
 	const sampleTimer = setInterval(sampleDelay, sampleIntervalMilliseconds);
-	const telling = setInterval(tell, reportIntervalMilliseconds);
+	const telling = setInterval(reportLoad, reportIntervalMilliseconds);
 	return {
 		stop() {
 			clearInterval(sampleTimer);
