--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -55,11 +55,11 @@
 	}
 
 	const sampleTimer = setInterval(sampleDelay, sampleIntervalMilliseconds);
-	const telling = setInterval(reportLoad, reportIntervalMilliseconds);
+	const reportTimer = setInterval(reportLoad, reportIntervalMilliseconds);
 	return {
 		stop() {
 			clearInterval(sampleTimer);
-			clearInterval(telling);
+			clearInterval(reportTimer);
 		},
 	};
 }
