--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -30,7 +30,7 @@
 	const lineBudget = new LineBudget(delayLinesPerSecond);
 	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
 	let latest: Milliseconds = 0;
-	let toldAt = monotonicNow();
+	let reportedAt = monotonicNow();
 	let processor = processorTime();
 
 	function sampleDelay(): void {
@@ -48,9 +48,9 @@
 		const now = monotonicNow();
 		const used = processorTime();
 		measureProcess(measures);
-		log.event(EventName.instanceLoad, {cores: ((used - processor) / (now - toldAt)).toFixed(3), latestLoop: Math.round(latest), ...counted()});
+		log.event(EventName.instanceLoad, {cores: ((used - processor) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(latest), ...counted()});
 		latest = 0;
-		toldAt = now;
+		reportedAt = now;
 		processor = used;
 	}
 
