--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -29,7 +29,7 @@
 	const delays = measures.histogram(MeasureName.loopDelay, {});
 	const lineBudget = new LineBudget(delayLinesPerSecond);
 	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
-	let latest: Milliseconds = 0;
+	let maximumDelay: Milliseconds = 0;
 	let reportedAt = monotonicNow();
 	let processor = processorTime();
 
@@ -37,7 +37,7 @@
 		const now = monotonicNow();
 		const late = Math.max(0, now - dueAt);
 		dueAt = now + sampleIntervalMilliseconds;
-		latest = Math.max(latest, late);
+		maximumDelay = Math.max(maximumDelay, late);
 		recordDuration(delays, late);
 		if (late >= minimumLoggedDelayMilliseconds && lineBudget.take(now)) {
 			log.warning(EventName.loopLate, {lateBy: Math.round(late)});
@@ -48,8 +48,8 @@
 		const now = monotonicNow();
 		const used = processorTime();
 		measureProcess(measures);
-		log.event(EventName.instanceLoad, {cores: ((used - processor) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(latest), ...counted()});
-		latest = 0;
+		log.event(EventName.instanceLoad, {cores: ((used - processor) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...counted()});
+		maximumDelay = 0;
 		reportedAt = now;
 		processor = used;
 	}
