--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -35,12 +35,12 @@
 
 	function sampleDelay(): void {
 		const now = monotonicNow();
-		const late = Math.max(0, now - dueAt);
+		const delay = Math.max(0, now - dueAt);
 		dueAt = now + sampleIntervalMilliseconds;
-		maximumDelay = Math.max(maximumDelay, late);
-		recordDuration(delays, late);
-		if (late >= minimumLoggedDelayMilliseconds && lineBudget.take(now)) {
-			log.warning(EventName.loopLate, {lateBy: Math.round(late)});
+		maximumDelay = Math.max(maximumDelay, delay);
+		recordDuration(delays, delay);
+		if (delay >= minimumLoggedDelayMilliseconds && lineBudget.take(now)) {
+			log.warning(EventName.loopLate, {lateBy: Math.round(delay)});
 		}
 	}
 
