--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -46,12 +46,12 @@
 
 	function reportLoad(): void {
 		const now = monotonicNow();
-		const used = processorTime();
+		const currentProcessorTime = processorTime();
 		measureProcess(measures);
-		log.event(EventName.instanceLoad, {cores: ((used - processor) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...counted()});
+		log.event(EventName.instanceLoad, {cores: ((currentProcessorTime - processor) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...counted()});
 		maximumDelay = 0;
 		reportedAt = now;
-		processor = used;
+		processor = currentProcessorTime;
 	}
 
 	const sampleTimer = setInterval(sampleDelay, sampleIntervalMilliseconds);
