--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -31,7 +31,7 @@
 	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
 	let maximumDelay: Milliseconds = 0;
 	let reportedAt = monotonicNow();
-	let processor = processorTime();
+	let reportedProcessorTime = processorTime();
 
 	function sampleDelay(): void {
 		const now = monotonicNow();
@@ -48,10 +48,10 @@
 		const now = monotonicNow();
 		const currentProcessorTime = processorTime();
 		measureProcess(measures);
-		log.event(EventName.instanceLoad, {cores: ((currentProcessorTime - processor) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...counted()});
+		log.event(EventName.instanceLoad, {cores: ((currentProcessorTime - reportedProcessorTime) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...counted()});
 		maximumDelay = 0;
 		reportedAt = now;
-		processor = currentProcessorTime;
+		reportedProcessorTime = currentProcessorTime;
 	}
 
 	const sampleTimer = setInterval(sampleDelay, sampleIntervalMilliseconds);
