--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -25,7 +25,7 @@
 export type LoadWatch = {readonly stop: () => void};
 
 /** Starts the monitor. `counted` returns additional fields for the log line about the load. */
-export function startLoadWatch(log: Log, measures: Measures, counted: () => Fields = () => ({})): LoadWatch {
+export function startLoadWatch(log: Log, measures: Measures, additionalFields: () => Fields = () => ({})): LoadWatch {
 	const delays = measures.histogram(MeasureName.loopDelay, {});
 	const lineBudget = new LineBudget(delayLinesPerSecond);
 	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
@@ -48,7 +48,7 @@
 		const now = monotonicNow();
 		const currentProcessorTime = processorTime();
 		measureProcess(measures);
-		log.event(EventName.instanceLoad, {cores: ((currentProcessorTime - reportedProcessorTime) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...counted()});
+		log.event(EventName.instanceLoad, {cores: ((currentProcessorTime - reportedProcessorTime) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...additionalFields()});
 		maximumDelay = 0;
 		reportedAt = now;
 		reportedProcessorTime = currentProcessorTime;
