--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -23,11 +23,11 @@
 	readonly error: (name: EventName, failed: Failure, fields?: Fields) => void;
 };
 
-const plain = /^[\w.:\/@+\-]+$/v;
+const unquotedPattern = /^[\w.:\/@+\-]+$/v;
 
 function valueText(value: FieldValue): string {
 	const text = String(value);
-	return plain.test(text) ? text : JSON.stringify(text);
+	return unquotedPattern.test(text) ? text : JSON.stringify(text);
 }
 
 const levelNames: Readonly<Record<number, string>> = {30: 'info', 40: 'warning', 50: 'error'};
