--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -25,7 +25,7 @@
 
 const unquotedPattern = /^[\w.:\/@+\-]+$/v;
 
-function valueText(value: FieldValue): string {
+function formatValue(value: FieldValue): string {
 	const text = String(value);
 	return unquotedPattern.test(text) ? text : JSON.stringify(text);
 }
@@ -43,7 +43,7 @@
 	};
 	return Object.entries(pairs)
 		.filter(([, value]) => value !== undefined)
-		.map(([key, value]) => `${key}=${valueText(value as FieldValue)}`)
+		.map(([key, value]) => `${key}=${formatValue(value as FieldValue)}`)
 		.join(' ');
 }
 
