--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -90,7 +90,7 @@
 	});
 }
 
-function found<Value>(map: Map<string, Value>, key: string, make: () => Value): Value {
+function getOrCreate<Value>(map: Map<string, Value>, key: string, make: () => Value): Value {
 	const known = map.get(key);
 	if (known !== undefined) {
 		return known;
@@ -140,11 +140,11 @@
 	}
 
 	return {
-		counter: (name, labels) => found(counters, seriesOf(name, labels), () => ({name, counter: {value: 0}})).counter,
+		counter: (name, labels) => getOrCreate(counters, seriesOf(name, labels), () => ({name, counter: {value: 0}})).counter,
 		set(name, value) {
 			gauges.set(name, value);
 		},
-		histogram: (name, labels) => found(histograms, seriesOf(name, labels), () => ({name, labels, histogram: createHistogram()})).histogram,
+		histogram: (name, labels) => getOrCreate(histograms, seriesOf(name, labels), () => ({name, labels, histogram: createHistogram()})).histogram,
 		expose() {
 			const ordered = [...families()].sort(([one], [other]) => (one < other ? -1 : 1));
 			return ordered.flatMap(family => familyLines(family)).join('\n') + '\n';
