--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -91,9 +91,9 @@
 }
 
 function getOrCreate<Value>(map: Map<string, Value>, key: string, make: () => Value): Value {
-	const known = map.get(key);
-	if (known !== undefined) {
-		return known;
+	const existing = map.get(key);
+	if (existing !== undefined) {
+		return existing;
 	}
 
 	const made = make();
