--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -96,9 +96,9 @@
 		return existing;
 	}
 
-	const made = make();
-	map.set(key, made);
-	return made;
+	const created = make();
+	map.set(key, created);
+	return created;
 }
 
 function summaryLines(name: MeasureName, labels: Labels, histogram: Histogram): readonly string[] {
