--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -90,13 +90,13 @@
 	});
 }
 
-function getOrCreate<Value>(map: Map<string, Value>, key: string, make: () => Value): Value {
+function getOrCreate<Value>(map: Map<string, Value>, key: string, create: () => Value): Value {
 	const existing = map.get(key);
 	if (existing !== undefined) {
 		return existing;
 	}
 
-	const created = make();
+	const created = create();
 	map.set(key, created);
 	return created;
 }
