--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -66,7 +66,7 @@
 };
 
 const unitsPerMillisecond = 1000;
-const longestRecordedMilliseconds = 60_000;
+const maximumRecordedMilliseconds = 60_000;
 const significantDigits = 2;
 const exposedQuantiles = ['0.5', '0.9', '0.99', '0.999'];
 const percentilesInWhole = 100;
@@ -85,7 +85,7 @@
 function createHistogram(): Histogram {
 	return build({
 		lowestDiscernibleValue: 1,
-		highestTrackableValue: longestRecordedMilliseconds * unitsPerMillisecond,
+		highestTrackableValue: maximumRecordedMilliseconds * unitsPerMillisecond,
 		numberOfSignificantValueDigits: significantDigits,
 	});
 }
@@ -115,7 +115,7 @@
 
 /** Records a duration, capped at 60 s, in a histogram that `Measures.histogram` returned. */
 export function recordDuration(histogram: Histogram, duration: Milliseconds): void {
-	const capped = Math.min(longestRecordedMilliseconds, Math.max(0, duration));
+	const capped = Math.min(maximumRecordedMilliseconds, Math.max(0, duration));
 	histogram.recordValue(Math.round(capped * unitsPerMillisecond));
 }
 
