--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -72,10 +72,10 @@
 const percentilesInWhole = 100;
 
 /** The metric types of the exposition format. */
-const SeriesKind = {counter: 'counter', gauge: 'gauge', summary: 'summary'} as const;
-type SeriesKind = (typeof SeriesKind)[keyof typeof SeriesKind];
+const MetricType = {counter: 'counter', gauge: 'gauge', summary: 'summary'} as const;
+type MetricType = (typeof MetricType)[keyof typeof MetricType];
 
-type Family = {readonly kind: SeriesKind; readonly lines: readonly string[]};
+type Family = {readonly kind: MetricType; readonly lines: readonly string[]};
 
 function seriesOf(name: MeasureName, labels: Labels): string {
 	const pairs = Object.entries(labels).map(([key, value]) => `${key}=${JSON.stringify(value)}`);
@@ -126,14 +126,14 @@
 	const histograms = new Map<string, {readonly name: MeasureName; readonly labels: Labels; readonly histogram: Histogram}>();
 
 	function families(): ReadonlyMap<MeasureName, Family> {
-		const all = new Map<MeasureName, Family>([...gauges].map(([name, value]) => [name, {kind: SeriesKind.gauge, lines: [`${name} ${value}`]}]));
-		const add = (name: MeasureName, kind: SeriesKind, lines: readonly string[]) => all.set(name, {kind, lines: [...all.get(name)?.lines ?? [], ...lines]});
+		const all = new Map<MeasureName, Family>([...gauges].map(([name, value]) => [name, {kind: MetricType.gauge, lines: [`${name} ${value}`]}]));
+		const add = (name: MeasureName, kind: MetricType, lines: readonly string[]) => all.set(name, {kind, lines: [...all.get(name)?.lines ?? [], ...lines]});
 		for (const [series, {name, counter}] of counters) {
-			add(name, SeriesKind.counter, [`${series} ${counter.value}`]);
+			add(name, MetricType.counter, [`${series} ${counter.value}`]);
 		}
 
 		for (const {name, labels, histogram} of histograms.values()) {
-			add(name, SeriesKind.summary, summaryLines(name, labels, histogram));
+			add(name, MetricType.summary, summaryLines(name, labels, histogram));
 		}
 
 		return all;
