--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -75,7 +75,7 @@
 const MetricType = {counter: 'counter', gauge: 'gauge', summary: 'summary'} as const;
 type MetricType = (typeof MetricType)[keyof typeof MetricType];
 
-type Family = {readonly kind: MetricType; readonly lines: readonly string[]};
+type MetricFamily = {readonly kind: MetricType; readonly lines: readonly string[]};
 
 function seriesOf(name: MeasureName, labels: Labels): string {
 	const pairs = Object.entries(labels).map(([key, value]) => `${key}=${JSON.stringify(value)}`);
@@ -109,7 +109,7 @@
 	return [...quantiles, `${seriesOf(name, labels).replace(name, `${name}_count`)} ${histogram.totalCount}`];
 }
 
-function familyLines([name, {kind, lines}]: readonly [MeasureName, Family]): readonly string[] {
+function familyLines([name, {kind, lines}]: readonly [MeasureName, MetricFamily]): readonly string[] {
 	return [`# TYPE ${name} ${kind}`, ...[...lines].sort()];
 }
 
@@ -125,8 +125,8 @@
 	const gauges = new Map<MeasureName, number>();
 	const histograms = new Map<string, {readonly name: MeasureName; readonly labels: Labels; readonly histogram: Histogram}>();
 
-	function families(): ReadonlyMap<MeasureName, Family> {
-		const all = new Map<MeasureName, Family>([...gauges].map(([name, value]) => [name, {kind: MetricType.gauge, lines: [`${name} ${value}`]}]));
+	function families(): ReadonlyMap<MeasureName, MetricFamily> {
+		const all = new Map<MeasureName, MetricFamily>([...gauges].map(([name, value]) => [name, {kind: MetricType.gauge, lines: [`${name} ${value}`]}]));
 		const add = (name: MeasureName, kind: MetricType, lines: readonly string[]) => all.set(name, {kind, lines: [...all.get(name)?.lines ?? [], ...lines]});
 		for (const [series, {name, counter}] of counters) {
 			add(name, MetricType.counter, [`${series} ${counter.value}`]);
