--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -77,7 +77,7 @@
 
 type MetricFamily = {readonly kind: MetricType; readonly lines: readonly string[]};
 
-function seriesOf(name: MeasureName, labels: Labels): string {
+function seriesName(name: MeasureName, labels: Labels): string {
 	const pairs = Object.entries(labels).map(([key, value]) => `${key}=${JSON.stringify(value)}`);
 	return pairs.length === 0 ? name : `${name}{${pairs.join(',')}}`;
 }
@@ -104,9 +104,9 @@
 function summaryLines(name: MeasureName, labels: Labels, histogram: Histogram): readonly string[] {
 	const quantiles = exposedQuantiles.map(quantile => {
 		const units = histogram.getValueAtPercentile(Number(quantile) * percentilesInWhole);
-		return `${seriesOf(name, {...labels, quantile})} ${units / unitsPerMillisecond}`;
+		return `${seriesName(name, {...labels, quantile})} ${units / unitsPerMillisecond}`;
 	});
-	return [...quantiles, `${seriesOf(name, labels).replace(name, `${name}_count`)} ${histogram.totalCount}`];
+	return [...quantiles, `${seriesName(name, labels).replace(name, `${name}_count`)} ${histogram.totalCount}`];
 }
 
 function familyLines([name, {kind, lines}]: readonly [MeasureName, MetricFamily]): readonly string[] {
@@ -140,11 +140,11 @@
 	}
 
 	return {
-		counter: (name, labels) => getOrCreate(counters, seriesOf(name, labels), () => ({name, counter: {value: 0}})).counter,
+		counter: (name, labels) => getOrCreate(counters, seriesName(name, labels), () => ({name, counter: {value: 0}})).counter,
 		set(name, value) {
 			gauges.set(name, value);
 		},
-		histogram: (name, labels) => getOrCreate(histograms, seriesOf(name, labels), () => ({name, labels, histogram: createHistogram()})).histogram,
+		histogram: (name, labels) => getOrCreate(histograms, seriesName(name, labels), () => ({name, labels, histogram: createHistogram()})).histogram,
 		expose() {
 			const ordered = [...families()].sort(([one], [other]) => (one < other ? -1 : 1));
 			return ordered.flatMap(family => familyLines(family)).join('\n') + '\n';
