--- a/packages/telemetry/src/measures-server.ts
+++ b/packages/telemetry/src/measures-server.ts
@@ -13,9 +13,9 @@
 /** Starts the server. An address that can't be bound is reported to `failed`; then only the metrics are unavailable. */
 export function serveMeasures(host: string, port: number, measures: Measures, failed: (error: Error) => void): MeasuresServer {
 	const server = createServer((request, response) => {
-		const isKnown = request.url === measuresPath;
-		response.writeHead(isKnown ? 200 : 404, {'content-type': 'text/plain; version=0.0.4'});
-		response.end(isKnown ? measures.expose() : '');
+		const isMetricsPath = request.url === measuresPath;
+		response.writeHead(isMetricsPath ? 200 : 404, {'content-type': 'text/plain; version=0.0.4'});
+		response.end(isMetricsPath ? measures.expose() : '');
 	});
 	server.on('error', failed);
 	server.listen(port, host);
