--- a/packages/telemetry/test/test-load-watch.ts
+++ b/packages/telemetry/test/test-load-watch.ts
@@ -15,7 +15,7 @@
 	{name: 'late again after a second', lateBy: [400, 1100, 400], told: [400, 1100]},
 ];
 
-for (const {name, lateBy, told} of cases) {
+for (const {name, lateBy, told: loggedDelays} of cases) {
 	test(`load watch: a loop that is ${name}`, context => {
 		let now = 1000;
 		const lines: Line[] = [];
@@ -33,7 +33,7 @@
 		}
 
 		watch.stop();
-		assert.deepEqual(lines.filter(line => line.name === EventName.loopLate).map(({fields}) => fields.lateBy), told);
+		assert.deepEqual(lines.filter(line => line.name === EventName.loopLate).map(({fields}) => fields.lateBy), loggedDelays);
 	});
 }
 
