--- a/packages/telemetry/test/test-load-watch.ts
+++ b/packages/telemetry/test/test-load-watch.ts
@@ -7,15 +7,15 @@
 
 type Line = {readonly name: EventName; readonly fields: Fields};
 
-const cases: ReadonlyArray<{readonly name: string; readonly lateBy: readonly number[]; readonly told: readonly number[]}> = [
-	{name: 'on time', lateBy: [0, 0, 0], told: []},
-	{name: 'late by less than the logged minimum', lateBy: [0, 150, 0], told: []},
-	{name: 'late once', lateBy: [0, 400, 0], told: [400]},
-	{name: 'late again within a second', lateBy: [400, 400], told: [400]},
-	{name: 'late again after a second', lateBy: [400, 1100, 400], told: [400, 1100]},
+const cases: ReadonlyArray<{readonly name: string; readonly lateBy: readonly number[]; readonly loggedDelays: readonly number[]}> = [
+	{name: 'on time', lateBy: [0, 0, 0], loggedDelays: []},
+	{name: 'late by less than the logged minimum', lateBy: [0, 150, 0], loggedDelays: []},
+	{name: 'late once', lateBy: [0, 400, 0], loggedDelays: [400]},
+	{name: 'late again within a second', lateBy: [400, 400], loggedDelays: [400]},
+	{name: 'late again after a second', lateBy: [400, 1100, 400], loggedDelays: [400, 1100]},
 ];
 
-for (const {name, lateBy, told: loggedDelays} of cases) {
+for (const {name, lateBy, loggedDelays: loggedDelays} of cases) {
 	test(`load watch: a loop that is ${name}`, context => {
 		let now = 1000;
 		const lines: Line[] = [];
