--- a/packages/telemetry/test/test-load-watch.ts
+++ b/packages/telemetry/test/test-load-watch.ts
@@ -19,11 +19,11 @@
 	test(`load watch: a loop that is ${name}`, context => {
 		let now = 1000;
 		const lines: Line[] = [];
-		const note = (event: EventName, fields: Fields = {}) => {
+		const recordLine = (event: EventName, fields: Fields = {}) => {
 			lines.push({name: event, fields});
 		};
 
-		const log: Log = {event: note, warning: note, error: () => undefined};
+		const log: Log = {event: recordLine, warning: recordLine, error: () => undefined};
 		context.mock.timers.enable({apis: ['setInterval']});
 		context.mock.method(performance, 'now', () => now);
 		const watch = startLoadWatch(log, createMeasures());
