--- a/packages/telemetry/test/test-measure.ts
+++ b/packages/telemetry/test/test-measure.ts
@@ -37,10 +37,10 @@
 	},
 ];
 
-for (const {name, note, expected} of cases) {
+for (const {name, note: record, expected} of cases) {
 	test(`measures: ${name}`, () => {
 		const measures = createMeasures();
-		note(measures);
+		record(measures);
 		assert.deepEqual(measures.expose().trimEnd().split('\n'), expected);
 	});
 }
