--- a/packages/telemetry/test/test-measure.ts
+++ b/packages/telemetry/test/test-measure.ts
@@ -4,11 +4,11 @@
 	createMeasures, MeasureName, type Measures, recordDuration,
 } from '@dogwooddeck/telemetry/measure';
 
-const cases: ReadonlyArray<{readonly name: string; readonly note: (measures: Measures) => void; readonly expected: readonly string[]}> = [
-	{name: 'nothing', note: () => undefined, expected: ['']},
+const cases: ReadonlyArray<{readonly name: string; readonly record: (measures: Measures) => void; readonly expected: readonly string[]}> = [
+	{name: 'nothing', record: () => undefined, expected: ['']},
 	{
 		name: 'counters of one name are grouped, and gauges are separate',
-		note(measures) {
+		record(measures) {
 			measures.counter(MeasureName.requests, {service: 'a/b', outcome: 'ran'}).value += 2;
 			measures.set(MeasureName.ready, 1);
 			measures.counter(MeasureName.requests, {service: 'a/b', outcome: 'not-run'}).value += 1;
@@ -23,7 +23,7 @@
 	},
 	{
 		name: 'quantiles and count of durations',
-		note(measures) {
+		record(measures) {
 			recordDuration(measures.histogram(MeasureName.latency, {service: 'a/b'}), 5);
 		},
 		expected: [
@@ -37,7 +37,7 @@
 	},
 ];
 
-for (const {name, note: record, expected} of cases) {
+for (const {name, record: record, expected} of cases) {
 	test(`measures: ${name}`, () => {
 		const measures = createMeasures();
 		record(measures);
