--- a/packages/telemetry/test/test-load-watch.ts
+++ b/packages/telemetry/test/test-load-watch.ts
@@ -15,7 +15,7 @@
 	{name: 'late again after a second', lateBy: [400, 1100, 400], loggedDelays: [400, 1100]},
 ];
 
-for (const {name, lateBy, loggedDelays: loggedDelays} of cases) {
+for (const {name, lateBy, loggedDelays} of cases) {
 	test(`load watch: a loop that is ${name}`, context => {
 		let now = 1000;
 		const lines: Line[] = [];
--- a/packages/telemetry/test/test-measure.ts
+++ b/packages/telemetry/test/test-measure.ts
@@ -37,7 +37,7 @@
 	},
 ];
 
-for (const {name, record: record, expected} of cases) {
+for (const {name, record, expected} of cases) {
 	test(`measures: ${name}`, () => {
 		const measures = createMeasures();
 		record(measures);
