--- a/packages/storage/src/folder.ts
+++ b/packages/storage/src/folder.ts
@@ -1,5 +1,6 @@
 /**
- * The data folder of one voter: its identity, its log and its snapshot.
+ * Opens and validates the data folder of one voter: its identity, log and
+ * snapshot files.
  */
 import {randomUUID} from 'node:crypto';
 import {mkdir} from 'node:fs/promises';
@@ -12,23 +13,23 @@
 import {err, ok, type Result} from 'true-myth/result';
 import loadHash, {type XXHashAPI} from 'xxhash-wasm';
 import {
-	damaged, readIfThere, replaceFile, syncFolder,
+	damagedFailure, readIfExists, replaceFile, syncFolder,
 } from './files.js';
 import {type FolderLock, holdFolder} from './lock.js';
 import {
 	openLogFile, readLogFile, replaceLogFile, type LogContent,
 } from './log-file.js';
-import {isEmpty, stateOf} from './record.js';
+import {isEmpty, replayRecords} from './record.js';
 import {readSnapshot} from './snapshot-file.js';
 import {Storage} from './storage.js';
 
 export {Storage, type PersistRequest} from './storage.js';
 
-/** A data folder that is open. */
+/** An open data folder. */
 export type OpenFolder = {
 	readonly storage: Storage;
 	readonly saved: SavedState;
-	/** Tells this folder from one that was lost and made anew. */
+	/** Distinguishes this folder from one that was lost and created again. */
 	readonly folderIdentity: string;
 	/** Whether the folder holds no state yet. */
 	readonly fresh: boolean;
@@ -45,23 +46,23 @@
 	};
 }
 
-async function makeFolder(folder: string): Promise<void> {
+async function createFolder(folder: string): Promise<void> {
 	await mkdir(folder, {recursive: true});
 	await syncFolder(path.dirname(path.resolve(folder)));
 }
 
 async function readIdentity(file: string): Promise<string | undefined> {
-	const bytes = await readIfThere(file);
+	const bytes = await readIfExists(file);
 	const text = bytes === undefined ? undefined : new TextDecoder().decode(bytes);
 	if (text !== undefined && !/^dogwooddeck folder 1 [\w\-]+\n$/v.test(text)) {
-		throw damaged(file, 0, 'The file does not hold a folder identity of format 1.');
+		throw damagedFailure(file, 0, 'The file does not hold a folder identity of format 1.');
 	}
 
 	return text?.trim().split(' ').at(-1);
 }
 
-/** The identity comes last: a folder with an identity always has a log. */
-async function makeIdentity(file: string, found: boolean): Promise<string> {
+/** Writes the identity file last, so that a folder with an identity always has a log. */
+async function createIdentity(file: string, found: boolean): Promise<string> {
 	const identity = found ? bootstrapFolder : randomUUID();
 	await replaceFile(file, new TextEncoder().encode(`dogwooddeck folder 1 ${identity}\n`));
 	return identity;
@@ -78,68 +79,67 @@
 	const snapshot = await readSnapshot(hash, paths.snapshot);
 	const log = await readLogFile(hash, paths.log);
 	if (log === undefined && (identity !== undefined || snapshot !== undefined)) {
-		throw damaged(paths.log, 0, 'The log is missing.');
+		throw damagedFailure(paths.log, 0, 'The log is missing.');
 	}
 
-	const saved = stateOf(log?.records ?? [], snapshot);
+	const saved = replayRecords(log?.records ?? [], snapshot);
 	if (saved === undefined) {
-		throw damaged(paths.log, 0, 'Entries are missing between the snapshot and the log.');
+		throw damagedFailure(paths.log, 0, 'Entries are missing between the snapshot and the log.');
 	}
 
 	if (identity === undefined && !isEmpty(saved)) {
-		throw damaged(paths.identity, 0, 'The folder holds a log but its identity is missing.');
+		throw damagedFailure(paths.identity, 0, 'The folder holds a log but its identity is missing.');
 	}
 
 	return {identity, log, saved};
 }
 
-async function openHeld(folder: string, found: boolean, {release}: FolderLock): Promise<OpenFolder> {
+async function openLocked(folder: string, found: boolean, {release}: FolderLock): Promise<OpenFolder> {
 	const paths = pathsOf(folder);
 	const hash = await loadHash();
 	const {identity, log, saved} = await readFolder(hash, paths);
 	const fresh = isEmpty(saved);
 	if (found && fresh && identity !== undefined && identity !== bootstrapFolder) {
-		throw new FailureError(failure(FailureKind.conflict, 'The folder was opened before without founding a cluster; found with an empty folder.'));
+		throw new FailureError(failure(FailureKind.conflict, 'The folder was opened before without bootstrapping a cluster; bootstrap with an empty folder.'));
 	}
 
 	const file = log === undefined ? await replaceLogFile(hash, paths.log, []) : await openLogFile(paths.log, log);
-	const folderIdentity = identity ?? await makeIdentity(paths.identity, found);
-	const parts = {
+	const folderIdentity = identity ?? await createIdentity(paths.identity, found);
+	const dependencies = {
 		hash, logPath: paths.log, snapshotPath: paths.snapshot, release,
 	};
 	return {
-		storage: new Storage(parts, file, saved), saved, folderIdentity, fresh,
+		storage: new Storage(dependencies, file, saved), saved, folderIdentity, fresh,
 	};
 }
 
-/** Who sees to it that one process alone uses a folder. */
+/** What ensures that only one process uses a folder. */
 export const FolderLocking = {
-	/** This process, by a lock that the kernel keeps. */
+	/** This process, with a lock that the kernel releases when the process ends. */
 	own: 'own',
-	/** Whoever starts the processes. For systems without local sockets. */
+	/** The supervisor that starts the processes. For systems without Unix-domain sockets. */
 	byOthers: 'by-others',
 } as const;
 
-/** One of the ways. */
 export type FolderLocking = (typeof FolderLocking)[keyof typeof FolderLocking];
 
-/** How a folder is opened. */
+/** Options of `openFolder`: whether to bootstrap a cluster, and how the folder is locked. */
 export type FolderOptions = {readonly found?: boolean; readonly locking?: FolderLocking};
 
-const holders: Readonly<Record<FolderLocking, (folder: string) => Promise<FolderLock>>> = {
+const lockFunctions: Readonly<Record<FolderLocking, (folder: string) => Promise<FolderLock>>> = {
 	[FolderLocking.own]: holdFolder,
 	[FolderLocking.byOthers]: async () => ({
 		async release() {
-			// Nothing is held.
+			// No lock was acquired.
 		},
 	}),
 };
 
 async function open(folder: string, {found = false, locking = FolderLocking.own}: FolderOptions): Promise<OpenFolder> {
-	await makeFolder(folder);
-	const lock = await holders[locking](folder);
+	await createFolder(folder);
+	const lock = await lockFunctions[locking](folder);
 	try {
-		return await openHeld(folder, found, lock);
+		return await openLocked(folder, found, lock);
 	} catch (error) {
 		await lock.release();
 		throw error;
@@ -147,12 +147,12 @@
 }
 
 /**
- * Opens a data folder, and makes it where it is missing. With `found` a new
- * folder gets the identity that founders share; otherwise a random one, which no
- * voter set holds before an operator adds it.
- * The folder belongs to this process until its storage is closed.
+ * Opens a data folder, and creates it if it is missing. With `found` a new
+ * folder gets the identity shared by all bootstrap voters; otherwise a random
+ * one, which is in no voter set until an operator adds it.
+ * This process holds the folder until its storage is closed.
  * Fails with `storageDamaged` (file and offset), `storageFailed` or `conflict`,
- * the last also where another process holds the folder.
+ * the last also if another process holds the folder.
  */
 export async function openFolder(folder: string, options: FolderOptions = {}): Promise<Result<OpenFolder, Failure>> {
 	try {
--- a/packages/storage/src/log-file.ts
+++ b/packages/storage/src/log-file.ts
@@ -1,5 +1,5 @@
 /**
- * The log file: a line that names its format, then one frame for each write.
+ * The log file: a format line, then one frame for each write.
  * Each frame is synced before the next is written, so only the last can be torn.
  */
 import {Buffer} from 'node:buffer';
@@ -7,50 +7,50 @@
 import {type XXHashAPI} from 'xxhash-wasm';
 import {encodeFrame, scanFrames} from './frame.js';
 import {
-	damaged, readIfThere, replaceFile, writeFully,
+	damagedFailure, readIfExists, replaceFile, writeFully,
 } from './files.js';
 import {type LogRecord} from './record.js';
 
-const format = new TextEncoder().encode('dogwooddeck log 1\n');
+const formatLine = new TextEncoder().encode('dogwooddeck log 1\n');
 
-/** A log file that is open for writing. */
+/** A log file open for writing. */
 export type LogFile = {
 	readonly handle: FileHandle;
 	readonly endOffset: number;
 };
 
-/** Whether a file begins with the line that names a format. */
-export function hasFormat(bytes: Uint8Array, expected: Uint8Array): boolean {
+/** Returns whether a file begins with the expected format line. */
+export function hasFormatLine(bytes: Uint8Array, expected: Uint8Array): boolean {
 	return bytes.length >= expected.length && expected.every((byte, position) => bytes[position] === byte);
 }
 
-/** What a log file holds. */
+/** The content of a log file. */
 export type LogContent = {
 	readonly records: readonly LogRecord[];
-	/** Where the whole records end. What stands after it is a torn tail. */
+	/** The end of the last valid record. Any bytes after it are a torn tail. */
 	readonly endOffset: number;
 };
 
-/** Reads the records of the log file; undefined where there is no file. */
+/** Reads the records of the log file; returns undefined if it does not exist. */
 export async function readLogFile(hash: XXHashAPI, file: string): Promise<LogContent | undefined> {
-	const bytes = await readIfThere(file);
+	const bytes = await readIfExists(file);
 	if (bytes === undefined) {
 		return undefined;
 	}
 
-	if (!hasFormat(bytes, format)) {
-		throw damaged(file, 0, 'The file does not begin as a log of format 1.');
+	if (!hasFormatLine(bytes, formatLine)) {
+		throw damagedFailure(file, 0, 'The file does not begin with the header of log format 1.');
 	}
 
-	const scan = scanFrames(hash, bytes, format.length);
-	if (scan.wholeFrameFollows) {
-		throw damaged(file, scan.endOffset, 'A record in the middle of the log is damaged.');
+	const scan = scanFrames(hash, bytes, formatLine.length);
+	if (scan.validFrameFollows) {
+		throw damagedFailure(file, scan.endOffset, 'A record in the middle of the log is damaged.');
 	}
 
 	return {records: scan.payloads.map(payload => JSON.parse(payload) as LogRecord), endOffset: scan.endOffset};
 }
 
-/** Opens a log file that was read, and cuts a torn tail off. */
+/** Opens a log file that was read, and truncates a torn tail. */
 export async function openLogFile(file: string, {endOffset}: LogContent): Promise<LogFile> {
 	const handle = await open(file, 'r+');
 	const {size} = await handle.stat();
@@ -62,9 +62,9 @@
 	return {handle, endOffset};
 }
 
-/** Puts a new log file in place of any other. */
+/** Replaces the log file atomically and opens the new one. */
 export async function replaceLogFile(hash: XXHashAPI, file: string, records: readonly LogRecord[]): Promise<LogFile> {
-	const bytes = Buffer.concat([format, ...records.map(record => encodeFrame(hash, JSON.stringify(record)))]);
+	const bytes = Buffer.concat([formatLine, ...records.map(record => encodeFrame(hash, JSON.stringify(record)))]);
 	await replaceFile(file, bytes);
 	return {handle: await open(file, 'r+'), endOffset: bytes.length};
 }
--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -1,6 +1,6 @@
 /**
- * Writes what a voter asks to persist. Writes that come while one is under way
- * go to the disk together, in their order, with one sync.
+ * Persists the log, term, vote and snapshots of a voter. Requests that arrive
+ * during a write are written as one batch, in their order, with one sync.
  */
 import {type ConsensusEffect, type HardState, type SavedState} from '@dogwooddeck/consensus/voter-interface';
 import {type LogEntry, type Snapshot} from '@dogwooddeck/consensus/message';
@@ -13,83 +13,83 @@
 import {entriesAfter, mergeEntries} from './record.js';
 import {writeSnapshot} from './snapshot-file.js';
 
-/** What a voter asks to persist. */
+/** The state that a voter asks to persist. */
 export type PersistRequest = Omit<Extract<ConsensusEffect, {readonly kind: 'persist'}>, 'kind' | 'ticket'>;
 
-type Waiting = {
+type PendingRequest = {
 	readonly request: PersistRequest;
 	readonly answer: (result: Result<undefined, Failure>) => void;
 };
 
-/** The places and the helper of a storage. */
-export type StorageParts = {
+/** The file paths and collaborators of a storage. */
+export type StorageDependencies = {
 	readonly hash: XXHashAPI;
 	readonly logPath: string;
 	readonly snapshotPath: string;
-	/** Gives the folder up. */
+	/** Releases the lock on the folder. */
 	readonly release: () => Promise<void>;
 };
 
-/** The disk of one voter. After a failed write it takes no other, since what the file holds is then unknown. */
+/** The durable storage of one voter. After a failed write it rejects all requests, since the content of the file is then unknown. */
 export class Storage {
-	readonly #parts: StorageParts;
+	readonly #dependencies: StorageDependencies;
 	#log: LogFile;
 	#entries: LogEntry[];
-	#waiting: Waiting[] = [];
-	#writing: Promise<void> | undefined;
-	#failed: Failure | undefined;
+	#pending: PendingRequest[] = [];
+	#writeInProgress: Promise<void> | undefined;
+	#failure: Failure | undefined;
 
-	/** Goes on from what was read at the start. */
-	constructor(parts: StorageParts, log: LogFile, saved: SavedState) {
-		this.#parts = parts;
+	/** Continues from the state that was read when the folder was opened. */
+	constructor(dependencies: StorageDependencies, log: LogFile, saved: SavedState) {
+		this.#dependencies = dependencies;
 		this.#log = log;
 		this.#entries = [...saved.entries];
 	}
 
-	/** Writes and syncs; resolves once it and all that was asked before is on disk. */
+	/** Writes and syncs a request; resolves once it and all earlier requests are on disk. */
 	async persist(request: PersistRequest): Promise<Result<undefined, Failure>> {
-		if (this.#failed !== undefined) {
-			return err(this.#failed);
+		if (this.#failure !== undefined) {
+			return err(this.#failure);
 		}
 
 		return new Promise(resolve => {
-			this.#waiting.push({request, answer: resolve});
-			this.#writing ??= this.#writeAll();
+			this.#pending.push({request, answer: resolve});
+			this.#writeInProgress ??= this.#writeAll();
 		});
 	}
 
-	/** Finishes what was asked, closes the files and gives the folder up. Nothing is taken any more. */
+	/** Completes pending requests, closes the log file and releases the folder. Later requests are rejected. */
 	async close(): Promise<void> {
-		await this.#writing;
-		this.#failed ??= failure(FailureKind.storageFailed, 'The storage is closed.');
+		await this.#writeInProgress;
+		this.#failure ??= failure(FailureKind.storageFailed, 'The storage is closed.');
 		await this.#log.handle.close();
-		await this.#parts.release();
+		await this.#dependencies.release();
 	}
 
 	async #writeAll(): Promise<void> {
-		while (this.#waiting.length > 0) {
-			const batch = this.#waiting;
-			this.#waiting = [];
+		while (this.#pending.length > 0) {
+			const batch = this.#pending;
+			this.#pending = [];
 			const result = await this.#tryWrite(batch.map(({request}) => request));
 			for (const {answer} of batch) {
 				answer(result);
 			}
 		}
 
-		this.#writing = undefined;
+		this.#writeInProgress = undefined;
 	}
 
 	async #tryWrite(batch: readonly PersistRequest[]): Promise<Result<undefined, Failure>> {
-		if (this.#failed !== undefined) {
-			return err(this.#failed);
+		if (this.#failure !== undefined) {
+			return err(this.#failure);
 		}
 
 		try {
 			await this.#write(batch);
 			return ok(undefined);
 		} catch (error) {
-			this.#failed = toFailure(error, FailureKind.storageFailed);
-			return err(this.#failed);
+			this.#failure = toFailure(error, FailureKind.storageFailed);
+			return err(this.#failure);
 		}
 	}
 
@@ -115,11 +115,11 @@
 	}
 
 	async #append(record: {readonly hardState: HardState; readonly entries: readonly LogEntry[]}): Promise<void> {
-		this.#log = await appendRecord(this.#parts.hash, this.#log, record);
+		this.#log = await appendRecord(this.#dependencies.hash, this.#log, record);
 	}
 
 	async #compact(hardState: HardState, snapshot: Snapshot): Promise<void> {
-		const {hash, snapshotPath, logPath} = this.#parts;
+		const {hash, snapshotPath, logPath} = this.#dependencies;
 		const old = this.#log.handle;
 		await writeSnapshot(hash, snapshotPath, snapshot);
 		this.#log = await replaceLogFile(hash, logPath, [{hardState, entries: this.#entries}]);
--- a/packages/storage/test/test-lock.ts
+++ b/packages/storage/test/test-lock.ts
@@ -1,5 +1,5 @@
 /**
- * A data folder has one process at a time, and one that is gone leaves nothing behind.
+ * Only one process at a time can open a data folder, and a process that has ended leaves no stale lock.
  */
 import assert from 'node:assert/strict';
 import {type ChildProcess, spawn} from 'node:child_process';
@@ -14,7 +14,7 @@
 import {FailureKind} from '@dogwooddeck/model/failure';
 import {openFolder, type OpenFolder} from '@dogwooddeck/storage/folder';
 
-const holding = 'const {openFolder} = await import("@dogwooddeck/storage/folder");'
+const holderScript = 'const {openFolder} = await import("@dogwooddeck/storage/folder");'
 	+ 'const opened = await openFolder(process.argv[1]); console.log(opened.isOk ? "held" : opened.error.detail); setInterval(() => {}, 1000);';
 
 const children: ChildProcess[] = [];
@@ -25,28 +25,28 @@
 });
 
 async function startHolder(folder: string): Promise<ChildProcess> {
-	const child = spawn(process.execPath, ['--input-type=module', '--eval', holding, folder], {stdio: ['ignore', 'pipe', 'inherit'], cwd: import.meta.dirname});
+	const child = spawn(process.execPath, ['--input-type=module', '--eval', holderScript, folder], {stdio: ['ignore', 'pipe', 'inherit'], cwd: import.meta.dirname});
 	children.push(child);
-	const said: readonly unknown[] = await once(child.stdout, 'data');
-	assert.equal(String(said[0]), 'held\n');
+	const output: readonly unknown[] = await once(child.stdout, 'data');
+	assert.equal(String(output[0]), 'held\n');
 	return child;
 }
 
-async function opened(folder: string): Promise<OpenFolder> {
+async function openOrFail(folder: string): Promise<OpenFolder> {
 	const result = await openFolder(folder);
 	assert.ok(result.isOk, JSON.stringify(result));
 	return result.value;
 }
 
-async function isRefused(folder: string, holder: number): Promise<void> {
+async function assertRefused(folder: string, holder: number): Promise<void> {
 	const result = await openFolder(folder);
-	assert.ok(result.isErr, 'a second one holds the folder');
+	assert.ok(result.isErr, 'the folder was opened a second time');
 	assert.equal(result.error.kind, FailureKind.conflict);
 	assert.ok(result.error.detail.startsWith(`the data folder ${folder} is held by process ${holder}, started at tick `), result.error.detail);
 }
 
-async function opensAgain(folder: string): Promise<void> {
-	const {storage} = await opened(folder);
+async function assertReopens(folder: string): Promise<void> {
+	const {storage} = await openOrFail(folder);
 	await storage.close();
 }
 
@@ -54,52 +54,52 @@
 	{
 		name: 'the same process',
 		async run(folder) {
-			const {storage} = await opened(folder);
-			await isRefused(folder, process.pid);
+			const {storage} = await openOrFail(folder);
+			await assertRefused(folder, process.pid);
 			await storage.close();
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 	{
-		name: 'another way to the folder',
+		name: 'another path to the folder',
 		async run(folder) {
-			const {storage} = await opened(folder);
+			const {storage} = await openOrFail(folder);
 			await symlink(folder, `${folder}-link`);
-			await isRefused(`${folder}-link`, process.pid);
+			await assertRefused(`${folder}-link`, process.pid);
 			await rm(`${folder}-link`);
 			await storage.close();
 		},
 	},
 	{
-		name: 'an opening that failed gives the folder up',
+		name: 'a failed open releases the folder',
 		async run(folder) {
 			await writeFile(path.join(folder, 'identity'), 'no identity');
 			const first = await openFolder(folder);
 			assert.equal(first.isErr && first.error.kind, FailureKind.storageDamaged);
 			await rm(path.join(folder, 'identity'));
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 	{
-		name: 'of many at one time one gets it',
+		name: 'only one of several concurrent opens succeeds',
 		async run(folder) {
 			const results = await Promise.all(Array.from({length: 8}, async () => openFolder(folder)));
 			const held = results.filter(result => result.isOk);
 			assert.equal(held.length, 1);
 			await held[0]!.unwrapOr(undefined as unknown as OpenFolder).storage.close();
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 	{
-		name: 'another process, frozen, and killed',
+		name: 'another process, stopped, then killed',
 		async run(folder) {
 			const child = await startHolder(folder);
-			await isRefused(folder, child.pid!);
+			await assertRefused(folder, child.pid!);
 			child.kill('SIGSTOP');
-			await isRefused(folder, child.pid!);
+			await assertRefused(folder, child.pid!);
 			child.kill('SIGKILL');
 			await once(child, 'exit');
-			await opensAgain(folder);
+			await assertReopens(folder);
 		},
 	},
 ];
--- a/packages/telemetry/src/line-writer.ts
+++ b/packages/telemetry/src/line-writer.ts
@@ -1,39 +1,39 @@
 /**
- * Writes lines to a file descriptor without ever waiting for its reader: lines
- * are gathered and written in turn, and left out while too much waits.
+ * Writes lines to a file descriptor without blocking on its reader: lines are
+ * buffered and written in order, and dropped while the buffer is full.
  */
 import {write} from 'node:fs';
 
-/** Bytes that may wait to be written. */
-const mostWaitingCharacters = 262_144;
+/** Limit of the buffer, in characters (UTF-16 code units). */
+const maximumBufferedCharacters = 262_144;
 
-/** A writer of lines. */
+/** A non-blocking writer of lines. */
 export type LineWriter = {
 	readonly write: (line: string) => void;
-	/** How many lines were left out so far. */
+	/** Returns the number of lines dropped so far. */
 	readonly dropped: () => number;
-	/** Ends when all that was taken is written. */
+	/** Resolves when all accepted lines are written, or a write has failed. */
 	readonly flush: () => Promise<void>;
 };
 
-/** Makes a writer for a descriptor, such as 1 for the standard output. */
+/** Creates a writer for a file descriptor, such as 1 for the standard output. */
 export function createLineWriter(descriptor: number): LineWriter {
-	let waiting: string[] = [];
-	let characters = 0;
+	let bufferedLines: string[] = [];
+	let bufferedCharacters = 0;
 	let isWriting = false;
 	let dropped = 0;
-	let flushed: Array<() => void> = [];
+	let flushWaiters: Array<() => void> = [];
 
 	function finish(): void {
 		isWriting = false;
-		const ended = flushed;
-		flushed = [];
-		for (const end of ended) {
-			end();
+		const waiters = flushWaiters;
+		flushWaiters = [];
+		for (const resolveFlush of waiters) {
+			resolveFlush();
 		}
 	}
 
-	function writeRest(text: Uint8Array): void {
+	function writeRemaining(text: Uint8Array): void {
 		write(descriptor, text, (error, written) => {
 			if (error !== null && (error).code !== 'EAGAIN') {
 				finish();
@@ -42,7 +42,7 @@
 
 			const rest = text.subarray(error === null ? written : 0);
 			if (rest.length > 0) {
-				setTimeout(writeRest, error === null ? 0 : 5, rest);
+				setTimeout(writeRemaining, error === null ? 0 : 5, rest);
 			} else {
 				writeNext();
 			}
@@ -50,27 +50,27 @@
 	}
 
 	function writeNext(): void {
-		if (waiting.length === 0) {
+		if (bufferedLines.length === 0) {
 			finish();
 			return;
 		}
 
-		const text = new TextEncoder().encode(`${waiting.join('\n')}\n`);
-		waiting = [];
-		characters = 0;
+		const text = new TextEncoder().encode(`${bufferedLines.join('\n')}\n`);
+		bufferedLines = [];
+		bufferedCharacters = 0;
 		isWriting = true;
-		writeRest(text);
+		writeRemaining(text);
 	}
 
 	return {
 		write(line) {
-			if (characters + line.length > mostWaitingCharacters) {
+			if (bufferedCharacters + line.length > maximumBufferedCharacters) {
 				dropped += 1;
 				return;
 			}
 
-			waiting.push(line);
-			characters += line.length;
+			bufferedLines.push(line);
+			bufferedCharacters += line.length;
 			if (!isWriting) {
 				isWriting = true;
 				setImmediate(writeNext);
@@ -80,7 +80,7 @@
 		async flush() {
 			return new Promise(resolve => {
 				if (isWriting) {
-					flushed.push(resolve);
+					flushWaiters.push(resolve);
 				} else {
 					resolve();
 				}
--- a/packages/telemetry/src/load-watch.ts
+++ b/packages/telemetry/src/load-watch.ts
@@ -1,7 +1,7 @@
 /**
- * Watches how late the loop of the process is and what the process uses. A loop
- * that is late by hundreds of milliseconds explains calls that time out, on
- * either side of them.
+ * Monitors the event-loop delay and the resource use of the process. A delay of
+ * hundreds of milliseconds explains calls that time out, at the caller or at the
+ * callee.
  */
 import {monotonicNow} from '@dogwooddeck/clock/monotonic';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -11,55 +11,55 @@
 import {MeasureName, type Measures, recordDuration} from './measure.js';
 import {measureProcess, processorTime} from './process-measures.js';
 
-/** How often the loop is looked at. */
-const lookMilliseconds: Milliseconds = 50;
+/** The interval between samples of the event-loop delay. */
+const sampleIntervalMilliseconds: Milliseconds = 50;
 
-/** A loop that is late by less has no line: calls between instances may take several times as long. */
-const lateMilliseconds: Milliseconds = 200;
-const lateLinesPerSecond = 1;
+/** Smaller delays are not logged: calls between instances may take several times as long. */
+const minimumLoggedDelayMilliseconds: Milliseconds = 200;
+const delayLinesPerSecond = 1;
 
-/** How often the load is told. */
-const tellMilliseconds: Milliseconds = 5000;
+/** The interval between log lines about the load. */
+const reportIntervalMilliseconds: Milliseconds = 5000;
 
-/** A watch that runs. */
+/** A running monitor. */
 export type LoadWatch = {readonly stop: () => void};
 
-/** Starts to watch. `counted` gives what else belongs into the line about the load. */
-export function startLoadWatch(log: Log, measures: Measures, counted: () => Fields = () => ({})): LoadWatch {
+/** Starts the monitor. `counted` returns additional fields for the log line about the load. */
+export function startLoadWatch(log: Log, measures: Measures, additionalFields: () => Fields = () => ({})): LoadWatch {
 	const delays = measures.histogram(MeasureName.loopDelay, {});
-	const lines = new LineBudget(lateLinesPerSecond);
-	let dueAt = monotonicNow() + lookMilliseconds;
-	let latest: Milliseconds = 0;
-	let toldAt = monotonicNow();
-	let processor = processorTime();
+	const lineBudget = new LineBudget(delayLinesPerSecond);
+	let dueAt = monotonicNow() + sampleIntervalMilliseconds;
+	let maximumDelay: Milliseconds = 0;
+	let reportedAt = monotonicNow();
+	let reportedProcessorTime = processorTime();
 
-	function look(): void {
+	function sampleDelay(): void {
 		const now = monotonicNow();
-		const late = Math.max(0, now - dueAt);
-		dueAt = now + lookMilliseconds;
-		latest = Math.max(latest, late);
-		recordDuration(delays, late);
-		if (late >= lateMilliseconds && lines.take(now)) {
-			log.warning(EventName.loopLate, {lateBy: Math.round(late)});
+		const delay = Math.max(0, now - dueAt);
+		dueAt = now + sampleIntervalMilliseconds;
+		maximumDelay = Math.max(maximumDelay, delay);
+		recordDuration(delays, delay);
+		if (delay >= minimumLoggedDelayMilliseconds && lineBudget.take(now)) {
+			log.warning(EventName.loopLate, {lateBy: Math.round(delay)});
 		}
 	}
 
-	function tell(): void {
+	function reportLoad(): void {
 		const now = monotonicNow();
-		const used = processorTime();
+		const currentProcessorTime = processorTime();
 		measureProcess(measures);
-		log.event(EventName.instanceLoad, {cores: ((used - processor) / (now - toldAt)).toFixed(3), latestLoop: Math.round(latest), ...counted()});
-		latest = 0;
-		toldAt = now;
-		processor = used;
+		log.event(EventName.instanceLoad, {cores: ((currentProcessorTime - reportedProcessorTime) / (now - reportedAt)).toFixed(3), latestLoop: Math.round(maximumDelay), ...additionalFields()});
+		maximumDelay = 0;
+		reportedAt = now;
+		reportedProcessorTime = currentProcessorTime;
 	}
 
-	const looking = setInterval(look, lookMilliseconds);
-	const telling = setInterval(tell, tellMilliseconds);
+	const sampleTimer = setInterval(sampleDelay, sampleIntervalMilliseconds);
+	const reportTimer = setInterval(reportLoad, reportIntervalMilliseconds);
 	return {
 		stop() {
-			clearInterval(looking);
-			clearInterval(telling);
+			clearInterval(sampleTimer);
+			clearInterval(reportTimer);
 		},
 	};
 }
--- a/packages/telemetry/src/measure.ts
+++ b/packages/telemetry/src/measure.ts
@@ -1,27 +1,27 @@
 /**
- * What an instance measures of itself: counters, gauges and latency histograms,
- * and their text in the exposition format that scrapers read.
+ * The metrics of an instance: counters, gauges and latency histograms, and their
+ * text in the exposition format that scrapers read.
  */
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {build, type Histogram} from 'hdr-histogram-js';
 
-/** The names of all measures. */
+/** The names of all metrics. */
 export const MeasureName = {
-	/** Requests that ended, by service, outcome and status class. */
+	/** Completed requests, by service, outcome and status class. */
 	requests: 'dogwooddeck_requests_total',
-	/** Time to a whole answer, in milliseconds, by service. */
+	/** Time to a complete answer, in milliseconds, by service. */
 	latency: 'dogwooddeck_request_milliseconds',
-	/** Attempts at upstreams that brought no answer, by service and what was seen. */
+	/** Attempts at upstreams without an answer, by service and observation. */
 	attempts: 'dogwooddeck_failed_attempts_total',
-	/** The newest log entry that is applied. */
+	/** The index of the newest applied log entry. */
 	applied: 'dogwooddeck_applied_index',
-	/** The newest log entry that is known to be committed. */
+	/** The index of the newest log entry known to be committed. */
 	committed: 'dogwooddeck_committed_index',
 	/** Messages of the replicated log, by kind and outcome. */
 	replicationMessages: 'dogwooddeck_replication_messages_total',
 	/** Characters of log entries and snapshots that were sent to other voters. */
 	replicationCharacters: 'dogwooddeck_replication_characters_total',
-	/** Announcements that were taken. */
+	/** Accepted announcements. */
 	announcements: 'dogwooddeck_announcements_total',
 	/** Time to answer an announcement, in milliseconds. */
 	announcementLatency: 'dogwooddeck_announcement_milliseconds',
@@ -29,56 +29,55 @@
 	ready: 'dogwooddeck_ready',
 	/** Whether this instance is the leader: 1 or 0. */
 	leader: 'dogwooddeck_leader',
-	/** Whether this instance is its zone's steward: 1 or 0. */
+	/** Whether this instance is the steward of its zone, which distributes the zone's leases: 1 or 0. */
 	steward: 'dogwooddeck_steward',
 	/** Resident memory in bytes. */
 	memory: 'dogwooddeck_resident_bytes',
-	/** How late timers of the process fire, in milliseconds. */
+	/** The event-loop delay: how late timers of the process fire, in milliseconds. */
 	loopDelay: 'dogwooddeck_loop_delay_milliseconds',
 	/** Calls to other instances, by call and outcome. */
 	callsMade: 'dogwooddeck_calls_made_total',
-	/** Calls of other instances, by call. */
+	/** Calls received from other instances, by call. */
 	callsTaken: 'dogwooddeck_calls_taken_total',
-	/** Holds of keys that had run out at their upstreams when those announced themselves. */
+	/** Holds (key leases at upstreams) that had expired when their upstream announced itself. */
 	holdsLapsed: 'dogwooddeck_holds_lapsed_total',
 	/** Processor time that the process has used, in milliseconds. */
 	processor: 'dogwooddeck_processor_milliseconds_total',
 } as const;
 
-/** One of the names of measures. */
 export type MeasureName = (typeof MeasureName)[keyof typeof MeasureName];
 
-/** Tells one series of a measure from another. */
+/** The labels that identify a series of a metric. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** One series that counts. Keep it: finding it costs more than counting. */
+/** The counter of one series. Keep a reference to it: the lookup costs more than an increment. */
 export type Counter = {value: number};
 
-/** The measures of one instance. The structures are mutable: they are on the request path. */
+/** The metrics of one instance. They are mutable because they are on the request path. */
 export type Measures = {
-	/** The counter of a series. */
+	/** Returns the counter of a series. */
 	readonly counter: (name: MeasureName, labels: Labels) => Counter;
 	/** Sets a gauge. */
 	readonly set: (name: MeasureName, value: number) => void;
-	/** The histogram of a series of durations. Record with `recordDuration`. */
+	/** Returns the histogram of a series of durations. Record with `recordDuration`. */
 	readonly histogram: (name: MeasureName, labels: Labels) => Histogram;
-	/** All measures as text, one series a line after the kind of its measure. */
+	/** Returns all metrics as text: a line with the type of each metric, then one line for each of its series. */
 	readonly expose: () => string;
 };
 
 const unitsPerMillisecond = 1000;
-const longestRecordedMilliseconds = 60_000;
+const maximumRecordedMilliseconds = 60_000;
 const significantDigits = 2;
 const exposedQuantiles = ['0.5', '0.9', '0.99', '0.999'];
 const percentilesInWhole = 100;
 
-/** What a scraper is told of a measure's kind. */
-const SeriesKind = {counter: 'counter', gauge: 'gauge', summary: 'summary'} as const;
-type SeriesKind = (typeof SeriesKind)[keyof typeof SeriesKind];
+/** The metric types of the exposition format. */
+const MetricType = {counter: 'counter', gauge: 'gauge', summary: 'summary'} as const;
+type MetricType = (typeof MetricType)[keyof typeof MetricType];
 
-type Family = {readonly kind: SeriesKind; readonly lines: readonly string[]};
+type MetricFamily = {readonly kind: MetricType; readonly lines: readonly string[]};
 
-function seriesOf(name: MeasureName, labels: Labels): string {
+function seriesName(name: MeasureName, labels: Labels): string {
 	const pairs = Object.entries(labels).map(([key, value]) => `${key}=${JSON.stringify(value)}`);
 	return pairs.length === 0 ? name : `${name}{${pairs.join(',')}}`;
 }
@@ -86,66 +85,66 @@
 function createHistogram(): Histogram {
 	return build({
 		lowestDiscernibleValue: 1,
-		highestTrackableValue: longestRecordedMilliseconds * unitsPerMillisecond,
+		highestTrackableValue: maximumRecordedMilliseconds * unitsPerMillisecond,
 		numberOfSignificantValueDigits: significantDigits,
 	});
 }
 
-function found<Value>(map: Map<string, Value>, key: string, make: () => Value): Value {
-	const known = map.get(key);
-	if (known !== undefined) {
-		return known;
+function getOrCreate<Value>(map: Map<string, Value>, key: string, create: () => Value): Value {
+	const existing = map.get(key);
+	if (existing !== undefined) {
+		return existing;
 	}
 
-	const made = make();
-	map.set(key, made);
-	return made;
+	const created = create();
+	map.set(key, created);
+	return created;
 }
 
 function summaryLines(name: MeasureName, labels: Labels, histogram: Histogram): readonly string[] {
 	const quantiles = exposedQuantiles.map(quantile => {
 		const units = histogram.getValueAtPercentile(Number(quantile) * percentilesInWhole);
-		return `${seriesOf(name, {...labels, quantile})} ${units / unitsPerMillisecond}`;
+		return `${seriesName(name, {...labels, quantile})} ${units / unitsPerMillisecond}`;
 	});
-	return [...quantiles, `${seriesOf(name, labels).replace(name, `${name}_count`)} ${histogram.totalCount}`];
+	return [...quantiles, `${seriesName(name, labels).replace(name, `${name}_count`)} ${histogram.totalCount}`];
 }
 
-function familyLines([name, {kind, lines}]: readonly [MeasureName, Family]): readonly string[] {
+function familyLines([name, {kind, lines}]: readonly [MeasureName, MetricFamily]): readonly string[] {
 	return [`# TYPE ${name} ${kind}`, ...[...lines].sort()];
 }
 
-/** Records a duration in a histogram that `histogram` gave. */
+/** Records a duration, capped at 60 s, in a histogram that `Measures.histogram` returned. */
 export function recordDuration(histogram: Histogram, duration: Milliseconds): void {
-	const capped = Math.min(longestRecordedMilliseconds, Math.max(0, duration));
+	const capped = Math.min(maximumRecordedMilliseconds, Math.max(0, duration));
 	histogram.recordValue(Math.round(capped * unitsPerMillisecond));
 }
 
-/** Makes an empty set of measures. */
+/** Creates an empty set of metrics. */
 export function createMeasures(): Measures {
 	const counters = new Map<string, {readonly name: MeasureName; readonly counter: Counter}>();
 	const gauges = new Map<MeasureName, number>();
 	const histograms = new Map<string, {readonly name: MeasureName; readonly labels: Labels; readonly histogram: Histogram}>();
 
-	function families(): ReadonlyMap<MeasureName, Family> {
-		const all = new Map<MeasureName, Family>([...gauges].map(([name, value]) => [name, {kind: SeriesKind.gauge, lines: [`${name} ${value}`]}]));
-		const add = (name: MeasureName, kind: SeriesKind, lines: readonly string[]) => all.set(name, {kind, lines: [...all.get(name)?.lines ?? [], ...lines]});
+	function families(): ReadonlyMap<MeasureName, MetricFamily> {
+		const all = new Map<MeasureName, MetricFamily>([...gauges].map(([name, value]) => [name, {kind: MetricType.gauge, lines: [`${name} ${value}`]}]));
+		const add = (name: MeasureName, kind: MetricType, lines: readonly string[]) => all.set(name, {kind, lines: [...all.get(name)?.lines ?? [], ...lines]});
 		for (const [series, {name, counter}] of counters) {
-			add(name, SeriesKind.counter, [`${series} ${counter.value}`]);
+			add(name, MetricType.counter, [`${series} ${counter.value}`]);
 		}
 
 		for (const {name, labels, histogram} of histograms.values()) {
-			add(name, SeriesKind.summary, summaryLines(name, labels, histogram));
+			add(name, MetricType.summary, summaryLines(name, labels, histogram));
 		}
 
 		return all;
 	}
 
 	return {
-		counter: (name, labels) => found(counters, seriesOf(name, labels), () => ({name, counter: {value: 0}})).counter,
+		counter: (name, labels) => getOrCreate(counters, seriesName(name, labels), () => ({name, counter: {value: 0}})).counter,
 		set(name, value) {
 			gauges.set(name, value);
 		},
-		histogram: (name, labels) => found(histograms, seriesOf(name, labels), () => ({name, labels, histogram: createHistogram()})).histogram,
+		histogram: (name, labels) => getOrCreate(histograms, seriesName(name, labels), () => ({name, labels, histogram: createHistogram()})).histogram,
 		expose() {
 			const ordered = [...families()].sort(([one], [other]) => (one < other ? -1 : 1));
 			return ordered.flatMap(family => familyLines(family)).join('\n') + '\n';
--- a/packages/telemetry/test/test-load-watch.ts
+++ b/packages/telemetry/test/test-load-watch.ts
@@ -7,23 +7,23 @@
 
 type Line = {readonly name: EventName; readonly fields: Fields};
 
-const cases: ReadonlyArray<{readonly name: string; readonly lateBy: readonly number[]; readonly told: readonly number[]}> = [
-	{name: 'on time', lateBy: [0, 0, 0], told: []},
-	{name: 'late by less than what counts', lateBy: [0, 150, 0], told: []},
-	{name: 'late once', lateBy: [0, 400, 0], told: [400]},
-	{name: 'late again within a second', lateBy: [400, 400], told: [400]},
-	{name: 'late again after a second', lateBy: [400, 1100, 400], told: [400, 1100]},
+const cases: ReadonlyArray<{readonly name: string; readonly lateBy: readonly number[]; readonly loggedDelays: readonly number[]}> = [
+	{name: 'on time', lateBy: [0, 0, 0], loggedDelays: []},
+	{name: 'late by less than the logged minimum', lateBy: [0, 150, 0], loggedDelays: []},
+	{name: 'late once', lateBy: [0, 400, 0], loggedDelays: [400]},
+	{name: 'late again within a second', lateBy: [400, 400], loggedDelays: [400]},
+	{name: 'late again after a second', lateBy: [400, 1100, 400], loggedDelays: [400, 1100]},
 ];
 
-for (const {name, lateBy, told} of cases) {
+for (const {name, lateBy, loggedDelays} of cases) {
 	test(`load watch: a loop that is ${name}`, context => {
 		let now = 1000;
 		const lines: Line[] = [];
-		const note = (event: EventName, fields: Fields = {}) => {
+		const recordLine = (event: EventName, fields: Fields = {}) => {
 			lines.push({name: event, fields});
 		};
 
-		const log: Log = {event: note, warning: note, error: () => undefined};
+		const log: Log = {event: recordLine, warning: recordLine, error: () => undefined};
 		context.mock.timers.enable({apis: ['setInterval']});
 		context.mock.method(performance, 'now', () => now);
 		const watch = startLoadWatch(log, createMeasures());
@@ -33,11 +33,11 @@
 		}
 
 		watch.stop();
-		assert.deepEqual(lines.filter(line => line.name === EventName.loopLate).map(({fields}) => fields.lateBy), told);
+		assert.deepEqual(lines.filter(line => line.name === EventName.loopLate).map(({fields}) => fields.lateBy), loggedDelays);
 	});
 }
 
-test('load watch: tells what the process used, and what else is counted', context => {
+test('load watch: logs the resource use of the process, and additional fields', context => {
 	let now = 1000;
 	const lines: Line[] = [];
 	const log: Log = {
--- a/packages/telemetry/test/test-measure.ts
+++ b/packages/telemetry/test/test-measure.ts
@@ -4,11 +4,11 @@
 	createMeasures, MeasureName, type Measures, recordDuration,
 } from '@dogwooddeck/telemetry/measure';
 
-const cases: ReadonlyArray<{readonly name: string; readonly note: (measures: Measures) => void; readonly expected: readonly string[]}> = [
-	{name: 'nothing', note: () => undefined, expected: ['']},
+const cases: ReadonlyArray<{readonly name: string; readonly record: (measures: Measures) => void; readonly expected: readonly string[]}> = [
+	{name: 'nothing', record: () => undefined, expected: ['']},
 	{
-		name: 'counters of one name stand together, and gauges by themselves',
-		note(measures) {
+		name: 'counters of one name are grouped, and gauges are separate',
+		record(measures) {
 			measures.counter(MeasureName.requests, {service: 'a/b', outcome: 'ran'}).value += 2;
 			measures.set(MeasureName.ready, 1);
 			measures.counter(MeasureName.requests, {service: 'a/b', outcome: 'not-run'}).value += 1;
@@ -22,8 +22,8 @@
 		],
 	},
 	{
-		name: 'durations by quantile, and their count',
-		note(measures) {
+		name: 'quantiles and count of durations',
+		record(measures) {
 			recordDuration(measures.histogram(MeasureName.latency, {service: 'a/b'}), 5);
 		},
 		expected: [
@@ -37,10 +37,10 @@
 	},
 ];
 
-for (const {name, note, expected} of cases) {
+for (const {name, record, expected} of cases) {
 	test(`measures: ${name}`, () => {
 		const measures = createMeasures();
-		note(measures);
+		record(measures);
 		assert.deepEqual(measures.expose().trimEnd().split('\n'), expected);
 	});
 }
