--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to one caller: passed on, told as a problem, or broken off. Once
- * the caller is gone nothing is written any more.
+ * Writes the answer to one caller: relayed from the upstream, replaced by a
+ * problem body, or aborted. Nothing is written after the caller disconnects.
  */
 import {Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
@@ -11,14 +11,14 @@
 import {type RawHeaders} from './headers.js';
 import {writeProblem} from './problem.js';
 
-/** A write that comes between the end of a connection and its `close` event fails; the event tells the rest. */
+/** A write between the end of a connection and its `close` event fails; the `close` event reports the disconnect. */
 function ignoreError(): void {
-	// The connection is over.
+	// The connection has ended.
 }
 
-/** What a caller has got of its answer. It is mutable: it follows the connection. */
+/** The response to one caller and how much of it was sent. Mutable: it follows the connection. */
 export class CallerAnswer {
-	/** Whether the caller went away before its answer was whole. */
+	/** Whether the caller disconnected before its answer was complete. */
 	gone = false;
 	readonly #response: ServerResponse;
 	#status: number | undefined;
@@ -27,23 +27,23 @@
 		this.#response = response;
 	}
 
-	/** Whether the head of an answer was passed on, or would have been. */
+	/** Whether the head of an answer was relayed, or would have been if the caller were still connected. */
 	get begun(): boolean {
 		return this.#status !== undefined;
 	}
 
-	/** The status that the caller got. */
+	/** The status that the caller received. */
 	get status(): number | undefined {
 		return this.gone ? undefined : this.#status;
 	}
 
-	/** Calls `whenGone` if the connection ends before the answer is over. */
+	/** Calls `whenGone` once the response closes: it was sent completely, or the connection ended before. */
 	watch(whenGone: () => void): void {
 		this.#response.once('close', whenGone);
 		this.#response.on('error', ignoreError);
 	}
 
-	/** Passes the head of an upstream's answer on. */
+	/** Relays the status and headers of an upstream's answer. */
 	head(status: number, headers: RawHeaders): void {
 		this.#status = status;
 		if (!this.gone) {
@@ -52,7 +52,7 @@
 		}
 	}
 
-	/** Passes a part of the body on. `false`: `whenDrained` is called when there is room again. */
+	/** Relays a chunk of the body. Returns `false` if the write buffer is full; `whenDrained` is then called once it has drained. */
 	chunk(bytes: Uint8Array, whenDrained: () => void): boolean {
 		if (this.gone || this.#response.write(bytes)) {
 			return true;
@@ -62,20 +62,20 @@
 		return false;
 	}
 
-	/** The answer is whole. */
+	/** Ends a complete answer. */
 	end(): void {
 		if (!this.gone) {
 			this.#response.end();
 		}
 	}
 
-	/** The caller has part of an answer that is not whole, so it must not see an end. */
+	/** Destroys the connection of a caller that holds part of an incomplete answer, so that it doesn't see a regular end. */
 	break(): void {
 		this.#status = undefined;
 		this.#response.destroy();
 	}
 
-	/** Tells a failure in place of an answer. */
+	/** Sends a failure as a problem body in place of an answer. */
 	refuse(why: Failure, status: number, outcome: Outcome): void {
 		this.#status = status;
 		if (!this.gone) {
@@ -83,7 +83,7 @@
 		}
 	}
 
-	/** Gives an answer that was kept. */
+	/** Sends a stored answer. */
 	replay(answer: StoredAnswer): void {
 		this.head(answer.status, answer.headers);
 		if (!this.gone) {
--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Carries the claims of one instance: between the forwarder, which waits for
- * decisions, and the other instances, which hold claims.
+ * Coordinates the claims of one instance (exactly-once records of operations):
+ * connects the forwarder, which waits for decisions, with the other instances,
+ * which hold claims.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -16,37 +17,37 @@
 import {type Result} from 'true-myth';
 import {type OpenClaim} from './request-path.js';
 
-/** Takes messages to other instances. */
+/** Sends messages to other instances. */
 export type ClaimCarrier = {
-	/** Brings a request to its holder and the answer back. Fails where the holder can't be reached in time. */
+	/** Sends a request to its holder and returns the answer. Fails if the holder can't be reached in time. */
 	ask(request: ClaimRequest): Promise<Result<ClaimAnswer, Failure>>;
-	/** Brings an end to its holder, as far as that can be reached. */
+	/** Notifies the holder that an operation ended, if the holder can be reached. */
 	tell(ended: ClaimEnded): void;
 };
 
-/** What a request claims. */
+/** The operation that a request claims. */
 export type ClaimWish = {
 	readonly operation: Operation;
 	readonly fingerprint: string;
-	/** From now until nothing of the operation is in flight any more. */
+	/** Time from now until no attempt of the operation is in flight. */
 	readonly runsForMilliseconds: Milliseconds;
 };
 
 type RosterEvent = Extract<ClaimsEvent, {readonly kind: 'roster' | 'rosters-missed' | 'view-told' | 'copies-told'}>;
 type Timeless<Event> = Event extends unknown ? Omit<Event, 'now'> : never;
 
-/** What becomes known of the rosters and their holders. */
+/** A change to the rosters or a report about their holders. */
 export type ClaimNews = Timeless<RosterEvent>;
 
-/** Where the claims of an instance stand. */
+/** The state of an instance's claims. */
 export type ClaimStanding = {
-	/** The newest roster that is known; 0 for none. */
+	/** The log index of the newest roster received; 0 for none. */
 	readonly newest: LogIndex;
-	/** The roster whose holders have answered copies of all records that are held here; 0 while some are missing. */
+	/** The log index of the roster whose holders have acknowledged copies of all records held here; 0 while some are missing. */
 	readonly copiedThrough: LogIndex;
-	/** The instances that have not told whether their records are copied, where claims wait for it. */
+	/** The instances that have not reported whether their records are copied, while claims wait for the report. */
 	readonly awaited: readonly ClaimSeat[];
-	/** What an instance that starts is told; undefined while rosters may be missing. */
+	/** What a starting instance is sent; undefined while rosters may be missing. */
 	readonly view: ClaimsView | undefined;
 };
 
@@ -54,13 +55,13 @@
 export type ClaimCoordinator = {
 	/** Claims an operation and calls `decided` once. */
 	claim(wish: ClaimWish, decided: (decision: ClaimDecision) => void): OpenClaim;
-	/** Takes a message of another instance; a request is answered at once. */
+	/** Handles a message from another instance; a request is answered synchronously. */
 	receive(message: ClaimRequest | ClaimEnded): ClaimAnswer | undefined;
-	/** Takes in what became known of the rosters and their holders. */
+	/** Applies a roster change or a report about holders. */
 	learn(news: ClaimNews): void;
-	/** What this instance can tell others of its records and rosters. */
+	/** Returns the state of this instance's records and rosters for reporting to others. */
 	standing(): ClaimStanding;
-	/** Drops what has expired. Every live instance has applied the entry `acknowledged`. */
+	/** Drops expired records. Every live instance has applied the log up to the entry `acknowledged`. */
 	sweep(acknowledged: LogIndex): void;
 };
 
@@ -160,7 +161,7 @@
 	}
 }
 
-/** Opens the claims of an instance that has just started. */
+/** Creates the coordinator of an instance that has just started. */
 export function createClaimCoordinator(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimCoordinator {
 	return new CarriedClaims(input, carrier, now);
 }
--- a/packages/upstream-client/src/client.ts
+++ b/packages/upstream-client/src/client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends requests to upstreams: one bounded pool of connections for each
- * address, one request at a time on a connection, and none sent again by itself.
+ * Sends requests to upstreams over one bounded connection pool for each
+ * address, with one request at a time on a connection and no automatic retries.
  */
 import {Pool} from 'undici';
 import {HeaderName} from '@dogwooddeck/model/headers';
@@ -12,33 +12,33 @@
 export type UpstreamRequest = {
 	/** Where the upstream listens, as `IP:port`. */
 	readonly address: string;
-	/** The connections that this instance may have to the upstream. 0: none, and the request is refused. */
+	/** The maximum number of connections from this instance to the upstream. 0 refuses the request. */
 	readonly connections: number;
 	readonly method: string;
 	/** The path and the query. */
 	readonly path: string;
-	/** The fields that pass, as `requestHeaders` gives them. The array is not changed. */
+	/** The fields to forward, as returned by `requestHeaders`. The array is not modified. */
 	readonly headers: RawHeaders;
 	readonly body: Uint8Array | undefined;
 	readonly slot: Slot;
 	readonly fence: FenceNumber;
-	/** What is left of the request's time. */
+	/** The time left until the request's deadline. */
 	readonly timeoutMilliseconds: Milliseconds;
-	/** Statuses by which the upstream says that it did not run the request. */
+	/** Statuses with which the upstream reports that it did not run the request. */
 	readonly notRunStatuses: readonly number[];
 };
 
-/** A request that is under way. */
+/** An in-flight request. */
 export type SentRequest = {
-	/** Gives the request up: the sink's `onEnd` is called at once, and nothing after it. */
+	/** Cancels the request: the sink's `onEnd` is called synchronously, and nothing after it. */
 	abandon(why: Abandoned): void;
-	/** Goes on after the sink's `onChunk` returned `false`. */
+	/** Resumes reading the body after the sink's `onChunk` returned `false`. */
 	resume(): void;
 };
 
-/** How the client connects. */
+/** Connection options of the client. */
 export type UpstreamClientOptions = {
-	/** The longest wait for a connection. */
+	/** The maximum wait for a connection. */
 	readonly connectTimeoutMilliseconds: Milliseconds;
 	/** How long an unused connection is kept. */
 	readonly idleMilliseconds: Milliseconds;
@@ -46,11 +46,11 @@
 
 /** The client of all upstreams. */
 export type UpstreamClient = {
-	/** Sends one attempt; the sink hears of its end exactly once, and never within this call's own stack before it returns the handle unless the request can't be sent at all. */
+	/** Sends one attempt. The sink's `onEnd` is called exactly once, and not before this call returns the handle, unless the request can't be sent at all. */
 	send(request: UpstreamRequest, sink: AnswerSink): SentRequest;
-	/** Closes the connections to an address once its requests are over. */
+	/** Closes the connections to an address once its requests have ended. */
 	retire(address: string): void;
-	/** Closes all connections once their requests are over. */
+	/** Closes all connections once their requests have ended. */
 	close(): Promise<void>;
 };
 
@@ -129,7 +129,7 @@
 	}
 }
 
-/** Opens a client without connections. */
+/** Creates a client that has no connections yet. */
 export function createUpstreamClient(options: UpstreamClientOptions): UpstreamClient {
 	return new PooledClient(options);
 }
--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -1,9 +1,9 @@
 /**
- * One request on its way to an upstream, as `undici` reports it, told in the
- * words of the outcome table. It ends exactly once.
+ * Maps the events that `undici` reports for one request to the observations of
+ * the outcome table. An exchange ends exactly once.
  *
  * `undici` calls `onConnect` right before it hands the first byte to a socket,
- * and again when it would send the request anew by itself; that is refused.
+ * and again before it retries the request by itself; the retry is refused.
  */
 import {failure, FailureError, FailureKind} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -12,37 +12,36 @@
 	type AnswerHead, type RawHeaders, readAnswerHead, retryAfterMilliseconds,
 } from './headers.js';
 
-/** Takes what comes of one request. */
+/** Receives the answer and the result of one request. */
 export type AnswerSink = {
-	/** Called right before the first byte is handed to a socket. `false` refuses: nothing is sent, and `leaseLost` is seen. */
+	/** Called right before the first byte is handed to a socket. `false` refuses: nothing is sent, and the attempt ends with `leaseLost`. */
 	beforeFirstByte(): boolean;
-	/** The head of an answer that can be passed on. */
+	/** Called with the head of an answer that can be relayed. */
 	onHead(status: number, headers: RawHeaders): void;
-	/** A part of the body. `false` asks to wait until `resume`. */
+	/** Called with a chunk of the body. Returning `false` pauses reading until `resume`. */
 	onChunk(chunk: Uint8Array): boolean;
-	/** Called once, and last but for `onDrained`. */
+	/** Called once; only `onDrained` may follow. */
 	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void;
-	/** The rest of a shed answer was read: its connection can be used again. Before `onEnd` where the answer has no body. */
+	/** Called when the rest of a shed answer was read and its connection can be reused. Precedes `onEnd` if the answer has no body. */
 	onDrained?(): void;
 };
 
-/** What an answer is held against. */
+/** Rules that classify an answer. */
 export type AnswerRules = {
-	/** Whether the upstream says that it did not run the request. */
+	/** Whether the upstream reports that it did not run the request. */
 	readonly isNotRun: (status: number, head: AnswerHead) => boolean;
-	/** Whether the answer belongs to another request, or isn't the upstream's own. Left out: none is. */
+	/** Whether the answer belongs to another request or isn't the upstream's own. If omitted, no answer is foreign. */
 	readonly isForeign?: (status: number, head: AnswerHead) => boolean;
-	/** Whether the connection that carried an answer without a length ended in order. Left out: that can't be told. */
+	/** Whether the connection that carried an answer without a length was closed cleanly. If omitted, this can't be determined, and such an answer is rejected. */
 	readonly endedInOrder?: () => boolean;
 };
 
-/** Why a request is given up. */
+/** Why a request is cancelled. */
 export const Abandoned = {
 	callerGone: 'caller-gone',
 	deadlinePassed: 'deadline-passed',
 } as const;
 
-/** One of the reasons. */
 export type Abandoned = (typeof Abandoned)[keyof typeof Abandoned];
 
 const seenWhenAbandoned: Readonly<Record<Abandoned, {readonly before: AttemptObservation; readonly after: AttemptObservation}>> = {
@@ -50,7 +49,7 @@
 	[Abandoned.deadlinePassed]: {before: AttemptObservation.deadlinePassedBeforeFirstByte, after: AttemptObservation.deadlinePassedAfterFirstByte},
 };
 
-/** What an error means while no byte was handed over. Others: the connection ended. */
+/** The observation for an error code before the first byte was handed over. Any other code means that the connection closed. */
 const seenByCode: Readonly<Record<string, AttemptObservation>> = {
 	ECONNREFUSED: AttemptObservation.refusedConnection,
 	EHOSTUNREACH: AttemptObservation.refusedConnection,
@@ -66,14 +65,14 @@
 const noContent = 204;
 const notModified = 304;
 
-/** What of a shed answer's body is read, so that the connection can be used again. */
+/** The maximum number of bytes read from a shed answer's body to keep its connection reusable. */
 const longestDrain = 65_536;
 
 function nothingToDo(): void {
-	// Nothing was handed to a socket yet.
+	// The request has no socket yet.
 }
 
-/** The handler that `undici` calls, and the handle by which a request is steered. */
+/** The handler that `undici` calls, which is also the handle that cancels or resumes the request. */
 export class Exchange {
 	readonly #sink: AnswerSink;
 	readonly #method: string;
@@ -84,7 +83,7 @@
 	#unbounded = false;
 	#ended = false;
 	#drained = 0;
-	/** A shed answer without a body: its connection can be used again at once. */
+	/** Set for a shed answer without a body, whose connection can be reused at once. */
 	#emptyShed: {readonly retryAfter: Milliseconds | undefined} | undefined;
 	#abort: (reason?: Error) => void = nothingToDo;
 	#resume: () => void = nothingToDo;
@@ -96,18 +95,18 @@
 		this.#timer = setTimeout(whenTimedOut, timeoutMilliseconds, this);
 	}
 
-	/** Gives the request up: what comes later goes nowhere, and the upstream sees its connection end. */
+	/** Cancels the request: later events are ignored, and the upstream's connection is closed. */
 	abandon(why: Abandoned): void {
 		const seen = seenWhenAbandoned[why];
 		this.#finishAndAbort(this.#handedOver ? seen.after : seen.before);
 	}
 
-	/** Goes on after `onChunk` returned `false`. */
+	/** Resumes reading after `onChunk` returned `false`. */
 	resume(): void {
 		this.#resume();
 	}
 
-	/** For `undici`: a throw here keeps the request off the socket and the connection usable. */
+	/** Called by `undici`. Throwing here keeps the request off the socket and the connection usable. */
 	onConnect(abort: (reason?: Error) => void): void {
 		this.#abort = abort;
 		if (this.#ended || this.#handedOver || !this.#mayStart()) {
@@ -117,7 +116,7 @@
 		this.#handedOver = true;
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onHeaders(status: number, raw: readonly Uint8Array[], resume: () => void): boolean {
 		if (status < firstFinalStatus || this.#ended) {
 			return true;
@@ -142,7 +141,7 @@
 		return true;
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onData(chunk: Uint8Array): boolean {
 		if (!this.#ended) {
 			return this.#sink.onChunk(chunk);
@@ -156,7 +155,7 @@
 		return true;
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onComplete(): void {
 		clearTimeout(this.#timer);
 		if (this.#ended || this.#emptyShed !== undefined) {
@@ -169,7 +168,7 @@
 		this.#finish(isWhole ? AttemptObservation.wholeAnswer : AttemptObservation.cutAnswer);
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onError(error: Error & {readonly code?: string}): void {
 		clearTimeout(this.#timer);
 		if (this.#emptyShed !== undefined) {
@@ -183,7 +182,7 @@
 		}
 	}
 
-	/** Runs when the time for the request, or for the rest of a shed answer, is over. */
+	/** Called when the time limit of the request, or of reading the rest of a shed answer, expires. */
 	timeOut(): void {
 		this.abandon(Abandoned.deadlinePassed);
 		this.#abort();
@@ -198,7 +197,7 @@
 		return false;
 	}
 
-	/** The head alone says that the request did not run; the rest is read only to keep the connection. */
+	/** Ends the attempt from the head alone, which says that the request did not run; the body is read only to keep the connection. */
 	#shed(head: AnswerHead, bounded: boolean): void {
 		const retryAfter = retryAfterMilliseconds(head.retryAfter, Date.now());
 		if (head.isEmpty) {
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request on its way: the state machine of `routing` decides what
- * to do, and this module carries it out on the raw messages of Node.js.
+ * Runs one caller's request: the state machine of `routing` decides the next
+ * step, and this module executes it on the raw messages of Node.js.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Importance} from '@dogwooddeck/model/contract';
@@ -28,7 +28,7 @@
 
 type EffectTable = HandlerTable<RequestEffect, [Forwarding<any, any>], void>;
 
-/** One request from its head to its end. It is mutable: a copy for each step of the edge would cost more than the step. */
+/** One request from its head to its end. Mutable: copying this state on every step would cost more than the step itself. */
 export class Forwarding<Opened extends OpenedRequest, Owner extends RequestOwner> implements AnswerSink, Ticket {
 	static readonly #effects: EffectTable = {
 		admit(_effect, forwarding) {
@@ -88,7 +88,7 @@
 		this.deadline = opened.deadline;
 	}
 
-	/** Begins: reads the body, claims the operation where that is asked for, and goes through the attempts. */
+	/** Reads the body, claims the operation if the request requires it, and runs the attempts. */
 	begin(): void {
 		this.#answer.watch(() => {
 			this.#whenClosed();
@@ -150,26 +150,26 @@
 		owner.admission.finish(completionOf(seen), latencyMilliseconds);
 	}
 
-	/** Feeds the state machine and carries its effects out. */
+	/** Applies an event to the state machine and executes the resulting effects. */
 	step(event: RequestEvent): void {
 		if (this.#state !== undefined) {
 			this.#carryOut(stepRequest(this.#state, event));
 		}
 	}
 
-	/** The claim is held: the request may be sent. */
+	/** Starts the request once its claim is held. */
 	runClaimed(): void {
 		this.#claimed = true;
 		this.#start();
 	}
 
-	/** The operation ended before: its answer is sent again. */
+	/** Sends the stored answer of an operation that has already ended. */
 	replay(answer: StoredAnswer): void {
 		this.#answer.replay(answer);
 		this.#finish(Outcome.ran);
 	}
 
-	/** Tells the caller why there is no answer. */
+	/** Sends the caller a failure in place of an answer. */
 	refuse(why: Failure, outcome: Outcome, status = httpStatusOf(why.kind)): void {
 		if (!this.#over) {
 			this.#answer.refuse(why, status, outcome);
@@ -177,7 +177,7 @@
 		}
 	}
 
-	/** Before its claim is held nobody knows whether an earlier send of the operation ran. */
+	/** The outcome of a request that was not sent. Until its claim is held, it is unknown whether an earlier send of the operation ran. */
 	get #unsentOutcome(): Outcome {
 		return this.#opened.claims && !this.#claimed ? Outcome.unknown : Outcome.notRun;
 	}
@@ -195,7 +195,7 @@
 		}, Math.max(0, this.deadline - this.#path.now()));
 	}
 
-	/** Runs when the deadline passes while nothing is sent. */
+	/** Called when the deadline passes while no attempt is in flight. */
 	#whenDeadlinePassed(): void {
 		if (this.#state === undefined) {
 			this.refuse(failure(FailureKind.deadlineExceeded, 'the deadline passed before the request was sent'), this.#unsentOutcome);
@@ -298,7 +298,7 @@
 		this.#finish(Outcome.unknown);
 	}
 
-	/** A claimed operation that was sent goes on without its caller, so that a resend gets the answer. */
+	/** Handles the close of the caller's connection. A claimed operation that was sent continues without its caller, so that a resend gets the answer. */
 	#whenClosed(): void {
 		if (this.#over) {
 			return;
--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -1,23 +1,23 @@
 /**
- * Which header fields pass between callers and upstreams. Fields of one
- * connection alone (hop-by-hop) and this system's own fields never pass.
+ * Filters the header fields forwarded between callers and upstreams. Hop-by-hop
+ * fields and this system's own fields are never forwarded.
  */
 import {type Buffer} from 'node:buffer';
 import {HeaderName} from '@dogwooddeck/model/headers';
 
-/** Names and values in turn, as Node.js gives and takes them. */
+/** Alternating names and values, the raw header format of Node.js. */
 export type RawHeaders = readonly string[];
 
 const hopByHop = ['connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade'];
 const ownFields = [HeaderName.fence, HeaderName.deadline, HeaderName.slot, HeaderName.outcome];
 
-/** The client sets the length of the body that it sends; `expect` was met when the body was read. */
+/** The client sets the length of the body that it sends; `expect` was satisfied when the body was read. */
 const stoppedInRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
 const stoppedInAnswers = new Set<string>([...hopByHop, ...ownFields]);
 
 const none: ReadonlySet<string> = new Set();
 
-/** The fields that a `Connection` field names as of this connection alone. */
+/** The fields that a `Connection` field declares hop-by-hop. */
 function namedFields(connection: string | undefined): ReadonlySet<string> {
 	if (connection === undefined || connection === 'keep-alive' || connection === 'close') {
 		return none;
@@ -27,8 +27,8 @@
 }
 
 /**
- * The fields of a caller's request that an upstream gets. `connection` is the value of the caller's
- * `Connection` field; `stopped` are further names, in lower case, that don't pass.
+ * Returns the fields of a caller's request that are sent to an upstream. `connection` is the value of the
+ * caller's `Connection` field; `stopped` holds further names, in lower case, that are not forwarded.
  */
 export function requestHeaders(raw: RawHeaders, connection: string | undefined, stopped: ReadonlySet<string> = none): string[] {
 	const named = namedFields(connection);
@@ -44,13 +44,13 @@
 	return kept;
 }
 
-/** What the head of an upstream's answer says. */
+/** The parsed head of an upstream's answer. */
 export type AnswerHead = {
-	/** The fields that the caller gets. */
+	/** The fields that are relayed to the caller. */
 	readonly headers: string[];
-	/** Whether the end of the body can be told from a cut. */
+	/** Whether the body's framing distinguishes a complete body from a truncated one. */
 	readonly bounded: boolean;
-	/** Whether the body is known to be empty. */
+	/** Whether the body is known to be empty, by a `Content-Length` of 0. */
 	readonly isEmpty: boolean;
 	/** The value of `Retry-After`. */
 	readonly retryAfter?: string;
@@ -58,7 +58,7 @@
 
 const lastIsChunked = /(?:^|,)\s*chunked\s*$/iv;
 
-/** Reads the raw head of an upstream's answer. */
+/** Parses the raw head of an upstream's answer. */
 export function readAnswerHead(raw: readonly Uint8Array[]): AnswerHead {
 	const fields = raw.map(field => (field as Buffer).toString('latin1'));
 	const headers: string[] = [];
@@ -89,7 +89,7 @@
 	return headers.filter((_field, position) => !named.has(headers[position - (position % 2)]!.toLowerCase()));
 }
 
-/** The value of a field, named in lower case; undefined where there is none. */
+/** Returns the value of the first field with the given lower-case name, or undefined if there is none. */
 export function fieldOf(headers: RawHeaders, wanted: string): string | undefined {
 	for (let position = 0; position < headers.length; position += 2) {
 		if (headers[position]!.toLowerCase() === wanted) {
@@ -103,7 +103,7 @@
 const millisecondsPerSecond = 1000;
 const wholeSeconds = /^\d{1,9}$/v;
 
-/** Reads a `Retry-After` field, in seconds or as a date, into milliseconds from the wall time `now`. */
+/** Converts a `Retry-After` field, in seconds or as a date, to milliseconds from the wall-clock time `now`. */
 export function retryAfterMilliseconds(value: string | undefined, now: number): number | undefined {
 	if (value === undefined) {
 		return undefined;
--- a/packages/upstream-client/src/jitter-seed.ts
+++ b/packages/upstream-client/src/jitter-seed.ts
@@ -1,8 +1,8 @@
 /**
- * Seeds for the jitter of retries.
+ * Generates seeds for retry jitter.
  */
 
-/** A seed that differs between requests; it need not be hard to guess. */
+/** Returns a seed that differs between requests; it need not be unpredictable. */
 export function nextSeed(): number {
 	return Math.floor(Math.random() * (2 ** 31));
 }
--- a/packages/upstream-client/src/kept-answer.ts
+++ b/packages/upstream-client/src/kept-answer.ts
@@ -1,22 +1,22 @@
 /**
- * Keeps the answer to a claimed operation, so that a resend gets the same one.
+ * Buffers the answer to a claimed operation, so that a resend gets the same answer.
  */
 import {Buffer} from 'node:buffer';
 import {type StoredAnswer} from '@dogwooddeck/routing/claim';
 import {type RawHeaders} from './headers.js';
 
-/** The largest answer that is kept. */
+/** The maximum body size of a stored answer. */
 const largestStoredAnswerBytes = 65_536;
 
-/** An answer that is kept as it passes. */
+/** An answer that is buffered while it is relayed. */
 export type KeptAnswer = {
-	/** Takes the next part of the body. */
+	/** Appends the next chunk of the body. */
 	add(chunk: Uint8Array): void;
-	/** The whole answer, unless it was too large. */
+	/** Returns the answer, or undefined if its body was too large. */
 	stored(): StoredAnswer | undefined;
 };
 
-/** Begins to keep an answer. */
+/** Starts buffering an answer. */
 export function keepAnswer(status: number, headers: RawHeaders): KeptAnswer {
 	const chunks: Uint8Array[] = [];
 	let size = 0;
--- a/packages/upstream-client/src/request-body.ts
+++ b/packages/upstream-client/src/request-body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a request's body into memory up to a bound, so that it can be sent again.
+ * Reads a request's body into memory up to a limit, so that it can be resent.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
@@ -16,8 +16,8 @@
 }
 
 /**
- * Reads the whole body and calls `done` once, unless the caller goes away.
- * Fails with `tooLarge` as soon as the bound is passed.
+ * Reads the whole body and calls `done` once, unless the caller disconnects.
+ * Fails with `tooLarge` as soon as the body exceeds `bound` bytes.
  */
 export function readBody(request: IncomingMessage, bound: number, done: (body: Result<Uint8Array, Failure>) => void): void {
 	if (Number(request.headers['content-length'] ?? 0) > bound) {
--- a/packages/upstream-client/src/request-path.ts
+++ b/packages/upstream-client/src/request-path.ts
@@ -1,6 +1,6 @@
 /**
- * What the forwarder needs of the program around it: who owns the key, whether
- * the request may start, and who is told how it went.
+ * The interface that the forwarder requires from the program: it finds a key's
+ * owner, decides whether a request may start, and records its result.
  */
 import {type Importance, type RetryContract} from '@dogwooddeck/model/contract';
 import {type Failure} from '@dogwooddeck/model/failure';
@@ -14,7 +14,7 @@
 import {type RequestHead} from '@dogwooddeck/routing/target';
 import {type Result} from 'true-myth';
 
-/** A request whose head was read and is allowed. */
+/** A request whose head was read and accepted. */
 export type OpenedRequest = {
 	readonly deadline: MonotonicTime;
 	readonly idempotent: boolean;
@@ -26,61 +26,61 @@
 	readonly claims: boolean;
 };
 
-/** The owner of the request's key, as one attempt finds it. */
+/** The owner of the request's key, as located for one attempt. */
 export type RequestOwner = {
 	/** Where the upstream listens, as `IP:port`. */
 	readonly address: string;
-	/** The connections that this instance may have to it. */
+	/** The maximum number of connections from this instance to the upstream. */
 	readonly connections: number;
 	readonly slot: Slot;
 	readonly fence: FenceNumber;
 	readonly admission: Admission;
 };
 
-/** How one attempt went. */
+/** The result of one attempt. */
 export type AttemptReport = {
 	readonly seen: AttemptObservation;
-	/** From the send to the end. */
+	/** From the send to the end of the attempt. */
 	readonly latencyMilliseconds: Milliseconds;
 };
 
-/** How one request went, as its caller sees it. */
+/** The result of one request, as its caller sees it. */
 export type RequestReport = {
 	readonly outcome: Outcome;
-	/** The status that the caller got. Absent: its connection was broken, or it went away. */
+	/** The status that the caller received. Absent if its connection was aborted or the caller disconnected. */
 	readonly status?: number;
 	readonly failure?: Failure;
-	/** From the head of the request to the end. */
+	/** From the head of the request to the end of the answer. */
 	readonly latencyMilliseconds: Milliseconds;
 	readonly attempts: number;
 	readonly bodyBytes: number;
 };
 
-/** A claim that was asked for. */
+/** A requested claim. */
 export type OpenClaim = {
-	/** The decision is of no use any more: the deadline passed, or the caller went away. */
+	/** Withdraws the claim: the deadline passed or the caller disconnected, so the decision is no longer needed. */
 	giveUp(): void;
-	/** The request ended after the decision was to run it. An answer comes only where it is whole and small enough to keep. */
+	/** Records that the request ended after the decision to run it. `answer` is present only if it is complete and small enough to store. */
 	finished(outcome: Outcome, answer?: StoredAnswer): void;
 };
 
-/** The decisions and records around one request. `Opened` and `Owner` carry what the program adds. */
+/** The decisions and records for one request. `Opened` and `Owner` carry the fields that the program adds. */
 export type RequestPath<Opened extends OpenedRequest, Owner extends RequestOwner> = {
 	/** Reads the monotonic clock. */
 	now(): MonotonicTime;
-	/** Decides on a head: service, key, route, limits, deadline. Called once. */
+	/** Checks a head and resolves its service, key, route, limits and deadline. Called once. */
 	open(head: RequestHead): Result<Opened, Failure>;
-	/** Finds the key's owner under a valid lease. Called for each attempt. A failure with `retryAfterMilliseconds` is tried again. */
+	/** Finds the key's owner under a valid lease. Called for each attempt. A failure with `retryAfterMilliseconds` is retried. */
 	locate(opened: Opened): Result<Owner, Failure>;
-	/** Checks the lease over the key and its fence again, right before the first byte. */
+	/** Rechecks the lease over the key and its fence right before the first byte. */
 	mayStart(opened: Opened, owner: Owner): boolean;
 	/** Whether the service's budget allows a retry. */
 	allowsRetry(opened: Opened): boolean;
-	/** An attempt is sent. `retry`: draw it from the budget. */
+	/** Records that an attempt is sent. `retry`: charge it to the retry budget. */
 	attemptStarted(opened: Opened, owner: Owner, retry: boolean): void;
 	attemptEnded(opened: Opened, owner: Owner, report: AttemptReport): void;
 	/** Claims the operation and calls `decided` once, now or later. */
 	claim(opened: Opened, body: Uint8Array | undefined, decided: (decision: ClaimDecision) => void): OpenClaim;
-	/** The request is over. Absent `opened`: its head was refused. */
+	/** Records that the request ended. `opened` is absent if its head was refused. */
 	requestEnded(opened: Opened | undefined, report: RequestReport): void;
 };
--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -65,7 +65,7 @@
 	};
 }
 
-/** `undici` may call `onConnect` again; a throw is how it is refused. */
+/** `undici` may call `onConnect` again; the exchange refuses by throwing. */
 const refusedConnect: Step = (exchange, told) => {
 	assert.throws(() => {
 		connect(exchange, told);
@@ -88,19 +88,19 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a whole answer', steps: [connect, ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
+		name: 'a complete answer', steps: [connect, ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'an informational head comes first', steps: [connect, head(103), ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
+		name: 'an informational head precedes the answer', steps: [connect, head(103), ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip, chunked'), chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
+		name: 'a chunked answer', steps: [connect, head(200, 'Transfer-Encoding', 'gzip, chunked'), chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'a coding that is not chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip'), chunk], seen: AttemptObservation.unboundedAnswer, aborts: 1,
+		name: 'a transfer coding other than chunked', steps: [connect, head(200, 'Transfer-Encoding', 'gzip'), chunk], seen: AttemptObservation.unboundedAnswer, aborts: 1,
 	},
 	{
-		name: 'neither length nor chunks', steps: [connect, head(200), chunk, complete], seen: AttemptObservation.unboundedAnswer, aborts: 1,
+		name: 'neither a length nor chunked coding', steps: [connect, head(200), chunk, complete], seen: AttemptObservation.unboundedAnswer, aborts: 1,
 	},
 	{
 		name: 'no length in an answer to HEAD', steps: [connect, head(200), complete], seen: AttemptObservation.wholeAnswer, method: 'HEAD', heads: [200],
@@ -117,18 +117,18 @@
 	{name: 'an end before the first byte', steps: [fail('ECONNRESET')], seen: AttemptObservation.closedBeforeFirstByte},
 	{name: 'a head that can\'t be sent', steps: [fail('UND_ERR_INVALID_ARG')], seen: AttemptObservation.unsendable},
 	{
-		name: 'a shed with Retry-After', steps: [connect, head(503, 'Retry-After', '2', 'Content-Length', '0'), complete], seen: AttemptObservation.shed, retryAfter: 2000,
+		name: 'a shed answer with Retry-After', steps: [connect, head(503, 'Retry-After', '2', 'Content-Length', '0'), complete], seen: AttemptObservation.shed, retryAfter: 2000,
 	},
 	{
-		name: 'a shed whose body does not end', steps: [connect, head(503, ...length), chunk, largeChunk], seen: AttemptObservation.shed, aborts: 1,
+		name: 'a shed answer whose body does not end', steps: [connect, head(503, ...length), chunk, largeChunk], seen: AttemptObservation.shed, aborts: 1,
 	},
 	{
-		name: 'a lease that ended', steps: [refusedConnect], seen: AttemptObservation.leaseLost, mayStart: false,
+		name: 'a lease that expired', steps: [refusedConnect], seen: AttemptObservation.leaseLost, mayStart: false,
 	},
-	{name: 'sent anew by the library', steps: [connect, refusedConnect, fail('UND_ERR_SOCKET')], seen: AttemptObservation.closedAfterFirstByte},
-	{name: 'given up while it waits for a connection', steps: [abandon(Abandoned.callerGone), refusedConnect], seen: AttemptObservation.cancelledBeforeFirstByte},
+	{name: 'a retry by the library', steps: [connect, refusedConnect, fail('UND_ERR_SOCKET')], seen: AttemptObservation.closedAfterFirstByte},
+	{name: 'cancelled while it waits for a connection', steps: [abandon(Abandoned.callerGone), refusedConnect], seen: AttemptObservation.cancelledBeforeFirstByte},
 	{
-		name: 'given up after the first byte', steps: [connect, abandon(Abandoned.callerGone), fail('UND_ERR_ABORTED')], seen: AttemptObservation.cancelledAfterFirstByte, aborts: 1,
+		name: 'cancelled after the first byte', steps: [connect, abandon(Abandoned.callerGone), fail('UND_ERR_ABORTED')], seen: AttemptObservation.cancelledAfterFirstByte, aborts: 1,
 	},
 	{name: 'the deadline before the first byte', steps: [abandon(Abandoned.deadlinePassed), refusedConnect], seen: AttemptObservation.deadlinePassedBeforeFirstByte},
 	{
@@ -154,7 +154,7 @@
 	});
 }
 
-test('exchange: the deadline ends it by itself', t => {
+test('exchange: its own timer ends it at the deadline', t => {
 	t.mock.timers.enable({apis: ['setTimeout']});
 	const told: Told = {
 		heads: [], ends: [], chunks: 0, aborts: 0,
