--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -18,7 +18,7 @@
 import {type OpenClaim} from './request-path.js';
 
 /** Sends messages to other instances. */
-export type ClaimCarrier = {
+export type ClaimTransport = {
 	/** Sends a request to its holder and returns the answer. Fails if the holder can't be reached in time. */
 	ask(request: ClaimRequest): Promise<Result<ClaimAnswer, Failure>>;
 	/** Notifies the holder that an operation ended, if the holder can be reached. */
@@ -80,13 +80,13 @@
 		},
 	};
 
-	readonly #carrier: ClaimCarrier;
+	readonly #carrier: ClaimTransport;
 	readonly #now: () => MonotonicTime;
 	readonly #waiting = new Map<number, (decision: ClaimDecision) => void>();
 	#state: ClaimsState;
 	#answer: ClaimAnswer | undefined;
 
-	constructor(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime) {
+	constructor(input: ClaimsOptions, carrier: ClaimTransport, now: () => MonotonicTime) {
 		this.#state = createClaims(input);
 		this.#carrier = carrier;
 		this.#now = now;
@@ -162,6 +162,6 @@
 }
 
 /** Creates the coordinator of an instance that has just started. */
-export function createClaimCoordinator(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimCoordinator {
+export function createClaimCoordinator(input: ClaimsOptions, carrier: ClaimTransport, now: () => MonotonicTime): ClaimCoordinator {
 	return new CarriedClaims(input, carrier, now);
 }
