--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -26,7 +26,7 @@
 };
 
 /** The operation that a request claims. */
-export type ClaimWish = {
+export type ClaimIntent = {
 	readonly operation: Operation;
 	readonly fingerprint: string;
 	/** Time from now until no attempt of the operation is in flight. */
@@ -54,7 +54,7 @@
 /** The claims of one instance. */
 export type ClaimCoordinator = {
 	/** Claims an operation and calls `decided` once. */
-	claim(wish: ClaimWish, decided: (decision: ClaimDecision) => void): OpenClaim;
+	claim(wish: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim;
 	/** Handles a message from another instance; a request is answered synchronously. */
 	receive(message: ClaimRequest | ClaimEnded): ClaimAnswer | undefined;
 	/** Applies a roster change or a report about holders. */
@@ -92,7 +92,7 @@
 		this.#now = now;
 	}
 
-	claim(wish: ClaimWish, decided: (decision: ClaimDecision) => void): OpenClaim {
+	claim(wish: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim {
 		const sequence = this.#state.sequence + 1;
 		this.#waiting.set(sequence, decided);
 		this.#step({kind: 'begun', now: this.#now(), ...wish});
