--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -37,7 +37,7 @@
 type Timeless<Event> = Event extends unknown ? Omit<Event, 'now'> : never;
 
 /** A change to the rosters or a report about their holders. */
-export type ClaimNews = Timeless<RosterEvent>;
+export type ClaimRosterEvent = Timeless<RosterEvent>;
 
 /** The state of an instance's claims. */
 export type ClaimStanding = {
@@ -58,7 +58,7 @@
 	/** Handles a message from another instance; a request is answered synchronously. */
 	receive(message: ClaimRequest | ClaimEnded): ClaimAnswer | undefined;
 	/** Applies a roster change or a report about holders. */
-	learn(news: ClaimNews): void;
+	learn(news: ClaimRosterEvent): void;
 	/** Returns the state of this instance's records and rosters for reporting to others. */
 	standing(): ClaimStanding;
 	/** Drops expired records. Every live instance has applied the log up to the entry `acknowledged`. */
@@ -115,7 +115,7 @@
 		return this.#answer;
 	}
 
-	learn(news: ClaimNews): void {
+	learn(news: ClaimRosterEvent): void {
 		this.#step({...news, now: this.#now()});
 	}
 
