--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -40,7 +40,7 @@
 export type ClaimRosterEvent = Timeless<RosterEvent>;
 
 /** The state of an instance's claims. */
-export type ClaimStanding = {
+export type ClaimState = {
 	/** The log index of the newest roster received; 0 for none. */
 	readonly newest: LogIndex;
 	/** The log index of the roster whose holders have acknowledged copies of all records held here; 0 while some are missing. */
@@ -60,7 +60,7 @@
 	/** Applies a roster change or a report about holders. */
 	learn(news: ClaimRosterEvent): void;
 	/** Returns the state of this instance's records and rosters for reporting to others. */
-	standing(): ClaimStanding;
+	standing(): ClaimState;
 	/** Drops expired records. Every live instance has applied the log up to the entry `acknowledged`. */
 	sweep(acknowledged: LogIndex): void;
 };
@@ -119,7 +119,7 @@
 		this.#step({...news, now: this.#now()});
 	}
 
-	standing(): ClaimStanding {
+	standing(): ClaimState {
 		const state = this.#state;
 		return {
 			newest: state.rosters[0]?.roster.index ?? 0,
