--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -65,8 +65,8 @@
 	sweep(acknowledged: LogIndex): void;
 };
 
-class CarriedClaims implements ClaimCoordinator {
-	static readonly #effects: HandlerTable<ClaimsEffect, [CarriedClaims], void> = {
+class TransportedClaimCoordinator implements ClaimCoordinator {
+	static readonly #effects: HandlerTable<ClaimsEffect, [TransportedClaimCoordinator], void> = {
 		send(effect, desk) {
 			void desk.#send(effect.message);
 		},
@@ -137,7 +137,7 @@
 		const {state, effects} = stepClaims(this.#state, event);
 		this.#state = state;
 		for (const effect of effects) {
-			dispatch(CarriedClaims.#effects, effect, this);
+			dispatch(TransportedClaimCoordinator.#effects, effect, this);
 		}
 	}
 
@@ -163,5 +163,5 @@
 
 /** Creates the coordinator of an instance that has just started. */
 export function createClaimCoordinator(input: ClaimsOptions, carrier: ClaimTransport, now: () => MonotonicTime): ClaimCoordinator {
-	return new CarriedClaims(input, carrier, now);
+	return new TransportedClaimCoordinator(input, carrier, now);
 }
