--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -67,8 +67,8 @@
 
 class TransportedClaimCoordinator implements ClaimCoordinator {
 	static readonly #effects: HandlerTable<ClaimsEffect, [TransportedClaimCoordinator], void> = {
-		send(effect, desk) {
-			void desk.#send(effect.message);
+		send(effect, coordinator) {
+			void coordinator.#send(effect.message);
 		},
 		answer(effect, desk) {
 			desk.#answer = effect.answer;
