--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -70,8 +70,8 @@
 		send(effect, coordinator) {
 			void coordinator.#send(effect.message);
 		},
-		answer(effect, desk) {
-			desk.#answer = effect.answer;
+		answer(effect, coordinator) {
+			coordinator.#answer = effect.answer;
 		},
 		decide(effect, desk) {
 			const decided = desk.#waiting.get(effect.sequence);
