--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -73,9 +73,9 @@
 		answer(effect, coordinator) {
 			coordinator.#answer = effect.answer;
 		},
-		decide(effect, desk) {
-			const decided = desk.#waiting.get(effect.sequence);
-			desk.#waiting.delete(effect.sequence);
+		decide(effect, coordinator) {
+			const decided = coordinator.#waiting.get(effect.sequence);
+			coordinator.#waiting.delete(effect.sequence);
 			decided?.(effect.decision);
 		},
 	};
