--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -80,7 +80,7 @@
 		},
 	};
 
-	readonly #carrier: ClaimTransport;
+	readonly #transport: ClaimTransport;
 	readonly #now: () => MonotonicTime;
 	readonly #waiting = new Map<number, (decision: ClaimDecision) => void>();
 	#state: ClaimsState;
@@ -88,7 +88,7 @@
 
 	constructor(input: ClaimsOptions, carrier: ClaimTransport, now: () => MonotonicTime) {
 		this.#state = createClaims(input);
-		this.#carrier = carrier;
+		this.#transport = carrier;
 		this.#now = now;
 	}
 
@@ -143,11 +143,11 @@
 
 	async #send(message: ClaimRequest | ClaimEnded): Promise<void> {
 		if (message.kind === 'claim-ended') {
-			this.#carrier.tell(message);
+			this.#transport.tell(message);
 			return;
 		}
 
-		const answer = await this.#carrier.ask(message);
+		const answer = await this.#transport.ask(message);
 		const now = this.#now();
 		if (answer.isErr) {
 			this.#step({kind: 'unreachable', now, request: message});
