--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -86,9 +86,9 @@
 	#state: ClaimsState;
 	#answer: ClaimAnswer | undefined;
 
-	constructor(input: ClaimsOptions, carrier: ClaimTransport, now: () => MonotonicTime) {
+	constructor(input: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime) {
 		this.#state = createClaims(input);
-		this.#transport = carrier;
+		this.#transport = transport;
 		this.#now = now;
 	}
 
