--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -54,7 +54,7 @@
 /** The claims of one instance. */
 export type ClaimCoordinator = {
 	/** Claims an operation and calls `decided` once. */
-	claim(wish: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim;
+	claim(intent: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim;
 	/** Handles a message from another instance; a request is answered synchronously. */
 	receive(message: ClaimRequest | ClaimEnded): ClaimAnswer | undefined;
 	/** Applies a roster change or a report about holders. */
