--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -92,10 +92,10 @@
 		this.#now = now;
 	}
 
-	claim(wish: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim {
+	claim(intent: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim {
 		const sequence = this.#state.sequence + 1;
 		this.#waiting.set(sequence, decided);
-		this.#step({kind: 'begun', now: this.#now(), ...wish});
+		this.#step({kind: 'begun', now: this.#now(), ...intent});
 		return {
 			giveUp: () => {
 				this.#waiting.delete(sequence);
