--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -58,7 +58,7 @@
 	/** Handles a message from another instance; a request is answered synchronously. */
 	receive(message: ClaimRequest | ClaimEnded): ClaimAnswer | undefined;
 	/** Applies a roster change or a report about holders. */
-	learn(news: ClaimRosterEvent): void;
+	learn(event: ClaimRosterEvent): void;
 	/** Returns the state of this instance's records and rosters for reporting to others. */
 	standing(): ClaimState;
 	/** Drops expired records. Every live instance has applied the log up to the entry `acknowledged`. */
