--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -115,8 +115,8 @@
 		return this.#answer;
 	}
 
-	learn(news: ClaimRosterEvent): void {
-		this.#step({...news, now: this.#now()});
+	learn(event: ClaimRosterEvent): void {
+		this.#step({...event, now: this.#now()});
 	}
 
 	standing(): ClaimState {
