--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -74,15 +74,15 @@
 			coordinator.#answer = effect.answer;
 		},
 		decide(effect, coordinator) {
-			const decided = coordinator.#waiting.get(effect.sequence);
-			coordinator.#waiting.delete(effect.sequence);
+			const decided = coordinator.#pendingDecisions.get(effect.sequence);
+			coordinator.#pendingDecisions.delete(effect.sequence);
 			decided?.(effect.decision);
 		},
 	};
 
 	readonly #transport: ClaimTransport;
 	readonly #now: () => MonotonicTime;
-	readonly #waiting = new Map<number, (decision: ClaimDecision) => void>();
+	readonly #pendingDecisions = new Map<number, (decision: ClaimDecision) => void>();
 	#state: ClaimsState;
 	#answer: ClaimAnswer | undefined;
 
@@ -94,11 +94,11 @@
 
 	claim(intent: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim {
 		const sequence = this.#state.sequence + 1;
-		this.#waiting.set(sequence, decided);
+		this.#pendingDecisions.set(sequence, decided);
 		this.#step({kind: 'begun', now: this.#now(), ...intent});
 		return {
 			giveUp: () => {
-				this.#waiting.delete(sequence);
+				this.#pendingDecisions.delete(sequence);
 				this.#step({kind: 'given-up', now: this.#now(), sequence});
 			},
 			finished: (outcome, answer) => {
