--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -19,7 +19,7 @@
 /** The response to one caller and how much of it was sent. Mutable: it follows the connection. */
 export class CallerAnswer {
 	/** Whether the caller disconnected before its answer was complete. */
-	gone = false;
+	callerGone = false;
 	readonly #response: ServerResponse;
 	#status: number | undefined;
 
@@ -34,7 +34,7 @@
 
 	/** The status that the caller received. */
 	get status(): number | undefined {
-		return this.gone ? undefined : this.#status;
+		return this.callerGone ? undefined : this.#status;
 	}
 
 	/** Calls `whenGone` once the response closes: it was sent completely, or the connection ended before. */
@@ -46,7 +46,7 @@
 	/** Relays the status and headers of an upstream's answer. */
 	head(status: number, headers: RawHeaders): void {
 		this.#status = status;
-		if (!this.gone) {
+		if (!this.callerGone) {
 			this.#response.sendDate = false;
 			this.#response.writeHead(status, [...headers, HeaderName.outcome, Outcome.ran]);
 		}
@@ -54,7 +54,7 @@
 
 	/** Relays a chunk of the body. Returns `false` if the write buffer is full; `whenDrained` is then called once it has drained. */
 	chunk(bytes: Uint8Array, whenDrained: () => void): boolean {
-		if (this.gone || this.#response.write(bytes)) {
+		if (this.callerGone || this.#response.write(bytes)) {
 			return true;
 		}
 
@@ -64,7 +64,7 @@
 
 	/** Ends a complete answer. */
 	end(): void {
-		if (!this.gone) {
+		if (!this.callerGone) {
 			this.#response.end();
 		}
 	}
@@ -78,7 +78,7 @@
 	/** Sends a failure as a problem body in place of an answer. */
 	refuse(why: Failure, status: number, outcome: Outcome): void {
 		this.#status = status;
-		if (!this.gone) {
+		if (!this.callerGone) {
 			writeProblem(this.#response, why, status, outcome);
 		}
 	}
@@ -86,7 +86,7 @@
 	/** Sends a stored answer. */
 	replay(answer: StoredAnswer): void {
 		this.head(answer.status, answer.headers);
-		if (!this.gone) {
+		if (!this.callerGone) {
 			this.#response.end(Buffer.from(answer.body, 'base64'));
 		}
 	}
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -304,7 +304,7 @@
 			return;
 		}
 
-		this.#answer.gone = true;
+		this.#answer.callerGone = true;
 		if (this.#claimed && this.#state?.phase === RequestPhase.sending) {
 			return;
 		}
