--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -28,7 +28,7 @@
 	}
 
 	/** Whether the head of an answer was relayed, or would have been if the caller were still connected. */
-	get begun(): boolean {
+	get headRelayed(): boolean {
 		return this.#status !== undefined;
 	}
 
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -143,7 +143,7 @@
 			kind: 'seen',
 			now,
 			seen,
-			headPassed: this.#answer.begun,
+			headPassed: this.#answer.headRelayed,
 			budgetAllows: this.#path.allowsRetry(this.#opened),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
 		});
