--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -38,8 +38,8 @@
 	}
 
 	/** Calls `whenGone` once the response closes: it was sent completely, or the connection ended before. */
-	watch(whenGone: () => void): void {
-		this.#response.once('close', whenGone);
+	watch(whenClosed: () => void): void {
+		this.#response.once('close', whenClosed);
 		this.#response.on('error', ignoreError);
 	}
 
