--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -44,7 +44,7 @@
 	}
 
 	/** Relays the status and headers of an upstream's answer. */
-	head(status: number, headers: RawHeaders): void {
+	writeHead(status: number, headers: RawHeaders): void {
 		this.#status = status;
 		if (!this.callerGone) {
 			this.#response.sendDate = false;
@@ -85,7 +85,7 @@
 
 	/** Sends a stored answer. */
 	replay(answer: StoredAnswer): void {
-		this.head(answer.status, answer.headers);
+		this.writeHead(answer.status, answer.headers);
 		if (!this.callerGone) {
 			this.#response.end(Buffer.from(answer.body, 'base64'));
 		}
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -123,7 +123,7 @@
 
 	onHead(status: number, headers: RawHeaders): void {
 		this.#kept = this.#claimed ? keepAnswer(status, headers) : undefined;
-		this.#answer.head(status, headers);
+		this.#answer.writeHead(status, headers);
 	}
 
 	onChunk(chunk: Uint8Array): boolean {
