--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -53,7 +53,7 @@
 	}
 
 	/** Relays a chunk of the body. Returns `false` if the write buffer is full; `whenDrained` is then called once it has drained. */
-	chunk(bytes: Uint8Array, whenDrained: () => void): boolean {
+	writeChunk(bytes: Uint8Array, whenDrained: () => void): boolean {
 		if (this.callerGone || this.#response.write(bytes)) {
 			return true;
 		}
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -128,7 +128,7 @@
 
 	onChunk(chunk: Uint8Array): boolean {
 		this.#kept?.add(chunk);
-		return this.#answer.chunk(chunk, () => {
+		return this.#answer.writeChunk(chunk, () => {
 			this.#sent?.resume();
 		});
 	}
