--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -70,7 +70,7 @@
 	}
 
 	/** Destroys the connection of a caller that holds part of an incomplete answer, so that it doesn't see a regular end. */
-	break(): void {
+	abort(): void {
 		this.#status = undefined;
 		this.#response.destroy();
 	}
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -294,7 +294,7 @@
 	}
 
 	#break(): void {
-		this.#answer.break();
+		this.#answer.abort();
 		this.#finish(Outcome.unknown);
 	}
 
