--- a/packages/upstream-client/src/client.ts
+++ b/packages/upstream-client/src/client.ts
@@ -58,7 +58,7 @@
 
 const noTimeout = 0;
 
-function headersOf(request: UpstreamRequest): string[] {
+function upstreamHeaders(request: UpstreamRequest): string[] {
 	return [
 		...request.headers,
 		HeaderName.fence,
@@ -88,7 +88,7 @@
 		this.#poolOf(request).dispatch({
 			path: request.path,
 			method: request.method,
-			headers: headersOf(request),
+			headers: upstreamHeaders(request),
 			body: request.body ?? null,
 			idempotent: false,
 			headersTimeout: noTimeout,
