--- a/packages/upstream-client/src/client.ts
+++ b/packages/upstream-client/src/client.ts
@@ -85,7 +85,7 @@
 			return exchange;
 		}
 
-		this.#poolOf(request).dispatch({
+		this.#poolFor(request).dispatch({
 			path: request.path,
 			method: request.method,
 			headers: upstreamHeaders(request),
@@ -109,7 +109,7 @@
 		await Promise.all(pools.map(async open => open.pool.close()));
 	}
 
-	#poolOf(request: UpstreamRequest): Pool {
+	#poolFor(request: UpstreamRequest): Pool {
 		const open = this.#pools.get(request.address);
 		if (open?.connections === request.connections) {
 			return open.pool;
