--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -44,7 +44,7 @@
 
 export type Abandoned = (typeof Abandoned)[keyof typeof Abandoned];
 
-const seenWhenAbandoned: Readonly<Record<Abandoned, {readonly before: AttemptObservation; readonly after: AttemptObservation}>> = {
+const observationsByAbandonReason: Readonly<Record<Abandoned, {readonly before: AttemptObservation; readonly after: AttemptObservation}>> = {
 	[Abandoned.callerGone]: {before: AttemptObservation.cancelledBeforeFirstByte, after: AttemptObservation.cancelledAfterFirstByte},
 	[Abandoned.deadlinePassed]: {before: AttemptObservation.deadlinePassedBeforeFirstByte, after: AttemptObservation.deadlinePassedAfterFirstByte},
 };
@@ -97,7 +97,7 @@
 
 	/** Cancels the request: later events are ignored, and the upstream's connection is closed. */
 	abandon(why: Abandoned): void {
-		const seen = seenWhenAbandoned[why];
+		const seen = observationsByAbandonReason[why];
 		this.#finishAndAbort(this.#handedOver ? seen.after : seen.before);
 	}
 
