--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -50,7 +50,7 @@
 };
 
 /** The observation for an error code before the first byte was handed over. Any other code means that the connection closed. */
-const seenByCode: Readonly<Record<string, AttemptObservation>> = {
+const observationByErrorCode: Readonly<Record<string, AttemptObservation>> = {
 	ECONNREFUSED: AttemptObservation.refusedConnection,
 	EHOSTUNREACH: AttemptObservation.refusedConnection,
 	ENETUNREACH: AttemptObservation.refusedConnection,
@@ -178,7 +178,7 @@
 		} else if (this.#handedOver) {
 			this.#finish(AttemptObservation.closedAfterFirstByte);
 		} else {
-			this.#finish(seenByCode[error.code ?? ''] ?? AttemptObservation.closedBeforeFirstByte);
+			this.#finish(observationByErrorCode[error.code ?? ''] ?? AttemptObservation.closedBeforeFirstByte);
 		}
 	}
 
