--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -66,7 +66,7 @@
 const notModified = 304;
 
 /** The maximum number of bytes read from a shed answer's body to keep its connection reusable. */
-const longestDrain = 65_536;
+const maximumDrainBytes = 65_536;
 
 function nothingToDo(): void {
 	// The request has no socket yet.
@@ -148,7 +148,7 @@
 		}
 
 		this.#drained += chunk.length;
-		if (this.#drained > longestDrain) {
+		if (this.#drained > maximumDrainBytes) {
 			this.#abort();
 		}
 
