--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -68,7 +68,7 @@
 /** The maximum number of bytes read from a shed answer's body to keep its connection reusable. */
 const maximumDrainBytes = 65_536;
 
-function nothingToDo(): void {
+function noOperation(): void {
 	// The request has no socket yet.
 }
 
@@ -85,8 +85,8 @@
 	#drained = 0;
 	/** Set for a shed answer without a body, whose connection can be reused at once. */
 	#emptyShed: {readonly retryAfter: Milliseconds | undefined} | undefined;
-	#abort: (reason?: Error) => void = nothingToDo;
-	#resume: () => void = nothingToDo;
+	#abort: (reason?: Error) => void = noOperation;
+	#resume: () => void = noOperation;
 
 	constructor(sink: AnswerSink, method: string, rules: AnswerRules, timeoutMilliseconds: Milliseconds) {
 		this.#sink = sink;
