--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -78,7 +78,7 @@
 	readonly #method: string;
 	readonly #rules: AnswerRules;
 	readonly #timer: NodeJS.Timeout;
-	#handedOver = false;
+	#firstByteHandedOver = false;
 	#headSeen = false;
 	#unbounded = false;
 	#ended = false;
@@ -98,7 +98,7 @@
 	/** Cancels the request: later events are ignored, and the upstream's connection is closed. */
 	abandon(why: Abandoned): void {
 		const seen = observationsByAbandonReason[why];
-		this.#finishAndAbort(this.#handedOver ? seen.after : seen.before);
+		this.#finishAndAbort(this.#firstByteHandedOver ? seen.after : seen.before);
 	}
 
 	/** Resumes reading after `onChunk` returned `false`. */
@@ -109,11 +109,11 @@
 	/** Called by `undici`. Throwing here keeps the request off the socket and the connection usable. */
 	onConnect(abort: (reason?: Error) => void): void {
 		this.#abort = abort;
-		if (this.#ended || this.#handedOver || !this.#mayStart()) {
+		if (this.#ended || this.#firstByteHandedOver || !this.#mayStart()) {
 			throw new FailureError(failure(FailureKind.noLease, 'the request may not be sent'));
 		}
 
-		this.#handedOver = true;
+		this.#firstByteHandedOver = true;
 	}
 
 	/** Called by `undici`. */
@@ -175,7 +175,7 @@
 			this.#finish(AttemptObservation.shed, this.#emptyShed.retryAfter);
 		} else if (this.#headSeen) {
 			this.#finish(AttemptObservation.cutAnswer);
-		} else if (this.#handedOver) {
+		} else if (this.#firstByteHandedOver) {
 			this.#finish(AttemptObservation.closedAfterFirstByte);
 		} else {
 			this.#finish(observationByErrorCode[error.code ?? ''] ?? AttemptObservation.closedBeforeFirstByte);
