--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -79,7 +79,7 @@
 	readonly #rules: AnswerRules;
 	readonly #timer: NodeJS.Timeout;
 	#firstByteHandedOver = false;
-	#headSeen = false;
+	#headRelayed = false;
 	#unbounded = false;
 	#ended = false;
 	#drained = 0;
@@ -132,7 +132,7 @@
 		} else if (isNotRun(status, head)) {
 			this.#shed(head, bounded);
 		} else if (bounded || endedInOrder !== undefined) {
-			this.#headSeen = true;
+			this.#headRelayed = true;
 			this.#sink.onHead(status, head.headers);
 		} else {
 			this.#finishAndAbort(AttemptObservation.unboundedAnswer);
@@ -173,7 +173,7 @@
 		clearTimeout(this.#timer);
 		if (this.#emptyShed !== undefined) {
 			this.#finish(AttemptObservation.shed, this.#emptyShed.retryAfter);
-		} else if (this.#headSeen) {
+		} else if (this.#headRelayed) {
 			this.#finish(AttemptObservation.cutAnswer);
 		} else if (this.#firstByteHandedOver) {
 			this.#finish(AttemptObservation.closedAfterFirstByte);
