--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -82,7 +82,7 @@
 	#headRelayed = false;
 	#unbounded = false;
 	#ended = false;
-	#drained = 0;
+	#drainedBytes = 0;
 	/** Set for a shed answer without a body, whose connection can be reused at once. */
 	#emptyShed: {readonly retryAfter: Milliseconds | undefined} | undefined;
 	#abort: (reason?: Error) => void = noOperation;
@@ -147,8 +147,8 @@
 			return this.#sink.onChunk(chunk);
 		}
 
-		this.#drained += chunk.length;
-		if (this.#drained > maximumDrainBytes) {
+		this.#drainedBytes += chunk.length;
+		if (this.#drainedBytes > maximumDrainBytes) {
 			this.#abort();
 		}
 
