--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -97,8 +97,8 @@
 
 	/** Cancels the request: later events are ignored, and the upstream's connection is closed. */
 	abandon(why: Abandoned): void {
-		const seen = observationsByAbandonReason[why];
-		this.#finishAndAbort(this.#firstByteHandedOver ? seen.after : seen.before);
+		const observations = observationsByAbandonReason[why];
+		this.#finishAndAbort(this.#firstByteHandedOver ? observations.after : observations.before);
 	}
 
 	/** Resumes reading after `onChunk` returned `false`. */
