--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -21,7 +21,7 @@
 	/** Called with a chunk of the body. Returning `false` pauses reading until `resume`. */
 	onChunk(chunk: Uint8Array): boolean;
 	/** Called once; only `onDrained` may follow. */
-	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void;
+	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void;
 	/** Called when the rest of a shed answer was read and its connection can be reused. Precedes `onEnd` if the answer has no body. */
 	onDrained?(): void;
 };
