--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -211,10 +211,10 @@
 		}
 	}
 
-	#finishAndAbort(seen: AttemptObservation): void {
+	#finishAndAbort(observation: AttemptObservation): void {
 		if (!this.#ended) {
 			clearTimeout(this.#timer);
-			this.#finish(seen);
+			this.#finish(observation);
 			this.#abort();
 		}
 	}
