--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -219,10 +219,10 @@
 		}
 	}
 
-	#finish(seen: AttemptObservation, retryAfter?: Milliseconds): void {
+	#finish(observation: AttemptObservation, retryAfter?: Milliseconds): void {
 		if (!this.#ended) {
 			this.#ended = true;
-			this.#sink.onEnd(seen, retryAfter);
+			this.#sink.onEnd(observation, retryAfter);
 		}
 	}
 }
