--- a/packages/upstream-client/src/forward.ts
+++ b/packages/upstream-client/src/forward.ts
@@ -11,7 +11,7 @@
 import {type OpenedRequest, type RequestOwner, type RequestPath} from './request-path.js';
 
 /** In HTTP/1.0 a truncated answer can't be told from a complete one that has no length. */
-const oldVersion = failure(FailureKind.malformed, 'HTTP/1.1 is needed');
+const unsupportedVersion = failure(FailureKind.malformed, 'HTTP/1.1 is needed');
 
 function refuseHead<Opened extends OpenedRequest, Owner extends RequestOwner>(path: RequestPath<Opened, Owner>, response: ServerResponse, why: Failure): void {
 	const status = httpStatusOf(why.kind);
@@ -25,7 +25,7 @@
 /** Forwards one request. The response must be unused, and nothing else may write to it from this call on. */
 export function forward<Opened extends OpenedRequest, Owner extends RequestOwner>(forwarder: Forwarder<Opened, Owner>, request: IncomingMessage, response: ServerResponse): void {
 	if (request.httpVersionMinor === 0) {
-		refuseHead(forwarder.path, response, oldVersion);
+		refuseHead(forwarder.path, response, unsupportedVersion);
 		return;
 	}
 
