--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -63,7 +63,7 @@
 	readonly #opened: Opened;
 	readonly #request: IncomingMessage;
 	readonly #answer: CallerAnswer;
-	readonly #beganAt: MonotonicTime;
+	readonly #startedAt: MonotonicTime;
 	#state: RequestState | undefined;
 	#body: Uint8Array | undefined;
 	#headers: RawHeaders | undefined;
@@ -83,7 +83,7 @@
 		this.#opened = opened;
 		this.#request = request;
 		this.#answer = new CallerAnswer(response);
-		this.#beganAt = forwarder.path.now();
+		this.#startedAt = forwarder.path.now();
 		this.importance = opened.importance;
 		this.deadline = opened.deadline;
 	}
@@ -325,7 +325,7 @@
 		const {status} = this.#answer;
 		this.#path.requestEnded(this.#opened, {
 			outcome,
-			latencyMilliseconds: this.#path.now() - this.#beganAt,
+			latencyMilliseconds: this.#path.now() - this.#startedAt,
 			attempts: this.#state?.attempts ?? 0,
 			bodyBytes: this.#body?.length ?? 0,
 			...(status === undefined ? {} : {status}),
