--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -73,7 +73,7 @@
 	#timer: NodeJS.Timeout | undefined;
 	#claim: OpenClaim | undefined;
 	#claimed = false;
-	#kept: KeptAnswer | undefined;
+	#bufferedAnswer: KeptAnswer | undefined;
 	#mayHaveRun = false;
 	#over = false;
 
@@ -122,12 +122,12 @@
 	}
 
 	onHead(status: number, headers: RawHeaders): void {
-		this.#kept = this.#claimed ? keepAnswer(status, headers) : undefined;
+		this.#bufferedAnswer = this.#claimed ? keepAnswer(status, headers) : undefined;
 		this.#answer.writeHead(status, headers);
 	}
 
 	onChunk(chunk: Uint8Array): boolean {
-		this.#kept?.add(chunk);
+		this.#bufferedAnswer?.add(chunk);
 		return this.#answer.writeChunk(chunk, () => {
 			this.#sent?.resume();
 		});
@@ -317,7 +317,7 @@
 		this.#over = true;
 		this.#disarm();
 		if (this.#claimed) {
-			this.#claim?.finished(outcome, outcome === Outcome.ran ? this.#kept?.stored() : undefined);
+			this.#claim?.finished(outcome, outcome === Outcome.ran ? this.#bufferedAnswer?.stored() : undefined);
 		} else {
 			this.#claim?.giveUp();
 		}
