--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -75,7 +75,7 @@
 	#claimed = false;
 	#bufferedAnswer: KeptAnswer | undefined;
 	#mayHaveRun = false;
-	#over = false;
+	#ended = false;
 
 	constructor(forwarder: Forwarder<Opened, Owner>, opened: Opened, request: IncomingMessage, response: ServerResponse) {
 		this.#client = forwarder.client;
@@ -171,7 +171,7 @@
 
 	/** Sends the caller a failure in place of an answer. */
 	refuse(why: Failure, outcome: Outcome, status = httpStatusOf(why.kind)): void {
-		if (!this.#over) {
+		if (!this.#ended) {
 			this.#answer.refuse(why, status, outcome);
 			this.#finish(outcome, why);
 		}
@@ -210,7 +210,7 @@
 	}
 
 	#whenBodyRead(): void {
-		if (this.#over) {
+		if (this.#ended) {
 			return;
 		}
 
@@ -221,7 +221,7 @@
 
 		this.#armDeadline();
 		this.#claim = this.#path.claim(this.#opened, this.#body, decision => {
-			if (!this.#over) {
+			if (!this.#ended) {
 				dispatch(decisionHandlers, decision, this);
 			}
 		});
@@ -300,7 +300,7 @@
 
 	/** Handles the close of the caller's connection. A claimed operation that was sent continues without its caller, so that a resend gets the answer. */
 	#whenClosed(): void {
-		if (this.#over) {
+		if (this.#ended) {
 			return;
 		}
 
@@ -314,7 +314,7 @@
 	}
 
 	#finish(outcome: Outcome, why?: Failure): void {
-		this.#over = true;
+		this.#ended = true;
 		this.#disarm();
 		if (this.#claimed) {
 			this.#claim?.finished(outcome, outcome === Outcome.ran ? this.#bufferedAnswer?.stored() : undefined);
