--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -68,7 +68,7 @@
 	#body: Uint8Array | undefined;
 	#headers: RawHeaders | undefined;
 	#owner: Owner | undefined;
-	#sent: SentRequest | undefined;
+	#sentRequest: SentRequest | undefined;
 	#sentAt: MonotonicTime = 0;
 	#timer: NodeJS.Timeout | undefined;
 	#claim: OpenClaim | undefined;
@@ -129,7 +129,7 @@
 	onChunk(chunk: Uint8Array): boolean {
 		this.#bufferedAnswer?.add(chunk);
 		return this.#answer.writeChunk(chunk, () => {
-			this.#sent?.resume();
+			this.#sentRequest?.resume();
 		});
 	}
 
@@ -268,7 +268,7 @@
 		this.#sentAt = this.#path.now();
 		this.#headers ??= requestHeaders(this.#request.rawHeaders, this.#request.headers.connection);
 		this.#path.attemptStarted(this.#opened, owner, retry);
-		this.#sent = this.#client.send({
+		this.#sentRequest = this.#client.send({
 			address: owner.address,
 			connections: owner.connections,
 			method: this.#request.method!,
@@ -285,7 +285,7 @@
 	#cancel(): void {
 		this.#disarm();
 		this.#owner?.admission.leave(this);
-		this.#sent?.abandon(Abandoned.callerGone);
+		this.#sentRequest?.abandon(Abandoned.callerGone);
 	}
 
 	#complete(): void {
