--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -153,7 +153,7 @@
 	/** Applies an event to the state machine and executes the resulting effects. */
 	step(event: RequestEvent): void {
 		if (this.#state !== undefined) {
-			this.#carryOut(stepRequest(this.#state, event));
+			this.#execute(stepRequest(this.#state, event));
 		}
 	}
 
@@ -182,7 +182,7 @@
 		return this.#opened.claims && !this.#claimed ? Outcome.unknown : Outcome.notRun;
 	}
 
-	#carryOut(step: Transition<RequestState, RequestEffect>): void {
+	#execute(step: Transition<RequestState, RequestEffect>): void {
 		this.#state = step.state;
 		for (const effect of step.effects) {
 			dispatch(Forwarding.#effects, effect, this);
@@ -229,7 +229,7 @@
 
 	#start(): void {
 		this.#disarm();
-		this.#carryOut(beginRequest({
+		this.#execute(beginRequest({
 			idempotent: this.#opened.idempotent, deadline: this.deadline, retry: this.#opened.retry, seed: nextSeed(),
 		}));
 	}
