--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -49,7 +49,7 @@
 			forwarding.#complete();
 		},
 		break(_effect, forwarding) {
-			forwarding.#break();
+			forwarding.#abort();
 		},
 		refuse(effect, forwarding) {
 			forwarding.refuse(effect.failure, effect.outcome, effect.status);
@@ -293,7 +293,7 @@
 		this.#finish(Outcome.ran);
 	}
 
-	#break(): void {
+	#abort(): void {
 		this.#answer.abort();
 		this.#finish(Outcome.unknown);
 	}
