--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -98,7 +98,7 @@
 			return;
 		}
 
-		this.#armDeadline();
+		this.#startDeadlineTimer();
 		readBody(this.#request, this.#opened.largestBodyBytes, body => {
 			if (body.isErr) {
 				this.refuse(body.error, this.#unsentOutcome);
@@ -189,7 +189,7 @@
 		}
 	}
 
-	#armDeadline(): void {
+	#startDeadlineTimer(): void {
 		this.#timer ??= setTimeout(() => {
 			this.#whenDeadlinePassed();
 		}, Math.max(0, this.deadline - this.#path.now()));
@@ -219,7 +219,7 @@
 			return;
 		}
 
-		this.#armDeadline();
+		this.#startDeadlineTimer();
 		this.#claim = this.#path.claim(this.#opened, this.#body, decision => {
 			if (!this.#ended) {
 				dispatch(decisionHandlers, decision, this);
@@ -253,7 +253,7 @@
 				if (how === AdmissionDecision.admitted) {
 					this.admitted();
 				} else {
-					this.#armDeadline();
+					this.#startDeadlineTimer();
 				}
 			},
 			Err: why => {
