--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -204,7 +204,7 @@
 		}
 	}
 
-	#disarm(): void {
+	#clearTimer(): void {
 		clearTimeout(this.#timer);
 		this.#timer = undefined;
 	}
@@ -228,7 +228,7 @@
 	}
 
 	#start(): void {
-		this.#disarm();
+		this.#clearTimer();
 		this.#execute(beginRequest({
 			idempotent: this.#opened.idempotent, deadline: this.deadline, retry: this.#opened.retry, seed: nextSeed(),
 		}));
@@ -264,7 +264,7 @@
 
 	#send(retry: boolean): void {
 		const owner = this.#owner!;
-		this.#disarm();
+		this.#clearTimer();
 		this.#sentAt = this.#path.now();
 		this.#headers ??= requestHeaders(this.#request.rawHeaders, this.#request.headers.connection);
 		this.#path.attemptStarted(this.#opened, owner, retry);
@@ -283,7 +283,7 @@
 	}
 
 	#cancel(): void {
-		this.#disarm();
+		this.#clearTimer();
 		this.#owner?.admission.leave(this);
 		this.#sentRequest?.abandon(Abandoned.callerGone);
 	}
@@ -315,7 +315,7 @@
 
 	#finish(outcome: Outcome, why?: Failure): void {
 		this.#ended = true;
-		this.#disarm();
+		this.#clearTimer();
 		if (this.#claimed) {
 			this.#claim?.finished(outcome, outcome === Outcome.ran ? this.#bufferedAnswer?.stored() : undefined);
 		} else {
