--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -249,8 +249,8 @@
 
 	#enter(owner: Owner): void {
 		owner.admission.enter(this, this.#path.now()).match({
-			Ok: how => {
-				if (how === AdmissionDecision.admitted) {
+			Ok: decision => {
+				if (decision === AdmissionDecision.admitted) {
 					this.admitted();
 				} else {
 					this.#startDeadlineTimer();
