--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -12,7 +12,7 @@
 const ownFields = [HeaderName.fence, HeaderName.deadline, HeaderName.slot, HeaderName.outcome];
 
 /** The client sets the length of the body that it sends; `expect` was satisfied when the body was read. */
-const stoppedInRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
+const excludedFromRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
 const stoppedInAnswers = new Set<string>([...hopByHop, ...ownFields]);
 
 const none: ReadonlySet<string> = new Set();
@@ -36,7 +36,7 @@
 	for (let position = 0; position < raw.length; position += 2) {
 		const name = raw[position]!;
 		const lowerCase = name.toLowerCase();
-		if (!stoppedInRequests.has(lowerCase) && !named.has(lowerCase) && !stopped.has(lowerCase)) {
+		if (!excludedFromRequests.has(lowerCase) && !named.has(lowerCase) && !stopped.has(lowerCase)) {
 			kept.push(name, raw[position + 1]!);
 		}
 	}
