--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -13,7 +13,7 @@
 
 /** The client sets the length of the body that it sends; `expect` was satisfied when the body was read. */
 const excludedFromRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
-const stoppedInAnswers = new Set<string>([...hopByHop, ...ownFields]);
+const excludedFromAnswers = new Set<string>([...hopByHop, ...ownFields]);
 
 const none: ReadonlySet<string> = new Set();
 
@@ -74,7 +74,7 @@
 		isEmpty ||= lowerCase === 'content-length' && value.trim() === '0';
 		connection = lowerCase === 'connection' ? value.toLowerCase() : connection;
 		retryAfter = lowerCase === 'retry-after' ? value : retryAfter;
-		if (!stoppedInAnswers.has(lowerCase)) {
+		if (!excludedFromAnswers.has(lowerCase)) {
 			headers.push(name, value);
 		}
 	}
