--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -30,13 +30,13 @@
  * Returns the fields of a caller's request that are sent to an upstream. `connection` is the value of the
  * caller's `Connection` field; `stopped` holds further names, in lower case, that are not forwarded.
  */
-export function requestHeaders(raw: RawHeaders, connection: string | undefined, stopped: ReadonlySet<string> = none): string[] {
+export function requestHeaders(raw: RawHeaders, connection: string | undefined, excluded: ReadonlySet<string> = none): string[] {
 	const named = namedFields(connection);
 	const kept: string[] = [];
 	for (let position = 0; position < raw.length; position += 2) {
 		const name = raw[position]!;
 		const lowerCase = name.toLowerCase();
-		if (!excludedFromRequests.has(lowerCase) && !named.has(lowerCase) && !stopped.has(lowerCase)) {
+		if (!excludedFromRequests.has(lowerCase) && !named.has(lowerCase) && !excluded.has(lowerCase)) {
 			kept.push(name, raw[position + 1]!);
 		}
 	}
