--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -15,12 +15,12 @@
 const excludedFromRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
 const excludedFromAnswers = new Set<string>([...hopByHop, ...ownFields]);
 
-const none: ReadonlySet<string> = new Set();
+const noNames: ReadonlySet<string> = new Set();
 
 /** The fields that a `Connection` field declares hop-by-hop. */
 function namedFields(connection: string | undefined): ReadonlySet<string> {
 	if (connection === undefined || connection === 'keep-alive' || connection === 'close') {
-		return none;
+		return noNames;
 	}
 
 	return new Set(connection.split(',').map(name => name.trim().toLowerCase()));
@@ -30,7 +30,7 @@
  * Returns the fields of a caller's request that are sent to an upstream. `connection` is the value of the
  * caller's `Connection` field; `stopped` holds further names, in lower case, that are not forwarded.
  */
-export function requestHeaders(raw: RawHeaders, connection: string | undefined, excluded: ReadonlySet<string> = none): string[] {
+export function requestHeaders(raw: RawHeaders, connection: string | undefined, excluded: ReadonlySet<string> = noNames): string[] {
 	const named = namedFields(connection);
 	const kept: string[] = [];
 	for (let position = 0; position < raw.length; position += 2) {
