--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -90,9 +90,9 @@
 }
 
 /** Returns the value of the first field with the given lower-case name, or undefined if there is none. */
-export function fieldOf(headers: RawHeaders, wanted: string): string | undefined {
+export function fieldOf(headers: RawHeaders, lowerCaseName: string): string | undefined {
 	for (let position = 0; position < headers.length; position += 2) {
-		if (headers[position]!.toLowerCase() === wanted) {
+		if (headers[position]!.toLowerCase() === lowerCaseName) {
 			return headers[position + 1];
 		}
 	}
