--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -56,7 +56,7 @@
 	readonly retryAfter?: string;
 };
 
-const lastIsChunked = /(?:^|,)\s*chunked\s*$/iv;
+const endsInChunked = /(?:^|,)\s*chunked\s*$/iv;
 
 /** Parses the raw head of an upstream's answer. */
 export function readAnswerHead(raw: readonly Uint8Array[]): AnswerHead {
@@ -70,7 +70,7 @@
 		const name = fields[position]!;
 		const value = fields[position + 1]!;
 		const lowerCase = name.toLowerCase();
-		bounded ||= lowerCase === 'content-length' || (lowerCase === 'transfer-encoding' && lastIsChunked.test(value));
+		bounded ||= lowerCase === 'content-length' || (lowerCase === 'transfer-encoding' && endsInChunked.test(value));
 		isEmpty ||= lowerCase === 'content-length' && value.trim() === '0';
 		connection = lowerCase === 'connection' ? value.toLowerCase() : connection;
 		retryAfter = lowerCase === 'retry-after' ? value : retryAfter;
