--- a/packages/upstream-client/src/kept-answer.ts
+++ b/packages/upstream-client/src/kept-answer.ts
@@ -6,7 +6,7 @@
 import {type RawHeaders} from './headers.js';
 
 /** The maximum body size of a stored answer. */
-const largestStoredAnswerBytes = 65_536;
+const maximumStoredAnswerBytes = 65_536;
 
 /** An answer that is buffered while it is relayed. */
 export type KeptAnswer = {
@@ -23,10 +23,10 @@
 	return {
 		add(chunk) {
 			size += chunk.length;
-			if (size <= largestStoredAnswerBytes) {
+			if (size <= maximumStoredAnswerBytes) {
 				chunks.push(chunk);
 			}
 		},
-		stored: () => size > largestStoredAnswerBytes ? undefined : {status, headers, body: Buffer.concat(chunks).toString('base64')},
+		stored: () => size > maximumStoredAnswerBytes ? undefined : {status, headers, body: Buffer.concat(chunks).toString('base64')},
 	};
 }
