--- a/packages/upstream-client/src/kept-answer.ts
+++ b/packages/upstream-client/src/kept-answer.ts
@@ -19,14 +19,14 @@
 /** Starts buffering an answer. */
 export function keepAnswer(status: number, headers: RawHeaders): KeptAnswer {
 	const chunks: Uint8Array[] = [];
-	let size = 0;
+	let bodyBytes = 0;
 	return {
 		add(chunk) {
-			size += chunk.length;
-			if (size <= maximumStoredAnswerBytes) {
+			bodyBytes += chunk.length;
+			if (bodyBytes <= maximumStoredAnswerBytes) {
 				chunks.push(chunk);
 			}
 		},
-		stored: () => size > maximumStoredAnswerBytes ? undefined : {status, headers, body: Buffer.concat(chunks).toString('base64')},
+		stored: () => bodyBytes > maximumStoredAnswerBytes ? undefined : {status, headers, body: Buffer.concat(chunks).toString('base64')},
 	};
 }
