--- a/packages/upstream-client/src/request-body.ts
+++ b/packages/upstream-client/src/request-body.ts
@@ -11,8 +11,8 @@
 	return request.headers['transfer-encoding'] !== undefined || (request.headers['content-length'] ?? '0') !== '0';
 }
 
-function tooLarge(bound: number): Failure {
-	return failure(FailureKind.tooLarge, `the body is larger than ${bound} bytes`);
+function tooLarge(maximumBytes: number): Failure {
+	return failure(FailureKind.tooLarge, `the body is larger than ${maximumBytes} bytes`);
 }
 
 /**
