--- a/packages/upstream-client/src/request-body.ts
+++ b/packages/upstream-client/src/request-body.ts
@@ -19,9 +19,9 @@
  * Reads the whole body and calls `done` once, unless the caller disconnects.
  * Fails with `tooLarge` as soon as the body exceeds `bound` bytes.
  */
-export function readBody(request: IncomingMessage, bound: number, done: (body: Result<Uint8Array, Failure>) => void): void {
-	if (Number(request.headers['content-length'] ?? 0) > bound) {
-		done(Result.err(tooLarge(bound)));
+export function readBody(request: IncomingMessage, maximumBytes: number, done: (body: Result<Uint8Array, Failure>) => void): void {
+	if (Number(request.headers['content-length'] ?? 0) > maximumBytes) {
+		done(Result.err(tooLarge(maximumBytes)));
 		return;
 	}
 
@@ -34,9 +34,9 @@
 	const onData = (chunk: Uint8Array) => {
 		size += chunk.length;
 		chunks.push(chunk);
-		if (size > bound) {
+		if (size > maximumBytes) {
 			request.off('data', onData).off('end', onEnd).pause();
-			done(Result.err(tooLarge(bound)));
+			done(Result.err(tooLarge(maximumBytes)));
 		}
 	};
 
