--- a/packages/upstream-client/src/request-body.ts
+++ b/packages/upstream-client/src/request-body.ts
@@ -26,15 +26,15 @@
 	}
 
 	const chunks: Uint8Array[] = [];
-	let size = 0;
+	let receivedBytes = 0;
 	const onEnd = () => {
 		done(Result.ok(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)));
 	};
 
 	const onData = (chunk: Uint8Array) => {
-		size += chunk.length;
+		receivedBytes += chunk.length;
 		chunks.push(chunk);
-		if (size > maximumBytes) {
+		if (receivedBytes > maximumBytes) {
 			request.off('data', onData).off('end', onEnd).pause();
 			done(Result.err(tooLarge(maximumBytes)));
 		}
