--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -4,16 +4,16 @@
 import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {Abandoned, type AnswerSink, Exchange} from '@dogwooddeck/upstream-client/exchange';
 
-type Told = {
+type RecordedCalls = {
 	readonly heads: number[];
 	readonly ends: Array<[AttemptObservation, number | undefined]>;
 	chunks: number;
 	aborts: number;
 };
 
-type Step = (exchange: Exchange, told: Told) => void;
+type Step = (exchange: Exchange, told: RecordedCalls) => void;
 
-function sinkOf(told: Told, mayStart: boolean): AnswerSink {
+function sinkOf(told: RecordedCalls, mayStart: boolean): AnswerSink {
 	return {
 		beforeFirstByte: () => mayStart,
 		onHead(status) {
@@ -138,7 +138,7 @@
 
 for (const {name, steps, seen, method = 'GET', mayStart = true, heads = [], aborts = 0, retryAfter} of cases) {
 	test(`exchange: ${name}`, () => {
-		const told: Told = {
+		const told: RecordedCalls = {
 			heads: [], ends: [], chunks: 0, aborts: 0,
 		};
 		const exchange = new Exchange(sinkOf(told, mayStart), method, {isNotRun: status => status === 503}, 1000);
@@ -156,7 +156,7 @@
 
 test('exchange: its own timer ends it at the deadline', t => {
 	t.mock.timers.enable({apis: ['setTimeout']});
-	const told: Told = {
+	const told: RecordedCalls = {
 		heads: [], ends: [], chunks: 0, aborts: 0,
 	};
 	const exchange = new Exchange(sinkOf(told, true), 'GET', {isNotRun: () => false}, 100);
