--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -13,7 +13,7 @@
 
 type Step = (exchange: Exchange, told: RecordedCalls) => void;
 
-function sinkOf(told: RecordedCalls, mayStart: boolean): AnswerSink {
+function recordingSink(told: RecordedCalls, mayStart: boolean): AnswerSink {
 	return {
 		beforeFirstByte: () => mayStart,
 		onHead(status) {
@@ -141,7 +141,7 @@
 		const told: RecordedCalls = {
 			heads: [], ends: [], chunks: 0, aborts: 0,
 		};
-		const exchange = new Exchange(sinkOf(told, mayStart), method, {isNotRun: status => status === 503}, 1000);
+		const exchange = new Exchange(recordingSink(told, mayStart), method, {isNotRun: status => status === 503}, 1000);
 		for (const step of steps) {
 			step(exchange, told);
 		}
@@ -159,7 +159,7 @@
 	const told: RecordedCalls = {
 		heads: [], ends: [], chunks: 0, aborts: 0,
 	};
-	const exchange = new Exchange(sinkOf(told, true), 'GET', {isNotRun: () => false}, 100);
+	const exchange = new Exchange(recordingSink(told, true), 'GET', {isNotRun: () => false}, 100);
 	connect(exchange, told);
 	t.mock.timers.tick(99);
 	assert.deepEqual(told.ends, []);
