--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -37,7 +37,7 @@
 		return this.callerGone ? undefined : this.#status;
 	}
 
-	/** Calls `whenGone` once the response closes: it was sent completely, or the connection ended before. */
+	/** Calls `whenClosed` once the response closes: it was sent completely, or the connection ended before. */
 	watch(whenClosed: () => void): void {
 		this.#response.once('close', whenClosed);
 		this.#response.on('error', ignoreError);
--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -28,7 +28,7 @@
 
 /**
  * Returns the fields of a caller's request that are sent to an upstream. `connection` is the value of the
- * caller's `Connection` field; `stopped` holds further names, in lower case, that are not forwarded.
+ * caller's `Connection` field; `excluded` holds further names, in lower case, that are not forwarded.
  */
 export function requestHeaders(raw: RawHeaders, connection: string | undefined, excluded: ReadonlySet<string> = noNames): string[] {
 	const named = namedFields(connection);
--- a/packages/upstream-client/src/request-body.ts
+++ b/packages/upstream-client/src/request-body.ts
@@ -17,7 +17,7 @@
 
 /**
  * Reads the whole body and calls `done` once, unless the caller disconnects.
- * Fails with `tooLarge` as soon as the body exceeds `bound` bytes.
+ * Fails with `tooLarge` as soon as the body exceeds `maximumBytes`.
  */
 export function readBody(request: IncomingMessage, maximumBytes: number, done: (body: Result<Uint8Array, Failure>) => void): void {
 	if (Number(request.headers['content-length'] ?? 0) > maximumBytes) {
