--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -11,7 +11,7 @@
 	aborts: number;
 };
 
-type Step = (exchange: Exchange, told: RecordedCalls) => void;
+type Step = (exchange: Exchange, calls: RecordedCalls) => void;
 
 function recordingSink(told: RecordedCalls, mayStart: boolean): AnswerSink {
 	return {
