--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -13,18 +13,18 @@
 
 type Step = (exchange: Exchange, calls: RecordedCalls) => void;
 
-function recordingSink(told: RecordedCalls, mayStart: boolean): AnswerSink {
+function recordingSink(calls: RecordedCalls, mayStart: boolean): AnswerSink {
 	return {
 		beforeFirstByte: () => mayStart,
 		onHead(status) {
-			told.heads.push(status);
+			calls.heads.push(status);
 		},
 		onChunk() {
-			told.chunks++;
+			calls.chunks++;
 			return true;
 		},
 		onEnd(seen, retryAfter) {
-			told.ends.push([seen, retryAfter]);
+			calls.ends.push([seen, retryAfter]);
 		},
 	};
 }
