--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -29,9 +29,9 @@
 	};
 }
 
-const connect: Step = (exchange, told) => {
+const connect: Step = (exchange, calls) => {
 	exchange.onConnect(() => {
-		told.aborts++;
+		calls.aborts++;
 	});
 };
 
