--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -66,9 +66,9 @@
 }
 
 /** `undici` may call `onConnect` again; the exchange refuses by throwing. */
-const refusedConnect: Step = (exchange, told) => {
+const refusedConnect: Step = (exchange, calls) => {
 	assert.throws(() => {
-		connect(exchange, told);
+		connect(exchange, calls);
 	});
 };
 
