--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -138,19 +138,19 @@
 
 for (const {name, steps, seen, method = 'GET', mayStart = true, heads = [], aborts = 0, retryAfter} of cases) {
 	test(`exchange: ${name}`, () => {
-		const told: RecordedCalls = {
+		const calls: RecordedCalls = {
 			heads: [], ends: [], chunks: 0, aborts: 0,
 		};
-		const exchange = new Exchange(recordingSink(told, mayStart), method, {isNotRun: status => status === 503}, 1000);
+		const exchange = new Exchange(recordingSink(calls, mayStart), method, {isNotRun: status => status === 503}, 1000);
 		for (const step of steps) {
-			step(exchange, told);
+			step(exchange, calls);
 		}
 
 		exchange.abandon(Abandoned.callerGone);
 		exchange.onError({name: 'Error', message: 'closed', code: 'UND_ERR_CLOSED'});
-		assert.deepEqual(told.ends, [[seen, retryAfter]]);
-		assert.deepEqual(told.heads, heads);
-		assert.equal(told.aborts, aborts);
+		assert.deepEqual(calls.ends, [[seen, retryAfter]]);
+		assert.deepEqual(calls.heads, heads);
+		assert.equal(calls.aborts, aborts);
 	});
 }
 
