--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -156,13 +156,13 @@
 
 test('exchange: its own timer ends it at the deadline', t => {
 	t.mock.timers.enable({apis: ['setTimeout']});
-	const told: RecordedCalls = {
+	const calls: RecordedCalls = {
 		heads: [], ends: [], chunks: 0, aborts: 0,
 	};
-	const exchange = new Exchange(recordingSink(told, true), 'GET', {isNotRun: () => false}, 100);
-	connect(exchange, told);
+	const exchange = new Exchange(recordingSink(calls, true), 'GET', {isNotRun: () => false}, 100);
+	connect(exchange, calls);
 	t.mock.timers.tick(99);
-	assert.deepEqual(told.ends, []);
+	assert.deepEqual(calls.ends, []);
 	t.mock.timers.tick(1);
-	assert.deepEqual([told.ends, told.aborts > 0], [[[AttemptObservation.deadlinePassedAfterFirstByte, undefined]], true]);
+	assert.deepEqual([calls.ends, calls.aborts > 0], [[[AttemptObservation.deadlinePassedAfterFirstByte, undefined]], true]);
 });
