--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -23,8 +23,8 @@
 			calls.chunks++;
 			return true;
 		},
-		onEnd(seen, retryAfter) {
-			calls.ends.push([seen, retryAfter]);
+		onEnd(observation, retryAfter) {
+			calls.ends.push([observation, retryAfter]);
 		},
 	};
 }
