--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -33,11 +33,11 @@
 	readonly runsForMilliseconds: Milliseconds;
 };
 
-type RosterEvent = Extract<ClaimsEvent, {readonly kind: 'roster' | 'rosters-missed' | 'view-told' | 'copies-told'}>;
+type TimedRosterEvent = Extract<ClaimsEvent, {readonly kind: 'roster' | 'rosters-missed' | 'view-told' | 'copies-told'}>;
 type Timeless<Event> = Event extends unknown ? Omit<Event, 'now'> : never;
 
 /** A change to the rosters or a report about their holders. */
-export type ClaimRosterEvent = Timeless<RosterEvent>;
+export type ClaimRosterEvent = Timeless<TimedRosterEvent>;
 
 /** The state of an instance's claims. */
 export type ClaimState = {
