--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -86,8 +86,8 @@
 	#state: ClaimsState;
 	#answer: ClaimAnswer | undefined;
 
-	constructor(input: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime) {
-		this.#state = createClaims(input);
+	constructor(options: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime) {
+		this.#state = createClaims(options);
 		this.#transport = transport;
 		this.#now = now;
 	}
