--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -162,6 +162,6 @@
 }
 
 /** Creates the coordinator of an instance that has just started. */
-export function createClaimCoordinator(input: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime): ClaimCoordinator {
-	return new TransportedClaimCoordinator(input, transport, now);
+export function createClaimCoordinator(options: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime): ClaimCoordinator {
+	return new TransportedClaimCoordinator(options, transport, now);
 }
