--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -239,7 +239,7 @@
 		this.#path.locate(this.#opened).match({
 			Ok: owner => {
 				this.#owner = owner;
-				this.#enter(owner);
+				this.#enterAdmission(owner);
 			},
 			Err: why => {
 				this.refused(why);
@@ -247,7 +247,7 @@
 		});
 	}
 
-	#enter(owner: Owner): void {
+	#enterAdmission(owner: Owner): void {
 		owner.admission.enter(this, this.#path.now()).match({
 			Ok: decision => {
 				if (decision === AdmissionDecision.admitted) {
