--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -133,21 +133,21 @@
 		});
 	}
 
-	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
+	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
 		const now = this.#path.now();
 		const latencyMilliseconds = now - this.#sentAt;
 		const owner = this.#owner!;
-		this.#mayHaveRun ||= observationRules[seen].outcome !== Outcome.notRun;
-		this.#path.attemptEnded(this.#opened, owner, {seen, latencyMilliseconds});
+		this.#mayHaveRun ||= observationRules[observation].outcome !== Outcome.notRun;
+		this.#path.attemptEnded(this.#opened, owner, {seen: observation, latencyMilliseconds});
 		this.step({
 			kind: 'seen',
 			now,
-			seen,
+			seen: observation,
 			headPassed: this.#answer.headRelayed,
 			budgetAllows: this.#path.allowsRetry(this.#opened),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
 		});
-		owner.admission.finish(completionOf(seen), latencyMilliseconds);
+		owner.admission.finish(completionOf(observation), latencyMilliseconds);
 	}
 
 	/** Applies an event to the state machine and executes the resulting effects. */
