--- a/packages/upstream-client/src/caller-answer.ts
+++ b/packages/upstream-client/src/caller-answer.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to one caller: passed on, told as a problem, or broken off. Once
- * the caller is gone nothing is written any more.
+ * Writes the answer to one caller: relayed from the upstream, replaced by a
+ * problem body, or aborted. Nothing is written after the caller disconnects.
  */
 import {Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
@@ -11,15 +11,15 @@
 import {type RawHeaders} from './headers.js';
 import {writeProblem} from './problem.js';
 
-/** A write that comes between the end of a connection and its `close` event fails; the event tells the rest. */
+/** A write between the end of a connection and its `close` event fails; the `close` event reports the disconnect. */
 function ignoreError(): void {
-	// The connection is over.
+	// The connection has ended.
 }
 
-/** What a caller has got of its answer. It is mutable: it follows the connection. */
+/** The response to one caller and how much of it was sent. Mutable: it follows the connection. */
 export class CallerAnswer {
-	/** Whether the caller went away before its answer was whole. */
-	gone = false;
+	/** Whether the caller disconnected before its answer was complete. */
+	callerGone = false;
 	readonly #response: ServerResponse;
 	#status: number | undefined;
 
@@ -27,34 +27,34 @@
 		this.#response = response;
 	}
 
-	/** Whether the head of an answer was passed on, or would have been. */
-	get begun(): boolean {
+	/** Whether the head of an answer was relayed, or would have been if the caller were still connected. */
+	get headRelayed(): boolean {
 		return this.#status !== undefined;
 	}
 
-	/** The status that the caller got. */
+	/** The status that the caller received. */
 	get status(): number | undefined {
-		return this.gone ? undefined : this.#status;
+		return this.callerGone ? undefined : this.#status;
 	}
 
-	/** Calls `whenGone` if the connection ends before the answer is over. */
-	watch(whenGone: () => void): void {
-		this.#response.once('close', whenGone);
+	/** Calls `whenClosed` once the response closes: it was sent completely, or the connection ended before. */
+	watch(whenClosed: () => void): void {
+		this.#response.once('close', whenClosed);
 		this.#response.on('error', ignoreError);
 	}
 
-	/** Passes the head of an upstream's answer on. */
-	head(status: number, headers: RawHeaders): void {
+	/** Relays the status and headers of an upstream's answer. */
+	writeHead(status: number, headers: RawHeaders): void {
 		this.#status = status;
-		if (!this.gone) {
+		if (!this.callerGone) {
 			this.#response.sendDate = false;
 			this.#response.writeHead(status, [...headers, HeaderName.outcome, Outcome.ran]);
 		}
 	}
 
-	/** Passes a part of the body on. `false`: `whenDrained` is called when there is room again. */
-	chunk(bytes: Uint8Array, whenDrained: () => void): boolean {
-		if (this.gone || this.#response.write(bytes)) {
+	/** Relays a chunk of the body. Returns `false` if the write buffer is full; `whenDrained` is then called once it has drained. */
+	writeChunk(bytes: Uint8Array, whenDrained: () => void): boolean {
+		if (this.callerGone || this.#response.write(bytes)) {
 			return true;
 		}
 
@@ -62,31 +62,31 @@
 		return false;
 	}
 
-	/** The answer is whole. */
+	/** Ends a complete answer. */
 	end(): void {
-		if (!this.gone) {
+		if (!this.callerGone) {
 			this.#response.end();
 		}
 	}
 
-	/** The caller has part of an answer that is not whole, so it must not see an end. */
-	break(): void {
+	/** Destroys the connection of a caller that holds part of an incomplete answer, so that it doesn't see a regular end. */
+	abort(): void {
 		this.#status = undefined;
 		this.#response.destroy();
 	}
 
-	/** Tells a failure in place of an answer. */
+	/** Sends a failure as a problem body in place of an answer. */
 	refuse(why: Failure, status: number, outcome: Outcome): void {
 		this.#status = status;
-		if (!this.gone) {
+		if (!this.callerGone) {
 			writeProblem(this.#response, why, status, outcome);
 		}
 	}
 
-	/** Gives an answer that was kept. */
+	/** Sends a stored answer. */
 	replay(answer: StoredAnswer): void {
-		this.head(answer.status, answer.headers);
-		if (!this.gone) {
+		this.writeHead(answer.status, answer.headers);
+		if (!this.callerGone) {
 			this.#response.end(Buffer.from(answer.body, 'base64'));
 		}
 	}
--- a/packages/upstream-client/src/claim-coordinator.ts
+++ b/packages/upstream-client/src/claim-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Carries the claims of one instance: between the forwarder, which waits for
- * decisions, and the other instances, which hold claims.
+ * Coordinates the claims of one instance (exactly-once records of operations):
+ * connects the forwarder, which waits for decisions, with the other instances,
+ * which hold claims.
  */
 import {type Failure} from '@dogwooddeck/model/failure';
 import {type LogIndex, type Milliseconds, type MonotonicTime} from '@dogwooddeck/model/identifiers';
@@ -16,88 +17,88 @@
 import {type Result} from 'true-myth';
 import {type OpenClaim} from './request-path.js';
 
-/** Takes messages to other instances. */
-export type ClaimCarrier = {
-	/** Brings a request to its holder and the answer back. Fails where the holder can't be reached in time. */
+/** Sends messages to other instances. */
+export type ClaimTransport = {
+	/** Sends a request to its holder and returns the answer. Fails if the holder can't be reached in time. */
 	ask(request: ClaimRequest): Promise<Result<ClaimAnswer, Failure>>;
-	/** Brings an end to its holder, as far as that can be reached. */
+	/** Notifies the holder that an operation ended, if the holder can be reached. */
 	tell(ended: ClaimEnded): void;
 };
 
-/** What a request claims. */
-export type ClaimWish = {
+/** The operation that a request claims. */
+export type ClaimIntent = {
 	readonly operation: Operation;
 	readonly fingerprint: string;
-	/** From now until nothing of the operation is in flight any more. */
+	/** Time from now until no attempt of the operation is in flight. */
 	readonly runsForMilliseconds: Milliseconds;
 };
 
-type RosterEvent = Extract<ClaimsEvent, {readonly kind: 'roster' | 'rosters-missed' | 'view-told' | 'copies-told'}>;
+type TimedRosterEvent = Extract<ClaimsEvent, {readonly kind: 'roster' | 'rosters-missed' | 'view-told' | 'copies-told'}>;
 type Timeless<Event> = Event extends unknown ? Omit<Event, 'now'> : never;
 
-/** What becomes known of the rosters and their holders. */
-export type ClaimNews = Timeless<RosterEvent>;
+/** A change to the rosters or a report about their holders. */
+export type ClaimRosterEvent = Timeless<TimedRosterEvent>;
 
-/** Where the claims of an instance stand. */
-export type ClaimStanding = {
-	/** The newest roster that is known; 0 for none. */
+/** The state of an instance's claims. */
+export type ClaimState = {
+	/** The log index of the newest roster received; 0 for none. */
 	readonly newest: LogIndex;
-	/** The roster whose holders have answered copies of all records that are held here; 0 while some are missing. */
+	/** The log index of the roster whose holders have acknowledged copies of all records held here; 0 while some are missing. */
 	readonly copiedThrough: LogIndex;
-	/** The instances that have not told whether their records are copied, where claims wait for it. */
+	/** The instances that have not reported whether their records are copied, while claims wait for the report. */
 	readonly awaited: readonly ClaimSeat[];
-	/** What an instance that starts is told; undefined while rosters may be missing. */
+	/** What a starting instance is sent; undefined while rosters may be missing. */
 	readonly view: ClaimsView | undefined;
 };
 
 /** The claims of one instance. */
 export type ClaimCoordinator = {
 	/** Claims an operation and calls `decided` once. */
-	claim(wish: ClaimWish, decided: (decision: ClaimDecision) => void): OpenClaim;
-	/** Takes a message of another instance; a request is answered at once. */
+	claim(intent: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim;
+	/** Handles a message from another instance; a request is answered synchronously. */
 	receive(message: ClaimRequest | ClaimEnded): ClaimAnswer | undefined;
-	/** Takes in what became known of the rosters and their holders. */
-	learn(news: ClaimNews): void;
-	/** What this instance can tell others of its records and rosters. */
-	standing(): ClaimStanding;
-	/** Drops what has expired. Every live instance has applied the entry `acknowledged`. */
+	/** Applies a roster change or a report about holders. */
+	learn(event: ClaimRosterEvent): void;
+	/** Returns the state of this instance's records and rosters for reporting to others. */
+	standing(): ClaimState;
+	/** Drops expired records. Every live instance has applied the log up to the entry `acknowledged`. */
 	sweep(acknowledged: LogIndex): void;
 };
 
-class CarriedClaims implements ClaimCoordinator {
-	static readonly #effects: HandlerTable<ClaimsEffect, [CarriedClaims], void> = {
-		send(effect, desk) {
-			void desk.#send(effect.message);
+class TransportedClaimCoordinator implements ClaimCoordinator {
+	static readonly #effects: HandlerTable<ClaimsEffect, [TransportedClaimCoordinator], void> = {
+		send(effect, coordinator) {
+			void coordinator.#send(effect.message);
 		},
-		answer(effect, desk) {
-			desk.#answer = effect.answer;
+		answer(effect, coordinator) {
+			coordinator.#answer = effect.answer;
 		},
-		decide(effect, desk) {
-			const decided = desk.#waiting.get(effect.sequence);
-			desk.#waiting.delete(effect.sequence);
+		decide(effect, coordinator) {
+			const decided = coordinator.#pendingDecisions.get(effect.sequence);
+			coordinator.#pendingDecisions.delete(effect.sequence);
 			decided?.(effect.decision);
 		},
 	};
 
-	readonly #carrier: ClaimCarrier;
+	readonly #transport: ClaimTransport;
 	readonly #now: () => MonotonicTime;
-	readonly #waiting = new Map<number, (decision: ClaimDecision) => void>();
+	readonly #pendingDecisions = new Map<number, (decision: ClaimDecision) => void>();
 	#state: ClaimsState;
 	#answer: ClaimAnswer | undefined;
 
-	constructor(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime) {
-		this.#state = createClaims(input);
-		this.#carrier = carrier;
+	constructor(options: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime) {
+		this.#state = createClaims(options);
+		this.#transport = transport;
 		this.#now = now;
 	}
 
-	claim(wish: ClaimWish, decided: (decision: ClaimDecision) => void): OpenClaim {
+	claim(intent: ClaimIntent, decided: (decision: ClaimDecision) => void): OpenClaim {
 		const sequence = this.#state.sequence + 1;
-		this.#waiting.set(sequence, decided);
-		this.#step({kind: 'begun', now: this.#now(), ...wish});
+		this.#pendingDecisions.set(sequence, decided);
+		this.#step({kind: 'begun', now: this.#now(), ...intent});
 		return {
 			giveUp: () => {
-				this.#waiting.delete(sequence);
+				this.#pendingDecisions.delete(sequence);
 				this.#step({kind: 'given-up', now: this.#now(), sequence});
 			},
 			finished: (outcome, answer) => {
@@ -114,11 +115,11 @@
 		return this.#answer;
 	}
 
-	learn(news: ClaimNews): void {
-		this.#step({...news, now: this.#now()});
+	learn(event: ClaimRosterEvent): void {
+		this.#step({...event, now: this.#now()});
 	}
 
-	standing(): ClaimStanding {
+	standing(): ClaimState {
 		const state = this.#state;
 		return {
 			newest: state.rosters[0]?.roster.index ?? 0,
@@ -136,17 +137,17 @@
 		const {state, effects} = stepClaims(this.#state, event);
 		this.#state = state;
 		for (const effect of effects) {
-			dispatch(CarriedClaims.#effects, effect, this);
+			dispatch(TransportedClaimCoordinator.#effects, effect, this);
 		}
 	}
 
 	async #send(message: ClaimRequest | ClaimEnded): Promise<void> {
 		if (message.kind === 'claim-ended') {
-			this.#carrier.tell(message);
+			this.#transport.tell(message);
 			return;
 		}
 
-		const answer = await this.#carrier.ask(message);
+		const answer = await this.#transport.ask(message);
 		const now = this.#now();
 		if (answer.isErr) {
 			this.#step({kind: 'unreachable', now, request: message});
@@ -160,7 +161,7 @@
 	}
 }
 
-/** Opens the claims of an instance that has just started. */
-export function createClaimCoordinator(input: ClaimsOptions, carrier: ClaimCarrier, now: () => MonotonicTime): ClaimCoordinator {
-	return new CarriedClaims(input, carrier, now);
+/** Creates the coordinator of an instance that has just started. */
+export function createClaimCoordinator(options: ClaimsOptions, transport: ClaimTransport, now: () => MonotonicTime): ClaimCoordinator {
+	return new TransportedClaimCoordinator(options, transport, now);
 }
--- a/packages/upstream-client/src/exchange.ts
+++ b/packages/upstream-client/src/exchange.ts
@@ -1,9 +1,9 @@
 /**
- * One request on its way to an upstream, as `undici` reports it, told in the
- * words of the outcome table. It ends exactly once.
+ * Maps the events that `undici` reports for one request to the observations of
+ * the outcome table. An exchange ends exactly once.
  *
  * `undici` calls `onConnect` right before it hands the first byte to a socket,
- * and again when it would send the request anew by itself; that is refused.
+ * and again before it retries the request by itself; the retry is refused.
  */
 import {failure, FailureError, FailureKind} from '@dogwooddeck/model/failure';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
@@ -12,46 +12,45 @@
 	type AnswerHead, type RawHeaders, readAnswerHead, retryAfterMilliseconds,
 } from './headers.js';
 
-/** Takes what comes of one request. */
+/** Receives the answer and the result of one request. */
 export type AnswerSink = {
-	/** Called right before the first byte is handed to a socket. `false` refuses: nothing is sent, and `leaseLost` is seen. */
+	/** Called right before the first byte is handed to a socket. `false` refuses: nothing is sent, and the attempt ends with `leaseLost`. */
 	beforeFirstByte(): boolean;
-	/** The head of an answer that can be passed on. */
+	/** Called with the head of an answer that can be relayed. */
 	onHead(status: number, headers: RawHeaders): void;
-	/** A part of the body. `false` asks to wait until `resume`. */
+	/** Called with a chunk of the body. Returning `false` pauses reading until `resume`. */
 	onChunk(chunk: Uint8Array): boolean;
-	/** Called once, and last but for `onDrained`. */
-	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void;
-	/** The rest of a shed answer was read: its connection can be used again. Before `onEnd` where the answer has no body. */
+	/** Called once; only `onDrained` may follow. */
+	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void;
+	/** Called when the rest of a shed answer was read and its connection can be reused. Precedes `onEnd` if the answer has no body. */
 	onDrained?(): void;
 };
 
-/** What an answer is held against. */
+/** Rules that classify an answer. */
 export type AnswerRules = {
-	/** Whether the upstream says that it did not run the request. */
+	/** Whether the upstream reports that it did not run the request. */
 	readonly isNotRun: (status: number, head: AnswerHead) => boolean;
-	/** Whether the answer belongs to another request, or isn't the upstream's own. Left out: none is. */
+	/** Whether the answer belongs to another request or isn't the upstream's own. If omitted, no answer is foreign. */
 	readonly isForeign?: (status: number, head: AnswerHead) => boolean;
-	/** Whether the connection that carried an answer without a length ended in order. Left out: that can't be told. */
+	/** Whether the connection that carried an answer without a length was closed cleanly. If omitted, this can't be determined, and such an answer is rejected. */
 	readonly endedInOrder?: () => boolean;
 };
 
-/** Why a request is given up. */
+/** Why a request is cancelled. */
 export const Abandoned = {
 	callerGone: 'caller-gone',
 	deadlinePassed: 'deadline-passed',
 } as const;
 
-/** One of the reasons. */
 export type Abandoned = (typeof Abandoned)[keyof typeof Abandoned];
 
-const seenWhenAbandoned: Readonly<Record<Abandoned, {readonly before: AttemptObservation; readonly after: AttemptObservation}>> = {
+const observationsByAbandonReason: Readonly<Record<Abandoned, {readonly before: AttemptObservation; readonly after: AttemptObservation}>> = {
 	[Abandoned.callerGone]: {before: AttemptObservation.cancelledBeforeFirstByte, after: AttemptObservation.cancelledAfterFirstByte},
 	[Abandoned.deadlinePassed]: {before: AttemptObservation.deadlinePassedBeforeFirstByte, after: AttemptObservation.deadlinePassedAfterFirstByte},
 };
 
-/** What an error means while no byte was handed over. Others: the connection ended. */
-const seenByCode: Readonly<Record<string, AttemptObservation>> = {
+/** The observation for an error code before the first byte was handed over. Any other code means that the connection closed. */
+const observationByErrorCode: Readonly<Record<string, AttemptObservation>> = {
 	ECONNREFUSED: AttemptObservation.refusedConnection,
 	EHOSTUNREACH: AttemptObservation.refusedConnection,
 	ENETUNREACH: AttemptObservation.refusedConnection,
@@ -66,28 +65,28 @@
 const noContent = 204;
 const notModified = 304;
 
-/** What of a shed answer's body is read, so that the connection can be used again. */
-const longestDrain = 65_536;
+/** The maximum number of bytes read from a shed answer's body to keep its connection reusable. */
+const maximumDrainBytes = 65_536;
 
-function nothingToDo(): void {
-	// Nothing was handed to a socket yet.
+function noOperation(): void {
+	// The request has no socket yet.
 }
 
-/** The handler that `undici` calls, and the handle by which a request is steered. */
+/** The handler that `undici` calls, which is also the handle that cancels or resumes the request. */
 export class Exchange {
 	readonly #sink: AnswerSink;
 	readonly #method: string;
 	readonly #rules: AnswerRules;
 	readonly #timer: NodeJS.Timeout;
-	#handedOver = false;
-	#headSeen = false;
+	#firstByteHandedOver = false;
+	#headRelayed = false;
 	#unbounded = false;
 	#ended = false;
-	#drained = 0;
-	/** A shed answer without a body: its connection can be used again at once. */
+	#drainedBytes = 0;
+	/** Set for a shed answer without a body, whose connection can be reused at once. */
 	#emptyShed: {readonly retryAfter: Milliseconds | undefined} | undefined;
-	#abort: (reason?: Error) => void = nothingToDo;
-	#resume: () => void = nothingToDo;
+	#abort: (reason?: Error) => void = noOperation;
+	#resume: () => void = noOperation;
 
 	constructor(sink: AnswerSink, method: string, rules: AnswerRules, timeoutMilliseconds: Milliseconds) {
 		this.#sink = sink;
@@ -96,28 +95,28 @@
 		this.#timer = setTimeout(whenTimedOut, timeoutMilliseconds, this);
 	}
 
-	/** Gives the request up: what comes later goes nowhere, and the upstream sees its connection end. */
+	/** Cancels the request: later events are ignored, and the upstream's connection is closed. */
 	abandon(why: Abandoned): void {
-		const seen = seenWhenAbandoned[why];
-		this.#finishAndAbort(this.#handedOver ? seen.after : seen.before);
+		const observations = observationsByAbandonReason[why];
+		this.#finishAndAbort(this.#firstByteHandedOver ? observations.after : observations.before);
 	}
 
-	/** Goes on after `onChunk` returned `false`. */
+	/** Resumes reading after `onChunk` returned `false`. */
 	resume(): void {
 		this.#resume();
 	}
 
-	/** For `undici`: a throw here keeps the request off the socket and the connection usable. */
+	/** Called by `undici`. Throwing here keeps the request off the socket and the connection usable. */
 	onConnect(abort: (reason?: Error) => void): void {
 		this.#abort = abort;
-		if (this.#ended || this.#handedOver || !this.#mayStart()) {
+		if (this.#ended || this.#firstByteHandedOver || !this.#mayStart()) {
 			throw new FailureError(failure(FailureKind.noLease, 'the request may not be sent'));
 		}
 
-		this.#handedOver = true;
+		this.#firstByteHandedOver = true;
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onHeaders(status: number, raw: readonly Uint8Array[], resume: () => void): boolean {
 		if (status < firstFinalStatus || this.#ended) {
 			return true;
@@ -133,7 +132,7 @@
 		} else if (isNotRun(status, head)) {
 			this.#shed(head, bounded);
 		} else if (bounded || endedInOrder !== undefined) {
-			this.#headSeen = true;
+			this.#headRelayed = true;
 			this.#sink.onHead(status, head.headers);
 		} else {
 			this.#finishAndAbort(AttemptObservation.unboundedAnswer);
@@ -142,21 +141,21 @@
 		return true;
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onData(chunk: Uint8Array): boolean {
 		if (!this.#ended) {
 			return this.#sink.onChunk(chunk);
 		}
 
-		this.#drained += chunk.length;
-		if (this.#drained > longestDrain) {
+		this.#drainedBytes += chunk.length;
+		if (this.#drainedBytes > maximumDrainBytes) {
 			this.#abort();
 		}
 
 		return true;
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onComplete(): void {
 		clearTimeout(this.#timer);
 		if (this.#ended || this.#emptyShed !== undefined) {
@@ -169,21 +168,21 @@
 		this.#finish(isWhole ? AttemptObservation.wholeAnswer : AttemptObservation.cutAnswer);
 	}
 
-	/** For `undici`. */
+	/** Called by `undici`. */
 	onError(error: Error & {readonly code?: string}): void {
 		clearTimeout(this.#timer);
 		if (this.#emptyShed !== undefined) {
 			this.#finish(AttemptObservation.shed, this.#emptyShed.retryAfter);
-		} else if (this.#headSeen) {
+		} else if (this.#headRelayed) {
 			this.#finish(AttemptObservation.cutAnswer);
-		} else if (this.#handedOver) {
+		} else if (this.#firstByteHandedOver) {
 			this.#finish(AttemptObservation.closedAfterFirstByte);
 		} else {
-			this.#finish(seenByCode[error.code ?? ''] ?? AttemptObservation.closedBeforeFirstByte);
+			this.#finish(observationByErrorCode[error.code ?? ''] ?? AttemptObservation.closedBeforeFirstByte);
 		}
 	}
 
-	/** Runs when the time for the request, or for the rest of a shed answer, is over. */
+	/** Called when the time limit of the request, or of reading the rest of a shed answer, expires. */
 	timeOut(): void {
 		this.abandon(Abandoned.deadlinePassed);
 		this.#abort();
@@ -198,7 +197,7 @@
 		return false;
 	}
 
-	/** The head alone says that the request did not run; the rest is read only to keep the connection. */
+	/** Ends the attempt from the head alone, which says that the request did not run; the body is read only to keep the connection. */
 	#shed(head: AnswerHead, bounded: boolean): void {
 		const retryAfter = retryAfterMilliseconds(head.retryAfter, Date.now());
 		if (head.isEmpty) {
@@ -212,18 +211,18 @@
 		}
 	}
 
-	#finishAndAbort(seen: AttemptObservation): void {
+	#finishAndAbort(observation: AttemptObservation): void {
 		if (!this.#ended) {
 			clearTimeout(this.#timer);
-			this.#finish(seen);
+			this.#finish(observation);
 			this.#abort();
 		}
 	}
 
-	#finish(seen: AttemptObservation, retryAfter?: Milliseconds): void {
+	#finish(observation: AttemptObservation, retryAfter?: Milliseconds): void {
 		if (!this.#ended) {
 			this.#ended = true;
-			this.#sink.onEnd(seen, retryAfter);
+			this.#sink.onEnd(observation, retryAfter);
 		}
 	}
 }
--- a/packages/upstream-client/src/forwarding.ts
+++ b/packages/upstream-client/src/forwarding.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request on its way: the state machine of `routing` decides what
- * to do, and this module carries it out on the raw messages of Node.js.
+ * Runs one caller's request: the state machine of `routing` decides the next
+ * step, and this module executes it on the raw messages of Node.js.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Importance} from '@dogwooddeck/model/contract';
@@ -28,7 +28,7 @@
 
 type EffectTable = HandlerTable<RequestEffect, [Forwarding<any, any>], void>;
 
-/** One request from its head to its end. It is mutable: a copy for each step of the edge would cost more than the step. */
+/** One request from its head to its end. Mutable: copying this state on every step would cost more than the step itself. */
 export class Forwarding<Opened extends OpenedRequest, Owner extends RequestOwner> implements AnswerSink, Ticket {
 	static readonly #effects: EffectTable = {
 		admit(_effect, forwarding) {
@@ -49,7 +49,7 @@
 			forwarding.#complete();
 		},
 		break(_effect, forwarding) {
-			forwarding.#break();
+			forwarding.#abort();
 		},
 		refuse(effect, forwarding) {
 			forwarding.refuse(effect.failure, effect.outcome, effect.status);
@@ -63,19 +63,19 @@
 	readonly #opened: Opened;
 	readonly #request: IncomingMessage;
 	readonly #answer: CallerAnswer;
-	readonly #beganAt: MonotonicTime;
+	readonly #startedAt: MonotonicTime;
 	#state: RequestState | undefined;
 	#body: Uint8Array | undefined;
 	#headers: RawHeaders | undefined;
 	#owner: Owner | undefined;
-	#sent: SentRequest | undefined;
+	#sentRequest: SentRequest | undefined;
 	#sentAt: MonotonicTime = 0;
 	#timer: NodeJS.Timeout | undefined;
 	#claim: OpenClaim | undefined;
 	#claimed = false;
-	#kept: KeptAnswer | undefined;
+	#bufferedAnswer: KeptAnswer | undefined;
 	#mayHaveRun = false;
-	#over = false;
+	#ended = false;
 
 	constructor(forwarder: Forwarder<Opened, Owner>, opened: Opened, request: IncomingMessage, response: ServerResponse) {
 		this.#client = forwarder.client;
@@ -83,12 +83,12 @@
 		this.#opened = opened;
 		this.#request = request;
 		this.#answer = new CallerAnswer(response);
-		this.#beganAt = forwarder.path.now();
+		this.#startedAt = forwarder.path.now();
 		this.importance = opened.importance;
 		this.deadline = opened.deadline;
 	}
 
-	/** Begins: reads the body, claims the operation where that is asked for, and goes through the attempts. */
+	/** Reads the body, claims the operation if the request requires it, and runs the attempts. */
 	begin(): void {
 		this.#answer.watch(() => {
 			this.#whenClosed();
@@ -98,7 +98,7 @@
 			return;
 		}
 
-		this.#armDeadline();
+		this.#startDeadlineTimer();
 		readBody(this.#request, this.#opened.largestBodyBytes, body => {
 			if (body.isErr) {
 				this.refuse(body.error, this.#unsentOutcome);
@@ -122,80 +122,80 @@
 	}
 
 	onHead(status: number, headers: RawHeaders): void {
-		this.#kept = this.#claimed ? keepAnswer(status, headers) : undefined;
-		this.#answer.head(status, headers);
+		this.#bufferedAnswer = this.#claimed ? keepAnswer(status, headers) : undefined;
+		this.#answer.writeHead(status, headers);
 	}
 
 	onChunk(chunk: Uint8Array): boolean {
-		this.#kept?.add(chunk);
-		return this.#answer.chunk(chunk, () => {
-			this.#sent?.resume();
+		this.#bufferedAnswer?.add(chunk);
+		return this.#answer.writeChunk(chunk, () => {
+			this.#sentRequest?.resume();
 		});
 	}
 
-	onEnd(seen: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
+	onEnd(observation: AttemptObservation, retryAfterMilliseconds?: Milliseconds): void {
 		const now = this.#path.now();
 		const latencyMilliseconds = now - this.#sentAt;
 		const owner = this.#owner!;
-		this.#mayHaveRun ||= observationRules[seen].outcome !== Outcome.notRun;
-		this.#path.attemptEnded(this.#opened, owner, {seen, latencyMilliseconds});
+		this.#mayHaveRun ||= observationRules[observation].outcome !== Outcome.notRun;
+		this.#path.attemptEnded(this.#opened, owner, {seen: observation, latencyMilliseconds});
 		this.step({
 			kind: 'seen',
 			now,
-			seen,
-			headPassed: this.#answer.begun,
+			seen: observation,
+			headPassed: this.#answer.headRelayed,
 			budgetAllows: this.#path.allowsRetry(this.#opened),
 			...(retryAfterMilliseconds === undefined ? {} : {retryAfterMilliseconds}),
 		});
-		owner.admission.finish(completionOf(seen), latencyMilliseconds);
+		owner.admission.finish(completionOf(observation), latencyMilliseconds);
 	}
 
-	/** Feeds the state machine and carries its effects out. */
+	/** Applies an event to the state machine and executes the resulting effects. */
 	step(event: RequestEvent): void {
 		if (this.#state !== undefined) {
-			this.#carryOut(stepRequest(this.#state, event));
+			this.#execute(stepRequest(this.#state, event));
 		}
 	}
 
-	/** The claim is held: the request may be sent. */
+	/** Starts the request once its claim is held. */
 	runClaimed(): void {
 		this.#claimed = true;
 		this.#start();
 	}
 
-	/** The operation ended before: its answer is sent again. */
+	/** Sends the stored answer of an operation that has already ended. */
 	replay(answer: StoredAnswer): void {
 		this.#answer.replay(answer);
 		this.#finish(Outcome.ran);
 	}
 
-	/** Tells the caller why there is no answer. */
+	/** Sends the caller a failure in place of an answer. */
 	refuse(why: Failure, outcome: Outcome, status = httpStatusOf(why.kind)): void {
-		if (!this.#over) {
+		if (!this.#ended) {
 			this.#answer.refuse(why, status, outcome);
 			this.#finish(outcome, why);
 		}
 	}
 
-	/** Before its claim is held nobody knows whether an earlier send of the operation ran. */
+	/** The outcome of a request that was not sent. Until its claim is held, it is unknown whether an earlier send of the operation ran. */
 	get #unsentOutcome(): Outcome {
 		return this.#opened.claims && !this.#claimed ? Outcome.unknown : Outcome.notRun;
 	}
 
-	#carryOut(step: Transition<RequestState, RequestEffect>): void {
+	#execute(step: Transition<RequestState, RequestEffect>): void {
 		this.#state = step.state;
 		for (const effect of step.effects) {
 			dispatch(Forwarding.#effects, effect, this);
 		}
 	}
 
-	#armDeadline(): void {
+	#startDeadlineTimer(): void {
 		this.#timer ??= setTimeout(() => {
 			this.#whenDeadlinePassed();
 		}, Math.max(0, this.deadline - this.#path.now()));
 	}
 
-	/** Runs when the deadline passes while nothing is sent. */
+	/** Called when the deadline passes while no attempt is in flight. */
 	#whenDeadlinePassed(): void {
 		if (this.#state === undefined) {
 			this.refuse(failure(FailureKind.deadlineExceeded, 'the deadline passed before the request was sent'), this.#unsentOutcome);
@@ -204,13 +204,13 @@
 		}
 	}
 
-	#disarm(): void {
+	#clearTimer(): void {
 		clearTimeout(this.#timer);
 		this.#timer = undefined;
 	}
 
 	#whenBodyRead(): void {
-		if (this.#over) {
+		if (this.#ended) {
 			return;
 		}
 
@@ -219,17 +219,17 @@
 			return;
 		}
 
-		this.#armDeadline();
+		this.#startDeadlineTimer();
 		this.#claim = this.#path.claim(this.#opened, this.#body, decision => {
-			if (!this.#over) {
+			if (!this.#ended) {
 				dispatch(decisionHandlers, decision, this);
 			}
 		});
 	}
 
 	#start(): void {
-		this.#disarm();
-		this.#carryOut(beginRequest({
+		this.#clearTimer();
+		this.#execute(beginRequest({
 			idempotent: this.#opened.idempotent, deadline: this.deadline, retry: this.#opened.retry, seed: nextSeed(),
 		}));
 	}
@@ -239,7 +239,7 @@
 		this.#path.locate(this.#opened).match({
 			Ok: owner => {
 				this.#owner = owner;
-				this.#enter(owner);
+				this.#enterAdmission(owner);
 			},
 			Err: why => {
 				this.refused(why);
@@ -247,13 +247,13 @@
 		});
 	}
 
-	#enter(owner: Owner): void {
+	#enterAdmission(owner: Owner): void {
 		owner.admission.enter(this, this.#path.now()).match({
-			Ok: how => {
-				if (how === AdmissionDecision.admitted) {
+			Ok: decision => {
+				if (decision === AdmissionDecision.admitted) {
 					this.admitted();
 				} else {
-					this.#armDeadline();
+					this.#startDeadlineTimer();
 				}
 			},
 			Err: why => {
@@ -264,11 +264,11 @@
 
 	#send(retry: boolean): void {
 		const owner = this.#owner!;
-		this.#disarm();
+		this.#clearTimer();
 		this.#sentAt = this.#path.now();
 		this.#headers ??= requestHeaders(this.#request.rawHeaders, this.#request.headers.connection);
 		this.#path.attemptStarted(this.#opened, owner, retry);
-		this.#sent = this.#client.send({
+		this.#sentRequest = this.#client.send({
 			address: owner.address,
 			connections: owner.connections,
 			method: this.#request.method!,
@@ -283,9 +283,9 @@
 	}
 
 	#cancel(): void {
-		this.#disarm();
+		this.#clearTimer();
 		this.#owner?.admission.leave(this);
-		this.#sent?.abandon(Abandoned.callerGone);
+		this.#sentRequest?.abandon(Abandoned.callerGone);
 	}
 
 	#complete(): void {
@@ -293,18 +293,18 @@
 		this.#finish(Outcome.ran);
 	}
 
-	#break(): void {
-		this.#answer.break();
+	#abort(): void {
+		this.#answer.abort();
 		this.#finish(Outcome.unknown);
 	}
 
-	/** A claimed operation that was sent goes on without its caller, so that a resend gets the answer. */
+	/** Handles the close of the caller's connection. A claimed operation that was sent continues without its caller, so that a resend gets the answer. */
 	#whenClosed(): void {
-		if (this.#over) {
+		if (this.#ended) {
 			return;
 		}
 
-		this.#answer.gone = true;
+		this.#answer.callerGone = true;
 		if (this.#claimed && this.#state?.phase === RequestPhase.sending) {
 			return;
 		}
@@ -314,10 +314,10 @@
 	}
 
 	#finish(outcome: Outcome, why?: Failure): void {
-		this.#over = true;
-		this.#disarm();
+		this.#ended = true;
+		this.#clearTimer();
 		if (this.#claimed) {
-			this.#claim?.finished(outcome, outcome === Outcome.ran ? this.#kept?.stored() : undefined);
+			this.#claim?.finished(outcome, outcome === Outcome.ran ? this.#bufferedAnswer?.stored() : undefined);
 		} else {
 			this.#claim?.giveUp();
 		}
@@ -325,7 +325,7 @@
 		const {status} = this.#answer;
 		this.#path.requestEnded(this.#opened, {
 			outcome,
-			latencyMilliseconds: this.#path.now() - this.#beganAt,
+			latencyMilliseconds: this.#path.now() - this.#startedAt,
 			attempts: this.#state?.attempts ?? 0,
 			bodyBytes: this.#body?.length ?? 0,
 			...(status === undefined ? {} : {status}),
--- a/packages/upstream-client/src/headers.ts
+++ b/packages/upstream-client/src/headers.ts
@@ -1,42 +1,42 @@
 /**
- * Which header fields pass between callers and upstreams. Fields of one
- * connection alone (hop-by-hop) and this system's own fields never pass.
+ * Filters the header fields forwarded between callers and upstreams. Hop-by-hop
+ * fields and this system's own fields are never forwarded.
  */
 import {type Buffer} from 'node:buffer';
 import {HeaderName} from '@dogwooddeck/model/headers';
 
-/** Names and values in turn, as Node.js gives and takes them. */
+/** Alternating names and values, the raw header format of Node.js. */
 export type RawHeaders = readonly string[];
 
 const hopByHop = ['connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade'];
 const ownFields = [HeaderName.fence, HeaderName.deadline, HeaderName.slot, HeaderName.outcome];
 
-/** The client sets the length of the body that it sends; `expect` was met when the body was read. */
-const stoppedInRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
-const stoppedInAnswers = new Set<string>([...hopByHop, ...ownFields]);
+/** The client sets the length of the body that it sends; `expect` was satisfied when the body was read. */
+const excludedFromRequests = new Set<string>([...hopByHop, ...ownFields, 'content-length', 'expect']);
+const excludedFromAnswers = new Set<string>([...hopByHop, ...ownFields]);
 
-const none: ReadonlySet<string> = new Set();
+const noNames: ReadonlySet<string> = new Set();
 
-/** The fields that a `Connection` field names as of this connection alone. */
+/** The fields that a `Connection` field declares hop-by-hop. */
 function namedFields(connection: string | undefined): ReadonlySet<string> {
 	if (connection === undefined || connection === 'keep-alive' || connection === 'close') {
-		return none;
+		return noNames;
 	}
 
 	return new Set(connection.split(',').map(name => name.trim().toLowerCase()));
 }
 
 /**
- * The fields of a caller's request that an upstream gets. `connection` is the value of the caller's
- * `Connection` field; `stopped` are further names, in lower case, that don't pass.
+ * Returns the fields of a caller's request that are sent to an upstream. `connection` is the value of the
+ * caller's `Connection` field; `excluded` holds further names, in lower case, that are not forwarded.
  */
-export function requestHeaders(raw: RawHeaders, connection: string | undefined, stopped: ReadonlySet<string> = none): string[] {
+export function requestHeaders(raw: RawHeaders, connection: string | undefined, excluded: ReadonlySet<string> = noNames): string[] {
 	const named = namedFields(connection);
 	const kept: string[] = [];
 	for (let position = 0; position < raw.length; position += 2) {
 		const name = raw[position]!;
 		const lowerCase = name.toLowerCase();
-		if (!stoppedInRequests.has(lowerCase) && !named.has(lowerCase) && !stopped.has(lowerCase)) {
+		if (!excludedFromRequests.has(lowerCase) && !named.has(lowerCase) && !excluded.has(lowerCase)) {
 			kept.push(name, raw[position + 1]!);
 		}
 	}
@@ -44,21 +44,21 @@
 	return kept;
 }
 
-/** What the head of an upstream's answer says. */
+/** The parsed head of an upstream's answer. */
 export type AnswerHead = {
-	/** The fields that the caller gets. */
+	/** The fields that are relayed to the caller. */
 	readonly headers: string[];
-	/** Whether the end of the body can be told from a cut. */
+	/** Whether the body's framing distinguishes a complete body from a truncated one. */
 	readonly bounded: boolean;
-	/** Whether the body is known to be empty. */
+	/** Whether the body is known to be empty, by a `Content-Length` of 0. */
 	readonly isEmpty: boolean;
 	/** The value of `Retry-After`. */
 	readonly retryAfter?: string;
 };
 
-const lastIsChunked = /(?:^|,)\s*chunked\s*$/iv;
+const endsInChunked = /(?:^|,)\s*chunked\s*$/iv;
 
-/** Reads the raw head of an upstream's answer. */
+/** Parses the raw head of an upstream's answer. */
 export function readAnswerHead(raw: readonly Uint8Array[]): AnswerHead {
 	const fields = raw.map(field => (field as Buffer).toString('latin1'));
 	const headers: string[] = [];
@@ -70,11 +70,11 @@
 		const name = fields[position]!;
 		const value = fields[position + 1]!;
 		const lowerCase = name.toLowerCase();
-		bounded ||= lowerCase === 'content-length' || (lowerCase === 'transfer-encoding' && lastIsChunked.test(value));
+		bounded ||= lowerCase === 'content-length' || (lowerCase === 'transfer-encoding' && endsInChunked.test(value));
 		isEmpty ||= lowerCase === 'content-length' && value.trim() === '0';
 		connection = lowerCase === 'connection' ? value.toLowerCase() : connection;
 		retryAfter = lowerCase === 'retry-after' ? value : retryAfter;
-		if (!stoppedInAnswers.has(lowerCase)) {
+		if (!excludedFromAnswers.has(lowerCase)) {
 			headers.push(name, value);
 		}
 	}
@@ -89,10 +89,10 @@
 	return headers.filter((_field, position) => !named.has(headers[position - (position % 2)]!.toLowerCase()));
 }
 
-/** The value of a field, named in lower case; undefined where there is none. */
-export function fieldOf(headers: RawHeaders, wanted: string): string | undefined {
+/** Returns the value of the first field with the given lower-case name, or undefined if there is none. */
+export function fieldOf(headers: RawHeaders, lowerCaseName: string): string | undefined {
 	for (let position = 0; position < headers.length; position += 2) {
-		if (headers[position]!.toLowerCase() === wanted) {
+		if (headers[position]!.toLowerCase() === lowerCaseName) {
 			return headers[position + 1];
 		}
 	}
@@ -103,7 +103,7 @@
 const millisecondsPerSecond = 1000;
 const wholeSeconds = /^\d{1,9}$/v;
 
-/** Reads a `Retry-After` field, in seconds or as a date, into milliseconds from the wall time `now`. */
+/** Converts a `Retry-After` field, in seconds or as a date, to milliseconds from the wall-clock time `now`. */
 export function retryAfterMilliseconds(value: string | undefined, now: number): number | undefined {
 	if (value === undefined) {
 		return undefined;
--- a/packages/upstream-client/src/request-body.ts
+++ b/packages/upstream-client/src/request-body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a request's body into memory up to a bound, so that it can be sent again.
+ * Reads a request's body into memory up to a limit, so that it can be resent.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
@@ -11,32 +11,32 @@
 	return request.headers['transfer-encoding'] !== undefined || (request.headers['content-length'] ?? '0') !== '0';
 }
 
-function tooLarge(bound: number): Failure {
-	return failure(FailureKind.tooLarge, `the body is larger than ${bound} bytes`);
+function tooLarge(maximumBytes: number): Failure {
+	return failure(FailureKind.tooLarge, `the body is larger than ${maximumBytes} bytes`);
 }
 
 /**
- * Reads the whole body and calls `done` once, unless the caller goes away.
- * Fails with `tooLarge` as soon as the bound is passed.
+ * Reads the whole body and calls `done` once, unless the caller disconnects.
+ * Fails with `tooLarge` as soon as the body exceeds `maximumBytes`.
  */
-export function readBody(request: IncomingMessage, bound: number, done: (body: Result<Uint8Array, Failure>) => void): void {
-	if (Number(request.headers['content-length'] ?? 0) > bound) {
-		done(Result.err(tooLarge(bound)));
+export function readBody(request: IncomingMessage, maximumBytes: number, done: (body: Result<Uint8Array, Failure>) => void): void {
+	if (Number(request.headers['content-length'] ?? 0) > maximumBytes) {
+		done(Result.err(tooLarge(maximumBytes)));
 		return;
 	}
 
 	const chunks: Uint8Array[] = [];
-	let size = 0;
+	let receivedBytes = 0;
 	const onEnd = () => {
 		done(Result.ok(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)));
 	};
 
 	const onData = (chunk: Uint8Array) => {
-		size += chunk.length;
+		receivedBytes += chunk.length;
 		chunks.push(chunk);
-		if (size > bound) {
+		if (receivedBytes > maximumBytes) {
 			request.off('data', onData).off('end', onEnd).pause();
-			done(Result.err(tooLarge(bound)));
+			done(Result.err(tooLarge(maximumBytes)));
 		}
 	};
 
--- a/packages/upstream-client/test/test-exchange.ts
+++ b/packages/upstream-client/test/test-exchange.ts
@@ -4,34 +4,34 @@
 import {AttemptObservation} from '@dogwooddeck/routing/outcome';
 import {Abandoned, type AnswerSink, Exchange} from '@dogwooddeck/upstream-client/exchange';
 
-type Told = {
+type RecordedCalls = {
 	readonly heads: number[];
 	readonly ends: Array<[AttemptObservation, number | undefined]>;
 	chunks: number;
 	aborts: number;
 };
 
-type Step = (exchange: Exchange, told: Told) => void;
+type Step = (exchange: Exchange, calls: RecordedCalls) => void;
 
-function sinkOf(told: Told, mayStart: boolean): AnswerSink {
+function recordingSink(calls: RecordedCalls, mayStart: boolean): AnswerSink {
 	return {
 		beforeFirstByte: () => mayStart,
 		onHead(status) {
-			told.heads.push(status);
+			calls.heads.push(status);
 		},
 		onChunk() {
-			told.chunks++;
+			calls.chunks++;
 			return true;
 		},
-		onEnd(seen, retryAfter) {
-			told.ends.push([seen, retryAfter]);
+		onEnd(observation, retryAfter) {
+			calls.ends.push([observation, retryAfter]);
 		},
 	};
 }
 
-const connect: Step = (exchange, told) => {
+const connect: Step = (exchange, calls) => {
 	exchange.onConnect(() => {
-		told.aborts++;
+		calls.aborts++;
 	});
 };
 
@@ -65,10 +65,10 @@
 	};
 }
 
-/** `undici` may call `onConnect` again; a throw is how it is refused. */
-const refusedConnect: Step = (exchange, told) => {
+/** `undici` may call `onConnect` again; the exchange refuses by throwing. */
+const refusedConnect: Step = (exchange, calls) => {
 	assert.throws(() => {
-		connect(exchange, told);
+		connect(exchange, calls);
 	});
 };
 
@@ -88,19 +88,19 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'a whole answer', steps: [connect, ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
+		name: 'a complete answer', steps: [connect, ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'an informational head comes first', steps: [connect, head(103), ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
+		name: 'an informational head precedes the answer', steps: [connect, head(103), ok, chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip, chunked'), chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
+		name: 'a chunked answer', steps: [connect, head(200, 'Transfer-Encoding', 'gzip, chunked'), chunk, complete], seen: AttemptObservation.wholeAnswer, heads: [200],
 	},
 	{
-		name: 'a coding that is not chunks', steps: [connect, head(200, 'Transfer-Encoding', 'gzip'), chunk], seen: AttemptObservation.unboundedAnswer, aborts: 1,
+		name: 'a transfer coding other than chunked', steps: [connect, head(200, 'Transfer-Encoding', 'gzip'), chunk], seen: AttemptObservation.unboundedAnswer, aborts: 1,
 	},
 	{
-		name: 'neither length nor chunks', steps: [connect, head(200), chunk, complete], seen: AttemptObservation.unboundedAnswer, aborts: 1,
+		name: 'neither a length nor chunked coding', steps: [connect, head(200), chunk, complete], seen: AttemptObservation.unboundedAnswer, aborts: 1,
 	},
 	{
 		name: 'no length in an answer to HEAD', steps: [connect, head(200), complete], seen: AttemptObservation.wholeAnswer, method: 'HEAD', heads: [200],
@@ -117,18 +117,18 @@
 	{name: 'an end before the first byte', steps: [fail('ECONNRESET')], seen: AttemptObservation.closedBeforeFirstByte},
 	{name: 'a head that can\'t be sent', steps: [fail('UND_ERR_INVALID_ARG')], seen: AttemptObservation.unsendable},
 	{
-		name: 'a shed with Retry-After', steps: [connect, head(503, 'Retry-After', '2', 'Content-Length', '0'), complete], seen: AttemptObservation.shed, retryAfter: 2000,
+		name: 'a shed answer with Retry-After', steps: [connect, head(503, 'Retry-After', '2', 'Content-Length', '0'), complete], seen: AttemptObservation.shed, retryAfter: 2000,
 	},
 	{
-		name: 'a shed whose body does not end', steps: [connect, head(503, ...length), chunk, largeChunk], seen: AttemptObservation.shed, aborts: 1,
+		name: 'a shed answer whose body does not end', steps: [connect, head(503, ...length), chunk, largeChunk], seen: AttemptObservation.shed, aborts: 1,
 	},
 	{
-		name: 'a lease that ended', steps: [refusedConnect], seen: AttemptObservation.leaseLost, mayStart: false,
+		name: 'a lease that expired', steps: [refusedConnect], seen: AttemptObservation.leaseLost, mayStart: false,
 	},
-	{name: 'sent anew by the library', steps: [connect, refusedConnect, fail('UND_ERR_SOCKET')], seen: AttemptObservation.closedAfterFirstByte},
-	{name: 'given up while it waits for a connection', steps: [abandon(Abandoned.callerGone), refusedConnect], seen: AttemptObservation.cancelledBeforeFirstByte},
+	{name: 'a retry by the library', steps: [connect, refusedConnect, fail('UND_ERR_SOCKET')], seen: AttemptObservation.closedAfterFirstByte},
+	{name: 'cancelled while it waits for a connection', steps: [abandon(Abandoned.callerGone), refusedConnect], seen: AttemptObservation.cancelledBeforeFirstByte},
 	{
-		name: 'given up after the first byte', steps: [connect, abandon(Abandoned.callerGone), fail('UND_ERR_ABORTED')], seen: AttemptObservation.cancelledAfterFirstByte, aborts: 1,
+		name: 'cancelled after the first byte', steps: [connect, abandon(Abandoned.callerGone), fail('UND_ERR_ABORTED')], seen: AttemptObservation.cancelledAfterFirstByte, aborts: 1,
 	},
 	{name: 'the deadline before the first byte', steps: [abandon(Abandoned.deadlinePassed), refusedConnect], seen: AttemptObservation.deadlinePassedBeforeFirstByte},
 	{
@@ -138,31 +138,31 @@
 
 for (const {name, steps, seen, method = 'GET', mayStart = true, heads = [], aborts = 0, retryAfter} of cases) {
 	test(`exchange: ${name}`, () => {
-		const told: Told = {
+		const calls: RecordedCalls = {
 			heads: [], ends: [], chunks: 0, aborts: 0,
 		};
-		const exchange = new Exchange(sinkOf(told, mayStart), method, {isNotRun: status => status === 503}, 1000);
+		const exchange = new Exchange(recordingSink(calls, mayStart), method, {isNotRun: status => status === 503}, 1000);
 		for (const step of steps) {
-			step(exchange, told);
+			step(exchange, calls);
 		}
 
 		exchange.abandon(Abandoned.callerGone);
 		exchange.onError({name: 'Error', message: 'closed', code: 'UND_ERR_CLOSED'});
-		assert.deepEqual(told.ends, [[seen, retryAfter]]);
-		assert.deepEqual(told.heads, heads);
-		assert.equal(told.aborts, aborts);
+		assert.deepEqual(calls.ends, [[seen, retryAfter]]);
+		assert.deepEqual(calls.heads, heads);
+		assert.equal(calls.aborts, aborts);
 	});
 }
 
-test('exchange: the deadline ends it by itself', t => {
+test('exchange: its own timer ends it at the deadline', t => {
 	t.mock.timers.enable({apis: ['setTimeout']});
-	const told: Told = {
+	const calls: RecordedCalls = {
 		heads: [], ends: [], chunks: 0, aborts: 0,
 	};
-	const exchange = new Exchange(sinkOf(told, true), 'GET', {isNotRun: () => false}, 100);
-	connect(exchange, told);
+	const exchange = new Exchange(recordingSink(calls, true), 'GET', {isNotRun: () => false}, 100);
+	connect(exchange, calls);
 	t.mock.timers.tick(99);
-	assert.deepEqual(told.ends, []);
+	assert.deepEqual(calls.ends, []);
 	t.mock.timers.tick(1);
-	assert.deepEqual([told.ends, told.aborts > 0], [[[AttemptObservation.deadlinePassedAfterFirstByte, undefined]], true]);
+	assert.deepEqual([calls.ends, calls.aborts > 0], [[[AttemptObservation.deadlinePassedAfterFirstByte, undefined]], true]);
 });
