--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -1,6 +1,6 @@
 /**
- * Intervals as JSON, for a file that survives a restart and for the operators'
- * surface. What is read back is checked, also the histograms.
+ * JSON encoding of intervals, for a file that survives a restart and for the
+ * operator API. Decoding validates every field, including the histograms.
  */
 import {failure, FailureKind, type Failure} from '@dogwooddeck/model/failure';
 import {isRecord} from '@dogwooddeck/model/json-record';
@@ -63,12 +63,12 @@
 	return isRecord(value) && isName(value.service) && isName(value.upstream) && isCount(value.requests);
 }
 
-/** Whether a value is what one instance counted. */
+/** Whether a value is the counts of one instance. */
 export function isInstanceBurn(value: unknown): value is InstanceBurn {
 	return isRecord(value) && isName(value.instance) && isListOf(value.intervals, isInterval) && isListOf(value.loads, isLoad);
 }
 
-/** An interval as one line of JSON. */
+/** Encodes an interval as one line of JSON. */
 export function encodeInterval(interval: BurnInterval): string {
 	return JSON.stringify(interval);
 }
@@ -81,22 +81,22 @@
 	}
 }
 
-/** Reads an interval from its JSON. Fails with `malformed`. */
+/** Decodes an interval from its JSON. Fails with `malformed`. */
 export function decodeInterval(text: string): Result<BurnInterval, Failure> {
 	return parse(text).andThen((value): Result<BurnInterval, Failure> => isInterval(value)
 		? ok(value)
-		: err(failure(FailureKind.malformed, 'the interval has fields of another form')));
+		: err(failure(FailureKind.malformed, 'the interval has missing or invalid fields')));
 }
 
-/** What a file of intervals held, and how many of its lines couldn't be read. */
+/** The intervals decoded from a file, and the number of lines that couldn't be decoded. */
 export type Journal = {readonly intervals: readonly BurnInterval[]; readonly damagedLines: number};
 
-/** A file that holds intervals, one on each line. */
+/** Encodes intervals as the content of a file, one on each line. */
 export function encodeJournal(intervals: readonly BurnInterval[]): string {
 	return intervals.map(interval => `${encodeInterval(interval)}\n`).join('');
 }
 
-/** Reads a file of intervals. A line that a crash cut short or that is damaged costs its interval alone. */
+/** Decodes a file of intervals. A line that a crash truncated or that is damaged loses only its own interval. */
 export function decodeJournal(text: string): Journal {
 	const read = text.split('\n').filter(line => line !== '').map(line => decodeInterval(line));
 	const intervals = read.flatMap(result => result.isOk ? [result.value] : []);
--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one service's ownership table for the users' measures: time without
- * an owner, moves, and how evenly keys are divided.
+ * Tracks one service's ownership table for the users' metrics: time without an
+ * owner, moves, and how evenly keys are distributed over upstreams.
  */
 import {
 	type Assignment, AssignmentPhase, assignmentsInUse, type ServiceAssignments,
@@ -13,26 +13,26 @@
 
 type Place = {
 	readonly assignment: Assignment;
-	/** The last owner, while the place is in use. Absent: it had none yet. */
+	/** The last owner, while the slot is in use. Absent if it never had one. */
 	readonly lastOwner?: string;
-	/** Since when a place that had an owner has none. */
+	/** When a slot that had an owner became unowned. Absent while it has an owner. */
 	readonly withoutOwnerSince?: MonotonicTime;
 };
 
-/** What was seen of one service. */
+/** The state of the ownership tracker of one service. */
 export type Followed = {
 	readonly service: ServiceAssignments['service'];
-	/** The places that keys use, by slot. */
+	/** The state of each slot that keys use. */
 	readonly places: ReadonlyMap<Slot, Place>;
-	/** The ended times without an owner, summed over slots. */
+	/** The completed times without an owner, summed over slots. */
 	readonly unavailableMilliseconds: Milliseconds;
 	readonly moves: number;
 };
 
-/** How long an owner had been silent when it was judged lost. 0: it was not lost. */
+/** Returns how long an owner had been without contact when it was declared lost; 0 if it was not lost. */
 export type SilenceOf = (owner: UpstreamIdentity) => Milliseconds;
 
-/** A service of which nothing was seen yet. */
+/** The initial state, before the first table is observed. */
 export function createFollowed(service: ServiceAssignments['service']): Followed {
 	return {
 		service, places: new Map(), unavailableMilliseconds: 0, moves: 0,
@@ -43,7 +43,7 @@
 	return assignment.phase === AssignmentPhase.granted ? incarnationKey(assignment.owner) : undefined;
 }
 
-/** A lost owner served nothing from its last sign of life on, not only from the revocation on. */
+/** The time from which a slot is unowned. A lost owner served nothing after its last contact, which precedes the revocation. */
 function lostSince(before: Place | undefined, silenceOf: SilenceOf, now: MonotonicTime): MonotonicTime {
 	return before?.assignment.phase === AssignmentPhase.granted ? now - silenceOf(before.assignment.owner) : now;
 }
@@ -67,10 +67,10 @@
 	return before?.lastOwner !== undefined && before.lastOwner !== after.lastOwner;
 }
 
-/** A service's table at one moment. The service has `slots` slots. */
+/** A service's ownership table at one moment. The service has `slots` slots. */
 export type SeenTable = {readonly table: ServiceAssignments; readonly slots: number; readonly silenceOf: SilenceOf};
 
-/** Takes in the table as it is now. A place that no key uses any more is forgotten. */
+/** Updates the state with the current table. Drops slots that no key uses any more. */
 export function follow(followed: Followed, {table, slots, silenceOf}: SeenTable, now: MonotonicTime): Followed {
 	const places = new Map<Slot, Place>();
 	let {unavailableMilliseconds, moves} = followed;
@@ -99,7 +99,7 @@
 	return [...counts.values()];
 }
 
-/** The figures so far; times without an owner that haven't ended count up to now. */
+/** The figures so far; a time without an owner that is still open counts up to now. */
 export function figuresOf({service, places, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
 	const open = [...places.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
 	const counts = slotsByOwner(places.values());
--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -1,33 +1,33 @@
 /**
- * What counts as bad: a request's end, judged for one objective.
+ * Classifies completed requests: how each one ended for its caller, and whether
+ * that is good or bad for a service-level objective.
  */
 import {type Objective} from '@dogwooddeck/model/contract';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
 
-/** How a request ended, as its caller saw it. */
+/** How a request ended for its caller. */
 export const CompletionStatus = {
-	/** A whole answer that is not an error of the upstream. */
+	/** A complete response that is not a server error. */
 	answered: 'answered',
-	/** A whole answer that tells of an error of the upstream. */
+	/** A server error from the upstream, or a response that was not complete. */
 	failed: 'failed',
-	/** Refused: it was not run, and never will be. */
+	/** Rejected: it was not run, and never will be. */
 	notRun: 'notRun',
-	/** Whether it ran isn't known. */
+	/** It may or may not have run. */
 	unknown: 'unknown',
-	/** Refused for the caller's own fault: a malformed request, or its limit spent. */
+	/** Rejected for the caller's own fault: a malformed request, or an exhausted limit. */
 	callerFault: 'callerFault',
 } as const;
 
-/** One of the ends. */
 export type CompletionStatus = (typeof CompletionStatus)[keyof typeof CompletionStatus];
 
-/** What is known of a request when it has ended. */
+/** The result of a completed request. */
 export type CompletedRequest = {
 	readonly outcome: Outcome;
-	/** The status that the caller got; absent where no whole answer came. */
+	/** The status that the caller received; absent without a complete response. */
 	readonly status?: number;
-	/** Whether it was refused because its caller's limit is spent. */
+	/** Whether it was rejected because its caller's limit is exhausted. */
 	readonly limited: boolean;
 };
 
@@ -44,39 +44,38 @@
 	return status !== undefined && status >= firstCallerStatus && status < firstErrorStatus;
 }
 
-/** How a request ended, from its outcome and the status that its caller got. */
+/** Derives how a request ended from its outcome and the status that its caller received. */
 export function completionStatusOf(ended: CompletedRequest): CompletionStatus {
 	return endsOfOutcome[ended.outcome](ended);
 }
 
-/** One request that has ended. */
+/** A completed request, as it is counted for objectives. */
 export type RequestSample = {
 	readonly end: CompletionStatus;
 	readonly idempotent: boolean;
-	/** From the first byte of the request to the last of the answer. */
+	/** From the first byte of the request to the last byte of the response. */
 	readonly latencyMilliseconds: Milliseconds;
 };
 
-/** What a request is for an objective. */
+/** The class of a request for an objective. */
 export const Judgement = {
 	good: 'good',
-	/** Answered, but later than the objective says. */
+	/** Answered, but later than the objective's latency threshold. */
 	slow: 'slow',
 	failed: 'failed',
 	notRun: 'notRun',
 	unknown: 'unknown',
-	/** It says nothing about the objective. */
+	/** Not counted for the objective. */
 	uncounted: 'uncounted',
 } as const;
 
-/** One of the judgements. */
 export type Judgement = (typeof Judgement)[keyof typeof Judgement];
 
 type Judge = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => Judgement;
 
 /**
- * A non-idempotent request that was not run can be sent again safely and has
- * no answer to be late: it counts for availability, not for latency.
+ * A non-idempotent request that was not run can be retried safely and has no
+ * response to be late: it counts for availability, not for latency.
  */
 function judgeNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): Judgement {
 	return !sample.idempotent && withinMilliseconds !== undefined ? Judgement.uncounted : Judgement.notRun;
@@ -90,7 +89,7 @@
 	callerFault: () => Judgement.uncounted,
 };
 
-/** Judges a request for an objective. */
+/** Classifies a request for an objective. */
 export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): Judgement {
 	return judges[sample.end](sample, objective.withinMilliseconds);
 }
--- a/packages/burn/src/latency.ts
+++ b/packages/burn/src/latency.ts
@@ -1,18 +1,18 @@
 /**
- * Latencies of a service as histograms, which travel and are kept as text.
+ * Latency histograms of services, which are sent and stored as text.
  */
 import {type Milliseconds, type ServiceName} from '@dogwooddeck/model/identifiers';
 import {
 	build, decodeFromCompressedBase64, encodeIntoCompressedBase64, type Histogram,
 } from 'hdr-histogram-js';
 
-/** The latencies of a service's whole answers; the histogram is in compressed base64. */
+/** The latencies of a service's complete responses; the histogram is HdrHistogram's compressed base64 encoding. */
 export type ServiceLatency = {
 	readonly service: ServiceName;
 	readonly histogram: string;
 };
 
-/** Latencies at some points of their distribution. */
+/** Percentiles of a service's latencies. */
 export type LatencySummary = {
 	readonly service: ServiceName;
 	readonly answers: number;
@@ -23,19 +23,19 @@
 
 const highestTrackableValue = 3_600_000;
 
-/** A histogram of whole milliseconds, up to an hour, to two digits. */
+/** Creates a histogram of whole milliseconds, up to an hour, with two significant digits. */
 export function emptyHistogram(): Histogram {
 	return build({
 		bitBucketSize: 32, lowestDiscernibleValue: 1, highestTrackableValue, numberOfSignificantValueDigits: 2,
 	});
 }
 
-/** Counts a latency. */
+/** Records a latency, clamped to between 1 ms and an hour. */
 export function recordLatency(histogram: Histogram, latencyMilliseconds: Milliseconds): void {
 	histogram.recordValue(Math.min(highestTrackableValue, Math.max(1, Math.round(latencyMilliseconds))));
 }
 
-/** A histogram as text. */
+/** Encodes a histogram as compressed base64. */
 export function encodeHistogram(histogram: Histogram): string {
 	return encodeIntoCompressedBase64(histogram);
 }
@@ -46,7 +46,7 @@
 	return encodeHistogram(sum);
 }
 
-/** Adds up the latencies of each service. */
+/** Merges the histograms of each service; the result is sorted by service. */
 export function mergeLatencies(one: readonly ServiceLatency[], other: readonly ServiceLatency[]): readonly ServiceLatency[] {
 	const merged = new Map(one.map(entry => [entry.service, entry.histogram]));
 	for (const {service, histogram} of other) {
@@ -57,7 +57,7 @@
 	return [...merged].sort(([left], [right]) => left < right ? -1 : 1).map(([service, histogram]) => ({service, histogram}));
 }
 
-/** The points of a service's latencies that a report shows. */
+/** Returns the percentiles of a service's latencies that a report shows. */
 export function summariseLatency({service, histogram}: ServiceLatency): LatencySummary {
 	const decoded = decodeFromCompressedBase64(histogram);
 	return {
--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -1,15 +1,15 @@
 /**
- * How requests are divided over upstreams: each instance counts lately sent
- * requests, and the report adds them up over instances.
+ * Distribution of requests over upstreams: each instance counts the requests
+ * that it sent recently, and the report sums them over instances.
  */
 import {
 	type Milliseconds, type MonotonicTime, type ServiceName, type UpstreamName,
 } from '@dogwooddeck/model/identifiers';
 
-/** The requests that were sent to one upstream. */
+/** The number of requests sent to one upstream. */
 export type UpstreamLoad = {readonly service: ServiceName; readonly upstream: UpstreamName; readonly requests: number};
 
-/** Counts go back by one to two of these. */
+/** The length of a counting window. Counts cover the last one to two windows. */
 export const loadWindowMilliseconds: Milliseconds = 300_000;
 
 /** Counts by service and upstream. */
@@ -29,7 +29,7 @@
 	return [...window].flatMap(([service, counts]) => [...counts].map(([upstream, requests]) => ({service, upstream, requests})));
 }
 
-/** Adds up loads of the same upstream. */
+/** Sums the loads of each upstream. */
 export function mergeLoads(loads: Iterable<UpstreamLoad>): readonly UpstreamLoad[] {
 	const merged: LoadWindow = new Map();
 	for (const {service, upstream, requests} of loads) {
@@ -39,19 +39,19 @@
 	return loadsOf(merged);
 }
 
-/** The greatest count as a multiple of the mean over so many owners. 0 where nothing is counted. */
+/** The maximum count as a multiple of the mean over `owners`. 0 if all counts are 0. */
 export function imbalance(counts: readonly number[], owners: number): number {
 	const sum = counts.reduce((one, other) => one + other, 0);
 	return sum === 0 ? 0 : Math.max(...counts) * owners / sum;
 }
 
-/** The most requests on one upstream of a service, as a multiple of the mean over so many owners, or over those that were sent requests where these are more. 0 without requests. */
+/** The maximum number of requests on one upstream of a service, as a multiple of the mean over `owners`, or over the upstreams that were sent requests if these are more. 0 without requests. */
 export function loadImbalance(loads: readonly UpstreamLoad[], service: ServiceName, owners: number): number {
 	const counts = mergeLoads(loads).filter(load => load.service === service).map(({requests}) => requests);
 	return imbalance(counts, Math.max(owners, counts.length));
 }
 
-/** Counts the requests of the present window and keeps the one before. It changes in place, since it runs for every request. */
+/** Counts the requests of the current window and keeps the previous one. Mutable, since it runs for every request. */
 export class LoadRecorder {
 	#beganAt: MonotonicTime;
 	#present: LoadWindow = new Map();
@@ -61,13 +61,12 @@
 		this.#beganAt = now;
 	}
 
-	/** Counts one request. */
 	record(service: ServiceName, upstream: UpstreamName, now: MonotonicTime): void {
 		this.#turn(now);
 		add(this.#present, service, upstream, 1);
 	}
 
-	/** The requests of the present window and the one before. */
+	/** The requests of the current and the previous window. */
 	loads(now: MonotonicTime): readonly UpstreamLoad[] {
 		this.#turn(now);
 		return mergeLoads([...loadsOf(this.#before), ...loadsOf(this.#present)]);
--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -1,15 +1,15 @@
 /**
- * A plot of burn rates over time as inline SVG.
+ * Plots burn rates over time as inline SVG.
  */
 import {type BurnPoint} from './report.js';
 
-/** The measures of a plot, in pixels. */
+/** The size and margins of a plot, in pixels. */
 const size = {
 	width: 480, height: 150, left: 44, right: 8, top: 8, bottom: 22,
 } as const;
 
 const leastTop = 2;
-/** The least distance of two labels, in pixels. */
+/** The minimum distance between two labels, in pixels. */
 const labelHeight = 12;
 
 type Scale = (value: number) => number;
@@ -57,7 +57,7 @@
 	return `<text x="${position}" y="${size.height - 6}" text-anchor="${anchor}">${text}</text>`;
 }
 
-/** Burn rates as bars, oldest first, with a rule at 1, whose label takes the place of that at 0 where there is no room for both. A gap: no requests. The title must be escaped. */
+/** Plots burn rates as bars, oldest first, with a horizontal line at 1. Its label replaces the one at 0 if there is no room for both. A gap means no requests. The title must be escaped already. */
 export function plotPoints(points: readonly BurnPoint[], title: string): string {
 	const most = Math.max(leastTop, ...points.map(point => point.burnRate ?? 0));
 	const horizontal = horizontalScale(points.length);
--- a/packages/burn/src/recorder.ts
+++ b/packages/burn/src/recorder.ts
@@ -1,6 +1,6 @@
 /**
- * Counts the requests of the current interval. This is the one part that
- * changes in place, since it runs for every request.
+ * Counts the requests of the current interval. The recorder is mutable, since
+ * it runs for every request.
  */
 import {type Objective, type ServiceContract} from '@dogwooddeck/model/contract';
 import {type ServiceName, type WallTime} from '@dogwooddeck/model/identifiers';
@@ -11,7 +11,7 @@
 import {emptyHistogram, encodeHistogram, recordLatency} from './latency.js';
 import {intervalMilliseconds, type BurnInterval, type ObjectiveCounts} from './window.js';
 
-/** The ends with a whole answer, whose latency means something. */
+/** The statuses whose latency is recorded: only a request that is known to have run has a meaningful one. */
 const answeredEnds: ReadonlySet<CompletionStatus> = new Set([CompletionStatus.answered, CompletionStatus.failed]);
 
 type MutableCounts = {
@@ -50,7 +50,7 @@
 		counts.unknown += 1;
 	},
 	[Judgement.uncounted]() {
-		// The request says nothing about the objective.
+		// Not counted for the objective.
 	},
 };
 
@@ -59,7 +59,7 @@
 	return names.map(objective => ({service, objective, counts: {...record.objectives.get(objective)!}}));
 }
 
-/** Counts requests until the interval is taken. */
+/** Counts requests until the interval is closed by `take`. */
 export class BurnRecorder {
 	readonly #services = new Map<ServiceName, ServiceRecord>();
 
@@ -75,7 +75,7 @@
 		}
 	}
 
-	/** Gives what was counted as the interval that starts at a moment, and begins the next. */
+	/** Returns the counts as the interval that starts at `startedAt`, and resets them for the next. */
 	take(startedAt: WallTime): BurnInterval {
 		const services = [...this.#services].sort(([left], [right]) => left < right ? -1 : 1);
 		this.#services.clear();
--- a/packages/burn/src/report-page.ts
+++ b/packages/burn/src/report-page.ts
@@ -1,5 +1,5 @@
 /**
- * The report as one HTML page that needs nothing from outside.
+ * Renders the report as one self-contained HTML page, without external resources.
  */
 import {plotPoints} from './plot.js';
 import {
@@ -26,7 +26,7 @@
 	'&': '&amp;', '<': '&lt;', '>': '&gt;', '"': '&quot;', '\'': '&#39;',
 };
 
-/** A text that can stand in HTML. */
+/** Escapes a text for HTML content and quoted attributes. */
 export function escapeHtml(text: string): string {
 	return text.replaceAll(/["&'<>]/gu, character => entities[character]!);
 }
@@ -82,7 +82,7 @@
 	return `<figure><figcaption>${title}</figcaption>${plotPoints(burn.points, title)}</figure>`;
 }
 
-/** The report as an HTML page. */
+/** Renders the report as an HTML page. */
 export function reportPage(report: BurnReport): string {
 	const at = new Date(report.at).toISOString();
 	const coverage = `<p${report.lacking.length > 0 ? ' class="lacking"' : ''}>${escapeHtml(coverageLine(report))}</p>`;
--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -1,10 +1,10 @@
 /**
- * The report as lines of text.
+ * Renders the report as lines of text.
  */
 import {type BurnReport, type ObjectiveBurn, type WindowBurn} from './report.js';
 import {badJudgements} from './window.js';
 
-/** A burn rate for a person. */
+/** Formats a burn rate; `-` without requests. */
 export function showRate(rate: number | undefined): string {
 	return rate === undefined ? '-' : rate.toFixed(2);
 }
@@ -13,18 +13,18 @@
 	return `${(share * 100).toFixed(1)} %`;
 }
 
-/** What is left of a budget, for a person. */
+/** Formats the share of a budget that is left. */
 export function showBudget(left: number): string {
 	return left < 0 ? `overspent ${(1 - left).toFixed(1)} times` : showShare(left);
 }
 
-/** What an objective asks for, for a person. */
+/** Formats an objective's target and latency threshold. */
 export function showObjective({objective}: ObjectiveBurn): string {
 	const within = objective.withinMilliseconds === undefined ? '' : ` within ${objective.withinMilliseconds} ms`;
 	return `${Number((objective.target * 100).toFixed(4))} %${within}`;
 }
 
-/** What was bad in a window, for a person. */
+/** Formats the bad requests of a window by class. */
 export function showBad({counts}: WindowBurn): string {
 	const parts = badJudgements.filter(judgement => counts[judgement] > 0).map(judgement => `${judgement} ${counts[judgement]}`);
 	return parts.length === 0 ? 'none' : parts.join(', ');
@@ -60,13 +60,13 @@
 	return aligned([['service', 'unavailable slot time', 'slots moved', 'slot imbalance', 'load imbalance'], ...rows]);
 }
 
-/** Which instances are in the report, and which it lacks. */
+/** States how many instances are in the report, and which are missing. */
 export function coverageLine(report: BurnReport): string {
 	const lacking = report.lacking.length === 0 ? 'none lacking' : `LACKING: ${report.lacking.join(', ')}`;
 	return `counted by ${report.instances.length} instances, ${lacking}`;
 }
 
-/** The report as lines of text. */
+/** Renders the report as lines of text. */
 export function reportLines(report: BurnReport): readonly string[] {
 	return [
 		`service-level burn at ${new Date(report.at).toISOString()}`,
--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -1,5 +1,5 @@
 /**
- * The report on service-level burn: what all instances counted, merged, beside
+ * Makes the service-level burn report: the merged counts of all instances, and
  * the figures on unavailable time, churn and imbalance.
  */
 import {type Objective} from '@dogwooddeck/model/contract';
@@ -20,36 +20,36 @@
 /** An objective of a service. */
 export type ServiceObjective = Objective & {readonly service: ServiceName};
 
-/** What one instance sees in the ownership table of a service, since it began to follow it. */
+/** Figures from the ownership table of a service, since one instance began to track it. */
 export type OwnershipFigures = {
 	readonly service: ServiceName;
-	/** The sum over keys' slots of the time without an owner. */
+	/** The time without an owner, summed over the slots that keys use. */
 	readonly unavailableSlotMilliseconds: Milliseconds;
-	/** Slots that changed their owner. */
+	/** The number of times that a slot changed its owner. */
 	readonly moves: number;
-	/** The most slots on one upstream, as a multiple of the mean. */
+	/** The maximum number of slots on one upstream, as a multiple of the mean. */
 	readonly slotImbalance: number;
-	/** The upstreams that own slots now. */
+	/** The number of upstreams that own slots now. */
 	readonly owners: number;
 };
 
-/** What else the users measure about a service. */
+/** Ownership and load figures of a service, as a report shows them. */
 export type ServiceFigures = Omit<OwnershipFigures, 'owners'> & {
-	/** The most requests on one upstream, as a multiple of the mean, over the last minutes. */
+	/** The maximum number of requests on one upstream, as a multiple of the mean, over the last 5 to 10 minutes. */
 	readonly loadImbalance: number;
 };
 
-/** What the report is made from: the answer to `GET /operator/burn`. */
+/** The data that a report is made from: the response to `GET /operator/burn`. */
 export type BurnInput = {
 	readonly at: WallTime;
 	readonly objectives: readonly ServiceObjective[];
-	/** The instances that should have counted. */
+	/** The instances whose counts the report should cover. */
 	readonly expected: readonly InstanceName[];
 	readonly instances: readonly InstanceBurn[];
 	readonly figures: readonly OwnershipFigures[];
 };
 
-/** An objective's burn over one window. */
+/** An objective's burn rate over one window. */
 export type WindowBurn = {
 	readonly window: BurnWindow['name'];
 	readonly counts: Counts;
@@ -57,18 +57,18 @@
 	readonly burnRate?: number;
 };
 
-/** An objective's burn at one moment. */
+/** An objective's burn rate over the hour that ends at `at`. */
 export type BurnPoint = {
 	readonly at: WallTime;
 	/** Absent without requests. */
 	readonly burnRate?: number;
 };
 
-/** The burn of one objective. */
+/** The burn rates of one objective and the budget that is left. */
 export type ObjectiveBurn = {
 	readonly objective: ServiceObjective;
 	readonly windows: readonly WindowBurn[];
-	/** By the hour, over the longest window; oldest first. */
+	/** One for each hour of the longest window, oldest first. */
 	readonly points: readonly BurnPoint[];
 	/** The share of the longest window's own budget that is left; below 0 when overspent. */
 	readonly budgetLeft: number;
@@ -83,7 +83,7 @@
 	readonly figures: readonly ServiceFigures[];
 	/** The instances whose counts are in the report. */
 	readonly instances: readonly InstanceName[];
-	/** The instances whose counts are missing from it. */
+	/** The expected instances whose counts are missing from the report. */
 	readonly lacking: readonly InstanceName[];
 };
 
@@ -94,7 +94,7 @@
 	return rate === undefined ? {} : {burnRate: rate};
 }
 
-/** Intervals that have begun when the report is made; clocks of instances differ a little. */
+/** The burn over a window that ends at `at`. Intervals that start later are included, since the instances' clocks differ slightly. */
 function windowBurn(intervals: readonly BurnInterval[], objective: ServiceObjective, window: BurnWindow, at: WallTime): WindowBurn {
 	const held = intervalsBetween(intervals, at - window.milliseconds, Number.POSITIVE_INFINITY);
 	const counts = countsOf(held, objective.service, objective.name);
@@ -122,7 +122,7 @@
 	};
 }
 
-/** Makes the report. An instance that counted nothing is there with no intervals; one that is not there is lacking. */
+/** Makes the report. An instance without requests is in the input with no intervals; an expected instance that is not in the input is reported as `lacking`. */
 export function makeReport({at, objectives, expected, instances, figures}: BurnInput): BurnReport {
 	const intervals = instances.flatMap(instance => instance.intervals);
 	const names = instances.map(instance => instance.instance);
@@ -163,7 +163,7 @@
 		&& Array.isArray(figures) && figures.every(item => isNumbered(item, ['service'], figureFields));
 }
 
-/** Checks the answer to `GET /operator/burn`. Fails with `malformed`. */
+/** Validates the response to `GET /operator/burn`. Fails with `malformed`. */
 export function checkInput(value: unknown): Result<BurnInput, Failure> {
-	return isInput(value) ? ok(value) : err(failure(FailureKind.malformed, 'the answer is not a report\'s input'));
+	return isInput(value) ? ok(value) : err(failure(FailureKind.malformed, 'the response is not the input of a burn report'));
 }
--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -1,6 +1,6 @@
 /**
- * Counters of objectives by interval, and the windows over which their burn is
- * told. Intervals are immutable, and merging them is associative.
+ * Counts of objectives by interval, and the windows over which their burn rate
+ * is reported. Intervals are immutable, and merging them is associative.
  */
 import {type Objective} from '@dogwooddeck/model/contract';
 import {
@@ -10,22 +10,22 @@
 import {type UpstreamLoad} from './load.js';
 import {mergeLatencies, type ServiceLatency} from './latency.js';
 
-/** The length of the intervals that are counted into. */
+/** The length of the intervals in which requests are counted. */
 export const intervalMilliseconds: Milliseconds = 10_000;
 
-/** The length of the intervals that older ones are folded into. */
+/** The length of the intervals into which older ones are merged. */
 export const coarseMilliseconds: Milliseconds = 300_000;
 
-/** The age from which intervals are folded. */
+/** The age from which intervals are merged into longer ones. */
 export const foldAgeMilliseconds: Milliseconds = 3_600_000;
 
-/** The judgements that spend an objective's budget. */
+/** The request classes that spend an objective's error budget. */
 export type BadJudgement = Exclude<Judgement, 'good' | 'uncounted'>;
 
-/** The bad judgements in the order in which they are shown. */
+/** The bad request classes in the order in which they are shown. */
 export const badJudgements: readonly BadJudgement[] = [Judgement.slow, Judgement.failed, Judgement.notRun, Judgement.unknown];
 
-/** How many requests counted for an objective, and how many of them were bad. */
+/** The number of requests counted for an objective, and of those in each bad class. */
 export type Counts = Readonly<Record<BadJudgement, number>> & {readonly total: number};
 
 /** The counts of one objective of a service. */
@@ -35,7 +35,7 @@
 	readonly counts: Counts;
 };
 
-/** What an instance counted from a moment on, for one interval. */
+/** The counts of an instance over one interval. */
 export type BurnInterval = {
 	readonly startedAt: WallTime;
 	readonly lengthMilliseconds: Milliseconds;
@@ -45,18 +45,18 @@
 	readonly latencies: readonly ServiceLatency[];
 };
 
-/** All intervals that an instance still has, in any order. */
+/** All intervals that an instance retains, in any order, and its recent load on upstreams. */
 export type InstanceBurn = {
 	readonly instance: InstanceName;
 	readonly intervals: readonly BurnInterval[];
-	/** The requests that it sent to upstreams lately. */
+	/** The requests that it sent to upstreams recently. */
 	readonly loads: readonly UpstreamLoad[];
 };
 
-/** A length of time over which burn is told. */
+/** A length of time over which a burn rate is reported. */
 export type BurnWindow = {readonly name: string; readonly milliseconds: Milliseconds};
 
-/** The windows of a report: short ones show an outage, long ones a slow leak. */
+/** The windows of a report: short ones show an outage, long ones a low but steady error rate. */
 export const burnWindows: readonly BurnWindow[] = [
 	{name: '5 min', milliseconds: 300_000},
 	{name: '1 h', milliseconds: 3_600_000},
@@ -64,20 +64,18 @@
 	{name: '3 d', milliseconds: 259_200_000},
 ];
 
-/** The longest window: what is older is dropped. */
+/** How long intervals are retained: the longest window. */
 export const keptMilliseconds: Milliseconds = Math.max(...burnWindows.map(window => window.milliseconds));
 
-/** No requests. */
 export const noCounts: Counts = {
 	total: 0, slow: 0, failed: 0, notRun: 0, unknown: 0,
 };
 
-/** The start of the interval that a moment falls into. */
+/** The start of the interval that contains a time. */
 export function intervalStart(at: WallTime, lengthMilliseconds: Milliseconds = intervalMilliseconds): WallTime {
 	return Math.floor(at / lengthMilliseconds) * lengthMilliseconds;
 }
 
-/** Adds up two counts. */
 export function addCounts(one: Counts, other: Counts): Counts {
 	return {
 		total: one.total + other.total,
@@ -88,7 +86,7 @@
 	};
 }
 
-/** How many requests of a count were bad. */
+/** The number of bad requests. */
 export function badOf(counts: Counts): number {
 	return counts.slow + counts.failed + counts.notRun + counts.unknown;
 }
@@ -107,7 +105,7 @@
 	return [...merged.values()].sort((left, right) => objectiveKey(left) < objectiveKey(right) ? -1 : 1);
 }
 
-/** Merges what was counted in two intervals into one that covers both. Associative and commutative. */
+/** Merges the counts of two intervals into one interval that covers both. Associative and commutative. */
 export function mergeIntervals(one: BurnInterval, other: BurnInterval): BurnInterval {
 	const startedAt = Math.min(one.startedAt, other.startedAt);
 	const endedAt = Math.max(one.startedAt + one.lengthMilliseconds, other.startedAt + other.lengthMilliseconds);
@@ -131,7 +129,7 @@
 	return mergeIntervals(frame, interval);
 }
 
-/** Drops intervals that no window holds any more, and folds those past an hour into longer ones. */
+/** Drops intervals that are older than every window, and merges those that ended more than an hour ago into longer ones. */
 export function foldIntervals(intervals: readonly BurnInterval[], now: WallTime): readonly BurnInterval[] {
 	const coarse = new Map<WallTime, BurnInterval>();
 	const fine: BurnInterval[] = [];
@@ -147,12 +145,12 @@
 	return [...coarse.values(), ...fine].sort((one, other) => one.startedAt - other.startedAt);
 }
 
-/** The intervals that begin within a span of time. */
+/** The intervals that start at or after `from` and before `until`. */
 export function intervalsBetween(intervals: readonly BurnInterval[], from: WallTime, until: WallTime): readonly BurnInterval[] {
 	return intervals.filter(interval => interval.startedAt >= from && interval.startedAt < until);
 }
 
-/** The counts of one objective over intervals. */
+/** The counts of one objective, summed over intervals. */
 export function countsOf(intervals: readonly BurnInterval[], service: ServiceName, objective: Objective['name']): Counts {
 	return intervals
 		.flatMap(interval => interval.objectives.filter(entry => entry.service === service && entry.objective === objective))
@@ -160,8 +158,8 @@
 }
 
 /**
- * How many times faster than allowed the budget is spent: 1 spends it exactly
- * over the objective's period. Undefined without requests.
+ * The rate at which the error budget is spent, as a multiple of the rate that
+ * spends it exactly over the objective's period. Undefined without requests.
  */
 export function burnRate(counts: Counts, target: number): number | undefined {
 	return counts.total === 0 ? undefined : badOf(counts) / counts.total / (1 - target);
--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -37,7 +37,7 @@
 ];
 
 for (const [end, idempotent, latencyMilliseconds, forAvailable, forFast] of judgements) {
-	test(`judge: ${end}, ${idempotent ? 'idempotent' : 'non-idempotent'}, ${latencyMilliseconds} ms`, () => {
+	test(`classification: ${end}, ${idempotent ? 'idempotent' : 'non-idempotent'}, ${latencyMilliseconds} ms`, () => {
 		const sample = {end, idempotent, latencyMilliseconds};
 		assert.deepEqual([classifyRequest(sample, available), classifyRequest(sample, fast)], [forAvailable, forFast]);
 	});
@@ -55,7 +55,7 @@
 ];
 
 for (const [ended, expected] of ends) {
-	test(`judge: ${JSON.stringify(ended)} ends as ${expected}`, () => {
+	test(`completion status: ${JSON.stringify(ended)} is ${expected}`, () => {
 		assert.equal(completionStatusOf(ended), expected);
 	});
 }
@@ -69,7 +69,7 @@
 	return recorder.take(startedAt);
 }
 
-/** Anywhere, or close together, so that several fall into one longer interval. */
+/** Start times over the whole range, or close together so that several fall into one longer interval. */
 const starts = fc.oneof(fc.nat({max: 40_000}), fc.integer({min: 30_000, max: 30_060}));
 const intervals = fc.tuple(starts, fc.array(fc.constantFrom<CompletionStatus>('answered', 'failed', 'notRun', 'unknown'), {maxLength: 8}), fc.nat({max: 5000}))
 	.map(([number, ends, latency]) => recorded(number * intervalMilliseconds, ends, latency));
@@ -81,7 +81,7 @@
 	}), {seed});
 });
 
-test(`burn: folding loses no request of the kept windows, and can be done again (seed ${seed})`, () => {
+test(`burn: folding keeps every request in the retention time, and is idempotent (seed ${seed})`, () => {
 	const now = 40_000 * intervalMilliseconds;
 	fc.assert(fc.property(fc.array(intervals, {maxLength: 12}), list => {
 		const kept = list.filter(interval => interval.startedAt + intervalMilliseconds > now - keptMilliseconds);
@@ -91,7 +91,7 @@
 	}), {seed});
 });
 
-test(`burn: an interval is read back from its JSON as it was (seed ${seed})`, () => {
+test(`burn: an interval survives a JSON round trip (seed ${seed})`, () => {
 	fc.assert(fc.property(intervals, interval => {
 		assert.deepEqual(decodeInterval(encodeInterval(interval)).unwrapOr(undefined), interval);
 	}), {seed});
@@ -99,20 +99,20 @@
 
 const interval = recorded(0, ['answered']);
 const damaged: ReadonlyArray<readonly [name: string, text: string]> = [
-	['no JSON', '{"startedAt":'],
+	['invalid JSON', '{"startedAt":'],
 	['null', 'null'],
 	['a negative count', encodeInterval({...interval, startedAt: -1})],
-	['a histogram that is none', encodeInterval({...interval, latencies: [{service, histogram: 'AAAA'}]})],
-	['more bad requests than all', encodeInterval({...interval, objectives: [{service, objective: 'available', counts: {...interval.objectives[0]!.counts, slow: 2}}]})],
+	['an invalid histogram', encodeInterval({...interval, latencies: [{service, histogram: 'AAAA'}]})],
+	['more bad requests than the total', encodeInterval({...interval, objectives: [{service, objective: 'available', counts: {...interval.objectives[0]!.counts, slow: 2}}]})],
 ];
 
 for (const [name, text] of damaged) {
-	test(`burn: refused as an interval: ${name}`, () => {
+	test(`burn: rejected as an interval: ${name}`, () => {
 		assert.equal(decodeInterval(text).match({Ok: () => 'taken', Err: refusal => refusal.kind}), 'malformed');
 	});
 }
 
-test('burn: a journal that is cut short loses its last interval alone', () => {
+test('burn: a truncated journal loses only its last interval', () => {
 	const text = encodeJournal([interval, recorded(intervalMilliseconds, ['unknown'])]);
 	assert.deepEqual(decodeJournal(text.slice(0, -9)), {intervals: [interval], damagedLines: 1});
 	assert.equal(decodeJournal(text).intervals.length, 2);
@@ -141,7 +141,7 @@
 	}],
 };
 
-test('burn: the report as text says which instances it lacks', () => {
+test('burn: the text report lists the missing instances', () => {
 	assert.deepEqual(reportLines(makeReport(input)), [
 		'service-level burn at 2026-12-04T10:00:00.000Z',
 		'counted by 2 instances, LACKING: entry-3',
@@ -158,14 +158,14 @@
 	]);
 });
 
-test('burn: the page needs nothing from outside and escapes names', () => {
+test('burn: the page has no external resources and escapes names', () => {
 	const page = reportPage(makeReport({...input, expected: ['<script>']}));
 	assert.ok(!/<script|https?:|<link|@import|url\(/u.test(page));
 	assert.ok(page.includes('LACKING: &lt;script&gt;'));
 	assert.equal(page.split('<svg').length - 1, 2);
 });
 
-test('burn: the input is checked', () => {
+test('burn: the report input is validated', () => {
 	assert.ok(checkInput(structuredClone(input)).isOk);
 	assert.ok(checkInput({...input, instances: [{instance: 'entry-1', intervals: [{}], loads: []}]}).isErr);
 	assert.ok(checkInput({...input, instances: [{instance: 'entry-1', intervals: []}]}).isErr);
--- a/packages/burn/test/test-following.ts
+++ b/packages/burn/test/test-following.ts
@@ -30,7 +30,7 @@
 type Seen = {
 	readonly at: number;
 	readonly table: ServiceAssignments;
-	/** How long the owners that are gone were silent. */
+	/** How long lost owners had been without contact, in milliseconds. */
 	readonly silent?: number;
 };
 
@@ -41,7 +41,7 @@
 		unavailable: 0, moves: 0, imbalance: 0, owners: 0,
 	},
 	{
-		name: 'a move counts, and the time between',
+		name: 'a move counts, as does the time between the owners',
 		seen: [
 			{at: 0, table: table([owned(0, 'one'), owned(1, 'two')])},
 			{at: 100, table: table([free(0), owned(1, 'two')])},
@@ -50,7 +50,7 @@
 		unavailable: 40, moves: 1, imbalance: 1, owners: 1,
 	},
 	{
-		name: 'an owner that gets its slot back did not move',
+		name: 'a slot that returns to its owner is not a move',
 		seen: [
 			{at: 0, table: table([owned(0, 'one'), owned(1, 'two')])},
 			{at: 100, table: table([free(0), owned(1, 'two')])},
@@ -59,12 +59,12 @@
 		unavailable: 30, moves: 0, imbalance: 1, owners: 2,
 	},
 	{
-		name: 'a time that has not ended counts up to now',
+		name: 'a time without an owner that is still open counts up to now',
 		seen: [{at: 0, table: table([owned(0, 'one'), owned(1, 'two')])}, {at: 900, table: table([free(0), owned(1, 'two')])}],
 		unavailable: 100, moves: 0, imbalance: 1, owners: 1,
 	},
 	{
-		name: 'a lost owner counts from when it was last heard of',
+		name: 'the slot of a lost owner is unavailable from the last contact',
 		seen: [
 			{at: 0, table: table([owned(0, 'one'), owned(1, 'two')])},
 			{at: 500, table: table([free(0), owned(1, 'two')]), silent: 350},
@@ -73,7 +73,7 @@
 		unavailable: 390, moves: 1, imbalance: 1, owners: 1,
 	},
 	{
-		name: 'the silence of a lost owner counts once',
+		name: 'the time without contact of a lost owner counts once',
 		seen: [
 			{at: 0, table: table([owned(0, 'one'), owned(1, 'two')])},
 			{at: 500, table: table([revoked(0, 'one'), owned(1, 'two')]), silent: 350},
@@ -82,7 +82,7 @@
 		unavailable: 850, moves: 0, imbalance: 1, owners: 1,
 	},
 	{
-		name: 'the place of a key that is pinned no more is not unavailable',
+		name: 'the slot of a key that is no longer pinned is not unavailable',
 		seen: [
 			{at: 0, table: table([owned(0, 'one'), owned(1, 'two'), owned(2, 'one')], 2)},
 			{at: 100, table: table([owned(0, 'one'), owned(1, 'two'), free(2)])},
@@ -90,7 +90,7 @@
 		unavailable: 0, moves: 0, imbalance: 1, owners: 2,
 	},
 	{
-		name: 'another key in a former key\'s place did not move',
+		name: 'reuse of a slot for another key is not a move',
 		seen: [
 			{at: 0, table: table([owned(0, 'one'), owned(1, 'two'), owned(2, 'one')], 2)},
 			{at: 100, table: table([owned(0, 'one'), owned(1, 'two'), free(2)])},
@@ -103,7 +103,7 @@
 for (const {
 	name, seen, unavailable, moves, imbalance, owners,
 } of cases) {
-	test(`following ownership: ${name}`, () => {
+	test(`ownership tracker: ${name}`, () => {
 		let followed = createFollowed(service);
 		for (const {at, table: now, silent = 0} of seen) {
 			followed = follow(followed, {table: now, slots, silenceOf: () => silent}, at);
--- a/packages/burn/test/test-load.ts
+++ b/packages/burn/test/test-load.ts
@@ -18,7 +18,7 @@
 		name: 'equal loads', loads: [load('a', 5), load('b', 5)], owners: 2, expected: 1,
 	},
 	{
-		name: 'loads of two instances are added up', loads: [load('a', 60), load('b', 40), load('a', 40), load('b', 20)], owners: 2, expected: 1.25,
+		name: 'loads of two instances are summed', loads: [load('a', 60), load('b', 40), load('a', 40), load('b', 20)], owners: 2, expected: 1.25,
 	},
 	{
 		name: 'an owner without requests counts', loads: [load('a', 10)], owners: 4, expected: 4,
@@ -42,13 +42,13 @@
 		name: 'counts add up in one window', sentAt: [0, 1, 2], readAt: 3, expected: 3,
 	},
 	{
-		name: 'the window before still counts', sentAt: [0, loadWindowMilliseconds], readAt: loadWindowMilliseconds, expected: 2,
+		name: 'the previous window still counts', sentAt: [0, loadWindowMilliseconds], readAt: loadWindowMilliseconds, expected: 2,
 	},
 	{
-		name: 'the one before that does not', sentAt: [0, 2 * loadWindowMilliseconds], readAt: 2 * loadWindowMilliseconds, expected: 1,
+		name: 'the window before the previous one does not count', sentAt: [0, 2 * loadWindowMilliseconds], readAt: 2 * loadWindowMilliseconds, expected: 1,
 	},
 	{
-		name: 'a long silence leaves nothing', sentAt: [0], readAt: 10 * loadWindowMilliseconds, expected: 0,
+		name: 'no counts are left after a long idle time', sentAt: [0], readAt: 10 * loadWindowMilliseconds, expected: 0,
 	},
 ];
 
--- a/packages/burn/test/test-plot.ts
+++ b/packages/burn/test/test-plot.ts
@@ -16,7 +16,7 @@
 		name: 'rates with room for three labels', rates: [5], labels: ['0.0', '5.0', '1.0'], bars: 1,
 	},
 	{
-		name: 'a rate so high that the rule at 1 lies on that at 0', rates: [400, 0], labels: ['400', '1.0'], bars: 2,
+		name: 'a rate so high that the line at 1 coincides with the line at 0', rates: [400, 0], labels: ['400', '1.0'], bars: 2,
 	},
 ];
 
