--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -58,7 +58,7 @@
 };
 
 /** The class of a request for an objective. */
-export const Judgement = {
+export const RequestClass = {
 	good: 'good',
 	/** Answered, but later than the objective's latency threshold. */
 	slow: 'slow',
@@ -69,27 +69,27 @@
 	uncounted: 'uncounted',
 } as const;
 
-export type Judgement = (typeof Judgement)[keyof typeof Judgement];
+export type RequestClass = (typeof RequestClass)[keyof typeof RequestClass];
 
-type Judge = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => Judgement;
+type Judge = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => RequestClass;
 
 /**
  * A non-idempotent request that was not run can be retried safely and has no
  * response to be late: it counts for availability, not for latency.
  */
-function judgeNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): Judgement {
-	return !sample.idempotent && withinMilliseconds !== undefined ? Judgement.uncounted : Judgement.notRun;
+function judgeNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): RequestClass {
+	return !sample.idempotent && withinMilliseconds !== undefined ? RequestClass.uncounted : RequestClass.notRun;
 }
 
 const judges: Readonly<Record<CompletionStatus, Judge>> = {
-	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? Judgement.slow : Judgement.good,
-	failed: () => Judgement.failed,
+	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? RequestClass.slow : RequestClass.good,
+	failed: () => RequestClass.failed,
 	notRun: judgeNotRun,
-	unknown: () => Judgement.unknown,
-	callerFault: () => Judgement.uncounted,
+	unknown: () => RequestClass.unknown,
+	callerFault: () => RequestClass.uncounted,
 };
 
 /** Classifies a request for an objective. */
-export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): Judgement {
+export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): RequestClass {
 	return judges[sample.end](sample, objective.withinMilliseconds);
 }
--- a/packages/burn/src/recorder.ts
+++ b/packages/burn/src/recorder.ts
@@ -6,7 +6,7 @@
 import {type ServiceName, type WallTime} from '@dogwooddeck/model/identifiers';
 import {type Histogram} from 'hdr-histogram-js';
 import {
-	Judgement, classifyRequest, CompletionStatus, type RequestSample,
+	RequestClass, classifyRequest, CompletionStatus, type RequestSample,
 } from './judgement.js';
 import {emptyHistogram, encodeHistogram, recordLatency} from './latency.js';
 import {intervalMilliseconds, type BurnInterval, type ObjectiveCounts} from './window.js';
@@ -29,27 +29,27 @@
 
 type Counter = (counts: MutableCounts) => void;
 
-const counters: Readonly<Record<Judgement, Counter>> = {
-	[Judgement.good](counts) {
+const counters: Readonly<Record<RequestClass, Counter>> = {
+	[RequestClass.good](counts) {
 		counts.total += 1;
 	},
-	[Judgement.slow](counts) {
+	[RequestClass.slow](counts) {
 		counts.total += 1;
 		counts.slow += 1;
 	},
-	[Judgement.failed](counts) {
+	[RequestClass.failed](counts) {
 		counts.total += 1;
 		counts.failed += 1;
 	},
-	[Judgement.notRun](counts) {
+	[RequestClass.notRun](counts) {
 		counts.total += 1;
 		counts.notRun += 1;
 	},
-	[Judgement.unknown](counts) {
+	[RequestClass.unknown](counts) {
 		counts.total += 1;
 		counts.unknown += 1;
 	},
-	[Judgement.uncounted]() {
+	[RequestClass.uncounted]() {
 		// Not counted for the objective.
 	},
 };
--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -6,7 +6,7 @@
 import {
 	type InstanceName, type Milliseconds, type ServiceName, type WallTime,
 } from '@dogwooddeck/model/identifiers';
-import {Judgement} from './judgement.js';
+import {RequestClass} from './judgement.js';
 import {type UpstreamLoad} from './load.js';
 import {mergeLatencies, type ServiceLatency} from './latency.js';
 
@@ -20,10 +20,10 @@
 export const foldAgeMilliseconds: Milliseconds = 3_600_000;
 
 /** The request classes that spend an objective's error budget. */
-export type BadJudgement = Exclude<Judgement, 'good' | 'uncounted'>;
+export type BadJudgement = Exclude<RequestClass, 'good' | 'uncounted'>;
 
 /** The bad request classes in the order in which they are shown. */
-export const badJudgements: readonly BadJudgement[] = [Judgement.slow, Judgement.failed, Judgement.notRun, Judgement.unknown];
+export const badJudgements: readonly BadJudgement[] = [RequestClass.slow, RequestClass.failed, RequestClass.notRun, RequestClass.unknown];
 
 /** The number of requests counted for an objective, and of those in each bad class. */
 export type Counts = Readonly<Record<BadJudgement, number>> & {readonly total: number};
--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -7,7 +7,7 @@
 	decodeInterval, decodeJournal, encodeInterval, encodeJournal,
 } from '../src/encoding.js';
 import {
-	completionStatusOf, classifyRequest, type CompletedRequest, type CompletionStatus, type Judgement,
+	completionStatusOf, classifyRequest, type CompletedRequest, type CompletionStatus, type RequestClass,
 } from '../src/judgement.js';
 import {BurnRecorder} from '../src/recorder.js';
 import {reportPage} from '../src/report-page.js';
@@ -24,7 +24,7 @@
 	name: 'fast', target: 0.9, withinMilliseconds: 800, periodDays: 28,
 };
 
-const judgements: ReadonlyArray<readonly [end: CompletionStatus, idempotent: boolean, latency: number, available: Judgement, fast: Judgement]> = [
+const judgements: ReadonlyArray<readonly [end: CompletionStatus, idempotent: boolean, latency: number, available: RequestClass, fast: RequestClass]> = [
 	['answered', true, 800, 'good', 'good'],
 	['answered', true, 801, 'good', 'slow'],
 	['answered', false, 801, 'good', 'slow'],
