--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -20,13 +20,13 @@
 export const foldAgeMilliseconds: Milliseconds = 3_600_000;
 
 /** The request classes that spend an objective's error budget. */
-export type BadJudgement = Exclude<RequestClass, 'good' | 'uncounted'>;
+export type BadRequestClass = Exclude<RequestClass, 'good' | 'uncounted'>;
 
 /** The bad request classes in the order in which they are shown. */
-export const badJudgements: readonly BadJudgement[] = [RequestClass.slow, RequestClass.failed, RequestClass.notRun, RequestClass.unknown];
+export const badJudgements: readonly BadRequestClass[] = [RequestClass.slow, RequestClass.failed, RequestClass.notRun, RequestClass.unknown];
 
 /** The number of requests counted for an objective, and of those in each bad class. */
-export type Counts = Readonly<Record<BadJudgement, number>> & {readonly total: number};
+export type Counts = Readonly<Record<BadRequestClass, number>> & {readonly total: number};
 
 /** The counts of one objective of a service. */
 export type ObjectiveCounts = {
