--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -8,7 +8,7 @@
 import {type UpstreamLoad} from './load.js';
 import {summariseLatency, type ServiceLatency} from './latency.js';
 import {
-	badJudgements, badOf, keptMilliseconds, type BurnInterval, type Counts, type InstanceBurn, type ObjectiveCounts,
+	badRequestClasses, badOf, keptMilliseconds, type BurnInterval, type Counts, type InstanceBurn, type ObjectiveCounts,
 } from './window.js';
 
 const largestHistogramCharacters = 65_536;
@@ -24,7 +24,7 @@
 
 function isCounts(value: unknown): value is Counts {
 	return isRecord(value)
-		&& [...badJudgements, 'total'].every(key => isCount(value[key]))
+		&& [...badRequestClasses, 'total'].every(key => isCount(value[key]))
 		&& badOf(value as Counts) <= (value as Counts).total;
 }
 
--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -2,7 +2,7 @@
  * Renders the report as lines of text.
  */
 import {type BurnReport, type ObjectiveBurn, type WindowBurn} from './report.js';
-import {badJudgements} from './window.js';
+import {badRequestClasses} from './window.js';
 
 /** Formats a burn rate; `-` without requests. */
 export function showRate(rate: number | undefined): string {
@@ -26,7 +26,7 @@
 
 /** Formats the bad requests of a window by class. */
 export function showBad({counts}: WindowBurn): string {
-	const parts = badJudgements.filter(judgement => counts[judgement] > 0).map(judgement => `${judgement} ${counts[judgement]}`);
+	const parts = badRequestClasses.filter(judgement => counts[judgement] > 0).map(judgement => `${judgement} ${counts[judgement]}`);
 	return parts.length === 0 ? 'none' : parts.join(', ');
 }
 
--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -23,7 +23,7 @@
 export type BadRequestClass = Exclude<RequestClass, 'good' | 'uncounted'>;
 
 /** The bad request classes in the order in which they are shown. */
-export const badJudgements: readonly BadRequestClass[] = [RequestClass.slow, RequestClass.failed, RequestClass.notRun, RequestClass.unknown];
+export const badRequestClasses: readonly BadRequestClass[] = [RequestClass.slow, RequestClass.failed, RequestClass.notRun, RequestClass.unknown];
 
 /** The number of requests counted for an objective, and of those in each bad class. */
 export type Counts = Readonly<Record<BadRequestClass, number>> & {readonly total: number};
