--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -71,7 +71,7 @@
 
 export type RequestClass = (typeof RequestClass)[keyof typeof RequestClass];
 
-type Judge = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => RequestClass;
+type RequestClassifier = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => RequestClass;
 
 /**
  * A non-idempotent request that was not run can be retried safely and has no
@@ -81,7 +81,7 @@
 	return !sample.idempotent && withinMilliseconds !== undefined ? RequestClass.uncounted : RequestClass.notRun;
 }
 
-const judges: Readonly<Record<CompletionStatus, Judge>> = {
+const judges: Readonly<Record<CompletionStatus, RequestClassifier>> = {
 	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? RequestClass.slow : RequestClass.good,
 	failed: () => RequestClass.failed,
 	notRun: judgeNotRun,
