--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -81,7 +81,7 @@
 	return !sample.idempotent && withinMilliseconds !== undefined ? RequestClass.uncounted : RequestClass.notRun;
 }
 
-const judges: Readonly<Record<CompletionStatus, RequestClassifier>> = {
+const classifiers: Readonly<Record<CompletionStatus, RequestClassifier>> = {
 	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? RequestClass.slow : RequestClass.good,
 	failed: () => RequestClass.failed,
 	notRun: judgeNotRun,
@@ -91,5 +91,5 @@
 
 /** Classifies a request for an objective. */
 export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): RequestClass {
-	return judges[sample.end](sample, objective.withinMilliseconds);
+	return classifiers[sample.end](sample, objective.withinMilliseconds);
 }
