--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -77,14 +77,14 @@
  * A non-idempotent request that was not run can be retried safely and has no
  * response to be late: it counts for availability, not for latency.
  */
-function judgeNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): RequestClass {
+function classifyNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): RequestClass {
 	return !sample.idempotent && withinMilliseconds !== undefined ? RequestClass.uncounted : RequestClass.notRun;
 }
 
 const classifiers: Readonly<Record<CompletionStatus, RequestClassifier>> = {
 	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? RequestClass.slow : RequestClass.good,
 	failed: () => RequestClass.failed,
-	notRun: judgeNotRun,
+	notRun: classifyNotRun,
 	unknown: () => RequestClass.unknown,
 	callerFault: () => RequestClass.uncounted,
 };
