--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -34,7 +34,7 @@
 const firstErrorStatus = 500;
 const firstCallerStatus = 400;
 
-const endsOfOutcome: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
+const completionStatusRules: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
 	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
 	[Outcome.notRun]: ({status, limited}) => limited || isCallerStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
 	[Outcome.unknown]: () => CompletionStatus.unknown,
@@ -46,7 +46,7 @@
 
 /** Derives how a request ended from its outcome and the status that its caller received. */
 export function completionStatusOf(ended: CompletedRequest): CompletionStatus {
-	return endsOfOutcome[ended.outcome](ended);
+	return completionStatusRules[ended.outcome](ended);
 }
 
 /** A completed request, as it is counted for objectives. */
