--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -36,11 +36,11 @@
 
 const completionStatusRules: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
 	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
-	[Outcome.notRun]: ({status, limited}) => limited || isCallerStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
+	[Outcome.notRun]: ({status, limited}) => limited || isClientErrorStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
 	[Outcome.unknown]: () => CompletionStatus.unknown,
 };
 
-function isCallerStatus(status: number | undefined): boolean {
+function isClientErrorStatus(status: number | undefined): boolean {
 	return status !== undefined && status >= firstCallerStatus && status < firstErrorStatus;
 }
 
