--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -31,17 +31,17 @@
 	readonly limited: boolean;
 };
 
-const firstErrorStatus = 500;
+const firstServerErrorStatus = 500;
 const firstCallerStatus = 400;
 
 const completionStatusRules: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
-	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
+	[Outcome.ran]: ({status}) => status === undefined || status >= firstServerErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
 	[Outcome.notRun]: ({status, limited}) => limited || isClientErrorStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
 	[Outcome.unknown]: () => CompletionStatus.unknown,
 };
 
 function isClientErrorStatus(status: number | undefined): boolean {
-	return status !== undefined && status >= firstCallerStatus && status < firstErrorStatus;
+	return status !== undefined && status >= firstCallerStatus && status < firstServerErrorStatus;
 }
 
 /** Derives how a request ended from its outcome and the status that its caller received. */
