--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -32,7 +32,7 @@
 };
 
 const firstServerErrorStatus = 500;
-const firstCallerStatus = 400;
+const firstClientErrorStatus = 400;
 
 const completionStatusRules: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
 	[Outcome.ran]: ({status}) => status === undefined || status >= firstServerErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
@@ -41,7 +41,7 @@
 };
 
 function isClientErrorStatus(status: number | undefined): boolean {
-	return status !== undefined && status >= firstCallerStatus && status < firstServerErrorStatus;
+	return status !== undefined && status >= firstClientErrorStatus && status < firstServerErrorStatus;
 }
 
 /** Derives how a request ended from its outcome and the status that its caller received. */
