--- a/packages/burn/src/recorder.ts
+++ b/packages/burn/src/recorder.ts
@@ -12,7 +12,7 @@
 import {intervalMilliseconds, type BurnInterval, type ObjectiveCounts} from './window.js';
 
 /** The statuses whose latency is recorded: only a request that is known to have run has a meaningful one. */
-const answeredEnds: ReadonlySet<CompletionStatus> = new Set([CompletionStatus.answered, CompletionStatus.failed]);
+const measuredStatuses: ReadonlySet<CompletionStatus> = new Set([CompletionStatus.answered, CompletionStatus.failed]);
 
 type MutableCounts = {
 	total: number;
@@ -66,7 +66,7 @@
 	/** Counts one request for each objective of its service. */
 	record(contract: Pick<ServiceContract, 'name' | 'objectives'>, sample: RequestSample): void {
 		const record = this.#recordOf(contract.name);
-		if (answeredEnds.has(sample.end)) {
+		if (measuredStatuses.has(sample.end)) {
 			recordLatency(record.latencies, sample.latencyMilliseconds);
 		}
 
