--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -8,7 +8,7 @@
 import {type UpstreamLoad} from './load.js';
 import {summariseLatency, type ServiceLatency} from './latency.js';
 import {
-	badRequestClasses, badOf, keptMilliseconds, type BurnInterval, type Counts, type InstanceBurn, type ObjectiveCounts,
+	badRequestClasses, badCount, keptMilliseconds, type BurnInterval, type Counts, type InstanceBurn, type ObjectiveCounts,
 } from './window.js';
 
 const largestHistogramCharacters = 65_536;
@@ -25,7 +25,7 @@
 function isCounts(value: unknown): value is Counts {
 	return isRecord(value)
 		&& [...badRequestClasses, 'total'].every(key => isCount(value[key]))
-		&& badOf(value as Counts) <= (value as Counts).total;
+		&& badCount(value as Counts) <= (value as Counts).total;
 }
 
 function isObjective(value: unknown): value is ObjectiveCounts {
--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -14,7 +14,7 @@
 	mergeLatencies, summariseLatency, type LatencySummary, type ServiceLatency,
 } from './latency.js';
 import {
-	badOf, burnRate, burnWindows, countsOf, intervalsBetween, type BurnInterval, type BurnWindow, type Counts, type InstanceBurn,
+	badCount, burnRate, burnWindows, countsOf, intervalsBetween, type BurnInterval, type BurnWindow, type Counts, type InstanceBurn,
 } from './window.js';
 
 /** An objective of a service. */
@@ -112,7 +112,7 @@
 
 function budgetLeft(windows: readonly WindowBurn[], target: number): number {
 	const {counts} = windows.at(-1)!;
-	return counts.total === 0 ? 1 : 1 - (badOf(counts) / (counts.total * (1 - target)));
+	return counts.total === 0 ? 1 : 1 - (badCount(counts) / (counts.total * (1 - target)));
 }
 
 function objectiveBurn(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): ObjectiveBurn {
--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -87,7 +87,7 @@
 }
 
 /** The number of bad requests. */
-export function badOf(counts: Counts): number {
+export function badCount(counts: Counts): number {
 	return counts.slow + counts.failed + counts.notRun + counts.unknown;
 }
 
@@ -162,5 +162,5 @@
  * spends it exactly over the objective's period. Undefined without requests.
  */
 export function burnRate(counts: Counts, target: number): number | undefined {
-	return counts.total === 0 ? undefined : badOf(counts) / counts.total / (1 - target);
+	return counts.total === 0 ? undefined : badCount(counts) / counts.total / (1 - target);
 }
