--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -117,7 +117,7 @@
 	};
 }
 
-function bucketOf(interval: BurnInterval, now: WallTime): WallTime | undefined {
+function coarseStartOf(interval: BurnInterval, now: WallTime): WallTime | undefined {
 	const coarse = intervalStart(interval.startedAt, coarseMilliseconds);
 	return interval.lengthMilliseconds < coarseMilliseconds && coarse + coarseMilliseconds <= now - foldAgeMilliseconds ? coarse : undefined;
 }
@@ -134,7 +134,7 @@
 	const coarse = new Map<WallTime, BurnInterval>();
 	const fine: BurnInterval[] = [];
 	for (const interval of intervals.filter(candidate => candidate.startedAt + candidate.lengthMilliseconds > now - keptMilliseconds)) {
-		const bucket = bucketOf(interval, now);
+		const bucket = coarseStartOf(interval, now);
 		if (bucket === undefined) {
 			fine.push(interval);
 		} else {
