--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -123,10 +123,10 @@
 }
 
 function foldInto(bucket: BurnInterval | undefined, interval: BurnInterval, startedAt: WallTime): BurnInterval {
-	const frame: BurnInterval = bucket ?? {
+	const initial: BurnInterval = bucket ?? {
 		startedAt, lengthMilliseconds: coarseMilliseconds, objectives: [], latencies: [],
 	};
-	return mergeIntervals(frame, interval);
+	return mergeIntervals(initial, interval);
 }
 
 /** Drops intervals that are older than every window, and merges those that ended more than an hour ago into longer ones. */
