--- a/packages/burn/src/window.ts
+++ b/packages/burn/src/window.ts
@@ -98,8 +98,8 @@
 function mergeObjectives(one: readonly ObjectiveCounts[], other: readonly ObjectiveCounts[]): readonly ObjectiveCounts[] {
 	const merged = new Map(one.map(entry => [objectiveKey(entry), entry]));
 	for (const entry of other) {
-		const known = merged.get(objectiveKey(entry));
-		merged.set(objectiveKey(entry), known === undefined ? entry : {...entry, counts: addCounts(known.counts, entry.counts)});
+		const existing = merged.get(objectiveKey(entry));
+		merged.set(objectiveKey(entry), existing === undefined ? entry : {...entry, counts: addCounts(existing.counts, entry.counts)});
 	}
 
 	return [...merged.values()].sort((left, right) => objectiveKey(left) < objectiveKey(right) ? -1 : 1);
