--- a/packages/burn/src/latency.ts
+++ b/packages/burn/src/latency.ts
@@ -50,8 +50,8 @@
 export function mergeLatencies(one: readonly ServiceLatency[], other: readonly ServiceLatency[]): readonly ServiceLatency[] {
 	const merged = new Map(one.map(entry => [entry.service, entry.histogram]));
 	for (const {service, histogram} of other) {
-		const known = merged.get(service);
-		merged.set(service, known === undefined ? histogram : mergeTexts(known, histogram));
+		const existing = merged.get(service);
+		merged.set(service, existing === undefined ? histogram : mergeTexts(existing, histogram));
 	}
 
 	return [...merged].sort(([left], [right]) => left < right ? -1 : 1).map(([service, histogram]) => ({service, histogram}));
