--- a/packages/burn/src/latency.ts
+++ b/packages/burn/src/latency.ts
@@ -40,7 +40,7 @@
 	return encodeIntoCompressedBase64(histogram);
 }
 
-function mergeTexts(one: string, other: string): string {
+function mergeEncoded(one: string, other: string): string {
 	const sum = decodeFromCompressedBase64(one);
 	sum.add(decodeFromCompressedBase64(other));
 	return encodeHistogram(sum);
@@ -51,7 +51,7 @@
 	const merged = new Map(one.map(entry => [entry.service, entry.histogram]));
 	for (const {service, histogram} of other) {
 		const existing = merged.get(service);
-		merged.set(service, existing === undefined ? histogram : mergeTexts(existing, histogram));
+		merged.set(service, existing === undefined ? histogram : mergeEncoded(existing, histogram));
 	}
 
 	return [...merged].sort(([left], [right]) => left < right ? -1 : 1).map(([service, histogram]) => ({service, histogram}));
