--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -13,9 +13,9 @@
 export const loadWindowMilliseconds: Milliseconds = 300_000;
 
 /** Counts by service and upstream. */
-type LoadWindow = Map<ServiceName, Map<UpstreamName, number>>;
+type LoadCounts = Map<ServiceName, Map<UpstreamName, number>>;
 
-function add(window: LoadWindow, service: ServiceName, upstream: UpstreamName, requests: number): void {
+function add(window: LoadCounts, service: ServiceName, upstream: UpstreamName, requests: number): void {
 	let counts = window.get(service);
 	if (counts === undefined) {
 		counts = new Map();
@@ -25,13 +25,13 @@
 	counts.set(upstream, (counts.get(upstream) ?? 0) + requests);
 }
 
-function loadsOf(window: LoadWindow): readonly UpstreamLoad[] {
+function loadsOf(window: LoadCounts): readonly UpstreamLoad[] {
 	return [...window].flatMap(([service, counts]) => [...counts].map(([upstream, requests]) => ({service, upstream, requests})));
 }
 
 /** Sums the loads of each upstream. */
 export function mergeLoads(loads: Iterable<UpstreamLoad>): readonly UpstreamLoad[] {
-	const merged: LoadWindow = new Map();
+	const merged: LoadCounts = new Map();
 	for (const {service, upstream, requests} of loads) {
 		add(merged, service, upstream, requests);
 	}
@@ -54,8 +54,8 @@
 /** Counts the requests of the current window and keeps the previous one. Mutable, since it runs for every request. */
 export class LoadRecorder {
 	#beganAt: MonotonicTime;
-	#present: LoadWindow = new Map();
-	#before: LoadWindow = new Map();
+	#present: LoadCounts = new Map();
+	#before: LoadCounts = new Map();
 
 	constructor(now: MonotonicTime) {
 		this.#beganAt = now;
