--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -54,7 +54,7 @@
 /** Counts the requests of the current window and keeps the previous one. Mutable, since it runs for every request. */
 export class LoadRecorder {
 	#beganAt: MonotonicTime;
-	#present: LoadCounts = new Map();
+	#current: LoadCounts = new Map();
 	#before: LoadCounts = new Map();
 
 	constructor(now: MonotonicTime) {
@@ -63,20 +63,20 @@
 
 	record(service: ServiceName, upstream: UpstreamName, now: MonotonicTime): void {
 		this.#turn(now);
-		add(this.#present, service, upstream, 1);
+		add(this.#current, service, upstream, 1);
 	}
 
 	/** The requests of the current and the previous window. */
 	loads(now: MonotonicTime): readonly UpstreamLoad[] {
 		this.#turn(now);
-		return mergeLoads([...loadsOf(this.#before), ...loadsOf(this.#present)]);
+		return mergeLoads([...loadsOf(this.#before), ...loadsOf(this.#current)]);
 	}
 
 	#turn(now: MonotonicTime): void {
 		const passed = Math.floor((now - this.#beganAt) / loadWindowMilliseconds);
 		if (passed > 0) {
-			this.#before = passed === 1 ? this.#present : new Map<ServiceName, Map<UpstreamName, number>>();
-			this.#present = new Map();
+			this.#before = passed === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
+			this.#current = new Map();
 			this.#beganAt += passed * loadWindowMilliseconds;
 		}
 	}
