--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -55,7 +55,7 @@
 export class LoadRecorder {
 	#beganAt: MonotonicTime;
 	#current: LoadCounts = new Map();
-	#before: LoadCounts = new Map();
+	#previous: LoadCounts = new Map();
 
 	constructor(now: MonotonicTime) {
 		this.#beganAt = now;
@@ -69,13 +69,13 @@
 	/** The requests of the current and the previous window. */
 	loads(now: MonotonicTime): readonly UpstreamLoad[] {
 		this.#turn(now);
-		return mergeLoads([...loadsOf(this.#before), ...loadsOf(this.#current)]);
+		return mergeLoads([...loadsOf(this.#previous), ...loadsOf(this.#current)]);
 	}
 
 	#turn(now: MonotonicTime): void {
 		const passed = Math.floor((now - this.#beganAt) / loadWindowMilliseconds);
 		if (passed > 0) {
-			this.#before = passed === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
+			this.#previous = passed === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
 			this.#current = new Map();
 			this.#beganAt += passed * loadWindowMilliseconds;
 		}
