--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -53,12 +53,12 @@
 
 /** Counts the requests of the current window and keeps the previous one. Mutable, since it runs for every request. */
 export class LoadRecorder {
-	#beganAt: MonotonicTime;
+	#windowStartedAt: MonotonicTime;
 	#current: LoadCounts = new Map();
 	#previous: LoadCounts = new Map();
 
 	constructor(now: MonotonicTime) {
-		this.#beganAt = now;
+		this.#windowStartedAt = now;
 	}
 
 	record(service: ServiceName, upstream: UpstreamName, now: MonotonicTime): void {
@@ -73,11 +73,11 @@
 	}
 
 	#turn(now: MonotonicTime): void {
-		const passed = Math.floor((now - this.#beganAt) / loadWindowMilliseconds);
+		const passed = Math.floor((now - this.#windowStartedAt) / loadWindowMilliseconds);
 		if (passed > 0) {
 			this.#previous = passed === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
 			this.#current = new Map();
-			this.#beganAt += passed * loadWindowMilliseconds;
+			this.#windowStartedAt += passed * loadWindowMilliseconds;
 		}
 	}
 }
