--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -62,17 +62,17 @@
 	}
 
 	record(service: ServiceName, upstream: UpstreamName, now: MonotonicTime): void {
-		this.#turn(now);
+		this.#rotate(now);
 		add(this.#current, service, upstream, 1);
 	}
 
 	/** The requests of the current and the previous window. */
 	loads(now: MonotonicTime): readonly UpstreamLoad[] {
-		this.#turn(now);
+		this.#rotate(now);
 		return mergeLoads([...loadsOf(this.#previous), ...loadsOf(this.#current)]);
 	}
 
-	#turn(now: MonotonicTime): void {
+	#rotate(now: MonotonicTime): void {
 		const passed = Math.floor((now - this.#windowStartedAt) / loadWindowMilliseconds);
 		if (passed > 0) {
 			this.#previous = passed === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
