--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -73,11 +73,11 @@
 	}
 
 	#rotate(now: MonotonicTime): void {
-		const passed = Math.floor((now - this.#windowStartedAt) / loadWindowMilliseconds);
-		if (passed > 0) {
-			this.#previous = passed === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
+		const elapsedWindows = Math.floor((now - this.#windowStartedAt) / loadWindowMilliseconds);
+		if (elapsedWindows > 0) {
+			this.#previous = elapsedWindows === 1 ? this.#current : new Map<ServiceName, Map<UpstreamName, number>>();
 			this.#current = new Map();
-			this.#windowStartedAt += passed * loadWindowMilliseconds;
+			this.#windowStartedAt += elapsedWindows * loadWindowMilliseconds;
 		}
 	}
 }
