--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -4,7 +4,7 @@
 import {type BurnPoint} from './report.js';
 
 /** The size and margins of a plot, in pixels. */
-const size = {
+const layout = {
 	width: 480, height: 150, left: 44, right: 8, top: 8, bottom: 22,
 } as const;
 
@@ -15,13 +15,13 @@
 type Scale = (value: number) => number;
 
 function horizontalScale(count: number): Scale {
-	const span = size.width - size.left - size.right;
-	return position => size.left + (span * (position + 0.5) / Math.max(1, count));
+	const span = layout.width - layout.left - layout.right;
+	return position => layout.left + (span * (position + 0.5) / Math.max(1, count));
 }
 
 function verticalScale(most: number): Scale {
-	const span = size.height - size.top - size.bottom;
-	return rate => size.height - size.bottom - (span * rate / most);
+	const span = layout.height - layout.top - layout.bottom;
+	return rate => layout.height - layout.bottom - (span * rate / most);
 }
 
 function label(value: number): string {
@@ -30,12 +30,12 @@
 
 function lineAt(rate: number, vertical: Scale, colour: string): string {
 	const height = vertical(rate).toFixed(1);
-	return `<line x1="${size.left}" x2="${size.width - size.right}" y1="${height}" y2="${height}" stroke="${colour}"/>`;
+	return `<line x1="${layout.left}" x2="${layout.width - layout.right}" y1="${height}" y2="${height}" stroke="${colour}"/>`;
 }
 
 function ruleAt(rate: number, vertical: Scale, colour: string): string {
 	return lineAt(rate, vertical, colour)
-		+ `<text x="${size.left - 6}" y="${(vertical(rate) + 4).toFixed(1)}" text-anchor="end">${label(rate)}</text>`;
+		+ `<text x="${layout.left - 6}" y="${(vertical(rate) + 4).toFixed(1)}" text-anchor="end">${label(rate)}</text>`;
 }
 
 function bars(points: readonly BurnPoint[], horizontal: Scale, vertical: Scale): string {
@@ -54,7 +54,7 @@
 
 function timeLabel(point: BurnPoint | undefined, position: number, anchor: string): string {
 	const text = point === undefined ? '' : new Date(point.at).toISOString().slice(5, 16).replace('T', ' ');
-	return `<text x="${position}" y="${size.height - 6}" text-anchor="${anchor}">${text}</text>`;
+	return `<text x="${position}" y="${layout.height - 6}" text-anchor="${anchor}">${text}</text>`;
 }
 
 /** Plots burn rates as bars, oldest first, with a horizontal line at 1. Its label replaces the one at 0 if there is no room for both. A gap means no requests. The title must be escaped already. */
@@ -63,12 +63,12 @@
 	const horizontal = horizontalScale(points.length);
 	const vertical = verticalScale(most);
 	const floor = vertical(0) - vertical(1) < labelHeight ? lineAt : ruleAt;
-	return `<svg viewBox="0 0 ${size.width} ${size.height}" width="100%" role="img" aria-label="${title}">`
+	return `<svg viewBox="0 0 ${layout.width} ${layout.height}" width="100%" role="img" aria-label="${title}">`
 		+ floor(0, vertical, '#c3ccd4')
 		+ (most > 1.2 * leastTop ? ruleAt(most, vertical, '#eceff2') : '')
 		+ bars(points, horizontal, vertical)
 		+ ruleAt(1, vertical, '#d99a00')
-		+ timeLabel(points[0], size.left, 'start')
-		+ timeLabel(points.at(-1), size.width - size.right, 'end')
+		+ timeLabel(points[0], layout.left, 'start')
+		+ timeLabel(points.at(-1), layout.width - layout.right, 'end')
 		+ '</svg>';
 }
