--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -8,7 +8,7 @@
 	width: 480, height: 150, left: 44, right: 8, top: 8, bottom: 22,
 } as const;
 
-const leastTop = 2;
+const minimumTopRate = 2;
 /** The minimum distance between two labels, in pixels. */
 const labelHeight = 12;
 
@@ -59,13 +59,13 @@
 
 /** Plots burn rates as bars, oldest first, with a horizontal line at 1. Its label replaces the one at 0 if there is no room for both. A gap means no requests. The title must be escaped already. */
 export function plotPoints(points: readonly BurnPoint[], title: string): string {
-	const most = Math.max(leastTop, ...points.map(point => point.burnRate ?? 0));
+	const most = Math.max(minimumTopRate, ...points.map(point => point.burnRate ?? 0));
 	const horizontal = horizontalScale(points.length);
 	const vertical = verticalScale(most);
 	const floor = vertical(0) - vertical(1) < labelHeight ? lineAt : ruleAt;
 	return `<svg viewBox="0 0 ${layout.width} ${layout.height}" width="100%" role="img" aria-label="${title}">`
 		+ floor(0, vertical, '#c3ccd4')
-		+ (most > 1.2 * leastTop ? ruleAt(most, vertical, '#eceff2') : '')
+		+ (most > 1.2 * minimumTopRate ? ruleAt(most, vertical, '#eceff2') : '')
 		+ bars(points, horizontal, vertical)
 		+ ruleAt(1, vertical, '#d99a00')
 		+ timeLabel(points[0], layout.left, 'start')
