--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -10,7 +10,7 @@
 
 const minimumTopRate = 2;
 /** The minimum distance between two labels, in pixels. */
-const labelHeight = 12;
+const minimumLabelDistance = 12;
 
 type Scale = (value: number) => number;
 
@@ -62,7 +62,7 @@
 	const most = Math.max(minimumTopRate, ...points.map(point => point.burnRate ?? 0));
 	const horizontal = horizontalScale(points.length);
 	const vertical = verticalScale(most);
-	const floor = vertical(0) - vertical(1) < labelHeight ? lineAt : ruleAt;
+	const floor = vertical(0) - vertical(1) < minimumLabelDistance ? lineAt : ruleAt;
 	return `<svg viewBox="0 0 ${layout.width} ${layout.height}" width="100%" role="img" aria-label="${title}">`
 		+ floor(0, vertical, '#c3ccd4')
 		+ (most > 1.2 * minimumTopRate ? ruleAt(most, vertical, '#eceff2') : '')
