--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -33,7 +33,7 @@
 	return `<line x1="${layout.left}" x2="${layout.width - layout.right}" y1="${height}" y2="${height}" stroke="${colour}"/>`;
 }
 
-function ruleAt(rate: number, vertical: Scale, colour: string): string {
+function labelledLineAt(rate: number, vertical: Scale, colour: string): string {
 	return lineAt(rate, vertical, colour)
 		+ `<text x="${layout.left - 6}" y="${(vertical(rate) + 4).toFixed(1)}" text-anchor="end">${label(rate)}</text>`;
 }
@@ -62,12 +62,12 @@
 	const most = Math.max(minimumTopRate, ...points.map(point => point.burnRate ?? 0));
 	const horizontal = horizontalScale(points.length);
 	const vertical = verticalScale(most);
-	const floor = vertical(0) - vertical(1) < minimumLabelDistance ? lineAt : ruleAt;
+	const floor = vertical(0) - vertical(1) < minimumLabelDistance ? lineAt : labelledLineAt;
 	return `<svg viewBox="0 0 ${layout.width} ${layout.height}" width="100%" role="img" aria-label="${title}">`
 		+ floor(0, vertical, '#c3ccd4')
-		+ (most > 1.2 * minimumTopRate ? ruleAt(most, vertical, '#eceff2') : '')
+		+ (most > 1.2 * minimumTopRate ? labelledLineAt(most, vertical, '#eceff2') : '')
 		+ bars(points, horizontal, vertical)
-		+ ruleAt(1, vertical, '#d99a00')
+		+ labelledLineAt(1, vertical, '#d99a00')
 		+ timeLabel(points[0], layout.left, 'start')
 		+ timeLabel(points.at(-1), layout.width - layout.right, 'end')
 		+ '</svg>';
