--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -62,9 +62,9 @@
 	const most = Math.max(minimumTopRate, ...points.map(point => point.burnRate ?? 0));
 	const horizontal = horizontalScale(points.length);
 	const vertical = verticalScale(most);
-	const floor = vertical(0) - vertical(1) < minimumLabelDistance ? lineAt : labelledLineAt;
+	const drawBaseline = vertical(0) - vertical(1) < minimumLabelDistance ? lineAt : labelledLineAt;
 	return `<svg viewBox="0 0 ${layout.width} ${layout.height}" width="100%" role="img" aria-label="${title}">`
-		+ floor(0, vertical, '#c3ccd4')
+		+ drawBaseline(0, vertical, '#c3ccd4')
 		+ (most > 1.2 * minimumTopRate ? labelledLineAt(most, vertical, '#eceff2') : '')
 		+ bars(points, horizontal, vertical)
 		+ labelledLineAt(1, vertical, '#d99a00')
