--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -5,7 +5,7 @@
 import {badRequestClasses} from './window.js';
 
 /** Formats a burn rate; `-` without requests. */
-export function showRate(rate: number | undefined): string {
+export function formatRate(rate: number | undefined): string {
 	return rate === undefined ? '-' : rate.toFixed(2);
 }
 
@@ -37,7 +37,7 @@
 
 function objectiveRows(report: BurnReport): ReadonlyArray<readonly string[]> {
 	return report.objectives.map(burn => [
-		burn.objective.service, burn.objective.name, showObjective(burn), ...burn.windows.map(window => showRate(window.burnRate)), showBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
+		burn.objective.service, burn.objective.name, showObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), showBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
 	]);
 }
 
