--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -9,13 +9,13 @@
 	return rate === undefined ? '-' : rate.toFixed(2);
 }
 
-function showShare(share: number): string {
+function formatShare(share: number): string {
 	return `${(share * 100).toFixed(1)} %`;
 }
 
 /** Formats the share of a budget that is left. */
 export function showBudget(left: number): string {
-	return left < 0 ? `overspent ${(1 - left).toFixed(1)} times` : showShare(left);
+	return left < 0 ? `overspent ${(1 - left).toFixed(1)} times` : formatShare(left);
 }
 
 /** Formats an objective's target and latency threshold. */
