--- a/packages/burn/src/report-page.ts
+++ b/packages/burn/src/report-page.ts
@@ -3,7 +3,7 @@
  */
 import {plotPoints} from './plot.js';
 import {
-	coverageLine, showBad, showBudget, showObjective, formatRate,
+	coverageLine, showBad, formatBudget, showObjective, formatRate,
 } from './report-text.js';
 import {type BurnReport, type ObjectiveBurn} from './report.js';
 
@@ -46,7 +46,7 @@
 		cell(burn.objective.name),
 		cell(showObjective(burn)),
 		...burn.windows.map(window => cell(formatRate(window.burnRate), (window.burnRate ?? 0) > 1)),
-		cell(showBudget(burn.budgetLeft), burn.budgetLeft < 0),
+		cell(formatBudget(burn.budgetLeft), burn.budgetLeft < 0),
 		cell(showBad(burn.windows.at(-1)!)),
 	].join('');
 }
--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -14,7 +14,7 @@
 }
 
 /** Formats the share of a budget that is left. */
-export function showBudget(left: number): string {
+export function formatBudget(left: number): string {
 	return left < 0 ? `overspent ${(1 - left).toFixed(1)} times` : formatShare(left);
 }
 
@@ -37,7 +37,7 @@
 
 function objectiveRows(report: BurnReport): ReadonlyArray<readonly string[]> {
 	return report.objectives.map(burn => [
-		burn.objective.service, burn.objective.name, showObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), showBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
+		burn.objective.service, burn.objective.name, showObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), formatBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
 	]);
 }
 
