--- a/packages/burn/src/report-page.ts
+++ b/packages/burn/src/report-page.ts
@@ -3,7 +3,7 @@
  */
 import {plotPoints} from './plot.js';
 import {
-	coverageLine, showBad, formatBudget, showObjective, formatRate,
+	coverageLine, showBad, formatBudget, formatObjective, formatRate,
 } from './report-text.js';
 import {type BurnReport, type ObjectiveBurn} from './report.js';
 
@@ -44,7 +44,7 @@
 	return [
 		cell(burn.objective.service),
 		cell(burn.objective.name),
-		cell(showObjective(burn)),
+		cell(formatObjective(burn)),
 		...burn.windows.map(window => cell(formatRate(window.burnRate), (window.burnRate ?? 0) > 1)),
 		cell(formatBudget(burn.budgetLeft), burn.budgetLeft < 0),
 		cell(showBad(burn.windows.at(-1)!)),
@@ -78,7 +78,7 @@
 }
 
 function plotFigure(burn: ObjectiveBurn): string {
-	const title = escapeHtml(`${burn.objective.service}: ${burn.objective.name}, ${showObjective(burn)}`);
+	const title = escapeHtml(`${burn.objective.service}: ${burn.objective.name}, ${formatObjective(burn)}`);
 	return `<figure><figcaption>${title}</figcaption>${plotPoints(burn.points, title)}</figure>`;
 }
 
--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -19,7 +19,7 @@
 }
 
 /** Formats an objective's target and latency threshold. */
-export function showObjective({objective}: ObjectiveBurn): string {
+export function formatObjective({objective}: ObjectiveBurn): string {
 	const within = objective.withinMilliseconds === undefined ? '' : ` within ${objective.withinMilliseconds} ms`;
 	return `${Number((objective.target * 100).toFixed(4))} %${within}`;
 }
@@ -37,7 +37,7 @@
 
 function objectiveRows(report: BurnReport): ReadonlyArray<readonly string[]> {
 	return report.objectives.map(burn => [
-		burn.objective.service, burn.objective.name, showObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), formatBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
+		burn.objective.service, burn.objective.name, formatObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), formatBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
 	]);
 }
 
