--- a/packages/burn/src/report-page.ts
+++ b/packages/burn/src/report-page.ts
@@ -3,7 +3,7 @@
  */
 import {plotPoints} from './plot.js';
 import {
-	coverageLine, showBad, formatBudget, formatObjective, formatRate,
+	coverageLine, formatBad, formatBudget, formatObjective, formatRate,
 } from './report-text.js';
 import {type BurnReport, type ObjectiveBurn} from './report.js';
 
@@ -47,7 +47,7 @@
 		cell(formatObjective(burn)),
 		...burn.windows.map(window => cell(formatRate(window.burnRate), (window.burnRate ?? 0) > 1)),
 		cell(formatBudget(burn.budgetLeft), burn.budgetLeft < 0),
-		cell(showBad(burn.windows.at(-1)!)),
+		cell(formatBad(burn.windows.at(-1)!)),
 	].join('');
 }
 
--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -25,7 +25,7 @@
 }
 
 /** Formats the bad requests of a window by class. */
-export function showBad({counts}: WindowBurn): string {
+export function formatBad({counts}: WindowBurn): string {
 	const parts = badRequestClasses.filter(requestClass => counts[requestClass] > 0).map(judgement => `${judgement} ${counts[judgement]}`);
 	return parts.length === 0 ? 'none' : parts.join(', ');
 }
@@ -37,7 +37,7 @@
 
 function objectiveRows(report: BurnReport): ReadonlyArray<readonly string[]> {
 	return report.objectives.map(burn => [
-		burn.objective.service, burn.objective.name, formatObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), formatBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
+		burn.objective.service, burn.objective.name, formatObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), formatBudget(burn.budgetLeft), formatBad(burn.windows.at(-1)!),
 	]);
 }
 
