--- a/packages/burn/src/report-page.ts
+++ b/packages/burn/src/report-page.ts
@@ -35,8 +35,8 @@
 	return `<td${isOver ? ' class="over"' : ''}>${escapeHtml(text)}</td>`;
 }
 
-function tableOf(heads: readonly string[], rows: readonly string[]): string {
-	const top = heads.map(head => `<th scope="col">${escapeHtml(head)}</th>`).join('');
+function tableOf(headings: readonly string[], rows: readonly string[]): string {
+	const top = headings.map(head => `<th scope="col">${escapeHtml(head)}</th>`).join('');
 	return `<table><thead><tr>${top}</tr></thead><tbody>${rows.map(row => `<tr>${row}</tr>`).join('\n')}</tbody></table>`;
 }
 
