--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -96,8 +96,8 @@
 
 /** The burn over a window that ends at `at`. Intervals that start later are included, since the instances' clocks differ slightly. */
 function windowBurn(intervals: readonly BurnInterval[], objective: ServiceObjective, window: BurnWindow, at: WallTime): WindowBurn {
-	const held = intervalsBetween(intervals, at - window.milliseconds, Number.POSITIVE_INFINITY);
-	const counts = countsOf(held, objective.service, objective.name);
+	const included = intervalsBetween(intervals, at - window.milliseconds, Number.POSITIVE_INFINITY);
+	const counts = countsOf(included, objective.service, objective.name);
 	return {window: window.name, counts, ...optionalRate(counts, objective.target)};
 }
 
