--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -143,7 +143,7 @@
 	return Array.isArray(value) && value.every(item => typeof item === 'string');
 }
 
-function isNumbered(value: unknown, texts: readonly string[], numbers: readonly string[]): boolean {
+function hasFields(value: unknown, texts: readonly string[], numbers: readonly string[]): boolean {
 	const fields = value as Readonly<Record<string, unknown>> | null;
 	return typeof fields === 'object' && fields !== null
 		&& texts.every(key => typeof fields[key] === 'string')
@@ -151,16 +151,16 @@
 }
 
 function isInput(value: unknown): value is BurnInput {
-	if (!isNumbered(value, [], ['at'])) {
+	if (!hasFields(value, [], ['at'])) {
 		return false;
 	}
 
 	const {objectives, expected, instances, figures} = value as Readonly<Record<string, unknown>>;
 	const figureFields = ['unavailableSlotMilliseconds', 'moves', 'slotImbalance', 'owners'];
 	return isTextList(expected)
-		&& Array.isArray(objectives) && objectives.every(item => isNumbered(item, ['service', 'name'], ['target', 'periodDays']))
+		&& Array.isArray(objectives) && objectives.every(item => hasFields(item, ['service', 'name'], ['target', 'periodDays']))
 		&& Array.isArray(instances) && instances.every(item => isInstanceBurn(item))
-		&& Array.isArray(figures) && figures.every(item => isNumbered(item, ['service'], figureFields));
+		&& Array.isArray(figures) && figures.every(item => hasFields(item, ['service'], figureFields));
 }
 
 /** Validates the response to `GET /operator/burn`. Fails with `malformed`. */
