--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -101,7 +101,7 @@
 	return {window: window.name, counts, ...optionalRate(counts, objective.target)};
 }
 
-function pointsOf(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): readonly BurnPoint[] {
+function hourlyPoints(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): readonly BurnPoint[] {
 	const hours = burnWindows.at(-1)!.milliseconds / hourMilliseconds;
 	return Array.from({length: hours}, (_unused, position) => {
 		const from = at - ((hours - position) * hourMilliseconds);
@@ -118,7 +118,7 @@
 function objectiveBurn(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): ObjectiveBurn {
 	const windows = burnWindows.map(window => windowBurn(intervals, objective, window, at));
 	return {
-		objective, windows, points: pointsOf(intervals, objective, at), budgetLeft: budgetLeft(windows, objective.target),
+		objective, windows, points: hourlyPoints(intervals, objective, at), budgetLeft: budgetLeft(windows, objective.target),
 	};
 }
 
