--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -11,7 +11,7 @@
 	badRequestClasses, badCount, keptMilliseconds, type BurnInterval, type Counts, type InstanceBurn, type ObjectiveCounts,
 } from './window.js';
 
-const largestHistogramCharacters = 65_536;
+const maximumHistogramCharacters = 65_536;
 const largestNameCharacters = 256;
 
 function isCount(value: unknown): value is number {
@@ -42,7 +42,7 @@
 
 function isLatency(value: unknown): value is ServiceLatency {
 	return isRecord(value) && isName(value.service)
-		&& typeof value.histogram === 'string' && value.histogram.length <= largestHistogramCharacters
+		&& typeof value.histogram === 'string' && value.histogram.length <= maximumHistogramCharacters
 		&& isHistogram(value as ServiceLatency);
 }
 
