--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -12,14 +12,14 @@
 } from './window.js';
 
 const maximumHistogramCharacters = 65_536;
-const largestNameCharacters = 256;
+const maximumNameCharacters = 256;
 
 function isCount(value: unknown): value is number {
 	return Number.isSafeInteger(value) && (value as number) >= 0;
 }
 
 function isName(value: unknown): value is string {
-	return typeof value === 'string' && value.length > 0 && value.length <= largestNameCharacters;
+	return typeof value === 'string' && value.length > 0 && value.length <= maximumNameCharacters;
 }
 
 function isCounts(value: unknown): value is Counts {
