--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -98,7 +98,7 @@
 
 /** Decodes a file of intervals. A line that a crash truncated or that is damaged loses only its own interval. */
 export function decodeJournal(text: string): Journal {
-	const read = text.split('\n').filter(line => line !== '').map(line => decodeInterval(line));
-	const intervals = read.flatMap(result => result.isOk ? [result.value] : []);
-	return {intervals, damagedLines: read.length - intervals.length};
+	const decoded = text.split('\n').filter(line => line !== '').map(line => decodeInterval(line));
+	const intervals = decoded.flatMap(result => result.isOk ? [result.value] : []);
+	return {intervals, damagedLines: decoded.length - intervals.length};
 }
