--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -11,7 +11,7 @@
 import {imbalance} from './load.js';
 import {type OwnershipFigures} from './report.js';
 
-type Place = {
+type SlotState = {
 	readonly assignment: Assignment;
 	/** The last owner, while the slot is in use. Absent if it never had one. */
 	readonly lastOwner?: string;
@@ -23,7 +23,7 @@
 export type Followed = {
 	readonly service: ServiceAssignments['service'];
 	/** The state of each slot that keys use. */
-	readonly places: ReadonlyMap<Slot, Place>;
+	readonly places: ReadonlyMap<Slot, SlotState>;
 	/** The completed times without an owner, summed over slots. */
 	readonly unavailableMilliseconds: Milliseconds;
 	readonly moves: number;
@@ -44,11 +44,11 @@
 }
 
 /** The time from which a slot is unowned. A lost owner served nothing after its last contact, which precedes the revocation. */
-function lostSince(before: Place | undefined, silenceOf: SilenceOf, now: MonotonicTime): MonotonicTime {
+function lostSince(before: SlotState | undefined, silenceOf: SilenceOf, now: MonotonicTime): MonotonicTime {
 	return before?.assignment.phase === AssignmentPhase.granted ? now - silenceOf(before.assignment.owner) : now;
 }
 
-function followPlace(before: Place | undefined, assignment: Assignment, silenceOf: SilenceOf, now: MonotonicTime): Place {
+function followPlace(before: SlotState | undefined, assignment: Assignment, silenceOf: SilenceOf, now: MonotonicTime): SlotState {
 	const owner = ownerOf(assignment);
 	const lastOwner = owner ?? before?.lastOwner;
 	if (owner !== undefined || lastOwner === undefined) {
@@ -58,12 +58,12 @@
 	return {assignment, lastOwner, withoutOwnerSince: before?.withoutOwnerSince ?? lostSince(before, silenceOf, now)};
 }
 
-function ended(before: Place | undefined, after: Place, now: MonotonicTime): Milliseconds {
+function ended(before: SlotState | undefined, after: SlotState, now: MonotonicTime): Milliseconds {
 	const since = before?.withoutOwnerSince;
 	return since === undefined || after.withoutOwnerSince !== undefined ? 0 : now - since;
 }
 
-function isMove(before: Place | undefined, after: Place): boolean {
+function isMove(before: SlotState | undefined, after: SlotState): boolean {
 	return before?.lastOwner !== undefined && before.lastOwner !== after.lastOwner;
 }
 
@@ -72,7 +72,7 @@
 
 /** Updates the state with the current table. Drops slots that no key uses any more. */
 export function follow(followed: Followed, {table, slots, silenceOf}: SeenTable, now: MonotonicTime): Followed {
-	const places = new Map<Slot, Place>();
+	const places = new Map<Slot, SlotState>();
 	let {unavailableMilliseconds, moves} = followed;
 	for (const assignment of assignmentsInUse(table, slots)) {
 		const before = followed.places.get(assignment.slot);
@@ -87,7 +87,7 @@
 	};
 }
 
-function slotsByOwner(places: Iterable<Place>): readonly number[] {
+function slotsByOwner(places: Iterable<SlotState>): readonly number[] {
 	const counts = new Map<string, number>();
 	for (const {assignment} of places) {
 		const owner = ownerOf(assignment);
