--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -48,7 +48,7 @@
 	return before?.assignment.phase === AssignmentPhase.granted ? now - silenceOf(before.assignment.owner) : now;
 }
 
-function followPlace(before: SlotState | undefined, assignment: Assignment, silenceOf: SilenceOf, now: MonotonicTime): SlotState {
+function nextSlotState(before: SlotState | undefined, assignment: Assignment, silenceOf: SilenceOf, now: MonotonicTime): SlotState {
 	const owner = ownerOf(assignment);
 	const lastOwner = owner ?? before?.lastOwner;
 	if (owner !== undefined || lastOwner === undefined) {
@@ -76,7 +76,7 @@
 	let {unavailableMilliseconds, moves} = followed;
 	for (const assignment of assignmentsInUse(table, slots)) {
 		const before = followed.places.get(assignment.slot);
-		const after = before?.assignment === assignment ? before : followPlace(before, assignment, silenceOf, now);
+		const after = before?.assignment === assignment ? before : nextSlotState(before, assignment, silenceOf, now);
 		unavailableMilliseconds += ended(before, after, now);
 		moves += Number(isMove(before, after));
 		places.set(assignment.slot, after);
