--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -44,7 +44,7 @@
 }
 
 /** The time from which a slot is unowned. A lost owner served nothing after its last contact, which precedes the revocation. */
-function lostSince(before: SlotState | undefined, silenceOf: SilenceOf, now: MonotonicTime): MonotonicTime {
+function unownedSince(before: SlotState | undefined, silenceOf: SilenceOf, now: MonotonicTime): MonotonicTime {
 	return before?.assignment.phase === AssignmentPhase.granted ? now - silenceOf(before.assignment.owner) : now;
 }
 
@@ -55,7 +55,7 @@
 		return lastOwner === undefined ? {assignment} : {assignment, lastOwner};
 	}
 
-	return {assignment, lastOwner, withoutOwnerSince: before?.withoutOwnerSince ?? lostSince(before, silenceOf, now)};
+	return {assignment, lastOwner, withoutOwnerSince: before?.withoutOwnerSince ?? unownedSince(before, silenceOf, now)};
 }
 
 function ended(before: SlotState | undefined, after: SlotState, now: MonotonicTime): Milliseconds {
