--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -58,7 +58,7 @@
 	return {assignment, lastOwner, withoutOwnerSince: before?.withoutOwnerSince ?? unownedSince(before, silenceOf, now)};
 }
 
-function ended(before: SlotState | undefined, after: SlotState, now: MonotonicTime): Milliseconds {
+function endedMilliseconds(before: SlotState | undefined, after: SlotState, now: MonotonicTime): Milliseconds {
 	const since = before?.withoutOwnerSince;
 	return since === undefined || after.withoutOwnerSince !== undefined ? 0 : now - since;
 }
@@ -77,7 +77,7 @@
 	for (const assignment of assignmentsInUse(table, slots)) {
 		const before = followed.places.get(assignment.slot);
 		const after = before?.assignment === assignment ? before : nextSlotState(before, assignment, silenceOf, now);
-		unavailableMilliseconds += ended(before, after, now);
+		unavailableMilliseconds += endedMilliseconds(before, after, now);
 		moves += Number(isMove(before, after));
 		places.set(assignment.slot, after);
 	}
