--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -87,7 +87,7 @@
 	};
 }
 
-function slotsByOwner(places: Iterable<SlotState>): readonly number[] {
+function slotCounts(places: Iterable<SlotState>): readonly number[] {
 	const counts = new Map<string, number>();
 	for (const {assignment} of places) {
 		const owner = ownerOf(assignment);
@@ -102,7 +102,7 @@
 /** The figures so far; a time without an owner that is still open counts up to now. */
 export function figuresOf({service, places, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
 	const open = [...places.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
-	const counts = slotsByOwner(places.values());
+	const counts = slotCounts(places.values());
 	return {
 		service, unavailableSlotMilliseconds: unavailableMilliseconds + open, moves, slotImbalance: imbalance(counts, counts.length), owners: counts.length,
 	};
