--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -101,9 +101,9 @@
 
 /** The figures so far; a time without an owner that is still open counts up to now. */
 export function figuresOf({service, places, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
-	const open = [...places.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
+	const openMilliseconds = [...places.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
 	const counts = slotCounts(places.values());
 	return {
-		service, unavailableSlotMilliseconds: unavailableMilliseconds + open, moves, slotImbalance: imbalance(counts, counts.length), owners: counts.length,
+		service, unavailableSlotMilliseconds: unavailableMilliseconds + openMilliseconds, moves, slotImbalance: imbalance(counts, counts.length), owners: counts.length,
 	};
 }
