--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -24,7 +24,7 @@
 	name: 'fast', target: 0.9, withinMilliseconds: 800, periodDays: 28,
 };
 
-const judgements: ReadonlyArray<readonly [end: CompletionStatus, idempotent: boolean, latency: number, available: RequestClass, fast: RequestClass]> = [
+const classifications: ReadonlyArray<readonly [end: CompletionStatus, idempotent: boolean, latency: number, available: RequestClass, fast: RequestClass]> = [
 	['answered', true, 800, 'good', 'good'],
 	['answered', true, 801, 'good', 'slow'],
 	['answered', false, 801, 'good', 'slow'],
@@ -36,7 +36,7 @@
 	['callerFault', false, 10, 'uncounted', 'uncounted'],
 ];
 
-for (const [end, idempotent, latencyMilliseconds, forAvailable, forFast] of judgements) {
+for (const [end, idempotent, latencyMilliseconds, forAvailable, forFast] of classifications) {
 	test(`classification: ${end}, ${idempotent ? 'idempotent' : 'non-idempotent'}, ${latencyMilliseconds} ms`, () => {
 		const sample = {end, idempotent, latencyMilliseconds};
 		assert.deepEqual([classifyRequest(sample, available), classifyRequest(sample, fast)], [forAvailable, forFast]);
