--- a/packages/burn/test/test-plot.ts
+++ b/packages/burn/test/test-plot.ts
@@ -3,7 +3,7 @@
 import {plotPoints} from '@dogwooddeck/burn/plot';
 
 const minuteMilliseconds = 60_000;
-const leastDistance = 12;
+const minimumDistance = 12;
 
 const cases: ReadonlyArray<{readonly name: string; readonly rates: ReadonlyArray<number | undefined>; readonly labels: readonly string[]; readonly bars: number}> = [
 	{
@@ -28,6 +28,6 @@
 		assert.deepEqual(written.map(({text}) => text), labels);
 		assert.equal([...svg.matchAll(/<rect/gv)].length, bars);
 		const heights = written.map(({height}) => Number(height)).sort((one, other) => one - other);
-		assert.ok(heights.every((height, position) => position === 0 || height - heights[position - 1]! >= leastDistance), 'labels overlap');
+		assert.ok(heights.every((height, position) => position === 0 || height - heights[position - 1]! >= minimumDistance), 'labels overlap');
 	});
 }
