--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -13,7 +13,7 @@
 
 type SlotState = {
 	readonly assignment: Assignment;
-	/** The last owner, while the slot is in use. Absent if it never had one. */
+	/** The last owner, while the slot is in use. Absent if it had none yet. */
 	readonly lastOwner?: string;
 	/** When a slot that had an owner became unowned. Absent while it has an owner. */
 	readonly withoutOwnerSince?: MonotonicTime;
