--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -26,7 +26,7 @@
 
 /** Formats the bad requests of a window by class. */
 export function formatBad({counts}: WindowBurn): string {
-	const parts = badRequestClasses.filter(requestClass => counts[requestClass] > 0).map(judgement => `${judgement} ${counts[judgement]}`);
+	const parts = badRequestClasses.filter(requestClass => counts[requestClass] > 0).map(requestClass => `${requestClass} ${counts[requestClass]}`);
 	return parts.length === 0 ? 'none' : parts.join(', ');
 }
 
