--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -34,7 +34,7 @@
 const firstServerErrorStatus = 500;
 const firstClientErrorStatus = 400;
 
-const completionStatusRules: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
+const completionStatusRules: Readonly<Record<Outcome, (request: CompletedRequest) => CompletionStatus>> = {
 	[Outcome.ran]: ({status}) => status === undefined || status >= firstServerErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
 	[Outcome.notRun]: ({status, limited}) => limited || isClientErrorStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
 	[Outcome.unknown]: () => CompletionStatus.unknown,
