--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -45,8 +45,8 @@
 }
 
 /** Derives how a request ended from its outcome and the status that its caller received. */
-export function completionStatusOf(ended: CompletedRequest): CompletionStatus {
-	return completionStatusRules[ended.outcome](ended);
+export function completionStatusOf(request: CompletedRequest): CompletionStatus {
+	return completionStatusRules[request.outcome](request);
 }
 
 /** A completed request, as it is counted for objectives. */
