--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -19,9 +19,9 @@
 	return position => layout.left + (span * (position + 0.5) / Math.max(1, count));
 }
 
-function verticalScale(most: number): Scale {
+function verticalScale(maximumRate: number): Scale {
 	const span = layout.height - layout.top - layout.bottom;
-	return rate => layout.height - layout.bottom - (span * rate / most);
+	return rate => layout.height - layout.bottom - (span * rate / maximumRate);
 }
 
 function label(value: number): string {
