--- a/packages/burn/src/plot.ts
+++ b/packages/burn/src/plot.ts
@@ -59,13 +59,13 @@
 
 /** Plots burn rates as bars, oldest first, with a horizontal line at 1. Its label replaces the one at 0 if there is no room for both. A gap means no requests. The title must be escaped already. */
 export function plotPoints(points: readonly BurnPoint[], title: string): string {
-	const most = Math.max(minimumTopRate, ...points.map(point => point.burnRate ?? 0));
+	const maximumRate = Math.max(minimumTopRate, ...points.map(point => point.burnRate ?? 0));
 	const horizontal = horizontalScale(points.length);
-	const vertical = verticalScale(most);
+	const vertical = verticalScale(maximumRate);
 	const drawBaseline = vertical(0) - vertical(1) < minimumLabelDistance ? lineAt : labelledLineAt;
 	return `<svg viewBox="0 0 ${layout.width} ${layout.height}" width="100%" role="img" aria-label="${title}">`
 		+ drawBaseline(0, vertical, '#c3ccd4')
-		+ (most > 1.2 * minimumTopRate ? labelledLineAt(most, vertical, '#eceff2') : '')
+		+ (maximumRate > 1.2 * minimumTopRate ? labelledLineAt(maximumRate, vertical, '#eceff2') : '')
 		+ bars(points, horizontal, vertical)
 		+ labelledLineAt(1, vertical, '#d99a00')
 		+ timeLabel(points[0], layout.left, 'start')
