--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -15,7 +15,7 @@
 /** Counts by service and upstream. */
 type LoadCounts = Map<ServiceName, Map<UpstreamName, number>>;
 
-function add(window: LoadCounts, service: ServiceName, upstream: UpstreamName, requests: number): void {
+function addRequests(window: LoadCounts, service: ServiceName, upstream: UpstreamName, requests: number): void {
 	let counts = window.get(service);
 	if (counts === undefined) {
 		counts = new Map();
@@ -33,7 +33,7 @@
 export function mergeLoads(loads: Iterable<UpstreamLoad>): readonly UpstreamLoad[] {
 	const merged: LoadCounts = new Map();
 	for (const {service, upstream, requests} of loads) {
-		add(merged, service, upstream, requests);
+		addRequests(merged, service, upstream, requests);
 	}
 
 	return loadsOf(merged);
@@ -63,7 +63,7 @@
 
 	record(service: ServiceName, upstream: UpstreamName, now: MonotonicTime): void {
 		this.#rotate(now);
-		add(this.#current, service, upstream, 1);
+		addRequests(this.#current, service, upstream, 1);
 	}
 
 	/** The requests of the current and the previous window. */
