--- a/packages/burn/src/encoding.ts
+++ b/packages/burn/src/encoding.ts
@@ -73,7 +73,7 @@
 	return JSON.stringify(interval);
 }
 
-function parse(text: string): Result<unknown, Failure> {
+function parseJson(text: string): Result<unknown, Failure> {
 	try {
 		return ok(JSON.parse(text));
 	} catch {
@@ -83,7 +83,7 @@
 
 /** Decodes an interval from its JSON. Fails with `malformed`. */
 export function decodeInterval(text: string): Result<BurnInterval, Failure> {
-	return parse(text).andThen((value): Result<BurnInterval, Failure> => isInterval(value)
+	return parseJson(text).andThen((value): Result<BurnInterval, Failure> => isInterval(value)
 		? ok(value)
 		: err(failure(FailureKind.malformed, 'the interval has missing or invalid fields')));
 }
