--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -150,7 +150,7 @@
 		&& numbers.every(key => Number.isFinite(fields[key]));
 }
 
-function isInput(value: unknown): value is BurnInput {
+function isBurnInput(value: unknown): value is BurnInput {
 	if (!hasFields(value, [], ['at'])) {
 		return false;
 	}
@@ -165,5 +165,5 @@
 
 /** Validates the response to `GET /operator/burn`. Fails with `malformed`. */
 export function checkInput(value: unknown): Result<BurnInput, Failure> {
-	return isInput(value) ? ok(value) : err(failure(FailureKind.malformed, 'the response is not the input of a burn report'));
+	return isBurnInput(value) ? ok(value) : err(failure(FailureKind.malformed, 'the response is not the input of a burn report'));
 }
