--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -43,7 +43,7 @@
 	});
 }
 
-const ends: ReadonlyArray<readonly [ended: CompletedRequest, expected: CompletionStatus]> = [
+const completions: ReadonlyArray<readonly [ended: CompletedRequest, expected: CompletionStatus]> = [
 	[{outcome: 'ran', status: 200, limited: false}, 'answered'],
 	[{outcome: 'ran', status: 404, limited: false}, 'answered'],
 	[{outcome: 'ran', status: 500, limited: false}, 'failed'],
@@ -54,7 +54,7 @@
 	[{outcome: 'unknown', status: 504, limited: false}, 'unknown'],
 ];
 
-for (const [ended, expected] of ends) {
+for (const [ended, expected] of completions) {
 	test(`completion status: ${JSON.stringify(ended)} is ${expected}`, () => {
 		assert.equal(completionStatusOf(ended), expected);
 	});
