--- a/packages/burn/test/test-burn.ts
+++ b/packages/burn/test/test-burn.ts
@@ -54,9 +54,9 @@
 	[{outcome: 'unknown', status: 504, limited: false}, 'unknown'],
 ];
 
-for (const [ended, expected] of completions) {
-	test(`completion status: ${JSON.stringify(ended)} is ${expected}`, () => {
-		assert.equal(completionStatusOf(ended), expected);
+for (const [request, expected] of completions) {
+	test(`completion status: ${JSON.stringify(request)} is ${expected}`, () => {
+		assert.equal(completionStatusOf(request), expected);
 	});
 }
 
