--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -23,7 +23,7 @@
 export type Followed = {
 	readonly service: ServiceAssignments['service'];
 	/** The state of each slot that keys use. */
-	readonly places: ReadonlyMap<Slot, SlotState>;
+	readonly slotStates: ReadonlyMap<Slot, SlotState>;
 	/** The completed times without an owner, summed over slots. */
 	readonly unavailableMilliseconds: Milliseconds;
 	readonly moves: number;
@@ -35,7 +35,7 @@
 /** The initial state, before the first table is observed. */
 export function createFollowed(service: ServiceAssignments['service']): Followed {
 	return {
-		service, places: new Map(), unavailableMilliseconds: 0, moves: 0,
+		service, slotStates: new Map(), unavailableMilliseconds: 0, moves: 0,
 	};
 }
 
@@ -75,7 +75,7 @@
 	const places = new Map<Slot, SlotState>();
 	let {unavailableMilliseconds, moves} = followed;
 	for (const assignment of assignmentsInUse(table, slots)) {
-		const before = followed.places.get(assignment.slot);
+		const before = followed.slotStates.get(assignment.slot);
 		const after = before?.assignment === assignment ? before : nextSlotState(before, assignment, silenceOf, now);
 		unavailableMilliseconds += endedMilliseconds(before, after, now);
 		moves += Number(isMove(before, after));
@@ -83,7 +83,7 @@
 	}
 
 	return {
-		...followed, places, unavailableMilliseconds, moves,
+		...followed, slotStates: places, unavailableMilliseconds, moves,
 	};
 }
 
@@ -100,7 +100,7 @@
 }
 
 /** The figures so far; a time without an owner that is still open counts up to now. */
-export function figuresOf({service, places, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
+export function figuresOf({service, slotStates: places, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
 	const openMilliseconds = [...places.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
 	const counts = slotCounts(places.values());
 	return {
