--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -72,18 +72,18 @@
 
 /** Updates the state with the current table. Drops slots that no key uses any more. */
 export function follow(followed: Followed, {table, slots, silenceOf}: SeenTable, now: MonotonicTime): Followed {
-	const places = new Map<Slot, SlotState>();
+	const slotStates = new Map<Slot, SlotState>();
 	let {unavailableMilliseconds, moves} = followed;
 	for (const assignment of assignmentsInUse(table, slots)) {
 		const before = followed.slotStates.get(assignment.slot);
 		const after = before?.assignment === assignment ? before : nextSlotState(before, assignment, silenceOf, now);
 		unavailableMilliseconds += endedMilliseconds(before, after, now);
 		moves += Number(isMove(before, after));
-		places.set(assignment.slot, after);
+		slotStates.set(assignment.slot, after);
 	}
 
 	return {
-		...followed, slotStates: places, unavailableMilliseconds, moves,
+		...followed, slotStates: slotStates, unavailableMilliseconds, moves,
 	};
 }
 
