--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -87,9 +87,9 @@
 	};
 }
 
-function slotCounts(places: Iterable<SlotState>): readonly number[] {
+function slotCounts(slotStates: Iterable<SlotState>): readonly number[] {
 	const counts = new Map<string, number>();
-	for (const {assignment} of places) {
+	for (const {assignment} of slotStates) {
 		const owner = ownerOf(assignment);
 		if (owner !== undefined) {
 			counts.set(owner, (counts.get(owner) ?? 0) + 1);
