--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -100,9 +100,9 @@
 }
 
 /** The figures so far; a time without an owner that is still open counts up to now. */
-export function figuresOf({service, slotStates: places, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
-	const openMilliseconds = [...places.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
-	const counts = slotCounts(places.values());
+export function figuresOf({service, slotStates: slotStates, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
+	const openMilliseconds = [...slotStates.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
+	const counts = slotCounts(slotStates.values());
 	return {
 		service, unavailableSlotMilliseconds: unavailableMilliseconds + openMilliseconds, moves, slotImbalance: imbalance(counts, counts.length), owners: counts.length,
 	};
