--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -83,7 +83,7 @@
 	}
 
 	return {
-		...followed, slotStates: slotStates, unavailableMilliseconds, moves,
+		...followed, slotStates, unavailableMilliseconds, moves,
 	};
 }
 
@@ -100,7 +100,7 @@
 }
 
 /** The figures so far; a time without an owner that is still open counts up to now. */
-export function figuresOf({service, slotStates: slotStates, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
+export function figuresOf({service, slotStates, unavailableMilliseconds, moves}: Followed, now: MonotonicTime): OwnershipFigures {
 	const openMilliseconds = [...slotStates.values()].reduce((sum, {withoutOwnerSince}) => sum + now - (withoutOwnerSince ?? now), 0);
 	const counts = slotCounts(slotStates.values());
 	return {
