--- a/packages/burn/src/following.ts
+++ b/packages/burn/src/following.ts
@@ -68,10 +68,10 @@
 }
 
 /** A service's ownership table at one moment. The service has `slots` slots. */
-export type SeenTable = {readonly table: ServiceAssignments; readonly slots: number; readonly silenceOf: SilenceOf};
+export type ObservedTable = {readonly table: ServiceAssignments; readonly slots: number; readonly silenceOf: SilenceOf};
 
 /** Updates the state with the current table. Drops slots that no key uses any more. */
-export function follow(followed: Followed, {table, slots, silenceOf}: SeenTable, now: MonotonicTime): Followed {
+export function follow(followed: Followed, {table, slots, silenceOf}: ObservedTable, now: MonotonicTime): Followed {
 	const slotStates = new Map<Slot, SlotState>();
 	let {unavailableMilliseconds, moves} = followed;
 	for (const assignment of assignmentsInUse(table, slots)) {
