--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -15,11 +15,11 @@
 /** Counts by service and upstream. */
 type LoadCounts = Map<ServiceName, Map<UpstreamName, number>>;
 
-function addRequests(window: LoadCounts, service: ServiceName, upstream: UpstreamName, requests: number): void {
-	let counts = window.get(service);
+function addRequests(loads: LoadCounts, service: ServiceName, upstream: UpstreamName, requests: number): void {
+	let counts = loads.get(service);
 	if (counts === undefined) {
 		counts = new Map();
-		window.set(service, counts);
+		loads.set(service, counts);
 	}
 
 	counts.set(upstream, (counts.get(upstream) ?? 0) + requests);
