--- a/packages/burn/src/load.ts
+++ b/packages/burn/src/load.ts
@@ -25,8 +25,8 @@
 	counts.set(upstream, (counts.get(upstream) ?? 0) + requests);
 }
 
-function loadsOf(window: LoadCounts): readonly UpstreamLoad[] {
-	return [...window].flatMap(([service, counts]) => [...counts].map(([upstream, requests]) => ({service, upstream, requests})));
+function loadsOf(loads: LoadCounts): readonly UpstreamLoad[] {
+	return [...loads].flatMap(([service, counts]) => [...counts].map(([upstream, requests]) => ({service, upstream, requests})));
 }
 
 /** Sums the loads of each upstream. */
