--- a/packages/burn/test/test-following.ts
+++ b/packages/burn/test/test-following.ts
@@ -27,14 +27,14 @@
 	return {service, assignments, pinned: pinned.map(slot => ({key: `key-${slot}`, home: 0, slot}))};
 }
 
-type Observation = {
+type Observed = {
 	readonly at: number;
 	readonly table: ServiceAssignments;
 	/** How long lost owners had been without contact, in milliseconds. */
 	readonly silent?: number;
 };
 
-const cases: ReadonlyArray<{readonly name: string; readonly seen: readonly Observation[]; readonly unavailable: number; readonly moves: number; readonly imbalance: number; readonly owners: number}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly seen: readonly Observed[]; readonly unavailable: number; readonly moves: number; readonly imbalance: number; readonly owners: number}> = [
 	{
 		name: 'a slot that never had an owner is not unavailable',
 		seen: [{at: 0, table: table([free(0), free(1)])}],
