--- a/packages/burn/src/judgement.ts
+++ b/packages/burn/src/judgement.ts
@@ -1,96 +1,95 @@
 /**
- * What counts as bad: a request's end, judged for one objective.
+ * Classifies completed requests: how each one ended for its caller, and whether
+ * that is good or bad for a service-level objective.
  */
 import {type Objective} from '@dogwooddeck/model/contract';
 import {type Milliseconds} from '@dogwooddeck/model/identifiers';
 import {Outcome} from '@dogwooddeck/model/outcome';
 
-/** How a request ended, as its caller saw it. */
+/** How a request ended for its caller. */
 export const CompletionStatus = {
-	/** A whole answer that is not an error of the upstream. */
+	/** A complete response that is not a server error. */
 	answered: 'answered',
-	/** A whole answer that tells of an error of the upstream. */
+	/** A server error from the upstream, or a response that was not complete. */
 	failed: 'failed',
-	/** Refused: it was not run, and never will be. */
+	/** Rejected: it was not run, and never will be. */
 	notRun: 'notRun',
-	/** Whether it ran isn't known. */
+	/** It may or may not have run. */
 	unknown: 'unknown',
-	/** Refused for the caller's own fault: a malformed request, or its limit spent. */
+	/** Rejected for the caller's own fault: a malformed request, or an exhausted limit. */
 	callerFault: 'callerFault',
 } as const;
 
-/** One of the ends. */
 export type CompletionStatus = (typeof CompletionStatus)[keyof typeof CompletionStatus];
 
-/** What is known of a request when it has ended. */
+/** The result of a completed request. */
 export type CompletedRequest = {
 	readonly outcome: Outcome;
-	/** The status that the caller got; absent where no whole answer came. */
+	/** The status that the caller received; absent without a complete response. */
 	readonly status?: number;
-	/** Whether it was refused because its caller's limit is spent. */
+	/** Whether it was rejected because its caller's limit is exhausted. */
 	readonly limited: boolean;
 };
 
-const firstErrorStatus = 500;
-const firstCallerStatus = 400;
+const firstServerErrorStatus = 500;
+const firstClientErrorStatus = 400;
 
-const endsOfOutcome: Readonly<Record<Outcome, (ended: CompletedRequest) => CompletionStatus>> = {
-	[Outcome.ran]: ({status}) => status === undefined || status >= firstErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
-	[Outcome.notRun]: ({status, limited}) => limited || isCallerStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
+const completionStatusRules: Readonly<Record<Outcome, (request: CompletedRequest) => CompletionStatus>> = {
+	[Outcome.ran]: ({status}) => status === undefined || status >= firstServerErrorStatus ? CompletionStatus.failed : CompletionStatus.answered,
+	[Outcome.notRun]: ({status, limited}) => limited || isClientErrorStatus(status) ? CompletionStatus.callerFault : CompletionStatus.notRun,
 	[Outcome.unknown]: () => CompletionStatus.unknown,
 };
 
-function isCallerStatus(status: number | undefined): boolean {
-	return status !== undefined && status >= firstCallerStatus && status < firstErrorStatus;
+function isClientErrorStatus(status: number | undefined): boolean {
+	return status !== undefined && status >= firstClientErrorStatus && status < firstServerErrorStatus;
 }
 
-/** How a request ended, from its outcome and the status that its caller got. */
-export function completionStatusOf(ended: CompletedRequest): CompletionStatus {
-	return endsOfOutcome[ended.outcome](ended);
+/** Derives how a request ended from its outcome and the status that its caller received. */
+export function completionStatusOf(request: CompletedRequest): CompletionStatus {
+	return completionStatusRules[request.outcome](request);
 }
 
-/** One request that has ended. */
+/** A completed request, as it is counted for objectives. */
 export type RequestSample = {
 	readonly end: CompletionStatus;
 	readonly idempotent: boolean;
-	/** From the first byte of the request to the last of the answer. */
+	/** From the first byte of the request to the last byte of the response. */
 	readonly latencyMilliseconds: Milliseconds;
 };
 
-/** What a request is for an objective. */
-export const Judgement = {
+/** The class of a request for an objective. */
+export const RequestClass = {
 	good: 'good',
-	/** Answered, but later than the objective says. */
+	/** Answered, but later than the objective's latency threshold. */
 	slow: 'slow',
 	failed: 'failed',
 	notRun: 'notRun',
 	unknown: 'unknown',
-	/** It says nothing about the objective. */
+	/** Not counted for the objective. */
 	uncounted: 'uncounted',
 } as const;
 
-/** One of the judgements. */
-export type Judgement = (typeof Judgement)[keyof typeof Judgement];
+export type RequestClass = (typeof RequestClass)[keyof typeof RequestClass];
 
-type Judge = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => Judgement;
+type RequestClassifier = (sample: RequestSample, withinMilliseconds: Milliseconds | undefined) => RequestClass;
 
 /**
- * A non-idempotent request that was not run can be sent again safely and has
- * no answer to be late: it counts for availability, not for latency.
+ * A non-idempotent request that was not run can be retried safely and has no
+ * response to be late: it counts for availability, not for latency.
  */
-function judgeNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): Judgement {
-	return !sample.idempotent && withinMilliseconds !== undefined ? Judgement.uncounted : Judgement.notRun;
+function classifyNotRun(sample: RequestSample, withinMilliseconds: Milliseconds | undefined): RequestClass {
+	return !sample.idempotent && withinMilliseconds !== undefined ? RequestClass.uncounted : RequestClass.notRun;
 }
 
-const judges: Readonly<Record<CompletionStatus, Judge>> = {
-	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? Judgement.slow : Judgement.good,
-	failed: () => Judgement.failed,
-	notRun: judgeNotRun,
-	unknown: () => Judgement.unknown,
-	callerFault: () => Judgement.uncounted,
+const classifiers: Readonly<Record<CompletionStatus, RequestClassifier>> = {
+	answered: (sample, within) => sample.latencyMilliseconds > (within ?? Number.POSITIVE_INFINITY) ? RequestClass.slow : RequestClass.good,
+	failed: () => RequestClass.failed,
+	notRun: classifyNotRun,
+	unknown: () => RequestClass.unknown,
+	callerFault: () => RequestClass.uncounted,
 };
 
-/** Judges a request for an objective. */
-export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): Judgement {
-	return judges[sample.end](sample, objective.withinMilliseconds);
+/** Classifies a request for an objective. */
+export function classifyRequest(sample: RequestSample, objective: Pick<Objective, 'withinMilliseconds'>): RequestClass {
+	return classifiers[sample.end](sample, objective.withinMilliseconds);
 }
--- a/packages/burn/src/recorder.ts
+++ b/packages/burn/src/recorder.ts
@@ -1,18 +1,18 @@
 /**
- * Counts the requests of the current interval. This is the one part that
- * changes in place, since it runs for every request.
+ * Counts the requests of the current interval. The recorder is mutable, since
+ * it runs for every request.
  */
 import {type Objective, type ServiceContract} from '@dogwooddeck/model/contract';
 import {type ServiceName, type WallTime} from '@dogwooddeck/model/identifiers';
 import {type Histogram} from 'hdr-histogram-js';
 import {
-	Judgement, classifyRequest, CompletionStatus, type RequestSample,
+	RequestClass, classifyRequest, CompletionStatus, type RequestSample,
 } from './judgement.js';
 import {emptyHistogram, encodeHistogram, recordLatency} from './latency.js';
 import {intervalMilliseconds, type BurnInterval, type ObjectiveCounts} from './window.js';
 
-/** The ends with a whole answer, whose latency means something. */
-const answeredEnds: ReadonlySet<CompletionStatus> = new Set([CompletionStatus.answered, CompletionStatus.failed]);
+/** The statuses whose latency is recorded: only a request that is known to have run has a meaningful one. */
+const measuredStatuses: ReadonlySet<CompletionStatus> = new Set([CompletionStatus.answered, CompletionStatus.failed]);
 
 type MutableCounts = {
 	total: number;
@@ -29,28 +29,28 @@
 
 type Counter = (counts: MutableCounts) => void;
 
-const counters: Readonly<Record<Judgement, Counter>> = {
-	[Judgement.good](counts) {
+const counters: Readonly<Record<RequestClass, Counter>> = {
+	[RequestClass.good](counts) {
 		counts.total += 1;
 	},
-	[Judgement.slow](counts) {
+	[RequestClass.slow](counts) {
 		counts.total += 1;
 		counts.slow += 1;
 	},
-	[Judgement.failed](counts) {
+	[RequestClass.failed](counts) {
 		counts.total += 1;
 		counts.failed += 1;
 	},
-	[Judgement.notRun](counts) {
+	[RequestClass.notRun](counts) {
 		counts.total += 1;
 		counts.notRun += 1;
 	},
-	[Judgement.unknown](counts) {
+	[RequestClass.unknown](counts) {
 		counts.total += 1;
 		counts.unknown += 1;
 	},
-	[Judgement.uncounted]() {
-		// The request says nothing about the objective.
+	[RequestClass.uncounted]() {
+		// Not counted for the objective.
 	},
 };
 
@@ -59,14 +59,14 @@
 	return names.map(objective => ({service, objective, counts: {...record.objectives.get(objective)!}}));
 }
 
-/** Counts requests until the interval is taken. */
+/** Counts requests until the interval is closed by `take`. */
 export class BurnRecorder {
 	readonly #services = new Map<ServiceName, ServiceRecord>();
 
 	/** Counts one request for each objective of its service. */
 	record(contract: Pick<ServiceContract, 'name' | 'objectives'>, sample: RequestSample): void {
 		const record = this.#recordOf(contract.name);
-		if (answeredEnds.has(sample.end)) {
+		if (measuredStatuses.has(sample.end)) {
 			recordLatency(record.latencies, sample.latencyMilliseconds);
 		}
 
@@ -75,7 +75,7 @@
 		}
 	}
 
-	/** Gives what was counted as the interval that starts at a moment, and begins the next. */
+	/** Returns the counts as the interval that starts at `startedAt`, and resets them for the next. */
 	take(startedAt: WallTime): BurnInterval {
 		const services = [...this.#services].sort(([left], [right]) => left < right ? -1 : 1);
 		this.#services.clear();
--- a/packages/burn/src/report-page.ts
+++ b/packages/burn/src/report-page.ts
@@ -1,9 +1,9 @@
 /**
- * The report as one HTML page that needs nothing from outside.
+ * Renders the report as one self-contained HTML page, without external resources.
  */
 import {plotPoints} from './plot.js';
 import {
-	coverageLine, showBad, showBudget, showObjective, showRate,
+	coverageLine, formatBad, formatBudget, formatObjective, formatRate,
 } from './report-text.js';
 import {type BurnReport, type ObjectiveBurn} from './report.js';
 
@@ -26,7 +26,7 @@
 	'&': '&amp;', '<': '&lt;', '>': '&gt;', '"': '&quot;', '\'': '&#39;',
 };
 
-/** A text that can stand in HTML. */
+/** Escapes a text for HTML content and quoted attributes. */
 export function escapeHtml(text: string): string {
 	return text.replaceAll(/["&'<>]/gu, character => entities[character]!);
 }
@@ -35,8 +35,8 @@
 	return `<td${isOver ? ' class="over"' : ''}>${escapeHtml(text)}</td>`;
 }
 
-function tableOf(heads: readonly string[], rows: readonly string[]): string {
-	const top = heads.map(head => `<th scope="col">${escapeHtml(head)}</th>`).join('');
+function tableOf(headings: readonly string[], rows: readonly string[]): string {
+	const top = headings.map(head => `<th scope="col">${escapeHtml(head)}</th>`).join('');
 	return `<table><thead><tr>${top}</tr></thead><tbody>${rows.map(row => `<tr>${row}</tr>`).join('\n')}</tbody></table>`;
 }
 
@@ -44,10 +44,10 @@
 	return [
 		cell(burn.objective.service),
 		cell(burn.objective.name),
-		cell(showObjective(burn)),
-		...burn.windows.map(window => cell(showRate(window.burnRate), (window.burnRate ?? 0) > 1)),
-		cell(showBudget(burn.budgetLeft), burn.budgetLeft < 0),
-		cell(showBad(burn.windows.at(-1)!)),
+		cell(formatObjective(burn)),
+		...burn.windows.map(window => cell(formatRate(window.burnRate), (window.burnRate ?? 0) > 1)),
+		cell(formatBudget(burn.budgetLeft), burn.budgetLeft < 0),
+		cell(formatBad(burn.windows.at(-1)!)),
 	].join('');
 }
 
@@ -78,11 +78,11 @@
 }
 
 function plotFigure(burn: ObjectiveBurn): string {
-	const title = escapeHtml(`${burn.objective.service}: ${burn.objective.name}, ${showObjective(burn)}`);
+	const title = escapeHtml(`${burn.objective.service}: ${burn.objective.name}, ${formatObjective(burn)}`);
 	return `<figure><figcaption>${title}</figcaption>${plotPoints(burn.points, title)}</figure>`;
 }
 
-/** The report as an HTML page. */
+/** Renders the report as an HTML page. */
 export function reportPage(report: BurnReport): string {
 	const at = new Date(report.at).toISOString();
 	const coverage = `<p${report.lacking.length > 0 ? ' class="lacking"' : ''}>${escapeHtml(coverageLine(report))}</p>`;
--- a/packages/burn/src/report-text.ts
+++ b/packages/burn/src/report-text.ts
@@ -1,32 +1,32 @@
 /**
- * The report as lines of text.
+ * Renders the report as lines of text.
  */
 import {type BurnReport, type ObjectiveBurn, type WindowBurn} from './report.js';
-import {badJudgements} from './window.js';
+import {badRequestClasses} from './window.js';
 
-/** A burn rate for a person. */
-export function showRate(rate: number | undefined): string {
+/** Formats a burn rate; `-` without requests. */
+export function formatRate(rate: number | undefined): string {
 	return rate === undefined ? '-' : rate.toFixed(2);
 }
 
-function showShare(share: number): string {
+function formatShare(share: number): string {
 	return `${(share * 100).toFixed(1)} %`;
 }
 
-/** What is left of a budget, for a person. */
-export function showBudget(left: number): string {
-	return left < 0 ? `overspent ${(1 - left).toFixed(1)} times` : showShare(left);
+/** Formats the share of a budget that is left. */
+export function formatBudget(left: number): string {
+	return left < 0 ? `overspent ${(1 - left).toFixed(1)} times` : formatShare(left);
 }
 
-/** What an objective asks for, for a person. */
-export function showObjective({objective}: ObjectiveBurn): string {
+/** Formats an objective's target and latency threshold. */
+export function formatObjective({objective}: ObjectiveBurn): string {
 	const within = objective.withinMilliseconds === undefined ? '' : ` within ${objective.withinMilliseconds} ms`;
 	return `${Number((objective.target * 100).toFixed(4))} %${within}`;
 }
 
-/** What was bad in a window, for a person. */
-export function showBad({counts}: WindowBurn): string {
-	const parts = badJudgements.filter(judgement => counts[judgement] > 0).map(judgement => `${judgement} ${counts[judgement]}`);
+/** Formats the bad requests of a window by class. */
+export function formatBad({counts}: WindowBurn): string {
+	const parts = badRequestClasses.filter(requestClass => counts[requestClass] > 0).map(requestClass => `${requestClass} ${counts[requestClass]}`);
 	return parts.length === 0 ? 'none' : parts.join(', ');
 }
 
@@ -37,7 +37,7 @@
 
 function objectiveRows(report: BurnReport): ReadonlyArray<readonly string[]> {
 	return report.objectives.map(burn => [
-		burn.objective.service, burn.objective.name, showObjective(burn), ...burn.windows.map(window => showRate(window.burnRate)), showBudget(burn.budgetLeft), showBad(burn.windows.at(-1)!),
+		burn.objective.service, burn.objective.name, formatObjective(burn), ...burn.windows.map(window => formatRate(window.burnRate)), formatBudget(burn.budgetLeft), formatBad(burn.windows.at(-1)!),
 	]);
 }
 
@@ -60,13 +60,13 @@
 	return aligned([['service', 'unavailable slot time', 'slots moved', 'slot imbalance', 'load imbalance'], ...rows]);
 }
 
-/** Which instances are in the report, and which it lacks. */
+/** States how many instances are in the report, and which are missing. */
 export function coverageLine(report: BurnReport): string {
 	const lacking = report.lacking.length === 0 ? 'none lacking' : `LACKING: ${report.lacking.join(', ')}`;
 	return `counted by ${report.instances.length} instances, ${lacking}`;
 }
 
-/** The report as lines of text. */
+/** Renders the report as lines of text. */
 export function reportLines(report: BurnReport): readonly string[] {
 	return [
 		`service-level burn at ${new Date(report.at).toISOString()}`,
--- a/packages/burn/src/report.ts
+++ b/packages/burn/src/report.ts
@@ -1,5 +1,5 @@
 /**
- * The report on service-level burn: what all instances counted, merged, beside
+ * Makes the service-level burn report: the merged counts of all instances, and
  * the figures on unavailable time, churn and imbalance.
  */
 import {type Objective} from '@dogwooddeck/model/contract';
@@ -14,42 +14,42 @@
 	mergeLatencies, summariseLatency, type LatencySummary, type ServiceLatency,
 } from './latency.js';
 import {
-	badOf, burnRate, burnWindows, countsOf, intervalsBetween, type BurnInterval, type BurnWindow, type Counts, type InstanceBurn,
+	badCount, burnRate, burnWindows, countsOf, intervalsBetween, type BurnInterval, type BurnWindow, type Counts, type InstanceBurn,
 } from './window.js';
 
 /** An objective of a service. */
 export type ServiceObjective = Objective & {readonly service: ServiceName};
 
-/** What one instance sees in the ownership table of a service, since it began to follow it. */
+/** Figures from the ownership table of a service, since one instance began to track it. */
 export type OwnershipFigures = {
 	readonly service: ServiceName;
-	/** The sum over keys' slots of the time without an owner. */
+	/** The time without an owner, summed over the slots that keys use. */
 	readonly unavailableSlotMilliseconds: Milliseconds;
-	/** Slots that changed their owner. */
+	/** The number of times that a slot changed its owner. */
 	readonly moves: number;
-	/** The most slots on one upstream, as a multiple of the mean. */
+	/** The maximum number of slots on one upstream, as a multiple of the mean. */
 	readonly slotImbalance: number;
-	/** The upstreams that own slots now. */
+	/** The number of upstreams that own slots now. */
 	readonly owners: number;
 };
 
-/** What else the users measure about a service. */
+/** Ownership and load figures of a service, as a report shows them. */
 export type ServiceFigures = Omit<OwnershipFigures, 'owners'> & {
-	/** The most requests on one upstream, as a multiple of the mean, over the last minutes. */
+	/** The maximum number of requests on one upstream, as a multiple of the mean, over the last 5 to 10 minutes. */
 	readonly loadImbalance: number;
 };
 
-/** What the report is made from: the answer to `GET /operator/burn`. */
+/** The data that a report is made from: the response to `GET /operator/burn`. */
 export type BurnInput = {
 	readonly at: WallTime;
 	readonly objectives: readonly ServiceObjective[];
-	/** The instances that should have counted. */
+	/** The instances whose counts the report should cover. */
 	readonly expected: readonly InstanceName[];
 	readonly instances: readonly InstanceBurn[];
 	readonly figures: readonly OwnershipFigures[];
 };
 
-/** An objective's burn over one window. */
+/** An objective's burn rate over one window. */
 export type WindowBurn = {
 	readonly window: BurnWindow['name'];
 	readonly counts: Counts;
@@ -57,18 +57,18 @@
 	readonly burnRate?: number;
 };
 
-/** An objective's burn at one moment. */
+/** An objective's burn rate over the hour that ends at `at`. */
 export type BurnPoint = {
 	readonly at: WallTime;
 	/** Absent without requests. */
 	readonly burnRate?: number;
 };
 
-/** The burn of one objective. */
+/** The burn rates of one objective and the budget that is left. */
 export type ObjectiveBurn = {
 	readonly objective: ServiceObjective;
 	readonly windows: readonly WindowBurn[];
-	/** By the hour, over the longest window; oldest first. */
+	/** One for each hour of the longest window, oldest first. */
 	readonly points: readonly BurnPoint[];
 	/** The share of the longest window's own budget that is left; below 0 when overspent. */
 	readonly budgetLeft: number;
@@ -83,7 +83,7 @@
 	readonly figures: readonly ServiceFigures[];
 	/** The instances whose counts are in the report. */
 	readonly instances: readonly InstanceName[];
-	/** The instances whose counts are missing from it. */
+	/** The expected instances whose counts are missing from the report. */
 	readonly lacking: readonly InstanceName[];
 };
 
@@ -94,14 +94,14 @@
 	return rate === undefined ? {} : {burnRate: rate};
 }
 
-/** Intervals that have begun when the report is made; clocks of instances differ a little. */
+/** The burn over a window that ends at `at`. Intervals that start later are included, since the instances' clocks differ slightly. */
 function windowBurn(intervals: readonly BurnInterval[], objective: ServiceObjective, window: BurnWindow, at: WallTime): WindowBurn {
-	const held = intervalsBetween(intervals, at - window.milliseconds, Number.POSITIVE_INFINITY);
-	const counts = countsOf(held, objective.service, objective.name);
+	const included = intervalsBetween(intervals, at - window.milliseconds, Number.POSITIVE_INFINITY);
+	const counts = countsOf(included, objective.service, objective.name);
 	return {window: window.name, counts, ...optionalRate(counts, objective.target)};
 }
 
-function pointsOf(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): readonly BurnPoint[] {
+function hourlyPoints(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): readonly BurnPoint[] {
 	const hours = burnWindows.at(-1)!.milliseconds / hourMilliseconds;
 	return Array.from({length: hours}, (_unused, position) => {
 		const from = at - ((hours - position) * hourMilliseconds);
@@ -112,17 +112,17 @@
 
 function budgetLeft(windows: readonly WindowBurn[], target: number): number {
 	const {counts} = windows.at(-1)!;
-	return counts.total === 0 ? 1 : 1 - (badOf(counts) / (counts.total * (1 - target)));
+	return counts.total === 0 ? 1 : 1 - (badCount(counts) / (counts.total * (1 - target)));
 }
 
 function objectiveBurn(intervals: readonly BurnInterval[], objective: ServiceObjective, at: WallTime): ObjectiveBurn {
 	const windows = burnWindows.map(window => windowBurn(intervals, objective, window, at));
 	return {
-		objective, windows, points: pointsOf(intervals, objective, at), budgetLeft: budgetLeft(windows, objective.target),
+		objective, windows, points: hourlyPoints(intervals, objective, at), budgetLeft: budgetLeft(windows, objective.target),
 	};
 }
 
-/** Makes the report. An instance that counted nothing is there with no intervals; one that is not there is lacking. */
+/** Makes the report. An instance without requests is in the input with no intervals; an expected instance that is not in the input is reported as `lacking`. */
 export function makeReport({at, objectives, expected, instances, figures}: BurnInput): BurnReport {
 	const intervals = instances.flatMap(instance => instance.intervals);
 	const names = instances.map(instance => instance.instance);
@@ -143,27 +143,27 @@
 	return Array.isArray(value) && value.every(item => typeof item === 'string');
 }
 
-function isNumbered(value: unknown, texts: readonly string[], numbers: readonly string[]): boolean {
+function hasFields(value: unknown, texts: readonly string[], numbers: readonly string[]): boolean {
 	const fields = value as Readonly<Record<string, unknown>> | null;
 	return typeof fields === 'object' && fields !== null
 		&& texts.every(key => typeof fields[key] === 'string')
 		&& numbers.every(key => Number.isFinite(fields[key]));
 }
 
-function isInput(value: unknown): value is BurnInput {
-	if (!isNumbered(value, [], ['at'])) {
+function isBurnInput(value: unknown): value is BurnInput {
+	if (!hasFields(value, [], ['at'])) {
 		return false;
 	}
 
 	const {objectives, expected, instances, figures} = value as Readonly<Record<string, unknown>>;
 	const figureFields = ['unavailableSlotMilliseconds', 'moves', 'slotImbalance', 'owners'];
 	return isTextList(expected)
-		&& Array.isArray(objectives) && objectives.every(item => isNumbered(item, ['service', 'name'], ['target', 'periodDays']))
+		&& Array.isArray(objectives) && objectives.every(item => hasFields(item, ['service', 'name'], ['target', 'periodDays']))
 		&& Array.isArray(instances) && instances.every(item => isInstanceBurn(item))
-		&& Array.isArray(figures) && figures.every(item => isNumbered(item, ['service'], figureFields));
+		&& Array.isArray(figures) && figures.every(item => hasFields(item, ['service'], figureFields));
 }
 
-/** Checks the answer to `GET /operator/burn`. Fails with `malformed`. */
+/** Validates the response to `GET /operator/burn`. Fails with `malformed`. */
 export function checkInput(value: unknown): Result<BurnInput, Failure> {
-	return isInput(value) ? ok(value) : err(failure(FailureKind.malformed, 'the answer is not a report\'s input'));
+	return isBurnInput(value) ? ok(value) : err(failure(FailureKind.malformed, 'the response is not the input of a burn report'));
 }
